--- a/tests/test_asking.py
+++ b/tests/test_asking.py
@@ -6,10 +6,10 @@
 
 import pytest
 
+from zincstile.emulators.listservice import Manners
 from zincstile.field import start
 from zincstile.net import http
 from zincstile.net.limits import MS, SECOND, Limits
-from zincstile.standin.listservice import Manners
 from zincstile.start.asking import Asking
 from zincstile.worlds.plan import Plan
 
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -6,7 +6,7 @@
 
 from zincstile.checkers.cases import ClassRule, Figures, PlanRule
 from zincstile.checkers.checker import Checker
-from zincstile.standin.witness import Asked
+from zincstile.emulators.witness import Asked
 
 MS, SECOND = 1_000_000, 1_000_000_000
 
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -24,7 +24,7 @@
     ("held", "adapter"),
     ("keeper", "shared", "place", "start", "subset", "control"),
     ("net",),
-    ("virtual", "standin", "checkers"),
+    ("virtual", "emulators", "checkers"),
     ("worlds", "serve"),
     ("field",),
     ("scale",),
--- a/tests/test_net_keeper.py
+++ b/tests/test_net_keeper.py
@@ -7,12 +7,12 @@
 
 import pytest
 
+from zincstile.emulators.counter import Counter
 from zincstile.net.counters import Counters
 from zincstile.net.keeper import Keeper
 from zincstile.net.limits import Limits
 from zincstile.net.log import Log
 from zincstile.net.turn import Turn
-from zincstile.standin.counter import Counter
 from zincstile.virtual.clock import MS, SECOND, Scheduler
 from zincstile.virtual.host import VirtualHost
 from zincstile.virtual.network import Network, Ways
--- a/tests/test_standin.py
+++ b/tests/test_standin.py
@@ -8,12 +8,12 @@
 
 import pytest
 
-from zincstile.standin import wire
-from zincstile.standin.clients import Front, Want
-from zincstile.standin.counter import Counter
-from zincstile.standin.discovery import Agent, Entry, Roster
-from zincstile.standin.guidebox import SPOILT, GuideBox, Model, Rack
-from zincstile.standin.witness import Witness
+from zincstile.emulators import wire
+from zincstile.emulators.clients import Front, Want
+from zincstile.emulators.counter import Counter
+from zincstile.emulators.discovery import Agent, Entry, Roster
+from zincstile.emulators.guidebox import SPOILT, GuideBox, Model, Rack
+from zincstile.emulators.witness import Witness
 
 HOST = "127.0.0.1"
 
--- a/tests/test_throng.py
+++ b/tests/test_throng.py
@@ -8,9 +8,9 @@
 from conftest import MS, Gateway, backend
 
 from zincstile import interface as i
+from zincstile.emulators.listservice import Manners
 from zincstile.field import start
 from zincstile.net.limits import SECOND, Limits
-from zincstile.standin.listservice import Manners
 from zincstile.worlds import plan
 from zincstile.worlds.plan import Plan
 from zincstile.worlds.world import Run
--- a/tests/test_worlds.py
+++ b/tests/test_worlds.py
@@ -222,7 +222,7 @@
         "import zincstile.net.gateway, zincstile.net.control, zincstile.control.operator\n"
         "foreign = {m.split('.')[0] for m in sys.modules} - set(sys.stdlib_module_names)\n"
         "own = [m for m in sys.modules if m.startswith(('zincstile.cli', 'zincstile.virtual', "
-        "'zincstile.worlds', 'zincstile.standin', 'zincstile.checkers'))]\n"
+        "'zincstile.worlds', 'zincstile.emulators', 'zincstile.checkers'))]\n"
         "foreign -= {'zincstile', 'sitecustomize'}\n"
         "print(sorted(m for m in foreign if m[0] != '_'), own)"
     )
--- a/zincstile/cli/demo.py
+++ b/zincstile/cli/demo.py
@@ -20,9 +20,9 @@
 from rich.table import Table
 
 from ..checkers.checker import Checker
-from ..standin.clients import Front
-from ..standin.discovery import Agent, Entry, Roster
-from ..standin.guidebox import GuideBox, Model, Rack
+from ..emulators.clients import Front
+from ..emulators.discovery import Agent, Entry, Roster
+from ..emulators.guidebox import GuideBox, Model, Rack
 from ..worlds import traffic
 from ..worlds.plan import Plan
 
--- a/zincstile/cli/field.py
+++ b/zincstile/cli/field.py
@@ -198,11 +198,11 @@
     **wrong: int,
 ) -> int:
     """Cold starts of real processes with a list service that has to be asked; exit 1 where one is late."""
+    from ..emulators.listservice import Manners
     from ..field import start as starts
     from ..field import sweep as sweeps
     from ..field.places import PlaceError
     from ..field.run import NotReadyError
-    from ..standin.listservice import Manners
 
     for wave in waves:
         if wave not in starts.WAVES:
--- a/zincstile/field/emulated.py
+++ b/zincstile/field/emulated.py
@@ -7,10 +7,10 @@
 from dataclasses import replace
 from typing import Any
 
+from ..emulators.counter import Counter
+from ..emulators.discovery import Entry
+from ..emulators.guidebox import GuideBox, Model
 from ..links import Trouble, between
-from ..standin.counter import Counter
-from ..standin.discovery import Entry
-from ..standin.guidebox import GuideBox, Model
 from ..worlds import traffic
 from . import places
 from .fault_proxy import FaultProxy, ProxiedConnection
--- a/zincstile/field/gateways.py
+++ b/zincstile/field/gateways.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import Any
 
-from ..standin.clients import Rude
+from ..emulators.clients import Rude
 from ..worlds import traffic
 from . import places
 from .members import Seat
--- a/zincstile/field/members.py
+++ b/zincstile/field/members.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from ..standin.discovery import Agent, Entry
-from ..standin.guidebox import GuideBox, Model
+from ..emulators.discovery import Agent, Entry
+from ..emulators.guidebox import GuideBox, Model
 from ..worlds import traffic
 from .fault_proxy import FaultProxy
 from .programs import Program
--- a/zincstile/field/probe.py
+++ b/zincstile/field/probe.py
@@ -14,8 +14,8 @@
 from typing import Any
 
 from ..checkers.checker import Checker
-from ..standin import wire
-from ..standin.witness import Witness
+from ..emulators import wire
+from ..emulators.witness import Witness
 
 TICK_NS = 5_000_000
 CATCH_UP_NS = 1_000_000_000  # behind a delay, what is read may be of its time
--- a/zincstile/field/run.py
+++ b/zincstile/field/run.py
@@ -15,9 +15,9 @@
 from typing import Any
 
 from ..checkers.quotas import Quotas
+from ..emulators.clients import Front
+from ..emulators.discovery import Agent
 from ..links import between
-from ..standin.clients import Front
-from ..standin.discovery import Agent
 from ..worlds import faults, traffic
 from ..worlds.plan import Plan
 from . import places
--- a/zincstile/field/start.py
+++ b/zincstile/field/start.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from ..standin.listservice import ListService, Manners
+from ..emulators.listservice import ListService, Manners
 from ..worlds.plan import Plan
 from . import places
 from .run import NotReadyError, Run, Seat
--- a/zincstile/field/testbed.py
+++ b/zincstile/field/testbed.py
@@ -15,11 +15,11 @@
 from typing import Any
 
 from ..checkers.checker import Checker
+from ..emulators.clients import Front, Want
+from ..emulators.counter import Counter
+from ..emulators.discovery import Roster
+from ..emulators.guidebox import Rack
 from ..links import Links, Trouble
-from ..standin.clients import Front, Want
-from ..standin.counter import Counter
-from ..standin.discovery import Roster
-from ..standin.guidebox import Rack
 from ..worlds import traffic
 from ..worlds.plan import SHIM, Plan
 from .datagrams import Datagrams
--- a/zincstile/scale/day_load.py
+++ b/zincstile/scale/day_load.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterator
 from typing import Final, NamedTuple
 
-from ..standin.clients import Front, Want
+from ..emulators.clients import Front, Want
 from ..worlds import traffic
 from .plan import DayPlan
 from .topology import Topology
--- a/zincstile/scale/load.py
+++ b/zincstile/scale/load.py
@@ -6,7 +6,7 @@
 import random
 from collections import deque
 
-from ..standin import wire
+from ..emulators import wire
 from .configuration import CLASS, PLAN
 from .emulators import Tenant
 from .topology import Topology
--- a/zincstile/scale/moments.py
+++ b/zincstile/scale/moments.py
@@ -9,7 +9,7 @@
 from dataclasses import replace
 from typing import Final
 
-from ..standin.discovery import Entry
+from ..emulators.discovery import Entry
 from .crowd import GatewayProcess
 from .plan import GatewaysRestarted, Moment, Rollout, ZoneLost
 from .surroundings import DayBackends, DayDiscovery
--- a/zincstile/scale/surroundings.py
+++ b/zincstile/scale/surroundings.py
@@ -14,11 +14,11 @@
 from dataclasses import replace
 from typing import Any, Final
 
+from ..emulators.discovery import Entry
+from ..emulators.guidebox import GuideBox, Model, Rack
+from ..emulators.guidebox import Line as BackendLine
 from ..field.places import on_loopback
 from ..field.probe import CommandTap, Probe
-from ..standin.discovery import Entry
-from ..standin.guidebox import GuideBox, Model, Rack
-from ..standin.guidebox import Line as BackendLine
 from ..worlds import traffic
 from .emulators import (
     BACKENDS_NETWORK,
--- a/zincstile/worlds/faults.py
+++ b/zincstile/worlds/faults.py
@@ -10,9 +10,9 @@
 from collections.abc import Callable
 from dataclasses import replace
 
+from ..emulators.clients import Rude, rude_pieces
+from ..emulators.counter import Counter
 from ..links import Trouble, between
-from ..standin.clients import Rude, rude_pieces
-from ..standin.counter import Counter
 from . import machine_faults
 from .plan import Fault
 from .stage import Place, Seat, Stage
--- a/zincstile/worlds/stage.py
+++ b/zincstile/worlds/stage.py
@@ -11,11 +11,11 @@
 from typing import TYPE_CHECKING, Any, Protocol
 
 from ..checkers.checker import Checker
+from ..emulators.clients import Front, Rude
+from ..emulators.counter import Counter
+from ..emulators.discovery import Agent, Entry, Roster
+from ..emulators.guidebox import GuideBox, Model
 from ..links import Links
-from ..standin.clients import Front, Rude
-from ..standin.counter import Counter
-from ..standin.discovery import Agent, Entry, Roster
-from ..standin.guidebox import GuideBox, Model
 
 if TYPE_CHECKING:
     from .plan import Plan
--- a/zincstile/worlds/traffic.py
+++ b/zincstile/worlds/traffic.py
@@ -14,9 +14,9 @@
 
 from ..bounds import Quota
 from ..checkers.cases import ClassRule, Figures, PlanRule
+from ..emulators.clients import Want
 from ..keeper.bound import bounds
 from ..keeper.settings import KeeperSettings
-from ..standin.clients import Want
 from .plan import Plan
 from .stage import Stage
 
--- a/zincstile/worlds/world.py
+++ b/zincstile/worlds/world.py
@@ -16,18 +16,18 @@
 from ..checkers.cases import NAMES, Breach
 from ..checkers.checker import Checker
 from ..checkers.quotas import Quotas
+from ..emulators import wire
+from ..emulators.clients import Client, Front, Request, Rude, Want
+from ..emulators.counter import Counter
+from ..emulators.discovery import Agent, Entry, Roster
+from ..emulators.guidebox import GuideBox, Model, Rack
+from ..emulators.listservice import ListService, Manners
 from ..keeper.settings import KeeperSettings
 from ..links import Links
 from ..net import config
 from ..net.gateway import Gateway
 from ..place.settings import PlaceSettings
 from ..shared.settings import SharedSettings
-from ..standin import wire
-from ..standin.clients import Client, Front, Request, Rude, Want
-from ..standin.counter import Counter
-from ..standin.discovery import Agent, Entry, Roster
-from ..standin.guidebox import GuideBox, Model, Rack
-from ..standin.listservice import ListService, Manners
 from ..start.settings import StartSettings
 from ..subset.settings import SubsetSettings
 from ..virtual.clock import MS, SECOND, Scheduler, StuckError
