--- a/tests/test_asking.py
+++ b/tests/test_asking.py
@@ -10,8 +10,8 @@
 from zincstile.field import start
 from zincstile.net import http
 from zincstile.net.limits import MS, SECOND, Limits
+from zincstile.simulation.plan import Plan
 from zincstile.start.asking import Asking
-from zincstile.worlds.plan import Plan
 
 
 def asking(number, gateways):
--- a/tests/test_field.py
+++ b/tests/test_field.py
@@ -17,8 +17,8 @@
 from zincstile.field import places, report, result, sweep
 from zincstile.field.fault_proxy import FaultProxy
 from zincstile.links import CLEAR, Links, Trouble, between
-from zincstile.worlds import plan, traffic
-from zincstile.worlds.world import Run
+from zincstile.simulation import plan, traffic
+from zincstile.simulation.world import Run
 
 ROOT = Path(__file__).parent.parent
 PLANS = sorted((Path(__file__).parent / "plans" / "field").glob("*.yaml"))
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from zincstile.worlds import fleet
-from zincstile.worlds.world import Run
+from zincstile.simulation import fleet
+from zincstile.simulation.world import Run
 
 
 @pytest.mark.parametrize(("gateways", "seed"), [(4, 1), (10, 2), (40, 3)])
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -25,7 +25,7 @@
     ("keeper", "shared", "place", "start", "subset", "control"),
     ("net",),
     ("virtual", "emulators", "checkers"),
-    ("worlds", "serve"),
+    ("simulation", "serve"),
     ("field",),
     ("scale",),
     ("cli",),
--- a/tests/test_incremental.py
+++ b/tests/test_incremental.py
@@ -27,9 +27,9 @@
 from zincstile.net.limits import Limits
 from zincstile.net.trace import Trace
 from zincstile.policy import FADE_S, FAULTY, FLOOR, FORGOTTEN
+from zincstile.simulation import traffic
+from zincstile.simulation.plan import Plan
 from zincstile.state import SLOWNESS_EPSILON, scatter
-from zincstile.worlds import traffic
-from zincstile.worlds.plan import Plan
 
 COLD = {"cold_share": 0.25, "cold_ns": 20 * SECOND, "cold_multiple": 2.0}
 IDS = (1, 2, 3, 4, 50550, 101099, 50551)  # some have one name among the peers: 1 and two more, 2 and one
--- a/tests/test_keeper.py
+++ b/tests/test_keeper.py
@@ -16,10 +16,10 @@
 from zincstile.keeper.settings import FAILURES, MS, SECOND, KeeperSettings
 from zincstile.keeper.view import State, View, Word
 from zincstile.net import config
-from zincstile.worlds import traffic
-from zincstile.worlds.plan import Fault, Plan
-from zincstile.worlds.trial import Trial
-from zincstile.worlds.world import Run
+from zincstile.simulation import traffic
+from zincstile.simulation.plan import Fault, Plan
+from zincstile.simulation.trial import Trial
+from zincstile.simulation.world import Run
 
 ROOT = Path(__file__).parent.parent
 SET = KeeperSettings()
--- a/tests/test_place.py
+++ b/tests/test_place.py
@@ -19,10 +19,10 @@
 from zincstile.place.settings import PlaceSettings, span
 from zincstile.place.terms import CallWord, Generation, Table, Voice
 from zincstile.place.view import Report, Sight, View
+from zincstile.simulation import mutants_place, place_search
+from zincstile.simulation.plan import Fault, Plan
+from zincstile.simulation.world import Run
 from zincstile.typed_yaml import FileError
-from zincstile.worlds import mutants_place, place_search
-from zincstile.worlds.plan import Fault, Plan
-from zincstile.worlds.world import Run
 
 NEAR = [[0, 1, 40], [1, 0, 40], [40, 40, 0]]
 
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -26,8 +26,8 @@
 from zincstile.shared.rendezvous import choose_holders
 from zincstile.shared.settings import FAILURES, MS, SECOND, SharedSettings
 from zincstile.shared.slots import SlotGrant, SlotManager, SlotRelease, SlotRequest
-from zincstile.worlds import mutants_shared, plan, search, shared, shared_trials, traffic
-from zincstile.worlds.plan import Plan
+from zincstile.simulation import mutants_shared, plan, search, shared, shared_trials, traffic
+from zincstile.simulation.plan import Plan
 
 ROOT = Path(__file__).parent.parent
 SET = SharedSettings()
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -14,8 +14,8 @@
 
 from zincstile.field import sweep
 from zincstile.field.shim_control import Knob, ShimControl
-from zincstile.worlds import plan, soak
-from zincstile.worlds.plan import Fault, Plan
+from zincstile.simulation import plan, soak
+from zincstile.simulation.plan import Fault, Plan
 
 ROOT = Path(__file__).parent.parent
 MOST_TOGETHER_MS = 5000  # troubles that begin within this of each other overlap or follow on
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -11,14 +11,14 @@
 
 from zincstile.net import features
 from zincstile.net.config import ConfigError, read
+from zincstile.simulation import starts, traffic
+from zincstile.simulation.plan import Plan
 from zincstile.start import words
 from zincstile.start.lists import Lists
 from zincstile.start.opening import Opening, stated
 from zincstile.start.ready import Readiness, Right
 from zincstile.start.settings import MS, SECOND, StartSettings
 from zincstile.typed_yaml import FileError
-from zincstile.worlds import starts, traffic
-from zincstile.worlds.plan import Plan
 
 SET = StartSettings(peers=True)
 
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -16,15 +16,15 @@
 from zincstile.net.endpoint_table import EndpointReader, number
 from zincstile.net.host import HOST
 from zincstile.policy import COLD_LEAST, Policy
+from zincstile.simulation import traffic
+from zincstile.simulation.plan import Plan, draw
+from zincstile.simulation.world import Run
 from zincstile.slow_start import COLD_USE
 from zincstile.subset.fleet import Fleet, zone_of
 from zincstile.subset.module import subsetting
 from zincstile.subset.placement import first_rank, ring_key, slice_size, stable_hash
 from zincstile.subset.settings import Layout, Reach, ServiceBy, SubsetSettings
 from zincstile.typed_yaml import FileError
-from zincstile.worlds import traffic
-from zincstile.worlds.plan import Plan, draw
-from zincstile.worlds.world import Run
 
 ZONES = ["a", "b", "c"]
 SPREAD = Layout.INTERLEAVED
--- a/tests/test_worlds.py
+++ b/tests/test_worlds.py
@@ -10,9 +10,9 @@
 import pytest
 
 from zincstile import typed_yaml
-from zincstile.worlds import mutants, plan, shrink, sweep
-from zincstile.worlds.plan import Fault, Plan
-from zincstile.worlds.world import Run
+from zincstile.simulation import mutants, plan, shrink, sweep
+from zincstile.simulation.plan import Fault, Plan
+from zincstile.simulation.world import Run
 
 HERE = Path(__file__).parent
 ROOT = HERE.parent
@@ -222,7 +222,7 @@
         "import zincstile.net.gateway, zincstile.net.control, zincstile.control.operator\n"
         "foreign = {m.split('.')[0] for m in sys.modules} - set(sys.stdlib_module_names)\n"
         "own = [m for m in sys.modules if m.startswith(('zincstile.cli', 'zincstile.virtual', "
-        "'zincstile.worlds', 'zincstile.emulators', 'zincstile.checkers'))]\n"
+        "'zincstile.simulation', 'zincstile.emulators', 'zincstile.checkers'))]\n"
         "foreign -= {'zincstile', 'sitecustomize'}\n"
         "print(sorted(m for m in foreign if m[0] != '_'), own)"
     )
--- a/zincstile/cli/demo.py
+++ b/zincstile/cli/demo.py
@@ -23,8 +23,8 @@
 from ..emulators.clients import Front
 from ..emulators.discovery import Agent, Entry, Roster
 from ..emulators.guidebox import GuideBox, Model, Rack
-from ..worlds import traffic
-from ..worlds.plan import Plan
+from ..simulation import traffic
+from ..simulation.plan import Plan
 
 HOST = "127.0.0.1"
 GATEWAYS, BOXES, RACKS = 3, 10, 3
--- a/zincstile/cli/field.py
+++ b/zincstile/cli/field.py
@@ -10,9 +10,9 @@
 
 import click
 
+from ..simulation import plan as plans
+from ..simulation.plan import Plan
 from ..typed_yaml import FileError
-from ..worlds import plan as plans
-from ..worlds.plan import Plan
 from .errors import BadInputError
 from .options import SEEDS, seed_range
 
@@ -40,7 +40,7 @@
 
 def _plan(path: str | None, seed: int | None, gateways: int | None) -> Plan:
     """The plan of a file, or the soak of a seed; one line and exit 2 where neither or both are named."""
-    from ..worlds import soak
+    from ..simulation import soak
 
     if (path is None) == (gateways is None):
         raise BadInputError("field run: name a PLAN.yaml, or --soak GATEWAYS with --seed")
@@ -135,7 +135,7 @@
     """Plays many runs of drawn failures; exit 1 where any breaks a rule."""
     from ..field import result as results
     from ..field import sweep as sweeps
-    from ..worlds import places, shared, soak
+    from ..simulation import places, shared, soak
 
     known = (soak.KIND,) if soaked else places.KINDS if zones else shared.FAILURES
     for kind in kinds:
--- a/zincstile/cli/sim.py
+++ b/zincstile/cli/sim.py
@@ -11,9 +11,9 @@
 import click
 
 from ..checkers.cases import NAMES
+from ..simulation import plan as plans
+from ..simulation.plan import Plan
 from ..typed_yaml import FileError
-from ..worlds import plan as plans
-from ..worlds.plan import Plan
 from .errors import BadInputError
 from .options import JOBS, SEEDS, seed_range
 
@@ -65,7 +65,7 @@
 @RULE
 def run(seed: int | None, path: str | None, trace: str | None, logs: bool, rules: tuple[str, ...]) -> int:
     """Plays one world; exit 1 where a rule is broken."""
-    from ..worlds.world import Run
+    from ..simulation.world import Run
 
     plan = _plan(seed, path)
     world = Run(plan, keep_trace=trace is not None, rules=_rules(rules))
@@ -103,7 +103,7 @@
 @RULE
 def sweep(span: str, jobs: int, rules: tuple[str, ...]) -> int:
     """Plays many worlds over many processes; exit 1 where any breaks a rule."""
-    from ..worlds.sweep import digest_of, play_all
+    from ..simulation.sweep import digest_of, play_all
 
     chosen, looked_at, began, last = seed_range(span), _rules(rules), time.monotonic(), 0.0
     done, broken = [], []
@@ -139,7 +139,7 @@
 @RULE
 def shrink(seed: int | None, path: str | None, out: str, runs: int, rules: tuple[str, ...]) -> int:
     """Makes a failing plan as small as it still breaks the same rule."""
-    from ..worlds.shrink import smallest
+    from ..simulation.shrink import smallest
 
     plan = _plan(seed, path)
     found = smallest(plan, runs, lambda text: print(text, file=sys.stderr, flush=True), _rules(rules))
@@ -174,10 +174,10 @@
 def mutants(most: int, jobs: int, only: tuple[str, ...], of_shared: bool, of_place: bool) -> int:
     """Breaks the gateway on purpose, one way after another: how many seeds until the right rule names it?"""
     if of_shared or of_place:
-        from ..worlds import mutants_place, mutants_shared
+        from ..simulation import mutants_place, mutants_shared
 
         return _mutants_by_checkers(mutants_shared if of_shared else mutants_place, jobs, only)
-    from ..worlds import mutants as them
+    from ..simulation import mutants as them
 
     unknown = set(only) - them.MUTANTS.keys()
     if unknown:
@@ -215,7 +215,7 @@
 def search(depth: int, jobs: int) -> int:
     """Loans between three gateways in every order: words delivered, lost and doubled, crashes, stops; exit 1
     where a quota is passed."""
-    from ..worlds import search as them
+    from ..simulation import search as them
 
     rows: dict[str, list[them.Found]] = {}
     for found in them.search_all(depth, jobs):
@@ -261,7 +261,7 @@
 def shared(span: str, gateways: int, seconds: int, gossip: bool, jobs: int) -> int:
     """Whole gateways while a part of them hears nothing: what goes out beyond quotas beside the stated bound;
     exit 1 where a rule is broken."""
-    from ..worlds import shared_trials as them
+    from ..simulation import shared_trials as them
 
     worlds = gateways, 1000 * seconds, gossip, jobs
     rows, broken = _played(
@@ -279,7 +279,7 @@
 def starts(span: str, gateways: int, plain: bool, jobs: int) -> int:
     """Whole fleets killed and started anew with a list service that has to be asked: when all are ready,
     what the service and the boxes get; exit 1 where a rule is broken or a gateway is never ready."""
-    from ..worlds import starts as them
+    from ..simulation import starts as them
 
     rows, broken = _played(them, seed_range(span), gateways, not plain, jobs)
     late = sum(row.ready_s < 0 for row in rows)
@@ -295,7 +295,7 @@
 def places(span: str, gateways: int, plain: bool, jobs: int) -> int:
     """Whole gateways in three zones, one of which is in trouble: what is served, what crosses zones, how
     often the table changes; exit 1 where a rule is broken."""
-    from ..worlds import places as them
+    from ..simulation import places as them
 
     rows, broken = _played(them, seed_range(span), gateways, not plain, jobs)
     click.echo(f"places worlds={len(rows)} broken={broken}")
@@ -317,7 +317,7 @@
 def place_model(sizes: tuple[int, ...], zones: int, regions: int, seed: int) -> int:
     """A zone is lost and comes back, for any number of gateways, by the pure modules alone; exit 1 where it
     is never left, never got back, or tables differ."""
-    from ..worlds import place_model as them
+    from ..simulation import place_model as them
 
     rows = [them.Model(n, zones, min(regions, zones), seed).play() for n in sizes]
     click.echo(them.table(rows))
@@ -330,7 +330,7 @@
 def place_search(depth: int, jobs: int) -> int:
     """Agreement on a table in every order, a few gateways; exit 1 where two hold a term at once, tables
     of one generation differ, or one is not settled on."""
-    from ..worlds import place_search as them
+    from ..simulation import place_search as them
 
     found = list(them.search_all(depth, jobs))
     for one in sorted(found, key=lambda f: f.case):
@@ -370,8 +370,8 @@
     sizes: tuple[int, ...], alive: float, lines: int, per_s: float, seed: int, alone: bool
 ) -> int:
     """A cold start of any number of gateways by the pure modules alone; exit 1 where one is never ready."""
+    from ..simulation import start_model as them
     from ..start.settings import StartSettings
-    from ..worlds import start_model as them
 
     settings = StartSettings(peers=not alone)
     rows = [them.Model(n, int(n * alive), lines, per_s, seed, settings=settings).play() for n in sizes]
@@ -385,7 +385,7 @@
 @JOBS
 def keeper(span: str, gateways: int, jobs: int) -> int:
     """Accounts against a count keeper that fails: overshoot beside its bound; exit 1 where one is passed."""
-    from ..worlds import trial
+    from ..simulation import trial
 
     chosen, passed = seed_range(span), 0
     click.echo(
--- a/zincstile/field/emulated.py
+++ b/zincstile/field/emulated.py
@@ -11,7 +11,7 @@
 from ..emulators.discovery import Entry
 from ..emulators.guidebox import GuideBox, Model
 from ..links import Trouble, between
-from ..worlds import traffic
+from ..simulation import traffic
 from . import places
 from .fault_proxy import FaultProxy, ProxiedConnection
 from .members import Place, Seat
--- a/zincstile/field/gateways.py
+++ b/zincstile/field/gateways.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from ..emulators.clients import Rude
-from ..worlds import traffic
+from ..simulation import traffic
 from . import places
 from .members import Seat
 from .programs import Program, told
--- a/zincstile/field/members.py
+++ b/zincstile/field/members.py
@@ -8,7 +8,7 @@
 
 from ..emulators.discovery import Agent, Entry
 from ..emulators.guidebox import GuideBox, Model
-from ..worlds import traffic
+from ..simulation import traffic
 from .fault_proxy import FaultProxy
 from .programs import Program
 from .shim_control import ShimControl
--- a/zincstile/field/run.py
+++ b/zincstile/field/run.py
@@ -18,8 +18,8 @@
 from ..emulators.clients import Front
 from ..emulators.discovery import Agent
 from ..links import between
-from ..worlds import faults, traffic
-from ..worlds.plan import Plan
+from ..simulation import faults, traffic
+from ..simulation.plan import Plan
 from . import places
 from .datagrams import Datagrams
 from .emulated import EmulatedServices
--- a/zincstile/field/start.py
+++ b/zincstile/field/start.py
@@ -16,7 +16,7 @@
 import msgspec
 
 from ..emulators.listservice import ListService, Manners
-from ..worlds.plan import Plan
+from ..simulation.plan import Plan
 from . import places
 from .run import NotReadyError, Run, Seat
 
--- a/zincstile/field/summary.py
+++ b/zincstile/field/summary.py
@@ -4,7 +4,7 @@
 
 import math
 
-from ..worlds import traffic
+from ..simulation import traffic
 from .members import Seat
 from .result import BreachRow, FieldResult, GatewayRow, PlanRow, latencies
 from .testbed import Testbed
--- a/zincstile/field/testbed.py
+++ b/zincstile/field/testbed.py
@@ -20,8 +20,8 @@
 from ..emulators.discovery import Roster
 from ..emulators.guidebox import Rack
 from ..links import Links, Trouble
-from ..worlds import traffic
-from ..worlds.plan import SHIM, Plan
+from ..simulation import traffic
+from ..simulation.plan import SHIM, Plan
 from .datagrams import Datagrams
 from .fault_proxy import FaultProxy
 from .members import Place, Seat
--- a/zincstile/scale/configuration.py
+++ b/zincstile/scale/configuration.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass, field
 from typing import Any, Final
 
-from ..worlds import traffic
-from ..worlds.plan import Plan
+from ..simulation import traffic
+from ..simulation.plan import Plan
 from .topology import Topology
 
 PLAN: Final = "basic"  # of all emulated tenants
--- a/zincstile/scale/day.py
+++ b/zincstile/scale/day.py
@@ -26,8 +26,8 @@
 from ..field.result import BreachRow
 from ..field.testbed import SLACK_NS
 from ..net import features as feature_files
-from ..worlds import shared, traffic
-from ..worlds.plan import Fault, Plan
+from ..simulation import shared, traffic
+from ..simulation.plan import Fault, Plan
 from . import day_load, estimate, judge, load
 from .configuration import GatewaySpec
 from .crowd import GatewayProcess, place_of, write_configuration
--- a/zincstile/scale/day_load.py
+++ b/zincstile/scale/day_load.py
@@ -8,7 +8,7 @@
 from typing import Final, NamedTuple
 
 from ..emulators.clients import Front, Want
-from ..worlds import traffic
+from ..simulation import traffic
 from .plan import DayPlan
 from .topology import Topology
 
--- a/zincstile/scale/surroundings.py
+++ b/zincstile/scale/surroundings.py
@@ -19,7 +19,7 @@
 from ..emulators.guidebox import Line as BackendLine
 from ..field.places import on_loopback
 from ..field.probe import CommandTap, Probe
-from ..worlds import traffic
+from ..simulation import traffic
 from .emulators import (
     BACKENDS_NETWORK,
     Discovery,
