--- a/tests/test_asking.py
+++ b/tests/test_asking.py
@@ -7,11 +7,11 @@
 import pytest
 
 from zincstile.emulators.listservice import Manners
-from zincstile.field import start
 from zincstile.net import http
 from zincstile.net.limits import MS, SECOND, Limits
 from zincstile.simulation.plan import Plan
 from zincstile.start.asking import Asking
+from zincstile.testbed import start
 
 
 def asking(number, gateways):
--- a/tests/test_field.py
+++ b/tests/test_field.py
@@ -14,11 +14,11 @@
 
 import pytest
 
-from zincstile.field import places, report, result, sweep
-from zincstile.field.fault_proxy import FaultProxy
 from zincstile.links import CLEAR, Links, Trouble, between
 from zincstile.simulation import plan, traffic
 from zincstile.simulation.world import Run
+from zincstile.testbed import places, report, result, sweep
+from zincstile.testbed.fault_proxy import FaultProxy
 
 ROOT = Path(__file__).parent.parent
 PLANS = sorted((Path(__file__).parent / "plans" / "field").glob("*.yaml"))
@@ -185,7 +185,7 @@
 
 def test_the_shim_serves_as_the_program_does(tmp_path):
     env = os.environ | {"PYTHONPATH": str(ROOT), "RELAY_CONFIG": str(tmp_path / "none")}
-    words = [sys.executable, "-m", "zincstile.field.shim", str(tmp_path / "control")]
+    words = [sys.executable, "-m", "zincstile.testbed.shim", str(tmp_path / "control")]
     done = subprocess.run(words, env=env, capture_output=True, text=True)
     assert done.returncode == 2 and "none" in done.stderr
 
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -26,7 +26,7 @@
     ("net",),
     ("virtual", "emulators", "checkers"),
     ("simulation", "serve"),
-    ("field",),
+    ("testbed",),
     ("scale",),
     ("cli",),
     ("__main__",),
--- a/tests/test_machine.py
+++ b/tests/test_machine.py
@@ -18,7 +18,7 @@
 import pytest
 from scenario import HOME, ROOT, SECOND, Line, World, call, encode
 
-from zincstile.field.shim_control import Knob, ShimControl
+from zincstile.testbed.shim_control import Knob, ShimControl
 
 CALLS = 20  # each goes to the one server that takes calls, unless that is out
 QUIET_S = 1.5  # after SIGTERM, how long no call comes until the door shuts: longer than a busy machine sleeps
@@ -44,7 +44,7 @@
         super().__init__(folder, {"control": "{}:{}".format(*self.control)} | config)
 
     def words(self):
-        return [sys.executable, "-m", "zincstile.field.shim", str(self.path.parent / "shim")]
+        return [sys.executable, "-m", "zincstile.testbed.shim", str(self.path.parent / "shim")]
 
     def environment(self):
         return {} if self.listening is None else {"RELAY_SOCKET_FD": str(self.listening.fileno())}
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -12,10 +12,10 @@
 
 import pytest
 
-from zincstile.field import sweep
-from zincstile.field.shim_control import Knob, ShimControl
 from zincstile.simulation import plan, soak
 from zincstile.simulation.plan import Fault, Plan
+from zincstile.testbed import sweep
+from zincstile.testbed.shim_control import Knob, ShimControl
 
 ROOT = Path(__file__).parent.parent
 MOST_TOGETHER_MS = 5000  # troubles that begin within this of each other overlap or follow on
@@ -55,8 +55,8 @@
 PROBE = """
 import errno, os, socket, sys, time
 from pathlib import Path
-from zincstile.field.shim import Shim
-from zincstile.field.shim_control import Knob, ShimControl
+from zincstile.testbed.shim import Shim
+from zincstile.testbed.shim_control import Knob, ShimControl
 control = ShimControl(Path(sys.argv[1]))
 before = time.time_ns()
 Shim(control, os.environ["TMPDIR"]).install()
@@ -148,7 +148,7 @@
 
 
 def test_draws_of_the_shim_follow_its_seed():
-    from zincstile.field.shim import Shim
+    from zincstile.testbed.shim import Shim
 
     class Fixed:
         def get(self, knob: Knob) -> float:
@@ -191,7 +191,7 @@
 
 def test_maintenance_that_a_gateway_forgets_is_named(tmp_path, monkeypatch):
     """Its folder is emptied beneath it, as nothing that keeps the rule would bear."""
-    from zincstile.field.run import Run
+    from zincstile.testbed.run import Run
 
     real = Run.start_gateway
 
@@ -208,7 +208,7 @@
 
 def test_a_gateway_that_never_gets_ready_is_named(tmp_path, monkeypatch):
     """It is started again with no list and a discovery that says nothing."""
-    from zincstile.field import run as runs
+    from zincstile.testbed import run as runs
 
     monkeypatch.setattr(runs, "RESTART_S", 1.0)
     monkeypatch.setattr(
@@ -223,7 +223,7 @@
 
 def test_a_testbed_that_is_held_up_blames_no_gateway(monkeypatch):
     """What it reads during its own delay, or while it catches up, counts as come before; else as come now."""
-    from zincstile.field import probe as probes
+    from zincstile.testbed import probe as probes
 
     now = [0]
     monkeypatch.setattr(probes.time, "monotonic_ns", lambda: now[0])
--- a/tests/test_throng.py
+++ b/tests/test_throng.py
@@ -9,11 +9,11 @@
 
 from zincstile import interface as i
 from zincstile.emulators.listservice import Manners
-from zincstile.field import start
 from zincstile.net.limits import SECOND, Limits
 from zincstile.simulation import plan
 from zincstile.simulation.plan import Plan
 from zincstile.simulation.world import Run
+from zincstile.testbed import start
 
 PLANS = Path(__file__).parent / "plans" / "throng"
 RESTARTED, READY_S = 30, 10.0
--- a/zincstile/cli/field.py
+++ b/zincstile/cli/field.py
@@ -24,7 +24,7 @@
 
 def load(path: str, seed: int | None) -> Plan:
     """A plan that real processes can play; one line and exit 2 else."""
-    from ..field import places
+    from ..testbed import places
 
     try:
         plan = plans.load(path)
@@ -71,11 +71,11 @@
     keep: str | None,
 ) -> int:
     """Plays one plan; exit 1 where a rule is broken."""
-    from ..field import report as pages
-    from ..field import result as results
-    from ..field import sweep as sweeps
-    from ..field.places import PlaceError
-    from ..field.run import NotReadyError
+    from ..testbed import report as pages
+    from ..testbed import result as results
+    from ..testbed import sweep as sweeps
+    from ..testbed.places import PlaceError
+    from ..testbed.run import NotReadyError
 
     plan = _plan(plan_file, seed, gateways)
     try:
@@ -133,9 +133,9 @@
     out: str | None,
 ) -> int:
     """Plays many runs of drawn failures; exit 1 where any breaks a rule."""
-    from ..field import result as results
-    from ..field import sweep as sweeps
     from ..simulation import places, shared, soak
+    from ..testbed import result as results
+    from ..testbed import sweep as sweeps
 
     known = (soak.KIND,) if soaked else places.KINDS if zones else shared.FAILURES
     for kind in kinds:
@@ -199,10 +199,10 @@
 ) -> int:
     """Cold starts of real processes with a list service that has to be asked; exit 1 where one is late."""
     from ..emulators.listservice import Manners
-    from ..field import start as starts
-    from ..field import sweep as sweeps
-    from ..field.places import PlaceError
-    from ..field.run import NotReadyError
+    from ..testbed import start as starts
+    from ..testbed import sweep as sweeps
+    from ..testbed.places import PlaceError
+    from ..testbed.run import NotReadyError
 
     for wave in waves:
         if wave not in starts.WAVES:
@@ -229,8 +229,8 @@
 @click.option("--out", required=True, type=click.Path(dir_okay=False), help="The page.")
 def report(files: tuple[str, ...], out: str) -> int:
     """Writes a page of one result, or of several side by side."""
-    from ..field import report as pages
-    from ..field import result as results
+    from ..testbed import report as pages
+    from ..testbed import result as results
 
     try:
         pages.write([(Path(f).stem, results.read(f)) for f in files], Path(out))
--- a/zincstile/scale/crowd.py
+++ b/zincstile/scale/crowd.py
@@ -13,8 +13,8 @@
 from pathlib import Path
 from typing import Any, Final
 
-from ..field import places
-from ..field.programs import Program
+from ..testbed import places
+from ..testbed.programs import Program
 from .configuration import GatewaySpec, configuration
 from .members import Member
 from .records import Kind
--- a/zincstile/scale/day.py
+++ b/zincstile/scale/day.py
@@ -21,13 +21,13 @@
 
 from ..checkers.checker import Checker
 from ..checkers.quotas import Quotas
-from ..field import places
-from ..field.probe import TimeSeries
-from ..field.result import BreachRow
-from ..field.testbed import SLACK_NS
 from ..net import features as feature_files
 from ..simulation import shared, traffic
 from ..simulation.plan import Fault, Plan
+from ..testbed import places
+from ..testbed.probe import TimeSeries
+from ..testbed.result import BreachRow
+from ..testbed.testbed import SLACK_NS
 from . import day_load, estimate, judge, load
 from .configuration import GatewaySpec
 from .crowd import GatewayProcess, place_of, write_configuration
--- a/zincstile/scale/emulators.py
+++ b/zincstile/scale/emulators.py
@@ -22,8 +22,8 @@
 from .. import wire
 from ..emulators import wire as emulated_wire
 from ..emulators.discovery import BEAT_S, Entry
-from ..field.datagrams import INFO, PKTINFO
-from ..field.places import on_loopback
+from ..testbed.datagrams import INFO, PKTINFO
+from ..testbed.places import on_loopback
 from .topology import Topology, shares
 
 BACKENDS_NETWORK, PEERS_NETWORK, DISCOVERY_NETWORK = 120, 130, 140  # second byte of 127.x.x.x
--- a/zincstile/scale/outcome.py
+++ b/zincstile/scale/outcome.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from .. import typed_json
-from ..field.result import BreachRow
+from ..testbed.result import BreachRow
 from .records import Kind, Machine
 
 
--- a/zincstile/scale/point.py
+++ b/zincstile/scale/point.py
@@ -15,7 +15,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-from ..field import places
+from ..testbed import places
 from . import load, stroke
 from .configuration import PLAN, QUOTA_PER_S, GatewaySpec, configuration
 from .emulators import SHARES_IN_DATAGRAM, Discovery, EndpointTable, FakeBackends, FakePeers, Traffic
--- a/zincstile/scale/slopes.py
+++ b/zincstile/scale/slopes.py
@@ -22,7 +22,7 @@
 from pathlib import Path
 from typing import Final
 
-from ..field.programs import ROOT
+from ..testbed.programs import ROOT
 from ..typed_yaml import FileError
 from .point import Point, measure
 from .records import Dimension, Kind, Machine, Sample, SlopeResult
--- a/zincstile/scale/subjects.py
+++ b/zincstile/scale/subjects.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 from typing import Any, Final
 
-from ..field.programs import Program, told
+from ..testbed.programs import Program, told
 from .records import Kind
 
 HOLLOW_PROCESS: Final = Path(__file__).with_name("hollow_process.py")
--- a/zincstile/scale/surroundings.py
+++ b/zincstile/scale/surroundings.py
@@ -17,9 +17,9 @@
 from ..emulators.discovery import Entry
 from ..emulators.guidebox import GuideBox, Model, Rack
 from ..emulators.guidebox import Line as BackendLine
-from ..field.places import on_loopback
-from ..field.probe import CommandTap, Probe
 from ..simulation import traffic
+from ..testbed.places import on_loopback
+from ..testbed.probe import CommandTap, Probe
 from .emulators import (
     BACKENDS_NETWORK,
     Discovery,
--- a/zincstile/field/gateways.py
+++ b/zincstile/testbed/gateways.py
@@ -85,7 +85,7 @@
         if seat.skew_ns:
             seat.shim.set(Knob.WALL_OFFSET_S, seat.skew_ns / 1e9)
         if self._shimmed:
-            words = ["-m", "zincstile.field.shim", str(seat.folder / "shim")]
+            words = ["-m", "zincstile.testbed.shim", str(seat.folder / "shim")]
         if seat.socket is not None:
             env["RELAY_SOCKET_FD"] = str(seat.socket.fileno())
         return Program(
--- a/zincstile/field/shim.py
+++ b/zincstile/testbed/shim.py
@@ -1,4 +1,4 @@
-"""The program under faults of its machine: `python -m zincstile.field.shim CONTROL_FILE`.
+"""The program under faults of its machine: `python -m zincstile.testbed.shim CONTROL_FILE`.
 
 Replaces, in this process alone, what the program calls of the system: the wall clock, sockets, the wait of
 the event loop, and files in `$TMPDIR`. Nothing of the program is changed. When and how often something
