--- a/tests/test_keeper.py
+++ b/tests/test_keeper.py
@@ -10,12 +10,12 @@
 
 from zincstile import wire
 from zincstile.bounds import Quota
-from zincstile.keeper import words
-from zincstile.keeper.accounts import Accounts
-from zincstile.keeper.bound import bounds, carry_most, refused
-from zincstile.keeper.settings import FAILURES, MS, SECOND, KeeperSettings
-from zincstile.keeper.view import State, View, Word
 from zincstile.net import config
+from zincstile.quota_service import words
+from zincstile.quota_service.accounts import Accounts
+from zincstile.quota_service.bound import bounds, carry_most, refused
+from zincstile.quota_service.settings import FAILURES, MS, SECOND, KeeperSettings
+from zincstile.quota_service.view import State, View, Word
 from zincstile.simulation import traffic
 from zincstile.simulation.plan import Fault, Plan
 from zincstile.simulation.trial import Trial
--- a/zincstile/cli/bound.py
+++ b/zincstile/cli/bound.py
@@ -7,8 +7,8 @@
 from rich.table import Table
 
 from ..bounds import Bound, Quota
-from ..keeper import bound as by_keeper
 from ..net import features
+from ..quota_service import bound as by_keeper
 from ..shared import bound as by_loans
 from ..typed_yaml import FileError
 from .errors import BadInputError
--- a/zincstile/net/features.py
+++ b/zincstile/net/features.py
@@ -15,8 +15,8 @@
 if TYPE_CHECKING:  # a start loads what its own files need: each feature's modules are some 10 ms of its CPU
     from ..bounds import Quota
     from ..interface import Settings
-    from ..keeper.settings import KeeperSettings
     from ..place.settings import PlaceSettings
+    from ..quota_service.settings import KeeperSettings
     from ..shared.settings import SharedSettings
     from ..start.settings import StartSettings
     from ..subset.settings import SubsetSettings
@@ -200,7 +200,7 @@
 
 def keeper(path: str) -> tuple[KeeperSettings, list[Quota]]:
     """FileError where the file can't be used."""
-    from ..keeper.settings import KeeperSettings
+    from ..quota_service.settings import KeeperSettings
 
     table = load(path, KeeperFile)
     return _settings(path, table.keeper, KeeperSettings), _plans(path, table.plans)
@@ -313,7 +313,7 @@
 
 def check(path: str, settings: KeeperSettings, quotas: list[Quota]) -> None:
     """FileError where a quota can't be held as the settings ask."""
-    from ..keeper.bound import refused
+    from ..quota_service.bound import refused
 
     _check(path, settings, quotas, refused)
 
--- a/zincstile/net/gateway.py
+++ b/zincstile/net/gateway.py
@@ -68,7 +68,7 @@
 
             kind, more = SharedPolicy, (config.shared,)
         elif config.keeper:
-            from ..keeper.module import KeptPolicy
+            from ..quota_service.module import KeptPolicy
 
             kind, more = KeptPolicy, (config.keeper, self.host.unix_ns() - self.host.monotonic_ns())
         if config.place:
@@ -87,7 +87,7 @@
 
     def _keep(self, buffer: memoryview) -> Any:
         """The count keeper's client, and the words between gateways that belong to it."""
-        from ..keeper import module, words
+        from ..quota_service import module, words
         from .keeper import Keeper
 
         keeper, turn = Keeper(self.turn, self.config.counter, buffer), self.turn
@@ -229,7 +229,7 @@
     def _state_bounds(self) -> None:
         """The error by which quotas are held, stated before anything fails."""
         from ..bounds import of_plan
-        from ..keeper import bound as by_keeper
+        from ..quota_service import bound as by_keeper
         from ..shared import bound as by_loans
 
         config, settings = self.config, self.config.settings
--- a/zincstile/simulation/traffic.py
+++ b/zincstile/simulation/traffic.py
@@ -15,8 +15,8 @@
 from ..bounds import Quota
 from ..checkers.cases import ClassRule, Figures, PlanRule
 from ..emulators.clients import Want
-from ..keeper.bound import bounds
-from ..keeper.settings import KeeperSettings
+from ..quota_service.bound import bounds
+from ..quota_service.settings import KeeperSettings
 from .plan import Plan
 from .stage import Stage
 
--- a/zincstile/simulation/trial.py
+++ b/zincstile/simulation/trial.py
@@ -1,6 +1,6 @@
 """Accounts of several gateways against a keeper that fails: what all send, beside what each quota gives.
 
-Only `zincstile/keeper` runs here, on virtual time: calls and words travel late, are lost, or reach the
+Only `zincstile/quota_service` runs here, on virtual time: calls and words travel late, are lost, or reach the
 wrong keeper, while customers ask for far more than their quotas. What was sent is put to the ideal store
 (burst, rate): how far it falls below nothing, at any moment, is the overshoot over every window at once.
 """
@@ -13,10 +13,10 @@
 from dataclasses import dataclass, field
 
 from ..bounds import Quota
-from ..keeper.accounts import Account, Accounts, Call
-from ..keeper.bound import bounds
-from ..keeper.settings import FAILURES, MS, SECOND, KeeperSettings
-from ..keeper.view import View, Word
+from ..quota_service.accounts import Account, Accounts, Call
+from ..quota_service.bound import bounds
+from ..quota_service.settings import FAILURES, MS, SECOND, KeeperSettings
+from ..quota_service.view import View, Word
 from ..virtual.clock import Scheduler
 
 START_NS = 1000 * SECOND
