--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -16,16 +16,16 @@
 
 from zincstile import typed_yaml
 from zincstile.bounds import Quota
+from zincstile.leases import words
+from zincstile.leases.bound import bounds, gossip, holders, opening, refused, turn_most
+from zincstile.leases.judges import EVERY, Evidence, Judges
+from zincstile.leases.lease_messages import LeaseGrant, LeaseRelease, LeaseRequest
+from zincstile.leases.levels import Levels, LevelWord
+from zincstile.leases.module import SharedPolicy
+from zincstile.leases.rendezvous import choose_holders
+from zincstile.leases.settings import FAILURES, MS, SECOND, SharedSettings
+from zincstile.leases.slots import SlotGrant, SlotManager, SlotRelease, SlotRequest
 from zincstile.net import config, features
-from zincstile.shared import words
-from zincstile.shared.bound import bounds, gossip, holders, opening, refused, turn_most
-from zincstile.shared.judges import EVERY, Evidence, Judges
-from zincstile.shared.lease_messages import LeaseGrant, LeaseRelease, LeaseRequest
-from zincstile.shared.levels import Levels, LevelWord
-from zincstile.shared.module import SharedPolicy
-from zincstile.shared.rendezvous import choose_holders
-from zincstile.shared.settings import FAILURES, MS, SECOND, SharedSettings
-from zincstile.shared.slots import SlotGrant, SlotManager, SlotRelease, SlotRequest
 from zincstile.simulation import mutants_shared, plan, search, shared, shared_trials, traffic
 from zincstile.simulation.plan import Plan
 
--- a/zincstile/cli/bound.py
+++ b/zincstile/cli/bound.py
@@ -7,9 +7,9 @@
 from rich.table import Table
 
 from ..bounds import Bound, Quota
+from ..leases import bound as by_loans
 from ..net import features
 from ..quota_service import bound as by_keeper
-from ..shared import bound as by_loans
 from ..typed_yaml import FileError
 from .errors import BadInputError
 
--- a/zincstile/net/features.py
+++ b/zincstile/net/features.py
@@ -15,9 +15,9 @@
 if TYPE_CHECKING:  # a start loads what its own files need: each feature's modules are some 10 ms of its CPU
     from ..bounds import Quota
     from ..interface import Settings
+    from ..leases.settings import SharedSettings
     from ..place.settings import PlaceSettings
     from ..quota_service.settings import KeeperSettings
-    from ..shared.settings import SharedSettings
     from ..start.settings import StartSettings
     from ..subset.settings import SubsetSettings
 
@@ -208,7 +208,7 @@
 
 def shared(path: str) -> tuple[SharedSettings, list[Quota]]:
     """FileError where the file can't be used."""
-    from ..shared.settings import SharedSettings
+    from ..leases.settings import SharedSettings
 
     table = load(path, SharedFile)
     return _settings(path, table.shared, SharedSettings), _plans(path, table.plans)
@@ -320,6 +320,6 @@
 
 def check_shared(path: str, settings: SharedSettings, quotas: list[Quota]) -> None:
     """FileError where a quota can't be held as the settings ask."""
-    from ..shared.bound import refused
+    from ..leases.bound import refused
 
     _check(path, settings, quotas, refused)
--- a/zincstile/net/gateway.py
+++ b/zincstile/net/gateway.py
@@ -64,7 +64,7 @@
         so. Admission opens at a pace where one says so."""
         config, kind, more = self.config, Policy, ()
         if config.shared:
-            from ..shared.module import SharedPolicy
+            from ..leases.module import SharedPolicy
 
             kind, more = SharedPolicy, (config.shared,)
         elif config.keeper:
@@ -113,7 +113,7 @@
 
     def _share_state(self) -> None:
         """The words between gateways by which state is shared within stated bounds."""
-        from ..shared import module, words
+        from ..leases import module, words
 
         def heard(sender: int, data: bytes) -> module.SharedWords | None:
             found = words.unpack(data)
@@ -229,8 +229,8 @@
     def _state_bounds(self) -> None:
         """The error by which quotas are held, stated before anything fails."""
         from ..bounds import of_plan
+        from ..leases import bound as by_loans
         from ..quota_service import bound as by_keeper
-        from ..shared import bound as by_loans
 
         config, settings = self.config, self.config.settings
         for plan in settings.plans:
--- a/zincstile/scale/capacity_answers.py
+++ b/zincstile/scale/capacity_answers.py
@@ -10,8 +10,8 @@
 from typing import Final
 
 from .. import policy
+from ..leases.settings import SharedSettings
 from ..net.limits import Limits
-from ..shared.settings import SharedSettings
 from . import capacity_load, capacity_messages
 from .capacity import Amount, Measured, Row, Unit, exact, missing, row
 from .capacity_costs import MEGABYTE, change_cost, entry_bytes
--- a/zincstile/simulation/mutants_shared.py
+++ b/zincstile/simulation/mutants_shared.py
@@ -11,10 +11,10 @@
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass
 
-from ..shared import judges, levels, loans
-from ..shared.judges import Evidence, Judges
-from ..shared.levels import Levels, LevelWord
-from ..shared.settings import MS, SECOND, SharedSettings
+from ..leases import judges, levels, loans
+from ..leases.judges import Evidence, Judges
+from ..leases.levels import Levels, LevelWord
+from ..leases.settings import MS, SECOND, SharedSettings
 from . import search, shared, shared_trials
 from .mutants import Undo, _swap
 
--- a/zincstile/simulation/search.py
+++ b/zincstile/simulation/search.py
@@ -16,9 +16,9 @@
 from dataclasses import dataclass, field
 
 from ..bounds import Quota
-from ..shared.bound import bounds, opening
-from ..shared.loans import Ask, Close, Grant, Loans, Word
-from ..shared.settings import MS, SharedSettings
+from ..leases.bound import bounds, opening
+from ..leases.loans import Ask, Close, Grant, Loans, Word
+from ..leases.settings import MS, SharedSettings
 
 GATEWAYS, CUSTOMERS = 3, 2
 FLIGHT = 3  # words on their way at once at most; what would be more is lost
--- a/zincstile/simulation/shared.py
+++ b/zincstile/simulation/shared.py
@@ -13,8 +13,8 @@
 
 from .. import wire
 from ..bounds import of_plan
-from ..shared import bound
-from ..shared.settings import SharedSettings
+from ..leases import bound
+from ..leases.settings import SharedSettings
 from . import traffic
 from .plan import Fault, Plan
 
--- a/zincstile/simulation/world.py
+++ b/zincstile/simulation/world.py
@@ -22,12 +22,12 @@
 from ..emulators.discovery import Agent, Entry, Roster
 from ..emulators.guidebox import GuideBox, Model, Rack
 from ..emulators.listservice import ListService, Manners
+from ..leases.settings import SharedSettings
 from ..links import Links
 from ..net import config
 from ..net.gateway import Gateway
 from ..place.settings import PlaceSettings
 from ..quota_service.settings import KeeperSettings
-from ..shared.settings import SharedSettings
 from ..start.settings import StartSettings
 from ..subset.settings import SubsetSettings
 from ..virtual.clock import MS, SECOND, Scheduler, StuckError
