--- a/tests/test_place.py
+++ b/tests/test_place.py
@@ -14,15 +14,15 @@
 from zincstile.control.http import Call
 from zincstile.control.operator import Change, Operator
 from zincstile.net import features
-from zincstile.place import words
-from zincstile.place.flows import PARTS, ZoneView, flows, shares
-from zincstile.place.settings import PlaceSettings, span
-from zincstile.place.terms import CallWord, Generation, Table, Voice
-from zincstile.place.view import Report, Sight, View
 from zincstile.simulation import mutants_place, place_search
 from zincstile.simulation.plan import Fault, Plan
 from zincstile.simulation.world import Run
 from zincstile.typed_yaml import FileError
+from zincstile.zone_failover import words
+from zincstile.zone_failover.flows import PARTS, ZoneView, flows, shares
+from zincstile.zone_failover.settings import PlaceSettings, span
+from zincstile.zone_failover.terms import CallWord, Generation, Table, Voice
+from zincstile.zone_failover.view import Report, Sight, View
 
 NEAR = [[0, 1, 40], [1, 0, 40], [40, 40, 0]]
 
@@ -220,7 +220,7 @@
             seed=8, gateways=6, boxes=18, requests=1300, last_ms=15000, place=True, greedy=0.1, anchored=False
         )
     )
-    sent, went, module = [], run.checker.sent, "zincstile.place.module"
+    sent, went, module = [], run.checker.sent, "zincstile.zone_failover.module"
 
     def heard(gateway, box, request, first_ns):
         sent.append(((run.scheduler.now_ns - run.began_ns) / 1e9, run.checker.boxes[box][0]))
--- a/zincstile/cli/place.py
+++ b/zincstile/cli/place.py
@@ -8,9 +8,9 @@
 
 from ..net import features
 from ..net.features import ZoneRow
-from ..place.flows import ZoneView, flows
-from ..place.settings import PlaceSettings
 from ..typed_yaml import FileError
+from ..zone_failover.flows import ZoneView, flows
+from ..zone_failover.settings import PlaceSettings
 from .errors import BadInputError
 
 
--- a/zincstile/net/features.py
+++ b/zincstile/net/features.py
@@ -16,10 +16,10 @@
     from ..bounds import Quota
     from ..interface import Settings
     from ..leases.settings import SharedSettings
-    from ..place.settings import PlaceSettings
     from ..quota_service.settings import KeeperSettings
     from ..start.settings import StartSettings
     from ..subset.settings import SubsetSettings
+    from ..zone_failover.settings import PlaceSettings
 
 MS = 1_000_000
 
@@ -223,7 +223,7 @@
 
 def place(path: str) -> PlaceSettings:
     """FileError where the file can't be used."""
-    from ..place.settings import PlaceSettings, span
+    from ..zone_failover.settings import PlaceSettings, span
 
     row = load(path, PlaceFile).place
     try:
@@ -254,7 +254,7 @@
 
 def check_place(path: str, settings: PlaceSettings, zones: list[str]) -> None:
     """FileError where the file doesn't fit the zones that the gateways are told of."""
-    from ..place.settings import MOST_ZONES
+    from ..zone_failover.settings import MOST_ZONES
 
     if len(zones) >= MOST_ZONES:
         raise FileError(f"{path}: {len(zones)} zones: {MOST_ZONES - 1} at most")
--- a/zincstile/net/gateway.py
+++ b/zincstile/net/gateway.py
@@ -72,7 +72,7 @@
 
             kind, more = KeptPolicy, (config.keeper, self.host.unix_ns() - self.host.monotonic_ns())
         if config.place:
-            from ..place.module import placed
+            from ..zone_failover.module import placed
 
             kind = placed(kind, config.place, config.zones)
         if config.start:
@@ -145,7 +145,7 @@
 
     def _choose_zones(self) -> None:
         """The words between gateways by which zones are chosen in common."""
-        from ..place import module, words
+        from ..zone_failover import module, words
 
         def heard(sender: int, data: bytes) -> module.PlaceWord | None:
             found = words.unpack(data)
@@ -195,7 +195,7 @@
             self.log.line("active: taking clients again")
             self.door.set_standby(False)
         elif reply.change in (Change.ZONE_DRAIN, Change.ZONE_HOLD, Change.ZONE_BACK):
-            from ..place.module import ZoneSaid
+            from ..zone_failover.module import ZoneSaid
 
             self.turn.post(
                 ZoneSaid(
--- a/zincstile/scale/capacity_messages.py
+++ b/zincstile/scale/capacity_messages.py
@@ -13,10 +13,10 @@
 
 from .. import interface as i
 from .. import wire
-from ..place import words as place_words
-from ..place.view import Report, Sight
 from ..start import words as list_words
 from ..state import LEVEL
+from ..zone_failover import words as place_words
+from ..zone_failover.view import Report, Sight
 
 CLASSES: Final = 3  # request classes in a gateway's settings, as in the sites under deploy/
 WATCH_LINE_BYTES: Final = 1  # discovery's empty line while nothing changes
--- a/zincstile/simulation/mutants_place.py
+++ b/zincstile/simulation/mutants_place.py
@@ -6,11 +6,11 @@
 import random
 from collections.abc import Callable, Iterator
 
-from ..place import states, terms, view
-from ..place.settings import SECOND, PlaceSettings
-from ..place.states import State, Zone
 from ..start import asking, lists, opening
 from ..start.settings import MS, StartSettings
+from ..zone_failover import states, terms, view
+from ..zone_failover.settings import SECOND, PlaceSettings
+from ..zone_failover.states import State, Zone
 from . import place_search, start_model
 from .mutants import Undo, _swap
 
--- a/zincstile/simulation/place_model.py
+++ b/zincstile/simulation/place_model.py
@@ -10,12 +10,12 @@
 from collections import Counter
 from dataclasses import dataclass
 
-from ..place.council import Council
-from ..place.settings import MS, SECOND, PlaceSettings
-from ..place.states import State
-from ..place.view import Sight
-from ..place.words import Word, pack, unpack
 from ..virtual.clock import Scheduler
+from ..zone_failover.council import Council
+from ..zone_failover.settings import MS, SECOND, PlaceSettings
+from ..zone_failover.states import State
+from ..zone_failover.view import Sight
+from ..zone_failover.words import Word, pack, unpack
 
 NEAR_NS, FAR_NS = 1.9 * MS, 30 * MS
 SERVERS, DEMAND, ROOM = 8, 50.0, 100.0  # of a zone: ready servers; units a second asked, and borne
--- a/zincstile/simulation/place_search.py
+++ b/zincstile/simulation/place_search.py
@@ -15,8 +15,8 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from ..place.settings import MS, PlaceSettings
-from ..place.terms import Generation, Terms, Voice
+from ..zone_failover.settings import MS, PlaceSettings
+from ..zone_failover.terms import Generation, Terms, Voice
 from .search import Broken, Even
 
 SETTINGS = PlaceSettings(term_ns=400 * MS, beat_ns=100 * MS, hold_ns=800 * MS)
--- a/zincstile/simulation/world.py
+++ b/zincstile/simulation/world.py
@@ -26,7 +26,6 @@
 from ..links import Links
 from ..net import config
 from ..net.gateway import Gateway
-from ..place.settings import PlaceSettings
 from ..quota_service.settings import KeeperSettings
 from ..start.settings import StartSettings
 from ..subset.settings import SubsetSettings
@@ -35,6 +34,7 @@
 from ..virtual.network import Network, Ways
 from ..virtual.process import Process
 from ..virtual.tcp import Endpoint
+from ..zone_failover.settings import PlaceSettings
 from . import faults, shared, traffic
 from .plan import Plan
 
