--- a/tests/test_asking.py
+++ b/tests/test_asking.py
@@ -6,11 +6,11 @@
 
 import pytest
 
+from zincstile.cold_start.asking import Asking
 from zincstile.emulators.listservice import Manners
 from zincstile.net import http
 from zincstile.net.limits import MS, SECOND, Limits
 from zincstile.simulation.plan import Plan
-from zincstile.start.asking import Asking
 from zincstile.testbed import start
 
 
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -9,15 +9,15 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from zincstile.cold_start import words
+from zincstile.cold_start.lists import Lists
+from zincstile.cold_start.opening import Opening, stated
+from zincstile.cold_start.ready import Readiness, Right
+from zincstile.cold_start.settings import MS, SECOND, StartSettings
 from zincstile.net import features
 from zincstile.net.config import ConfigError, read
 from zincstile.simulation import starts, traffic
 from zincstile.simulation.plan import Plan
-from zincstile.start import words
-from zincstile.start.lists import Lists
-from zincstile.start.opening import Opening, stated
-from zincstile.start.ready import Readiness, Right
-from zincstile.start.settings import MS, SECOND, StartSettings
 from zincstile.typed_yaml import FileError
 
 SET = StartSettings(peers=True)
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -9,8 +9,8 @@
 import pytest
 from scenario import World
 
+from zincstile.cold_start.asking import Asking
 from zincstile.net.limits import MS, SECOND, Limits
-from zincstile.start.asking import Asking
 
 TOLD_S = 6.0
 ANSWER_NS = 500 * MS  # a call and its answer
--- a/zincstile/cli/sim.py
+++ b/zincstile/cli/sim.py
@@ -370,8 +370,8 @@
     sizes: tuple[int, ...], alive: float, lines: int, per_s: float, seed: int, alone: bool
 ) -> int:
     """A cold start of any number of gateways by the pure modules alone; exit 1 where one is never ready."""
+    from ..cold_start.settings import StartSettings
     from ..simulation import start_model as them
-    from ..start.settings import StartSettings
 
     settings = StartSettings(peers=not alone)
     rows = [them.Model(n, int(n * alive), lines, per_s, seed, settings=settings).play() for n in sizes]
--- a/zincstile/net/endpoint_table.py
+++ b/zincstile/net/endpoint_table.py
@@ -10,7 +10,7 @@
 from typing import Any, Final
 
 from .. import interface as i
-from ..start.asking import Asking
+from ..cold_start.asking import Asking
 from . import http
 from .config import Address, ConfigError, address
 from .discovery_clock import DiscoveryClock
--- a/zincstile/net/features.py
+++ b/zincstile/net/features.py
@@ -14,10 +14,10 @@
 
 if TYPE_CHECKING:  # a start loads what its own files need: each feature's modules are some 10 ms of its CPU
     from ..bounds import Quota
+    from ..cold_start.settings import StartSettings
     from ..interface import Settings
     from ..leases.settings import SharedSettings
     from ..quota_service.settings import KeeperSettings
-    from ..start.settings import StartSettings
     from ..subset.settings import SubsetSettings
     from ..zone_failover.settings import PlaceSettings
 
@@ -216,7 +216,7 @@
 
 def start(path: str) -> StartSettings:
     """FileError where the file can't be used."""
-    from ..start.settings import StartSettings
+    from ..cold_start.settings import StartSettings
 
     return _settings(path, load(path, StartFile).start, StartSettings)
 
--- a/zincstile/net/gateway.py
+++ b/zincstile/net/gateway.py
@@ -76,7 +76,7 @@
 
             kind = placed(kind, config.place, config.zones)
         if config.start:
-            from ..start.policy import opening
+            from ..cold_start.policy import opening
 
             kind = opening(kind, config.start)
         if config.subset:
--- a/zincstile/net/start.py
+++ b/zincstile/net/start.py
@@ -8,11 +8,11 @@
 from collections.abc import Callable
 from typing import Any
 
-from ..start import words
-from ..start.lists import KNOWN, Lists
-from ..start.policy import Running
-from ..start.ready import Readiness, Right
-from ..start.settings import StartSettings
+from ..cold_start import words
+from ..cold_start.lists import KNOWN, Lists
+from ..cold_start.policy import Running
+from ..cold_start.ready import Readiness, Right
+from ..cold_start.settings import StartSettings
 from .endpoint_table import EndpointTable
 from .peers import HEARD, Peers
 from .turn import Turn
--- a/zincstile/scale/capacity_messages.py
+++ b/zincstile/scale/capacity_messages.py
@@ -13,7 +13,7 @@
 
 from .. import interface as i
 from .. import wire
-from ..start import words as list_words
+from ..cold_start import words as list_words
 from ..state import LEVEL
 from ..zone_failover import words as place_words
 from ..zone_failover.view import Report, Sight
--- a/zincstile/simulation/mutants_place.py
+++ b/zincstile/simulation/mutants_place.py
@@ -6,8 +6,8 @@
 import random
 from collections.abc import Callable, Iterator
 
-from ..start import asking, lists, opening
-from ..start.settings import MS, StartSettings
+from ..cold_start import asking, lists, opening
+from ..cold_start.settings import MS, StartSettings
 from ..zone_failover import states, terms, view
 from ..zone_failover.settings import SECOND, PlaceSettings
 from ..zone_failover.states import State, Zone
--- a/zincstile/simulation/start_model.py
+++ b/zincstile/simulation/start_model.py
@@ -9,11 +9,11 @@
 from collections import Counter, deque
 from dataclasses import dataclass
 
-from ..start.lists import Lists
-from ..start.opening import Opening
-from ..start.ready import Readiness, Right
-from ..start.settings import MS, SECOND, StartSettings
-from ..start.words import Lines, Word
+from ..cold_start.lists import Lists
+from ..cold_start.opening import Opening
+from ..cold_start.ready import Readiness, Right
+from ..cold_start.settings import MS, SECOND, StartSettings
+from ..cold_start.words import Lines, Word
 from ..virtual.clock import Scheduler
 
 LOOK_NS, NEAR_NS, FAR_NS = 30 * MS, 1.9 * MS, 30 * MS  # looks while seeking; a datagram's way
--- a/zincstile/simulation/world.py
+++ b/zincstile/simulation/world.py
@@ -16,6 +16,7 @@
 from ..checkers.cases import NAMES, Breach
 from ..checkers.checker import Checker
 from ..checkers.quotas import Quotas
+from ..cold_start.settings import StartSettings
 from ..emulators import wire
 from ..emulators.clients import Client, Front, Request, Rude, Want
 from ..emulators.counter import Counter
@@ -27,7 +28,6 @@
 from ..net import config
 from ..net.gateway import Gateway
 from ..quota_service.settings import KeeperSettings
-from ..start.settings import StartSettings
 from ..subset.settings import SubsetSettings
 from ..virtual.clock import MS, SECOND, Scheduler, StuckError
 from ..virtual.host import VirtualHost
