--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -20,10 +20,10 @@
 from zincstile.simulation.plan import Plan, draw
 from zincstile.simulation.world import Run
 from zincstile.slow_start import COLD_USE
-from zincstile.subset.fleet import Fleet, zone_of
-from zincstile.subset.module import subsetting
-from zincstile.subset.placement import first_rank, ring_key, slice_size, stable_hash
-from zincstile.subset.settings import Layout, Reach, ServiceBy, SubsetSettings
+from zincstile.subsetting.fleet import Fleet, zone_of
+from zincstile.subsetting.module import subsetting
+from zincstile.subsetting.placement import first_rank, ring_key, slice_size, stable_hash
+from zincstile.subsetting.settings import Layout, Reach, ServiceBy, SubsetSettings
 from zincstile.typed_yaml import FileError
 
 ZONES = ["a", "b", "c"]
--- a/zincstile/net/features.py
+++ b/zincstile/net/features.py
@@ -18,7 +18,7 @@
     from ..interface import Settings
     from ..leases.settings import SharedSettings
     from ..quota_service.settings import KeeperSettings
-    from ..subset.settings import SubsetSettings
+    from ..subsetting.settings import SubsetSettings
     from ..zone_failover.settings import PlaceSettings
 
 MS = 1_000_000
@@ -268,7 +268,7 @@
 
 def subset(path: str) -> SubsetSettings:
     """FileError where the file can't be used."""
-    from ..subset.settings import Layout, Reach, ServiceBy, SubsetSettings
+    from ..subsetting.settings import Layout, Reach, ServiceBy, SubsetSettings
 
     row = load(path, SubsetFile).subset
     regions = {name: tuple(zones) for name, zones in row.regions.items()}
@@ -286,8 +286,8 @@
 
 def check_subset(path: str, subset: SubsetSettings, zones: list[str], settings: Settings) -> None:
     """FileError where the file doesn't fit what the gateway is told of zones and of its own one."""
-    from ..subset.fleet import zone_of
-    from ..subset.settings import Layout
+    from ..subsetting.fleet import zone_of
+    from ..subsetting.settings import Layout
 
     for region, names in subset.regions.items():
         for name in names:
--- a/zincstile/net/gateway.py
+++ b/zincstile/net/gateway.py
@@ -80,7 +80,7 @@
 
             kind = opening(kind, config.start)
         if config.subset:
-            from ..subset.module import subsetting
+            from ..subsetting.module import subsetting
 
             kind = subsetting(kind, config.subset, config.zones, [name_number(k) for k in config.kinds])
         return kind(config.settings, config.seed, *more)
--- a/zincstile/simulation/world.py
+++ b/zincstile/simulation/world.py
@@ -28,7 +28,7 @@
 from ..net import config
 from ..net.gateway import Gateway
 from ..quota_service.settings import KeeperSettings
-from ..subset.settings import SubsetSettings
+from ..subsetting.settings import SubsetSettings
 from ..virtual.clock import MS, SECOND, Scheduler, StuckError
 from ..virtual.host import VirtualHost
 from ..virtual.network import Network, Ways
