--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -22,7 +22,7 @@
     ("budget_split", "slow_start"),
     ("policy",),
     ("held", "adapter"),
-    ("quota_service", "leases", "zone_failover", "cold_start", "subsetting", "control"),
+    ("quota_service", "leases", "zone_failover", "cold_start", "subsetting", "admin"),
     ("net",),
     ("virtual", "emulators", "checkers"),
     ("simulation", "serve"),
--- a/tests/test_place.py
+++ b/tests/test_place.py
@@ -10,9 +10,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from zincstile.admin.http import Call
+from zincstile.admin.operator import Change, Operator
 from zincstile.cli import main
-from zincstile.control.http import Call
-from zincstile.control.operator import Change, Operator
 from zincstile.net import features
 from zincstile.simulation import mutants_place, place_search
 from zincstile.simulation.plan import Fault, Plan
--- a/zincstile/net/control.py
+++ b/zincstile/net/control.py
@@ -12,8 +12,8 @@
 import socket
 from collections.abc import Callable
 
-from ..control.http import Bounds, Call, CallError, CallParser, answer
-from ..control.operator import Change, Operator, Reply
+from ..admin.http import Bounds, Call, CallError, CallParser, answer
+from ..admin.operator import Change, Operator, Reply
 from .accept import Acceptor, Taken
 from .config import Address
 from .deadlines import every
--- a/zincstile/net/gateway.py
+++ b/zincstile/net/gateway.py
@@ -159,7 +159,7 @@
     def _operate(self) -> None:
         """The operators' door, what they said, and the file by which another process of this gateway hears
         it."""
-        from ..control.operator import Operator
+        from ..admin.operator import Operator
         from .control import ControlDoor
         from .handover_file import HandoverFile
         from .inherit import Heritage
@@ -186,7 +186,7 @@
         self.handover.also, self.handover.back = self.heritage.look, self.table.back
 
     def _apply(self, reply: Any) -> None:
-        from ..control.operator import Change
+        from ..admin.operator import Change
 
         if reply.change is Change.STANDBY:
             self.log.line("standby: PING says no; connections are closed once nothing is owed on them")
--- a/zincstile/net/handover_file.py
+++ b/zincstile/net/handover_file.py
@@ -11,8 +11,8 @@
 import contextlib
 from collections.abc import Callable
 
-from ..control import handover as ho
-from ..control.operator import Operator
+from ..admin import handover as ho
+from ..admin.operator import Operator
 from .deadlines import every
 from .host import Host
 from .turn import Turn
