--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from zincstile import interface as i
-from zincstile.policy import Policy
+from zincstile.decisions import messages as i
+from zincstile.decisions.policy import Policy
 
 MS = 1_000_000
 SECOND = 1000 * MS
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -15,12 +15,11 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from zincstile import interface as i
-from zincstile import wire
 from zincstile.cli.commands import run
+from zincstile.decisions import messages as i
+from zincstile.decisions.policy import Policy
 from zincstile.net.http import HttpError, LineReader
 from zincstile.net.limits import Limits
-from zincstile.policy import Policy
 from zincstile.scale import (
     agreement,
     capacity_answers,
@@ -37,6 +36,7 @@
 from zincstile.scale.capacity import Amount, Measured, Row, Unit, Verdict, exact, total
 from zincstile.scale.fits import Estimate
 from zincstile.scale.records import Dimension, Figure, Kind, Machine, Sample, SlopeResult
+from zincstile.simulator import codec
 
 ROOT = Path(__file__).parent.parent
 TARGET = ROOT / "deploy/scale/target.yaml"
@@ -377,7 +377,7 @@
                     answer = i.Share(s.customer, 0, 0.0, 1e4, 0, s.want, s.mark, True)
                     put(now + 10**6, i.PeerMessage(action.peer, 1, [answer]))
                 if now >= 0.5e9 * seconds:
-                    datagrams, kind = wire.pack_tell(action), found["asks" if asked else "others"]
+                    datagrams, kind = codec.pack_tell(action), found["asks" if asked else "others"]
                     kind[0] += len(datagrams) / seconds
                     kind[1] += sum(map(len, datagrams)) / seconds
     return found
@@ -394,11 +394,12 @@
 
 
 def test_sizes_of_messages_are_the_packers(fleet):
-    head, share = wire.HEAD.size, wire.SHARE.size
+    head, share = codec.HEAD.size, codec.SHARE.size
     assert capacity_messages.tell_bytes(0) == head
     assert capacity_messages.tell_bytes(2.5) == pytest.approx(head + 2.5 * share)
     assert (
-        capacity_messages.tell_bytes(1, True, 8) == head + share + 12 * wire.FIGURE.size + 8 * wire.DOUBT.size
+        capacity_messages.tell_bytes(1, True, 8)
+        == head + share + 12 * codec.FIGURE.size + 8 * codec.DOUBT.size
     )
     assert capacity_messages.most_parts() == 65_535
 
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -12,7 +12,7 @@
 from zincstile.admin import handover as ho
 from zincstile.admin.http import Bounds, Call, CallError, CallParser, answer
 from zincstile.admin.operator import Change, Operator
-from zincstile.moment import Moment
+from zincstile.admin.timestamp import Moment
 
 ENTER = b"POST /maintenance/enter HTTP/1.1\r\nHost: g\r\nContent-Length: 10\r\n\r\ns-5be2a07c"
 CALLS = [
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -13,7 +13,7 @@
 from scenario import PATIENCE, World, settings
 from test_scenarios import READY, play
 
-from zincstile import interface as i
+from zincstile.decisions import messages as i
 from zincstile.net.backend import Backends
 from zincstile.net.counters import Counters
 from zincstile.net.limits import MS, SECOND, Limits
--- a/tests/test_field.py
+++ b/tests/test_field.py
@@ -14,11 +14,11 @@
 
 import pytest
 
-from zincstile.links import CLEAR, Links, Trouble, between
 from zincstile.simulation import plan, traffic
 from zincstile.simulation.world import Run
 from zincstile.testbed import places, report, result, sweep
 from zincstile.testbed.fault_proxy import FaultProxy
+from zincstile.virtual.network_faults import CLEAR, Links, Trouble, between
 
 ROOT = Path(__file__).parent.parent
 PLANS = sorted((Path(__file__).parent / "plans" / "field").glob("*.yaml"))
--- a/tests/test_files.py
+++ b/tests/test_files.py
@@ -8,7 +8,7 @@
 from scenario import ROOT
 
 MOST_LINES = 600
-OTHERWISE = {"zincstile/policy.py"}  # laid out by hand; test_limits counts its non-blank lines
+OTHERWISE = {"zincstile/decisions/policy.py"}  # laid out by hand; test_limits counts its non-blank lines
 
 
 @pytest.mark.parametrize("folder", ["zincstile", "tests"])
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -16,13 +16,9 @@
 # From the lowest to the highest. A part (a package, or a module beside `__main__`) imports from itself and
 # from the layers below; parts of one layer do not know each other.
 LAYERS = (
-    ("checks", "interface", "moment", "links", "typed_yaml", "framing"),
-    ("inherit", "bounds", "typed_json", "wire"),
-    ("state",),
-    ("budget_split", "slow_start"),
-    ("policy",),
-    ("held", "adapter"),
-    ("quota_service", "leases", "zone_failover", "cold_start", "subsetting", "admin"),
+    ("serialization",),
+    ("decisions",),
+    ("simulator", "admin", "quota_service", "leases", "zone_failover", "cold_start", "subsetting"),
     ("net",),
     ("virtual", "emulators", "checkers"),
     ("simulation", "serve"),
--- a/tests/test_incremental.py
+++ b/tests/test_incremental.py
@@ -16,7 +16,9 @@
 from hypothesis import settings as effort
 from hypothesis import strategies as st
 
-from zincstile import interface as i
+from zincstile.decisions import messages as i
+from zincstile.decisions.policy import FADE_S, FAULTY, FLOOR, FORGOTTEN
+from zincstile.decisions.state import SLOWNESS_EPSILON, scatter
 from zincstile.net import config
 from zincstile.net.backend import Backends
 from zincstile.net.backend_connection import BackendConnection
@@ -26,10 +28,8 @@
 from zincstile.net.json_objects import JsonObjects
 from zincstile.net.limits import Limits
 from zincstile.net.trace import Trace
-from zincstile.policy import FADE_S, FAULTY, FLOOR, FORGOTTEN
 from zincstile.simulation import traffic
 from zincstile.simulation.plan import Plan
-from zincstile.state import SLOWNESS_EPSILON, scatter
 
 COLD = {"cold_share": 0.25, "cold_ns": 20 * SECOND, "cold_multiple": 2.0}
 IDS = (1, 2, 3, 4, 50550, 101099, 50551)  # some have one name among the peers: 1 and two more, 2 and one
--- a/tests/test_inherit_memory.py
+++ b/tests/test_inherit_memory.py
@@ -8,9 +8,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from zincstile import inherit
-from zincstile import interface as i
-from zincstile.policy import TOTALS
+from zincstile.decisions import messages as i
+from zincstile.decisions import state_transfer
+from zincstile.decisions.policy import TOTALS
 
 PLAN = i.PlanSpec("p", rate=2.0, burst=12.0, ceiling_rate=4.0, ceiling_burst=24.0)
 OVER = {"plans": [PLAN], "gateways": 3, "peers": True}
@@ -31,12 +31,12 @@
 
 
 def left(g, most=100):
-    return json.loads(json.dumps(inherit.leave(g.policy, g.now, most)))
+    return json.loads(json.dumps(state_transfer.leave(g.policy, g.now, most)))
 
 
 def new_process(table, g):
     heir = Gateway(dict(OVER), backends=0, start=False)
-    inherit.check(table, heir.policy)
+    state_transfer.check(table, heir.policy)
     heir.now = g.now
     heir.feed(i.Inherited(table))
     heir.feed(i.Started())
@@ -97,12 +97,12 @@
     g.policy.customers[key].spend(2.0, TOTALS)
     before = heir.policy.customers[key].level
     totals = {c["key"]: c["total"] for c in table["customers"]}
-    t = json.loads(json.dumps(inherit.spent(g.policy)))
-    assert inherit.take_spent(heir.policy, t, totals, TOTALS) == 1
+    t = json.loads(json.dumps(state_transfer.spent(g.policy)))
+    assert state_transfer.take_spent(heir.policy, t, totals, TOTALS) == 1
     assert heir.policy.customers[key].level == pytest.approx(before - 2.0)
     assert heir.policy.customers[key].total == g.policy.customers[key].total
-    with pytest.raises(inherit.TableError):
-        inherit.take_spent(heir.policy, t | {"start": 5}, totals, TOTALS)
+    with pytest.raises(state_transfer.TableError):
+        state_transfer.take_spent(heir.policy, t | {"start": 5}, totals, TOTALS)
 
 
 def test_of_more_customers_than_fit_the_last_used_are_left():
@@ -133,7 +133,7 @@
     holder[key] = data.draw(JUNK)
     try:
         heir = new_process(table, g)
-    except inherit.TableError as err:
+    except state_transfer.TableError as err:
         assert str(err)
         return
     for _ in range(3):
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -8,7 +8,7 @@
 import pytest
 from test_checker import MS, SECOND, Bench
 
-from zincstile import interface as i
+from zincstile.decisions import messages as i
 from zincstile.net.counters import Counters
 from zincstile.net.invariants import DEADLINE_SLACK_NS, InvariantGuard
 from zincstile.net.log import Log
--- a/tests/test_keeper.py
+++ b/tests/test_keeper.py
@@ -8,8 +8,7 @@
 
 import pytest
 
-from zincstile import wire
-from zincstile.bounds import Quota
+from zincstile.decisions.quota_bounds import Quota
 from zincstile.net import config
 from zincstile.quota_service import words
 from zincstile.quota_service.accounts import Accounts
@@ -20,6 +19,7 @@
 from zincstile.simulation.plan import Fault, Plan
 from zincstile.simulation.trial import Trial
 from zincstile.simulation.world import Run
+from zincstile.simulator import codec
 
 ROOT = Path(__file__).parent.parent
 SET = KeeperSettings()
@@ -309,7 +309,7 @@
     for at in range(len(data)):
         assert words.unpack(2, data[:at]) is None
         assert words.unpack(2, data[:at] + bytes([data[at] ^ 4]) + data[at + 1 :]) is None
-    assert wire.unpack_tell(2, data) is None
+    assert codec.unpack_tell(2, data) is None
 
 
 def test_a_feature_file_is_read_at_load_and_a_bad_one_is_told(tmp_path):
--- a/tests/test_leavers.py
+++ b/tests/test_leavers.py
@@ -15,9 +15,9 @@
 from test_crossings import LONG_DIAL, NEVER
 from test_scenarios import READY, play
 
-from zincstile import interface as i
-from zincstile import wire
-from zincstile.state import scatter
+from zincstile.decisions import messages as i
+from zincstile.decisions.state import scatter
+from zincstile.simulator import codec
 
 BURST = range(1, 21)
 GATEWAYS = 7  # a set of so many is wide: its relay is asked
@@ -44,7 +44,7 @@
         for sock in self.sockets:
             try:
                 while True:
-                    message = wire.unpack_tell(0, sock.recv(4096))
+                    message = codec.unpack_tell(0, sock.recv(4096))
                     found += [(sock, share) for share in message.shares if share.want > 0]
             except BlockingIOError:
                 pass
@@ -60,7 +60,7 @@
 
     def grant(self, world: World, sock: socket.socket, ask: i.Share) -> None:
         share = i.Share(ask.customer, ask.plan, 0.0, 0.0, 0, ask.want, ask.mark, True)
-        for message in wire.pack_tell(i.Tell(0, 5, [share])):
+        for message in codec.pack_tell(i.Tell(0, 5, [share])):
             sock.sendto(message, world.peer_address)
 
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -21,7 +21,7 @@
 
 
 def test_docstring_names_the_interface_first():
-    assert "zincstile/interface.py" in lines()[0]
+    assert "zincstile/decisions/messages.py" in lines()[0]
 
 
 def test_no_clock_network_or_shared_randomness():
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -6,7 +6,7 @@
 import random
 from types import SimpleNamespace
 
-from zincstile import interface as i
+from zincstile.decisions import messages as i
 from zincstile.net import endpoint_table
 from zincstile.net.deadlines import Deadlines
 from zincstile.net.endpoint_table import EndpointTable
--- a/tests/test_place.py
+++ b/tests/test_place.py
@@ -14,10 +14,10 @@
 from zincstile.admin.operator import Change, Operator
 from zincstile.cli import main
 from zincstile.net import features
+from zincstile.serialization.typed_yaml import FileError
 from zincstile.simulation import mutants_place, place_search
 from zincstile.simulation.plan import Fault, Plan
 from zincstile.simulation.world import Run
-from zincstile.typed_yaml import FileError
 from zincstile.zone_failover import words
 from zincstile.zone_failover.flows import PARTS, ZoneView, flows, shares
 from zincstile.zone_failover.settings import PlaceSettings, span
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -1,9 +1,9 @@
 import pytest
 from conftest import MS, SECOND, Gateway, backend, only
 
-from zincstile import interface as i
-from zincstile.policy import split
-from zincstile.state import Leaf
+from zincstile.decisions import messages as i
+from zincstile.decisions.policy import split
+from zincstile.decisions.state import Leaf
 
 
 def sends(actions):
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -1,6 +1,6 @@
 from conftest import MS, SECOND, Gateway, only
 
-from zincstile import interface as i
+from zincstile.decisions import messages as i
 
 PLAN = i.PlanSpec("p", rate=2.0, burst=12.0)
 
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -9,7 +9,7 @@
 from scenario import World, settings
 from test_scenarios import READY
 
-from zincstile import interface as i
+from zincstile.decisions import messages as i
 from zincstile.net.backend_connection import Attempt, BackendConnection, BackendServer
 from zincstile.net.limits import Limits
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -2,7 +2,7 @@
 
 from conftest import MS, SECOND, Gateway, backend, only
 
-from zincstile import interface as i
+from zincstile.decisions import messages as i
 
 
 def sends(actions):
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -15,11 +15,11 @@
 from hypothesis import strategies as st
 from scenario import ROOT, World, call, encode
 
-from zincstile import interface as i
-from zincstile import wire
+from zincstile.decisions import messages as i
+from zincstile.decisions.policy import Policy
 from zincstile.net.config import read
 from zincstile.net.limits import MS, SECOND
-from zincstile.policy import Policy
+from zincstile.simulator import codec
 
 NAMES = st.text("abcdefghijklmnopqrstuvwxyz0123456789-", min_size=1, max_size=12)
 SPAN = st.sampled_from([20, 50, 80, 300, 1500, 3000, 60_000, 3_600_000])  # deadlines in ms
@@ -110,7 +110,7 @@
 
 
 def decoded(table):
-    return wire.read_settings(json.dumps(table).encode())
+    return codec.read_settings(json.dumps(table).encode())
 
 
 # ---- the module alone
@@ -164,9 +164,9 @@
         self.out.pop((a.request, a.attempt), None)
 
     def on_tell(self, a):
-        for data in wire.pack_tell(a):
-            assert len(data) <= wire.LARGEST
-            heard = wire.unpack_tell((self.set.me + 1) % max(2, self.set.gateways), data)
+        for data in codec.pack_tell(a):
+            assert len(data) <= codec.LARGEST
+            heard = codec.unpack_tell((self.set.me + 1) % max(2, self.set.gateways), data)
             assert heard is not None
             if self.rng.random() < 0.5:
                 self.later(self.now + 3 * MS, heard)
@@ -261,9 +261,9 @@
         leaf.rate, leaf.arrivals = 0.5, 2.0
     shares = [i.Share(k, 1, 3.0, 2.0, 0) for k in range(9)]
     doubts = [i.Doubt(1, group, 0.5) for group in (0, 11, 250, 251, 255)]
-    messages = wire.pack_tell(i.Tell(1, 7, shares, module.figures(), doubts))
-    assert max(map(len, messages)) <= wire.LARGEST
-    heard = [wire.unpack_tell(1, data) for data in messages]
+    messages = codec.pack_tell(i.Tell(1, 7, shares, module.figures(), doubts))
+    assert max(map(len, messages)) <= codec.LARGEST
+    heard = [codec.unpack_tell(1, data) for data in messages]
     assert [s.customer for m in heard for s in m.shares] == list(range(9))
     assert [d.group for m in heard for d in m.doubts] == [0, 11, 250, 251, 255]
     told = heard[0].figures
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -14,8 +14,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
-from zincstile import typed_yaml
-from zincstile.bounds import Quota
+from zincstile.decisions.quota_bounds import Quota
 from zincstile.leases import words
 from zincstile.leases.bound import bounds, gossip, holders, opening, refused, turn_most
 from zincstile.leases.judges import EVERY, Evidence, Judges
@@ -26,6 +25,7 @@
 from zincstile.leases.settings import FAILURES, MS, SECOND, SharedSettings
 from zincstile.leases.slots import SlotGrant, SlotManager, SlotRelease, SlotRequest
 from zincstile.net import config, features
+from zincstile.serialization import typed_yaml
 from zincstile.simulation import mutants_shared, plan, search, shared, shared_trials, traffic
 from zincstile.simulation.plan import Plan
 
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -2,7 +2,7 @@
 
 from conftest import MS, SECOND, Gateway, only
 
-from zincstile import interface as i
+from zincstile.decisions import messages as i
 
 
 def rest(g, result, latency=50 * MS):
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -16,9 +16,9 @@
 from zincstile.cold_start.settings import MS, SECOND, StartSettings
 from zincstile.net import features
 from zincstile.net.config import ConfigError, read
+from zincstile.serialization.typed_yaml import FileError
 from zincstile.simulation import starts, traffic
 from zincstile.simulation.plan import Plan
-from zincstile.typed_yaml import FileError
 
 SET = StartSettings(peers=True)
 
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -11,20 +11,20 @@
 from hypothesis import settings as limits
 from hypothesis import strategies as st
 
-from zincstile import interface as i
+from zincstile.decisions import messages as i
+from zincstile.decisions.policy import COLD_LEAST, Policy
+from zincstile.decisions.slow_start import COLD_USE
 from zincstile.net import config, features
 from zincstile.net.endpoint_table import EndpointReader, number
 from zincstile.net.host import HOST
-from zincstile.policy import COLD_LEAST, Policy
+from zincstile.serialization.typed_yaml import FileError
 from zincstile.simulation import traffic
 from zincstile.simulation.plan import Plan, draw
 from zincstile.simulation.world import Run
-from zincstile.slow_start import COLD_USE
 from zincstile.subsetting.fleet import Fleet, zone_of
 from zincstile.subsetting.module import subsetting
 from zincstile.subsetting.placement import first_rank, ring_key, slice_size, stable_hash
 from zincstile.subsetting.settings import Layout, Reach, ServiceBy, SubsetSettings
-from zincstile.typed_yaml import FileError
 
 ZONES = ["a", "b", "c"]
 SPREAD = Layout.INTERLEAVED
--- a/tests/test_throng.py
+++ b/tests/test_throng.py
@@ -7,7 +7,7 @@
 import pytest
 from conftest import MS, Gateway, backend
 
-from zincstile import interface as i
+from zincstile.decisions import messages as i
 from zincstile.emulators.listservice import Manners
 from zincstile.net.limits import SECOND, Limits
 from zincstile.simulation import plan
--- a/tests/test_turn.py
+++ b/tests/test_turn.py
@@ -5,7 +5,7 @@
 import pytest
 from conftest import backend, settings
 
-from zincstile import interface as i
+from zincstile.decisions import messages as i
 from zincstile.net.backend import Backends
 from zincstile.net.counters import Counters
 from zincstile.net.deadlines import every
--- a/tests/test_wide.py
+++ b/tests/test_wide.py
@@ -2,8 +2,8 @@
 
 from conftest import MS, SECOND, Gateway, backend, only
 
-from zincstile import interface as i
-from zincstile.policy import EVERY
+from zincstile.decisions import messages as i
+from zincstile.decisions.policy import EVERY
 
 PLAN = i.PlanSpec("p", rate=2.0, burst=12.0)
 WIDE = 40
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from zincstile import interface as i
-from zincstile import wire
+from zincstile.decisions import messages as i
+from zincstile.simulator import codec
 
 ROOT = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
 SETTINGS = {
@@ -73,7 +73,7 @@
 
 
 def run(data):
-    command = [sys.executable, "-m", "zincstile.adapter"]
+    command = [sys.executable, "-m", "zincstile.simulator.adapter"]
     return subprocess.run(command, input=data, capture_output=True, cwd=ROOT, timeout=60)
 
 
@@ -117,10 +117,10 @@
 def test_unusable_settings_end_the_adapter():
     assert "settings" in bad(frame(*opening(SETTINGS | {"ordinal": "x"})))
     assert "me" in bad(frame(*opening(SETTINGS | {"ordinal": 7})))
-    with pytest.raises(wire.WireError):
-        wire.read_settings(b"{")
-    with pytest.raises(wire.WireError):
-        wire.read_settings(b"[1]")
+    with pytest.raises(codec.WireError):
+        codec.read_settings(b"{")
+    with pytest.raises(codec.WireError):
+        codec.read_settings(b"[1]")
 
 
 def test_an_exception_in_the_module_becomes_a_fault_record():
@@ -134,23 +134,23 @@
         for k in range(40)
     ]
     figures, doubts = [0.5, 2.0, 1024.0], [i.Doubt(2**16 - 1, 5, 1.0), i.Doubt(7, 0, 0.0)]
-    messages = wire.pack_tell(i.Tell(2, 4_000_000_000, shares, figures, doubts))
+    messages = codec.pack_tell(i.Tell(2, 4_000_000_000, shares, figures, doubts))
     assert all(len(m) <= 256 for m in messages)
-    back = [wire.unpack_tell(2, m) for m in messages]
+    back = [codec.unpack_tell(2, m) for m in messages]
     assert [s for b in back for s in b.shares] == shares
     assert [x for b in back for x in b.figures] == figures and [d for b in back for d in b.doubts] == doubts
     for at in range(len(messages[0])):
         hurt = bytearray(messages[0])
         hurt[at] ^= 0x41
-        told = wire.unpack_tell(2, bytes(hurt))
+        told = codec.unpack_tell(2, bytes(hurt))
         assert told is None
-    assert wire.unpack_tell(2, b"") is None and wire.unpack_tell(2, messages[0][:-1]) is None
+    assert codec.unpack_tell(2, b"") is None and codec.unpack_tell(2, messages[0][:-1]) is None
     old = struct.pack("<BIH", 0xB7, 1, 0)
-    assert wire.unpack_tell(2, old) is None
+    assert codec.unpack_tell(2, old) is None
 
 
 def test_settings_name_the_field_that_cannot_work():
-    ok = wire.read_settings(json.dumps(SETTINGS).encode())
+    ok = codec.read_settings(json.dumps(SETTINGS).encode())
     with pytest.raises(ValueError, match="classes"):
         i.Settings(me=0, gateways=1, classes=[], plans=ok.plans)
     with pytest.raises(ValueError, match="me"):
@@ -161,7 +161,7 @@
 
 @pytest.mark.parametrize("figure", [float("nan"), float("inf"), -1.0])
 def test_settings_refuse_figures_that_are_none(figure):
-    ok = wire.read_settings(json.dumps(SETTINGS).encode())
+    ok = codec.read_settings(json.dumps(SETTINGS).encode())
     spec = vars_of(ok.classes[0])
     for key in ("aim_ns", "worth", "late_worth"):
         with pytest.raises(ValueError, match=key):
@@ -176,7 +176,7 @@
 
 
 def test_a_close_goes_out_before_the_send_after_it():
-    reply, number = wire.Reply(4), int.from_bytes(BACKEND, "little")
+    reply, number = codec.Reply(4), int.from_bytes(BACKEND, "little")
     reply.add(3, i.Close(number))
     reply.add(3, i.Send(9, number, 77))
     size, count, batch = struct.unpack_from("<III", reply.data())
--- a/tests/test_worlds.py
+++ b/tests/test_worlds.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from zincstile import typed_yaml
+from zincstile.serialization import typed_yaml
 from zincstile.simulation import mutants, plan, shrink, sweep
 from zincstile.simulation.plan import Fault, Plan
 from zincstile.simulation.world import Run
--- a/zincstile/admin/handover.py
+++ b/zincstile/admin/handover.py
@@ -27,7 +27,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from ..moment import Moment
+from .timestamp import Moment
 
 FORM = 1
 
--- a/zincstile/cli/bound.py
+++ b/zincstile/cli/bound.py
@@ -6,11 +6,11 @@
 from rich.console import Console
 from rich.table import Table
 
-from ..bounds import Bound, Quota
+from ..decisions.quota_bounds import Bound, Quota
 from ..leases import bound as by_loans
 from ..net import features
 from ..quota_service import bound as by_keeper
-from ..typed_yaml import FileError
+from ..serialization.typed_yaml import FileError
 from .errors import BadInputError
 
 WAYS, CUT_S = 2, 10.0  # of the cut that today's gossip is stated for, beside the loans
--- a/zincstile/cli/field.py
+++ b/zincstile/cli/field.py
@@ -10,9 +10,9 @@
 
 import click
 
+from ..serialization.typed_yaml import FileError
 from ..simulation import plan as plans
 from ..simulation.plan import Plan
-from ..typed_yaml import FileError
 from .errors import BadInputError
 from .options import SEEDS, seed_range
 
--- a/zincstile/cli/place.py
+++ b/zincstile/cli/place.py
@@ -8,7 +8,7 @@
 
 from ..net import features
 from ..net.features import ZoneRow
-from ..typed_yaml import FileError
+from ..serialization.typed_yaml import FileError
 from ..zone_failover.flows import ZoneView, flows
 from ..zone_failover.settings import PlaceSettings
 from .errors import BadInputError
--- a/zincstile/cli/scale_run.py
+++ b/zincstile/cli/scale_run.py
@@ -9,7 +9,7 @@
 
 import click
 
-from ..typed_yaml import FileError
+from ..serialization.typed_yaml import FileError
 from .errors import BadInputError
 from .scale_fleet import TARGET, fleet, sizes
 
--- a/zincstile/cli/sim.py
+++ b/zincstile/cli/sim.py
@@ -11,9 +11,9 @@
 import click
 
 from ..checkers.cases import NAMES
+from ..serialization.typed_yaml import FileError
 from ..simulation import plan as plans
 from ..simulation.plan import Plan
-from ..typed_yaml import FileError
 from .errors import BadInputError
 from .options import JOBS, SEEDS, seed_range
 
--- a/zincstile/cold_start/policy.py
+++ b/zincstile/cold_start/policy.py
@@ -9,9 +9,9 @@
 import random
 from dataclasses import dataclass
 
-from .. import interface as i
-from ..policy import Policy
-from ..state import Attempt, Live, Server
+from ..decisions import messages as i
+from ..decisions.policy import Policy
+from ..decisions.state import Attempt, Live, Server
 from .opening import Opening
 from .settings import StartSettings
 
--- a/zincstile/cold_start/settings.py
+++ b/zincstile/cold_start/settings.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from ..checks import require_above_zero
+from ..decisions.validation import require_above_zero
 
 MS, SECOND = 1_000_000, 1_000_000_000
 
--- a/zincstile/cold_start/words.py
+++ b/zincstile/cold_start/words.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from .. import framing
+from ..serialization import datagrams
 
 MAGIC = 0xBC
 BUCKETS = 32
@@ -24,7 +24,7 @@
 AGE_MOST = 2**32 - 1
 PART = "\x1f"
 FIELDS = ("name", "address", "zone", "type", "group", "status", "weight", "since_ms")
-ROOM = framing.LARGEST - framing.HEAD.size - LINES.size  # bytes of a datagram for lines
+ROOM = datagrams.LARGEST - datagrams.HEAD.size - LINES.size  # bytes of a datagram for lines
 LINE_MOST = ROOM - 1  # bytes of a line, its length besides
 OPEN = 128  # the bit beside the rank
 RANKS = 3  # told by discovery, known before the start, told by peers
@@ -119,12 +119,12 @@
         body = LINES.pack(word.version % 2**64, word.bucket, word.part, word.parts) + b"".join(
             bytes([len(x)]) + x for x in word.lines
         )
-    return framing.framed(MAGIC, kind, body)
+    return datagrams.framed(MAGIC, kind, body)
 
 
 def unpack(data: bytes) -> Word | None:
     """None for what is damaged, or of another layout."""
-    return framing.unpacked(MAGIC, data, READERS)
+    return datagrams.unpacked(MAGIC, data, READERS)
 
 
 def _what(body: bytes) -> What | None:
--- a/zincstile/held.py
+++ b/zincstile/decisions/deferred_admission.py
@@ -11,7 +11,7 @@
 from abc import ABC, abstractmethod
 from enum import Enum
 
-from . import interface as i
+from . import messages as i
 from .policy import KINDS, Policy
 from .state import Customer, Live
 
--- a/zincstile/policy.py
+++ b/zincstile/decisions/policy.py
@@ -1,4 +1,4 @@
-"""Every decision of the gateway. Settings, events and actions are in zincstile/interface.py: read that first.
+"""Every decision of the gateway. See zincstile/decisions/messages.py first: settings, events, actions.
 
 One request: quota (gossip; a wide set's relay is asked) -> ceiling and open cap -> budget draw (group tree)
 -> choice of backend -> attempt, timer, outcome, further attempt or final answer. See docs/design.md.
@@ -11,10 +11,10 @@
 from bisect import bisect
 from collections import deque
 
-from . import interface as i
+from . import messages as i
 from . import slow_start
 from .budget_split import split
-from .interface import Effect, RefusedFor, Result
+from .messages import Effect, RefusedFor, Result
 from .state import LEVEL, Attempt, Customer, Live, Memory, Server, scatter
 
 SECOND = 1_000_000_000
--- a/zincstile/bounds.py
+++ b/zincstile/decisions/quota_bounds.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from .interface import PlanSpec
+from .messages import PlanSpec
 
 MINUTE_S = 60.0
 DIGITS = 1e-9  # what sums of floats are off by
--- a/zincstile/state.py
+++ b/zincstile/decisions/state.py
@@ -9,9 +9,9 @@
 from types import MappingProxyType
 from typing import Any, Final
 
-from . import inherit
-from . import interface as i
-from .interface import Backend, ClassSpec, PlanSpec, Request
+from . import messages as i
+from . import state_transfer
+from .messages import Backend, ClassSpec, PlanSpec, Request
 
 LEVEL = 8  # place of the level in figures(); the times per unit follow it
 SLOWNESS_EPSILON: Final = 0.001  # so near to 1 a slowness is 1: a hundredth of the chance in a choice
@@ -307,7 +307,7 @@
         if (
             started_ns >= 0
             and bool(started_ns) == bool(s.info.started_ns)
-            and abs(started_ns - s.info.started_ns) < inherit.SAME_START_S * 1e9
+            and abs(started_ns - s.info.started_ns) < state_transfer.SAME_START_S * 1e9
         ):
             self.touch(s)
             s.slowness = slowness
@@ -385,7 +385,7 @@
             doubt[group] = doubt.get(group, 0.0) * (1 - weight) + weight * bad
 
     def on_inherited(self, now: int, event: i.Inherited) -> None:
-        inherit.take(self, now, event.table)
+        state_transfer.take(self, now, event.table)
 
     def word(self, c: Customer, peer: int, start: int, total: float, open_: int, told_ns: int) -> Word:
         c.peers[peer] = word = Word(start, total, open_, told_ns)
--- a/zincstile/leases/lease_records.py
+++ b/zincstile/leases/lease_records.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field
 
-from ..bounds import Quota
+from ..decisions.quota_bounds import Quota
 from .lease_messages import LeaseRequest
 
 
--- a/zincstile/leases/leases.py
+++ b/zincstile/leases/leases.py
@@ -25,7 +25,7 @@
 import math
 import random
 
-from ..bounds import Quota
+from ..decisions.quota_bounds import Quota
 from .bound import holders, opening, turn_most
 from .lease_messages import UNIT_PARTS, LeaseGrant, LeaseMessage, LeaseRelease, LeaseRequest, rounded_down
 from .lease_records import Availability, GrantedLease, Lease, PeerState, PendingRequest, QuotaAccount
--- a/zincstile/leases/module.py
+++ b/zincstile/leases/module.py
@@ -12,11 +12,11 @@
 import random
 from dataclasses import dataclass, field
 
-from .. import interface as i
-from ..bounds import DIGITS, Quota, of_plan
-from ..held import HeldPolicy, Paid
-from ..policy import SECOND
-from ..state import Attempt, Customer, Live, Server
+from ..decisions import messages as i
+from ..decisions.deferred_admission import HeldPolicy, Paid
+from ..decisions.policy import SECOND
+from ..decisions.quota_bounds import DIGITS, Quota, of_plan
+from ..decisions.state import Attempt, Customer, Live, Server
 from .bound import bounds
 from .judges import EVERY, Judges
 from .lease_messages import LeaseGrant, LeaseRelease, LeaseRequest
--- a/zincstile/leases/settings.py
+++ b/zincstile/leases/settings.py
@@ -5,7 +5,7 @@
 
 from dataclasses import dataclass
 
-from ..checks import require_above_zero, require_known, require_share
+from ..decisions.validation import require_above_zero, require_known, require_share
 
 MS, SECOND = 1_000_000, 1_000_000_000
 FAILURES = ("none", "cut", "restart", "paused", "all")
--- a/zincstile/net/backend.py
+++ b/zincstile/net/backend.py
@@ -10,8 +10,8 @@
 import errno
 import math
 
-from .. import interface as i
-from ..wire import FIELD_NAMES
+from ..decisions import messages as i
+from ..simulator.codec import FIELD_NAMES
 from . import resp
 from .backend_connection import Attempt, BackendConnection, BackendServer
 from .deadlines import every
--- a/zincstile/net/backend_connection.py
+++ b/zincstile/net/backend_connection.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from .. import interface as i
+from ..decisions import messages as i
 from . import resp
 from .deadlines import Key
 from .session import Session, Stream
--- a/zincstile/net/call_reader.py
+++ b/zincstile/net/call_reader.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from .. import interface as i
+from ..decisions import messages as i
 from .session import Call
 
 READ, WRITE = b"CALL.GET", b"CALL.POST"
--- a/zincstile/net/config.py
+++ b/zincstile/net/config.py
@@ -8,8 +8,8 @@
 from dataclasses import dataclass, fields
 from typing import Any
 
-from .. import wire
-from ..interface import Settings
+from ..decisions.messages import Settings
+from ..simulator import codec
 from .limits import Limits
 
 Address = tuple[str, int]
@@ -88,7 +88,7 @@
 def read(t: dict[str, Any], env: dict[str, str] | os._Environ[str]) -> Config:
     """A table as the file holds it. ValueError, TypeError, KeyError and their like where it can't be used."""
     settings = t["settings"]
-    decoded = wire.read_settings(json.dumps(settings).encode())
+    decoded = codec.read_settings(json.dumps(settings).encode())
     limits = settings["limits"]
     own = t.get("limits") or {}
     given = {f.name: int(own[f.name]) for f in fields(Limits) if f.name in own}
@@ -158,7 +158,7 @@
 
 def _quotas(settings: Settings) -> list[Any]:
     """One for each plan that has a quota, and each number of gateways that a customer may come in by."""
-    from ..bounds import of_plan
+    from ..decisions.quota_bounds import of_plan
 
     return [
         of_plan(p, spread, settings.largest_units)
--- a/zincstile/net/endpoint_table.py
+++ b/zincstile/net/endpoint_table.py
@@ -9,8 +9,8 @@
 from dataclasses import replace
 from typing import Any, Final
 
-from .. import interface as i
 from ..cold_start.asking import Asking
+from ..decisions import messages as i
 from . import http
 from .config import Address, ConfigError, address
 from .discovery_clock import DiscoveryClock
--- a/zincstile/net/features.py
+++ b/zincstile/net/features.py
@@ -10,12 +10,12 @@
 
 import msgspec
 
-from ..typed_yaml import FileError, load
+from ..serialization.typed_yaml import FileError, load
 
 if TYPE_CHECKING:  # a start loads what its own files need: each feature's modules are some 10 ms of its CPU
-    from ..bounds import Quota
     from ..cold_start.settings import StartSettings
-    from ..interface import Settings
+    from ..decisions.messages import Settings
+    from ..decisions.quota_bounds import Quota
     from ..leases.settings import SharedSettings
     from ..quota_service.settings import KeeperSettings
     from ..subsetting.settings import SubsetSettings
@@ -184,7 +184,7 @@
 
 
 def _plans(path: str, rows: list[PlanRow]) -> list[Quota]:
-    from ..bounds import Quota
+    from ..decisions.quota_bounds import Quota
 
     try:
         return [Quota(p.name, p.rate, p.burst, p.spread, p.largest) for p in rows]
--- a/zincstile/net/frontend.py
+++ b/zincstile/net/frontend.py
@@ -6,7 +6,7 @@
 import socket
 from collections import deque
 
-from .. import interface as i
+from ..decisions import messages as i
 from . import resp
 from .accept import Acceptor, Taken
 from .call_reader import CallError, CallReader
--- a/zincstile/net/gateway.py
+++ b/zincstile/net/gateway.py
@@ -10,8 +10,8 @@
 from collections.abc import Coroutine
 from typing import Any
 
-from .. import interface as i
-from ..policy import Policy
+from ..decisions import messages as i
+from ..decisions.policy import Policy
 from .backend import Backends
 from .config import Config, ConfigError
 from .counters import Counters
@@ -228,7 +228,7 @@
 
     def _state_bounds(self) -> None:
         """The error by which quotas are held, stated before anything fails."""
-        from ..bounds import of_plan
+        from ..decisions.quota_bounds import of_plan
         from ..leases import bound as by_loans
         from ..quota_service import bound as by_keeper
 
--- a/zincstile/net/host.py
+++ b/zincstile/net/host.py
@@ -19,7 +19,7 @@
 import sys
 import time
 
-from ..moment import Moment
+from ..admin.timestamp import Moment
 from .config import Address, Config, ConfigError, again
 
 BOOT_PATH = "/proc/sys/kernel/random/boot_id"  # proc(5): names the run of the machine
--- a/zincstile/net/inherit.py
+++ b/zincstile/net/inherit.py
@@ -14,9 +14,9 @@
 from collections.abc import Callable
 from typing import Any
 
-from .. import inherit
-from .. import interface as i
-from ..policy import TOTALS
+from ..decisions import messages as i
+from ..decisions import state_transfer
+from ..decisions.policy import TOTALS
 from .host import Host
 from .turn import Turn
 
@@ -58,10 +58,10 @@
         since_ns = table.get("written_monotonic_ns", now_ns)  # a version of before tells none
         self._share_for(self.turn.limits.drain_most_ns + self.turn.limits.control_call_ns)
         try:
-            inherit.check(memory, self.turn.policy)
+            state_transfer.check(memory, self.turn.policy)
             if not isinstance(since_ns, int) or isinstance(since_ns, bool):
-                raise inherit.TableError("key written_monotonic_ns: not a whole number")
-        except inherit.TableError as err:
+                raise state_transfer.TableError("key written_monotonic_ns: not a whole number")
+        except state_transfer.TableError as err:
             self.turn.counters.handover_bad += 1
             return f"ignored: {self.base}.memory: {err}"
         self.left = {c["key"]: c["total"] for c in memory["customers"]}
@@ -107,8 +107,8 @@
 
     def _add(self, table: dict[str, Any]) -> None:
         try:
-            count = inherit.take_spent(self.turn.policy, table.get("spent"), self.left, TOTALS)
-        except inherit.TableError as err:
+            count = state_transfer.take_spent(self.turn.policy, table.get("spent"), self.left, TOTALS)
+        except state_transfer.TableError as err:
             self.turn.counters.handover_bad += 1
             self.turn.log.line(f"memory: ignored: {self.base}.spent: {err}")
             return
@@ -126,7 +126,7 @@
                     "for": heir,
                     "written_ns": self.host.unix_ns(),  # for versions that know no other
                     "written_monotonic_ns": self.turn.now_ns(),
-                    "memory": inherit.leave(self.turn.policy, self.turn.now_ns(), most),
+                    "memory": state_transfer.leave(self.turn.policy, self.turn.now_ns(), most),
                 }
             ).encode()
             if len(data) <= limits.inherit_bytes or not most:
@@ -141,7 +141,8 @@
         """What was sent since a new process took the memory."""
         if self.heir:
             self._write(
-                ".spent", json.dumps({"for": self.heir, "spent": inherit.spent(self.turn.policy)}).encode()
+                ".spent",
+                json.dumps({"for": self.heir, "spent": state_transfer.spent(self.turn.policy)}).encode(),
             )
 
     def _write(self, ending: str, data: bytes) -> None:
--- a/zincstile/net/invariants.py
+++ b/zincstile/net/invariants.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from enum import Enum
 
-from .. import interface as i
+from ..decisions import messages as i
 from .counters import Counters
 from .log import Log
 from .session import Sending, Session
--- a/zincstile/net/peers.py
+++ b/zincstile/net/peers.py
@@ -6,8 +6,8 @@
 import socket
 from collections.abc import Callable
 
-from .. import interface as i
-from .. import wire
+from ..decisions import messages as i
+from ..simulator import codec
 from .config import Address
 from .turn import Turn
 
@@ -50,7 +50,7 @@
         message = None
         if number is not None and len(data) <= self.turn.limits.datagram_bytes:
             other = self.others.get(data[0]) if data and self.others else None
-            message = other(number, data) if other else wire.unpack_tell(number, data)
+            message = other(number, data) if other else codec.unpack_tell(number, data)
         if message is None:
             self.turn.counters.messages_bad += 1
             return
@@ -70,7 +70,7 @@
     def _tell(self, _: int, action: i.Tell) -> None:
         if self.transport is None or not 0 <= action.peer < len(self.addresses):
             return
-        for message in wire.pack_tell(action):
+        for message in codec.pack_tell(action):
             if len(message) > self.turn.limits.datagram_bytes:
                 raise ValueError("a message over the limit")  # it would void the run: better none
             self.turn.counters.messages_out += 1
--- a/zincstile/net/session.py
+++ b/zincstile/net/session.py
@@ -6,7 +6,7 @@
 from enum import Enum
 from typing import Protocol
 
-from .. import interface as i
+from ..decisions import messages as i
 
 
 @dataclass(slots=True)
--- a/zincstile/net/turn.py
+++ b/zincstile/net/turn.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from .. import interface as i
-from ..policy import Policy
+from ..decisions import messages as i
+from ..decisions.policy import Policy
 from .counters import Counters
 from .deadlines import Deadlines
 from .host import HOST, Host
--- a/zincstile/quota_service/accounts.py
+++ b/zincstile/quota_service/accounts.py
@@ -14,7 +14,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from ..bounds import Quota
+from ..decisions.quota_bounds import Quota
 from .bound import carry_most, lease_most
 from .settings import SECOND, KeeperSettings
 from .view import View
--- a/zincstile/quota_service/bound.py
+++ b/zincstile/quota_service/bound.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from ..bounds import Bound, Quota, first_refusal
+from ..decisions.quota_bounds import Bound, Quota, first_refusal
 from .settings import FAILURES, SECOND, KeeperSettings
 
 
--- a/zincstile/quota_service/module.py
+++ b/zincstile/quota_service/module.py
@@ -10,11 +10,11 @@
 
 from dataclasses import dataclass
 
-from .. import interface as i
-from ..bounds import Quota
-from ..held import HeldPolicy, Paid
-from ..policy import SECOND
-from ..state import Customer, Live
+from ..decisions import messages as i
+from ..decisions.deferred_admission import HeldPolicy, Paid
+from ..decisions.policy import SECOND
+from ..decisions.quota_bounds import Quota
+from ..decisions.state import Customer, Live
 from .accounts import Account, Accounts
 from .settings import KeeperSettings
 from .view import State, View, Word
--- a/zincstile/scale/capacity_answers.py
+++ b/zincstile/scale/capacity_answers.py
@@ -9,7 +9,7 @@
 from functools import partial
 from typing import Final
 
-from .. import policy
+from ..decisions import policy
 from ..leases.settings import SharedSettings
 from ..net.limits import Limits
 from . import capacity_load, capacity_messages
--- a/zincstile/scale/capacity_gateway.py
+++ b/zincstile/scale/capacity_gateway.py
@@ -6,7 +6,7 @@
 from functools import partial
 from typing import Final
 
-from .. import policy
+from ..decisions import policy
 from ..net.limits import Limits
 from . import capacity_load, capacity_messages
 from .capacity import NOT_IN_PROGRAM, Amount, Measured, Row, Unit, digits, exact, missing, row, summed
--- a/zincstile/scale/capacity_load.py
+++ b/zincstile/scale/capacity_load.py
@@ -12,8 +12,8 @@
 from dataclasses import dataclass
 from typing import Final
 
-from .. import policy
-from ..policy import ASK_NS, ASKS, BEAT_NS, DIRECT, SECOND, TOLD
+from ..decisions import policy
+from ..decisions.policy import ASK_NS, ASKS, BEAT_NS, DIRECT, SECOND, TOLD
 from . import capacity_messages as messages
 from .topology import Topology
 
--- a/zincstile/scale/capacity_messages.py
+++ b/zincstile/scale/capacity_messages.py
@@ -11,10 +11,10 @@
 from functools import cache
 from typing import Final
 
-from .. import interface as i
-from .. import wire
 from ..cold_start import words as list_words
-from ..state import LEVEL
+from ..decisions import messages as i
+from ..decisions.state import LEVEL
+from ..simulator import codec
 from ..zone_failover import words as place_words
 from ..zone_failover.view import Report, Sight
 
@@ -83,7 +83,7 @@
         figures=[1.0] * (LEVEL + 1 + CLASSES) if figures else [],
         doubts=[i.Doubt(4711, 1, 0.5)] * doubts,
     )
-    return sum(len(message) for message in wire.pack_tell(told))
+    return sum(len(message) for message in codec.pack_tell(told))
 
 
 def report_bytes(zones: int) -> int:
--- a/zincstile/scale/capacity_moments.py
+++ b/zincstile/scale/capacity_moments.py
@@ -7,8 +7,8 @@
 from typing import Final
 
 from ..cold_start import lists
+from ..decisions.policy import DIRECT
 from ..net.limits import Limits
-from ..policy import DIRECT
 from . import capacity_load, capacity_messages
 from .capacity import Amount, Measured, Row, Section, Unit, exact, missing, row
 from .capacity_costs import change_cost
--- a/zincstile/scale/capacity_roles.py
+++ b/zincstile/scale/capacity_roles.py
@@ -5,7 +5,7 @@
 import math
 from typing import Final
 
-from .. import policy
+from ..decisions import policy
 from ..net.limits import Limits
 from . import capacity_load, capacity_messages
 from .capacity import NOT_IN_PROGRAM, Measured, Row, Unit, exact, missing, row
--- a/zincstile/scale/emulators.py
+++ b/zincstile/scale/emulators.py
@@ -18,10 +18,10 @@
 from dataclasses import asdict, dataclass
 from typing import Any, Final
 
-from .. import interface as i
-from .. import wire
+from ..decisions import messages as i
 from ..emulators import wire as emulated_wire
 from ..emulators.discovery import BEAT_S, Entry
+from ..simulator import codec
 from ..testbed.datagrams import INFO, PKTINFO
 from ..testbed.places import on_loopback
 from .topology import Topology, shares
@@ -31,7 +31,7 @@
 TAKEN: Final = 256  # datagrams taken in one go
 DATAGRAM_BYTES: Final = 2048
 RECEIVE_BUFFER_BYTES: Final = 4 << 20
-SHARES_IN_DATAGRAM: Final = (wire.LARGEST - wire.HEAD.size) // wire.SHARE.size
+SHARES_IN_DATAGRAM: Final = (codec.LARGEST - codec.HEAD.size) // codec.SHARE.size
 
 
 def address(network: int, number: int) -> str:
@@ -334,7 +334,7 @@
                 self._answer(sender, _peer_of(control), data)
 
     def _answer(self, sender: tuple[str, int], peer: int, data: bytes) -> None:
-        message = wire.unpack_tell(0, data)
+        message = codec.unpack_tell(0, data)
         if message is None:
             self.strange += 1
             return
@@ -344,7 +344,7 @@
             else i.Share(s.customer, s.plan, s.total, s.level, s.open, 0.0, s.mark)
             for s in message.shares
         ]
-        for answer in wire.pack_tell(i.Tell(0, self._start(peer), told)):
+        for answer in codec.pack_tell(i.Tell(0, self._start(peer), told)):
             self.send(sender, peer, answer)
 
     def send(self, gateway: tuple[str, int], peer: int, data: bytes) -> None:
@@ -364,7 +364,7 @@
         """That peer tells every gateway what it sent for some tenants, at most `SHARES_IN_DATAGRAM`, to one
         after the other within `spread_s`: woken together, those of one process find its caches warm."""
         told = [i.Share(t.key, plan, total, level, 0) for t in tenants]
-        for data in wire.pack_tell(i.Tell(0, self._start(peer), told)):
+        for data in codec.pack_tell(i.Tell(0, self._start(peer), told)):
             for gateway, number in self.places.items():
                 self.loop.call_later(spread_s * number / len(self.places), self.send, gateway, peer, data)
 
--- a/zincstile/scale/outcome.py
+++ b/zincstile/scale/outcome.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from .. import typed_json
+from ..serialization import typed_json
 from ..testbed.result import BreachRow
 from .records import Kind, Machine
 
--- a/zincstile/scale/plan.py
+++ b/zincstile/scale/plan.py
@@ -11,8 +11,8 @@
 
 import msgspec
 
-from .. import typed_yaml
-from ..typed_yaml import FileError
+from ..serialization import typed_yaml
+from ..serialization.typed_yaml import FileError
 from .topology import Count, Name, Rate, Topology
 
 LONGEST_S: Final = 540.0  # so that a run ends within 10 minutes, its start and end among them
--- a/zincstile/scale/records.py
+++ b/zincstile/scale/records.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from .. import typed_json
+from ..serialization import typed_json
 
 
 class Dimension(enum.Enum):
--- a/zincstile/scale/slopes.py
+++ b/zincstile/scale/slopes.py
@@ -22,8 +22,8 @@
 from pathlib import Path
 from typing import Final
 
+from ..serialization.typed_yaml import FileError
 from ..testbed.programs import ROOT
-from ..typed_yaml import FileError
 from .point import Point, measure
 from .records import Dimension, Kind, Machine, Sample, SlopeResult
 from .subjects import SubjectError
--- a/zincstile/scale/topology.py
+++ b/zincstile/scale/topology.py
@@ -12,8 +12,8 @@
 
 import msgspec
 
-from .. import typed_yaml
-from ..typed_yaml import FileError
+from ..serialization import typed_yaml
+from ..serialization.typed_yaml import FileError
 
 Count = Annotated[int, msgspec.Meta(ge=1, le=10_000_000)]
 Rate = Annotated[float, msgspec.Meta(ge=0, le=1e9)]
--- /dev/null
+++ b/zincstile/serialization/__init__.py
@@ -0,0 +1,1 @@
+"""Typed records from and to files and datagrams: YAML, JSON, framed messages."""
--- a/zincstile/simulation/faults.py
+++ b/zincstile/simulation/faults.py
@@ -12,7 +12,7 @@
 
 from ..emulators.clients import Rude, rude_pieces
 from ..emulators.counter import Counter
-from ..links import Trouble, between
+from ..virtual.network_faults import Trouble, between
 from . import machine_faults
 from .plan import Fault
 from .stage import Place, Seat, Stage
--- a/zincstile/simulation/mutants.py
+++ b/zincstile/simulation/mutants.py
@@ -12,11 +12,11 @@
 from dataclasses import dataclass
 from typing import Any
 
-from .. import interface as i
+from ..decisions import messages as i
+from ..decisions.policy import Policy
+from ..decisions.state import Memory
 from ..net import backend, deadlines, endpoint_table, frontend, gateway, resp, turn
 from ..net.invariants import InvariantGuard
-from ..policy import Policy
-from ..state import Memory
 from . import plan
 from .world import Run
 
--- a/zincstile/simulation/plan.py
+++ b/zincstile/simulation/plan.py
@@ -13,7 +13,7 @@
 import msgspec
 import yaml
 
-from .. import typed_yaml
+from ..serialization import typed_yaml
 
 Kind = Literal[
     "crash",
--- a/zincstile/simulation/search.py
+++ b/zincstile/simulation/search.py
@@ -15,7 +15,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from ..bounds import Quota
+from ..decisions.quota_bounds import Quota
 from ..leases.bound import bounds, opening
 from ..leases.loans import Ask, Close, Grant, Loans, Word
 from ..leases.settings import MS, SharedSettings
--- a/zincstile/simulation/shared.py
+++ b/zincstile/simulation/shared.py
@@ -11,10 +11,10 @@
 import random
 from collections.abc import Callable
 
-from .. import wire
-from ..bounds import of_plan
+from ..decisions.quota_bounds import of_plan
 from ..leases import bound
 from ..leases.settings import SharedSettings
+from ..simulator import codec
 from . import traffic
 from .plan import Fault, Plan
 
@@ -210,7 +210,7 @@
     kinds = {f.kind for f in plan.faults}
     starts, stops = kinds & set(STARTS), kinds & set(STOPS)
     failure = "all" if starts and stops else "restart" if starts else "paused" if stops else "cut"
-    specs = wire.read_settings(json.dumps(traffic.settings(plan, 0)).encode()).plans
+    specs = codec.read_settings(json.dumps(traffic.settings(plan, 0)).encode()).plans
     found, opening = {}, {}
     for name, (_, rate, burst, *_) in traffic.PLANS.items():
         spec = next(p for p in specs if p.name == name)
--- a/zincstile/simulation/shared_trials.py
+++ b/zincstile/simulation/shared_trials.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from ..checkers.quotas import Quotas
-from ..policy import Policy
+from ..decisions.policy import Policy
 from . import shared, traffic
 from .world import Run
 
--- a/zincstile/simulation/stage.py
+++ b/zincstile/simulation/stage.py
@@ -15,7 +15,7 @@
 from ..emulators.counter import Counter
 from ..emulators.discovery import Agent, Entry, Roster
 from ..emulators.guidebox import GuideBox, Model
-from ..links import Links
+from ..virtual.network_faults import Links
 
 if TYPE_CHECKING:
     from .plan import Plan
--- a/zincstile/simulation/traffic.py
+++ b/zincstile/simulation/traffic.py
@@ -12,8 +12,8 @@
 import random
 from typing import Any
 
-from ..bounds import Quota
 from ..checkers.cases import ClassRule, Figures, PlanRule
+from ..decisions.quota_bounds import Quota
 from ..emulators.clients import Want
 from ..quota_service.bound import bounds
 from ..quota_service.settings import KeeperSettings
--- a/zincstile/simulation/trial.py
+++ b/zincstile/simulation/trial.py
@@ -12,7 +12,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from ..bounds import Quota
+from ..decisions.quota_bounds import Quota
 from ..quota_service.accounts import Account, Accounts, Call
 from ..quota_service.bound import bounds
 from ..quota_service.settings import FAILURES, MS, SECOND, KeeperSettings
--- a/zincstile/simulation/world.py
+++ b/zincstile/simulation/world.py
@@ -24,7 +24,6 @@
 from ..emulators.guidebox import GuideBox, Model, Rack
 from ..emulators.listservice import ListService, Manners
 from ..leases.settings import SharedSettings
-from ..links import Links
 from ..net import config
 from ..net.gateway import Gateway
 from ..quota_service.settings import KeeperSettings
@@ -32,6 +31,7 @@
 from ..virtual.clock import MS, SECOND, Scheduler, StuckError
 from ..virtual.host import VirtualHost
 from ..virtual.network import Network, Ways
+from ..virtual.network_faults import Links
 from ..virtual.process import Process
 from ..virtual.tcp import Endpoint
 from ..zone_failover.settings import PlaceSettings
--- a/zincstile/adapter.py
+++ b/zincstile/simulator/adapter.py
@@ -5,16 +5,16 @@
 import sys
 from typing import BinaryIO
 
-from . import interface as i
-from . import wire
-from .policy import Policy
+from ..decisions import messages as i
+from ..decisions.policy import Policy
+from . import codec
 
 
 def _handle(policies: dict[int, Policy], now: int, instance: int, event: object) -> list[i.Action]:
-    if isinstance(event, wire.Open):
+    if isinstance(event, codec.Open):
         policies[instance] = Policy(event.settings, event.seed)
         return policies[instance].handle(now, i.Started())
-    if isinstance(event, wire.Stop):
+    if isinstance(event, codec.Stop):
         policies.pop(instance, None)
         return []
     if instance not in policies:
@@ -26,17 +26,17 @@
     """Answers batches until the end of input."""
     policies: dict[int, Policy] = {}
     while True:
-        head = source.read(wire.HEADER.size)
+        head = source.read(codec.HEADER.size)
         if not head:
             return
-        if len(head) < wire.HEADER.size:
-            raise wire.WireError("frame: the header is cut short")
-        now, size, count, number = wire.HEADER.unpack(head)
+        if len(head) < codec.HEADER.size:
+            raise codec.WireError("frame: the header is cut short")
+        now, size, count, number = codec.HEADER.unpack(head)
         body = source.read(size)
         if len(body) < size:
-            raise wire.WireError("frame: the body is cut short")
-        reply = wire.Reply(number)
-        for instance, event in wire.read_records(body, count):
+            raise codec.WireError("frame: the body is cut short")
+        reply = codec.Reply(number)
+        for instance, event in codec.read_records(body, count):
             try:
                 for action in _handle(policies, now, instance, event):
                     reply.add(instance, action)
@@ -49,7 +49,7 @@
 def main() -> int:
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
-    except wire.WireError as err:
+    except codec.WireError as err:
         print(f"zincstile: {err}", file=sys.stderr)
         return 2
     except BrokenPipeError:
--- a/zincstile/wire.py
+++ b/zincstile/simulator/codec.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from . import interface as i
+from ..decisions import messages as i
 
 HEADER = struct.Struct("<QIII")
 REPLY = struct.Struct("<III")
--- a/zincstile/subsetting/module.py
+++ b/zincstile/subsetting/module.py
@@ -11,10 +11,10 @@
 import math
 from dataclasses import replace
 
-from .. import interface as i
-from ..interface import Backend, Effect, Group, ListKind, Mode
-from ..policy import FADE_S, FAULTY, FORGOTTEN, Policy
-from ..state import NO_DOUBT, Server
+from ..decisions import messages as i
+from ..decisions.messages import Backend, Effect, Group, ListKind, Mode
+from ..decisions.policy import FADE_S, FAULTY, FORGOTTEN, Policy
+from ..decisions.state import NO_DOUBT, Server
 from .fleet import Fleet
 from .selection import Selection
 from .settings import SECOND, ServiceBy, SubsetSettings
--- a/zincstile/subsetting/table.py
+++ b/zincstile/subsetting/table.py
@@ -9,7 +9,7 @@
 from bisect import bisect_left, insort
 from collections.abc import Callable, Iterable
 
-from ..interface import Backend, Mode
+from ..decisions.messages import Backend, Mode
 from .placement import ID_MASK, ring_key
 
 Place = tuple[int, int]  # service and zone
--- a/zincstile/testbed/datagrams.py
+++ b/zincstile/testbed/datagrams.py
@@ -11,7 +11,7 @@
 import socket
 import struct
 
-from ..links import Links
+from ..virtual.network_faults import Links
 from . import places
 
 PKTINFO = getattr(socket, "IP_PKTINFO", 8)  # Linux's number; the module names it from Python 3.14 on
--- a/zincstile/testbed/emulated.py
+++ b/zincstile/testbed/emulated.py
@@ -10,8 +10,8 @@
 from ..emulators.counter import Counter
 from ..emulators.discovery import Entry
 from ..emulators.guidebox import GuideBox, Model
-from ..links import Trouble, between
 from ..simulation import traffic
+from ..virtual.network_faults import Trouble, between
 from . import places
 from .fault_proxy import FaultProxy, ProxiedConnection
 from .members import Place, Seat
--- a/zincstile/testbed/fault_proxy.py
+++ b/zincstile/testbed/fault_proxy.py
@@ -18,7 +18,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from ..links import Links, Pair
+from ..virtual.network_faults import Links, Pair
 from . import places
 
 QUEUE = 1024  # connections that wait to be taken
--- a/zincstile/testbed/result.py
+++ b/zincstile/testbed/result.py
@@ -7,7 +7,7 @@
 import msgspec
 from hdrh.histogram import HdrHistogram
 
-from .. import typed_json
+from ..serialization import typed_json
 
 HIGHEST_US, DIGITS = 60_000_000, 3  # of the histogram of latencies
 
--- a/zincstile/testbed/run.py
+++ b/zincstile/testbed/run.py
@@ -17,9 +17,9 @@
 from ..checkers.quotas import Quotas
 from ..emulators.clients import Front
 from ..emulators.discovery import Agent
-from ..links import between
 from ..simulation import faults, traffic
 from ..simulation.plan import Plan
+from ..virtual.network_faults import between
 from . import places
 from .datagrams import Datagrams
 from .emulated import EmulatedServices
--- a/zincstile/testbed/sweep.py
+++ b/zincstile/testbed/sweep.py
@@ -9,9 +9,9 @@
 from pathlib import Path
 
 from ..net import features as features_files
+from ..serialization.typed_yaml import FileError
 from ..simulation import places, shared, soak, traffic
 from ..simulation.plan import Plan
-from ..typed_yaml import FileError
 from . import run
 from .places import PlaceError
 from .programs import ROOT
--- a/zincstile/testbed/testbed.py
+++ b/zincstile/testbed/testbed.py
@@ -19,9 +19,9 @@
 from ..emulators.counter import Counter
 from ..emulators.discovery import Roster
 from ..emulators.guidebox import Rack
-from ..links import Links, Trouble
 from ..simulation import traffic
 from ..simulation.plan import SHIM, Plan
+from ..virtual.network_faults import Links, Trouble
 from .datagrams import Datagrams
 from .fault_proxy import FaultProxy
 from .members import Place, Seat
--- a/zincstile/virtual/network.py
+++ b/zincstile/virtual/network.py
@@ -12,8 +12,8 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
-from ..links import Links
 from .clock import MICROSECOND, MS, Scheduler
+from .network_faults import Links
 
 Address = tuple[str, int]
 
--- a/zincstile/zone_failover/module.py
+++ b/zincstile/zone_failover/module.py
@@ -14,10 +14,10 @@
 import random
 from dataclasses import dataclass
 
-from .. import interface as i
-from ..interface import Effect
-from ..policy import FAULTY, Policy
-from ..state import Attempt, Live, Server
+from ..decisions import messages as i
+from ..decisions.messages import Effect
+from ..decisions.policy import FAULTY, Policy
+from ..decisions.state import Attempt, Live, Server
 from .council import Council
 from .flows import PARTS
 from .settings import SECOND, PlaceSettings
--- a/zincstile/zone_failover/settings.py
+++ b/zincstile/zone_failover/settings.py
@@ -5,7 +5,7 @@
 import re
 from dataclasses import dataclass, field
 
-from ..checks import require_above_zero
+from ..decisions.validation import require_above_zero
 
 MS, SECOND = 1_000_000, 1_000_000_000
 MOST_ZONES = 14  # what a datagram with a table holds
--- a/zincstile/zone_failover/words.py
+++ b/zincstile/zone_failover/words.py
@@ -7,7 +7,7 @@
 import struct
 from collections.abc import Callable
 
-from .. import framing
+from ..serialization import datagrams
 from .settings import MOST_ZONES
 from .terms import CallWord, Generation, Table, Voice
 from .view import Report, Sight
@@ -58,12 +58,12 @@
         for s in word.sights:
             dead = 255 if s.dead < 0 else min(254, int(254 * s.dead))
             body += SIGHT.pack(min(U16, s.ready), _grains(s.good, U16), dead, _grains(s.room, U32))
-    return framing.framed(MAGIC, kind, body)
+    return datagrams.framed(MAGIC, kind, body)
 
 
 def unpack(data: bytes) -> Word | None:
     """None for what is damaged, or of another layout."""
-    return framing.unpacked(MAGIC, data, READERS)
+    return datagrams.unpacked(MAGIC, data, READERS)
 
 
 def _call(body: bytes) -> CallWord:
