--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -2,8 +2,19 @@
 
 import pytest
 
-from zincstile.decisions import messages as i
+from zincstile.decisions.messages import (
+    AttemptOutcome,
+    AttemptResult,
+    EndpointEntry,
+    EndpointList,
+    EndpointListKind,
+    EndpointState,
+    Request,
+    Started,
+    TimerFired,
+)
 from zincstile.decisions.policy import Policy
+from zincstile.decisions.settings import CustomerPlan, DeduplicationScope, Idempotency, RequestClass, Settings
 
 MS = 1_000_000
 SECOND = 1000 * MS
@@ -23,19 +34,25 @@
         "peer_in_per_s": 50.0,
         "largest_units": 4.0,
         "classes": [
-            i.ClassSpec("look", SECOND, 4 * SECOND, i.Effect.SAFE, 1.0),
-            i.ClassSpec("book", SECOND, 4 * SECOND, i.Effect.UNSAFE, 3.0),
-            i.ClassSpec(
-                "put", SECOND, 4 * SECOND, i.Effect.KEYED, 2.0, group=i.Group.ZONE, window_ns=500 * MS
+            RequestClass("look", SECOND, 4 * SECOND, Idempotency.ALWAYS, 1.0),
+            RequestClass("book", SECOND, 4 * SECOND, Idempotency.NEVER, 3.0),
+            RequestClass(
+                "put",
+                SECOND,
+                4 * SECOND,
+                Idempotency.BY_KEY,
+                2.0,
+                group=DeduplicationScope.ZONE,
+                window_ns=500 * MS,
             ),
         ],
-        "plans": [i.PlanSpec("only", rate=1000.0, burst=2000.0)],
+        "plans": [CustomerPlan("only", rate=1000.0, burst=2000.0)],
     }
-    return i.Settings(**(base | over))
+    return Settings(**(base | over))
 
 
-def backend(number, zone=0, mode=i.Mode.READY, started=0, cell=0):
-    return i.Backend(number, zone, 0, cell, mode, 1.0, started)
+def backend(number, zone=0, mode=EndpointState.READY, started=0, cell=0):
+    return EndpointEntry(number, zone, 0, cell, mode, 1.0, started)
 
 
 class Gateway:
@@ -44,7 +61,7 @@
     def __init__(self, over=None, backends=2, seed=1, now=10 * SECOND, start=True):
         self.policy = Policy(settings(**(over or {})), seed)
         self.now, self.ids = now, 0
-        self.first = self.feed(i.Started()) if start else []
+        self.first = self.feed(Started()) if start else []
         if backends:
             self.list([backend(n) for n in range(1, backends + 1)])
 
@@ -52,24 +69,24 @@
         self.now += after
         return self.policy.handle(self.now, event)
 
-    def list(self, entries, kind=i.ListKind.FULL, after=0):
-        return self.feed(i.BackendList(kind, 1, entries), after)
+    def list(self, entries, kind=EndpointListKind.FULL, after=0):
+        return self.feed(EndpointList(kind, 1, entries), after)
 
     def ask(self, cls=0, plan=0, customer=7, units=1.0, spread=1, first=0, life=4 * SECOND, after=0):
         self.now += after
         self.ids += 1
-        event = i.Request(self.ids, cls, plan, customer, self.now + life, units, spread, first)
+        event = Request(self.ids, cls, plan, customer, self.now + life, units, spread, first)
         return self.ids, self.policy.handle(self.now, event)
 
     def outcome(self, rid, attempt, where, result, after=10 * MS, finished=None, latency=None, units=0.0):
-        done = result is i.Result.OK if finished is None else finished
-        event = i.Outcome(
+        done = result is AttemptResult.OK if finished is None else finished
+        event = AttemptOutcome(
             rid, attempt, where, result, after if latency is None else latency, done, true_units=units
         )
         return self.feed(event, after)
 
     def tick(self, after=100 * MS):
-        return self.feed(i.Timer(2), after)
+        return self.feed(TimerFired(2), after)
 
 
 def only(actions, kind):
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -16,8 +16,24 @@
 from hypothesis import strategies as st
 
 from zincstile.cli.commands import run
-from zincstile.decisions import messages as i
+from zincstile.decisions.messages import (
+    AttemptOutcome,
+    AttemptResult,
+    CustomerUsage,
+    EndpointEntry,
+    EndpointList,
+    EndpointListKind,
+    EndpointState,
+    ForwardRequest,
+    GossipReceived,
+    Request,
+    SendGossip,
+    SetTimer,
+    Started,
+    TimerFired,
+)
 from zincstile.decisions.policy import Policy
+from zincstile.decisions.settings import CustomerPlan, Idempotency, RequestClass, Settings
 from zincstile.net.http import HttpError, LineReader
 from zincstile.net.limits import Limits
 from zincstile.scale import (
@@ -339,10 +355,10 @@
 def sent(fleet, seconds=10.0):
     """Messages and bytes a second that one gateway's decision module sends at the fleet's load, by kind."""
     rng, queue, numbers, found = random.Random(1), [], itertools.count(), {"asks": [0, 0], "others": [0, 0]}
-    classes = [i.ClassSpec(f"c{k}", 2 * 10**8, 10**9, i.Effect.SAFE, 1.0) for k in range(3)]
-    plan = i.PlanSpec("p", rate=1e5, burst=1e5, open_limit=1000)
+    classes = [RequestClass(f"c{k}", 2 * 10**8, 10**9, Idempotency.ALWAYS, 1.0) for k in range(3)]
+    plan = CustomerPlan("p", rate=1e5, burst=1e5, open_limit=1000)
     gateway = Policy(
-        i.Settings(0, fleet.gateways, classes, [plan], peers=True, peer_in_per_s=capacity_load.PEER_IN_PER_S),
+        Settings(0, fleet.gateways, classes, [plan], peers=True, peer_in_per_s=capacity_load.PEER_IN_PER_S),
         1,
     )
     tenants, reached = [], 0.0
@@ -355,27 +371,27 @@
     def put(at_ns, event):
         heapq.heappush(queue, (at_ns, next(numbers), event))
 
-    put(0, i.Started())
-    backends = [i.Backend(k, 0, 0, 0, i.Mode.READY, 1.0, 0) for k in range(1, 101)]
-    put(1, i.BackendList(i.ListKind.FULL, 1, backends))
+    put(0, Started())
+    backends = [EndpointEntry(k, 0, 0, 0, EndpointState.READY, 1.0, 0) for k in range(1, 101)]
+    put(1, EndpointList(EndpointListKind.FULL, 1, backends))
     at_s, drawn = 0.0, 0
     while (at_s := at_s + rng.expovariate(fleet.requests_of_gateway())) < 1.5 * seconds:
         key, size, first, _ = rng.choices(tenants, [t[3] for t in tenants])[0]
         at_ns, drawn = int(at_s * 1e9), drawn + 1
-        put(at_ns, i.Request(drawn, rng.randrange(3), 0, key, at_ns + 10**9, 1.0, size, first))
+        put(at_ns, Request(drawn, rng.randrange(3), 0, key, at_ns + 10**9, 1.0, size, first))
     while queue and queue[0][0] < 1.5e9 * seconds:
         now, _, event = heapq.heappop(queue)
         for action in gateway.handle(now, event):
-            if isinstance(action, i.SetTimer):
-                put(max(now, action.at_ns), i.Timer(action.token))
-            elif isinstance(action, i.Send):
-                done = i.Outcome(action.request, 0, action.backend, i.Result.OK, 5 * 10**6, True)
+            if isinstance(action, SetTimer):
+                put(max(now, action.at_ns), TimerFired(action.token))
+            elif isinstance(action, ForwardRequest):
+                done = AttemptOutcome(action.request, 0, action.backend, AttemptResult.OK, 5 * 10**6, True)
                 put(now + 5 * 10**6, done)
-            elif isinstance(action, i.Tell):
+            elif isinstance(action, SendGossip):
                 asked = [s for s in action.shares if s.want > 0]
                 for s in asked:
-                    answer = i.Share(s.customer, 0, 0.0, 1e4, 0, s.want, s.mark, True)
-                    put(now + 10**6, i.PeerMessage(action.peer, 1, [answer]))
+                    answer = CustomerUsage(s.customer, 0, 0.0, 1e4, 0, s.want, s.mark, True)
+                    put(now + 10**6, GossipReceived(action.peer, 1, [answer]))
                 if now >= 0.5e9 * seconds:
                     datagrams, kind = codec.pack_tell(action), found["asks" if asked else "others"]
                     kind[0] += len(datagrams) / seconds
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -13,7 +13,7 @@
 from scenario import PATIENCE, World, settings
 from test_scenarios import READY, play
 
-from zincstile.decisions import messages as i
+from zincstile.decisions.messages import AttemptOutcome, AttemptResult, ForwardRequest, Request
 from zincstile.net.backend import Backends
 from zincstile.net.counters import Counters
 from zincstile.net.limits import MS, SECOND, Limits
@@ -367,9 +367,9 @@
         self.outcomes = []
 
     def handle(self, now, event):
-        if isinstance(event, i.Request):
-            return [i.Send(event.id, 1, event.give_up_ns)]
-        self.outcomes += [event.result] if isinstance(event, i.Outcome) else []
+        if isinstance(event, Request):
+            return [ForwardRequest(event.id, 1, event.give_up_ns)]
+        self.outcomes += [event.result] if isinstance(event, AttemptOutcome) else []
         return []
 
 
@@ -404,7 +404,7 @@
     loop.create_connection = slow
     client, now = Client(), turn.now_ns()
     call = Call(True, b"0" * 16, b"1", [b"c=look", b"d=9000"], 1, None)
-    turn.take(Session(1, call, client, now + 9 * SECOND), i.Request(1, 0, 0, 7, now + 9 * SECOND, 1.0, 1, 0))
+    turn.take(Session(1, call, client, now + 9 * SECOND), Request(1, 0, 0, 7, now + 9 * SECOND, 1.0, 1, 0))
     return turn, backends, client
 
 
@@ -428,7 +428,7 @@
     with socket.create_server(("127.0.0.1", 0)) as listening:
         listening.setblocking(False)
         got, outcomes, answers = asyncio.run(asyncio.wait_for(play(listening), PATIENCE))
-    assert (got, outcomes, answers) == (b"*4\r\n", [i.Result.OK], [Kind.SERVED])
+    assert (got, outcomes, answers) == (b"*4\r\n", [AttemptResult.OK], [Kind.SERVED])
 
 
 def test_a_connection_that_came_up_too_late_is_not_closed_beneath_the_next_attempt():
@@ -440,7 +440,7 @@
         loop, plain = asyncio.get_running_loop(), backends.connected
 
         def connected(connection):  # given up in the moment before
-            backends.finish(connection.attempt, i.Result.CANCELLED)
+            backends.finish(connection.attempt, AttemptResult.CANCELLED)
             plain(connection)
             if backends.servers[1].resting:  # taken again in the same step
                 now = turn.now_ns()
@@ -450,7 +450,7 @@
                     Client(),
                     now + 9 * SECOND,
                 )
-                turn.take(session, i.Request(2, 0, 0, 7, now + 9 * SECOND, 1.0, 1, 0))
+                turn.take(session, Request(2, 0, 0, 7, now + 9 * SECOND, 1.0, 1, 0))
 
         backends.connected = connected
         taken, _ = await loop.sock_accept(listening)
@@ -465,7 +465,7 @@
     with socket.create_server(("127.0.0.1", 0)) as listening:
         listening.setblocking(False)
         outcomes = asyncio.run(asyncio.wait_for(play(listening), PATIENCE))
-    assert outcomes in ([i.Result.CANCELLED], [i.Result.CANCELLED, i.Result.OK])
+    assert outcomes in ([AttemptResult.CANCELLED], [AttemptResult.CANCELLED, AttemptResult.OK])
 
 
 def test_an_attempt_is_not_written_to_a_connection_that_its_dial_is_about_to_close():
@@ -479,4 +479,4 @@
         return turn.policy.outcomes, turn.counters.attempts
 
     with socket.create_server(("127.0.0.1", 0)) as listening:
-        assert asyncio.run(asyncio.wait_for(play(listening), PATIENCE)) == ([i.Result.CONNECT_FAILED], 0)
+        assert asyncio.run(asyncio.wait_for(play(listening), PATIENCE)) == ([AttemptResult.CONNECT_FAILED], 0)
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -126,9 +126,12 @@
 
 
 def test_an_import_of_a_higher_layer_is_found():
-    edges = {f"{PACKAGE}.state": {f"{PACKAGE}.net.http"}, f"{PACKAGE}.net.http": {f"{PACKAGE}.state"}}
-    assert upward(edges) == [f"{PACKAGE}.state imports {PACKAGE}.net.http"]
-    assert upward({f"{PACKAGE}.place.view": {f"{PACKAGE}.start.words"}}) != []
+    edges = {
+        f"{PACKAGE}.decisions.state": {f"{PACKAGE}.net.http"},
+        f"{PACKAGE}.net.http": {f"{PACKAGE}.decisions.state"},
+    }
+    assert upward(edges) == [f"{PACKAGE}.decisions.state imports {PACKAGE}.net.http"]
+    assert upward({f"{PACKAGE}.zone_failover.view": {f"{PACKAGE}.cold_start.words"}}) != []
 
 
 @pytest.mark.parametrize(
--- a/tests/test_incremental.py
+++ b/tests/test_incremental.py
@@ -16,7 +16,7 @@
 from hypothesis import settings as effort
 from hypothesis import strategies as st
 
-from zincstile.decisions import messages as i
+from zincstile.decisions.messages import EndpointListKind, EndpointState, RequestAbandoned
 from zincstile.decisions.policy import FADE_S, FAULTY, FLOOR, FORGOTTEN
 from zincstile.decisions.state import SLOWNESS_EPSILON, scatter
 from zincstile.net import config
@@ -36,11 +36,17 @@
 STARTS = (0, 40 * SECOND, 85 * SECOND, 95 * SECOND, 105 * SECOND)  # the first runs are warm or unknown
 ENTRIES = st.lists(
     st.builds(
-        backend, st.sampled_from(IDS), st.integers(0, 2), st.sampled_from(i.Mode), st.sampled_from(STARTS)
+        backend,
+        st.sampled_from(IDS),
+        st.integers(0, 2),
+        st.sampled_from(EndpointState),
+        st.sampled_from(STARTS),
     ),
     max_size=8,
 )
-LISTS = st.tuples(st.sampled_from([i.ListKind.FULL, i.ListKind.DELTA, i.ListKind.DELTA]), ENTRIES)
+LISTS = st.tuples(
+    st.sampled_from([EndpointListKind.FULL, EndpointListKind.DELTA, EndpointListKind.DELTA]), ENTRIES
+)
 DOUBT = st.tuples(st.sampled_from(IDS), st.integers(0, 2), st.floats(0, 1))
 STEPS = st.lists(
     st.one_of(
@@ -61,7 +67,7 @@
         self.usual = [0.0] * 6
 
     def apply(self, kind, entries):
-        if kind is i.ListKind.FULL:
+        if kind is EndpointListKind.FULL:
             self.known = {k: x for k, x in self.known.items() if k in {b.id for b in entries}}
         for b in entries:
             known = self.known.get(b.id)
@@ -70,8 +76,8 @@
             else:
                 self.known[b.id] = [b, 1.0, {}]
                 self.ready = [k for k in self.ready if k != b.id]
-        self.known = {k: x for k, x in self.known.items() if x[0].mode is not i.Mode.GONE}
-        ready = [k for k, x in self.known.items() if x[0].mode is i.Mode.READY]
+        self.known = {k: x for k, x in self.known.items() if x[0].mode is not EndpointState.REMOVED}
+        ready = [k for k, x in self.known.items() if x[0].mode is EndpointState.READY]
         self.ready = [k for k in self.ready if k in ready] + [
             b.id for n, b in enumerate(entries) if b.id in ready and b.id not in self.ready
             and b.id not in [c.id for c in entries[:n]]
@@ -121,7 +127,7 @@
                 doubts[group] = doubts.get(group, 0.0) * 0.5 + 0.5 * bad
         elif about[0] in plain.known:
             policy.touch(policy.servers[about[0]]).slowness = plain.known[about[0]][1] = about[1]
-        g.feed(i.Gone(-1))  # whatever comes after a change decides by the list as it is
+        g.feed(RequestAbandoned(-1))  # whatever comes after a change decides by the list as it is
         ready = [plain.known[k] for k in plain.ready]
         assert policy.servers.keys() == plain.known.keys() and len(policy.ready) == len(ready)
         assert {s.info.id: s.info for s in policy.ready} == {x[0].id: x[0] for x in ready}
@@ -133,7 +139,7 @@
             known = plain.known[s.info.id]
             assert s.doubt == pytest.approx(known[2]) and abs(s.slowness - known[1]) <= SLOWNESS_EPSILON
             assert s.info.id in policy.touched or (not s.doubt and s.slowness == 1.0)
-            assert (s.members is not None) == (s.info.mode is i.Mode.READY)
+            assert (s.members is not None) == (s.info.mode is EndpointState.READY)
             assert s.members is None or s.members[s.position] is s
         assert all(policy.servers.get(k) is s for k, s in policy.touched.items())
         if what in ("lists", "tick"):
@@ -199,11 +205,15 @@
 def test_the_pools_lead_where_the_last_word_says_and_forget_the_rest(steps):
     pools, listed, opened = Backends(stub_turn(), settings(), memoryview(bytearray(64))), {}, []
     for (kind, entries), moved, used in steps:
-        whole = kind is i.ListKind.FULL
+        whole = kind is EndpointListKind.FULL
         pools.update([(b, address_of(b, moved)) for b in entries], whole)
         told = {b.id: (b, address_of(b, moved)) for b in entries}
-        listed = {k: e for k, e in (({} if whole else listed) | told).items() if e[0].mode is not i.Mode.GONE}
-        ready = {k: e for k, e in listed.items() if e[0].mode is i.Mode.READY}
+        listed = {
+            k: e
+            for k, e in (({} if whole else listed) | told).items()
+            if e[0].mode is not EndpointState.REMOVED
+        }
+        ready = {k: e for k, e in listed.items() if e[0].mode is EndpointState.READY}
         assert pools.listed == listed
         for connection in [c for c in opened if not c.transport.closed]:
             server, entry = connection.server, ready.get(connection.server.id)
@@ -233,7 +243,7 @@
     return EndpointTable(stub_turn(), EndpointReader([], [], clock), where, update, first, random.Random(1))
 
 
-def tell(table, endpoints_, kind=i.ListKind.DELTA):
+def tell(table, endpoints_, kind=EndpointListKind.DELTA):
     table._take({"index": 1, "snapshot": False, "endpoints": endpoints_}, kind, table.where)
 
 
@@ -241,17 +251,17 @@
     table = endpoint_table()
     for k in range(5000):
         tell(table, endpoints([f"s-{k}"]) + endpoints([f"s-{k - 10}"], "Gone"))
-    tell(table, endpoints(["s-4999"]), i.ListKind.FULL)  # leaves out the rest
+    tell(table, endpoints(["s-4999"]), EndpointListKind.FULL)  # leaves out the rest
     assert list(table.endpoints) == [number("s-4999")] and len(table.gone) == 1024
     assert table.maintain("s-4990", True) and not table.maintain("s-17", True)  # long gone
     tell(table, endpoints(["s-4990"]))
-    assert table._masked(table.endpoints[number("s-4990")])[0].mode is i.Mode.DRAINING
+    assert table._masked(table.endpoints[number("s-4990")])[0].mode is EndpointState.DRAINING
 
 
 def test_an_endpoint_is_read_with_its_own_text_and_one_that_is_known_is_kept():
     """Whatever else stands in an object is left alone, and a wrong endpoint is told as ever."""
     table, where = endpoint_table(), ("10.2.0.1", 8500)
-    tell(table, endpoints(["s-a", "s-b"]), i.ListKind.FULL)
+    tell(table, endpoints(["s-a", "s-b"]), EndpointListKind.FULL)
     kept = dict(table.endpoints)
     odd = {"note": {"name": "s-z", "status": "no such"}}
     whole = {"index": 7, "snapshot": True, "endpoints": endpoints(["s-a", "s-c"])}
@@ -259,12 +269,12 @@
     objects = JsonObjects(1 << 20, table.read_early)
     (read,) = objects.feed(json.dumps(whole).encode())
     assert read["endpoints"][0] is kept[number("s-a")]
-    table._take(read, i.ListKind.FULL, where)
+    table._take(read, EndpointListKind.FULL, where)
     assert table.endpoints.keys() == {number("s-a"), number("s-c")}
     assert table.endpoints[number("s-c")] == table.reader.entry(whole["endpoints"][1])
     (read,) = objects.feed(json.dumps({"index": 8, "snapshot": False, "endpoints": [odd["note"]]}).encode())
     with pytest.raises(KeyError):
-        table._take(read, i.ListKind.DELTA, where)
+        table._take(read, EndpointListKind.DELTA, where)
     assert table.endpoints.keys() == {number("s-a"), number("s-c")}
 
 
@@ -309,7 +319,7 @@
     g, pools = Gateway(COLD, backends=0, now=100 * SECOND), Backends(stub_turn(), settings(), memoryview(b""))
     table = endpoint_table(pools.update)
     names = [f"s-{k}" for k in range(size)]
-    tell(table, endpoints(names), i.ListKind.FULL)
+    tell(table, endpoints(names), EndpointListKind.FULL)
     known = [b for b, _ in pools.listed.values()]
     g.list(known)
     for s in known[:6]:
@@ -318,8 +328,8 @@
     g.tick()
 
     def change():
-        g.list([known[9]], i.ListKind.DELTA)
-        g.feed(i.Gone(-1))
+        g.list([known[9]], EndpointListKind.DELTA)
+        g.feed(RequestAbandoned(-1))
 
     return {
         "tick": steps_of(g.tick),
--- a/tests/test_inherit_memory.py
+++ b/tests/test_inherit_memory.py
@@ -8,23 +8,33 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from zincstile.decisions import messages as i
 from zincstile.decisions import state_transfer
+from zincstile.decisions.messages import (
+    AttemptResult,
+    CustomerUsage,
+    EndpointList,
+    EndpointListKind,
+    ForwardRequest,
+    GossipReceived,
+    Started,
+    StateInherited,
+)
 from zincstile.decisions.policy import TOTALS
+from zincstile.decisions.settings import CustomerPlan
 
-PLAN = i.PlanSpec("p", rate=2.0, burst=12.0, ceiling_rate=4.0, ceiling_burst=24.0)
+PLAN = CustomerPlan("p", rate=2.0, burst=12.0, ceiling_rate=4.0, ceiling_burst=24.0)
 OVER = {"plans": [PLAN], "gateways": 3, "peers": True}
 
 
 def old_process():
     """A gateway that has served a while: a customer near its quota, a slow server, a budget, peers' words."""
     g = Gateway(dict(OVER), backends=4)
-    g.feed(i.PeerMessage(1, 77, [i.Share(9, 0, 3.0, 9.0, 1)]))
+    g.feed(GossipReceived(1, 77, [CustomerUsage(9, 0, 3.0, 9.0, 1)]))
     for _ in range(5):
         rid, acts = g.ask(units=2.0, spread=3)
-        sent = only(acts, i.Send)
+        sent = only(acts, ForwardRequest)
         if sent:
-            g.outcome(rid, 0, sent[0].backend, i.Result.OK, after=50 * MS, latency=50 * MS)
+            g.outcome(rid, 0, sent[0].backend, AttemptResult.OK, after=50 * MS, latency=50 * MS)
     g.policy.level, g.policy.seen_rate = 7.0, 21.0
     g.policy.ready[0].slowness, g.policy.ready[0].doubt = 2.5, {0: 0.6}
     return g
@@ -38,9 +48,9 @@
     heir = Gateway(dict(OVER), backends=0, start=False)
     state_transfer.check(table, heir.policy)
     heir.now = g.now
-    heir.feed(i.Inherited(table))
-    heir.feed(i.Started())
-    heir.feed(i.BackendList(i.ListKind.FULL, 1, [s.info for s in g.policy.servers.values()]))
+    heir.feed(StateInherited(table))
+    heir.feed(Started())
+    heir.feed(EndpointList(EndpointListKind.FULL, 1, [s.info for s in g.policy.servers.values()]))
     return heir
 
 
@@ -78,7 +88,7 @@
     c, level = g.policy.customers[key], []
 
     def told(p):
-        peer.feed(i.PeerMessage(0, p.start, [p._share(p.customers[key])]))
+        peer.feed(GossipReceived(0, p.start, [p._share(p.customers[key])]))
         level.append(peer.policy.customers[key].level)
 
     told(g.policy)
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -8,7 +8,8 @@
 import pytest
 from test_checker import MS, SECOND, Bench
 
-from zincstile.decisions import messages as i
+from zincstile.decisions.messages import AttemptResult, EndpointEntry, EndpointState, RejectionReason
+from zincstile.decisions.settings import DeduplicationScope, Idempotency, RequestClass
 from zincstile.net.counters import Counters
 from zincstile.net.invariants import DEADLINE_SLACK_NS, InvariantGuard
 from zincstile.net.log import Log
@@ -20,12 +21,14 @@
 
 
 def server(number: int = 1, zone: int = 0, cell: int = 0, ready: bool = True):
-    listed = i.Backend(number, zone, 0, cell, i.Mode.READY, 1.0, 0)
+    listed = EndpointEntry(number, zone, 0, cell, EndpointState.READY, 1.0, 0)
     return SimpleNamespace(address=("10.0.0.1", number), ready=ready, backend=listed)
 
 
-def session(effect: i.Effect = i.Effect.SAFE, group: i.Group = i.Group.CELL) -> Session:
-    spec = i.ClassSpec("x", SECOND, GIVE_UP, effect, 1.0, group=group, window_ns=6 * SECOND)
+def session(
+    effect: Idempotency = Idempotency.ALWAYS, group: DeduplicationScope = DeduplicationScope.CELL
+) -> Session:
+    spec = RequestClass("x", SECOND, GIVE_UP, effect, 1.0, group=group, window_ns=6 * SECOND)
     return Session(1, Call(True, b"c", b"id", [], 0, None), None, GIVE_UP, spec)
 
 
@@ -69,11 +72,11 @@
 @pytest.mark.parametrize(
     ("effect", "where", "now", "may"),
     [
-        (i.Effect.SAFE, server(2, cell=1), 7 * SECOND, True),
-        (i.Effect.UNSAFE, server(2), 0, False),
-        (i.Effect.KEYED, server(2), 6 * SECOND, True),
-        (i.Effect.KEYED, server(2), 6 * SECOND + 1, False),
-        (i.Effect.KEYED, server(2, cell=1), 0, False),
+        (Idempotency.ALWAYS, server(2, cell=1), 7 * SECOND, True),
+        (Idempotency.NEVER, server(2), 0, False),
+        (Idempotency.BY_KEY, server(2), 6 * SECOND, True),
+        (Idempotency.BY_KEY, server(2), 6 * SECOND + 1, False),
+        (Idempotency.BY_KEY, server(2, cell=1), 0, False),
     ],
 )
 def test_repeats_of_what_may_have_run_are_by_its_class(guard, effect, where, now, may):
@@ -85,9 +88,9 @@
     assert counted(guard) == ({} if may else {"repeat": 1})
 
 
-@pytest.mark.parametrize(("group", "may"), [(i.Group.ALL, True), (i.Group.ZONE, False)])
+@pytest.mark.parametrize(("group", "may"), [(DeduplicationScope.ALL, True), (DeduplicationScope.ZONE, False)])
 def test_a_group_may_be_all_servers_or_a_zone(guard, group, may):
-    owner = session(i.Effect.KEYED, group)
+    owner = session(Idempotency.BY_KEY, group)
     owner.carried.append(attempt(owner, server(1, zone=0), may_have_run=True))
     assert guard.may_send(0, attempt(owner, server(2, zone=1))) is may
 
@@ -105,7 +108,7 @@
 def test_a_violation_tells_what_its_request_went_through(guard, capsys):
     guard._trace.note(0, Step.COME, b"id")
     guard._trace.note(2 * MS, Step.SENT, b"other", ("10.0.0.1", 1))
-    guard._trace.note(3 * MS, Step.OUTCOME, b"id", i.Result.RESET)
+    guard._trace.note(3 * MS, Step.OUTCOME, b"id", AttemptResult.RESET)
     owner = session()
     owner.over = True
     guard.may_send(5 * MS, attempt(owner, server()))
@@ -134,7 +137,7 @@
     named = [n for n in Counters.__slots__ if n.startswith(("close_", "refuse_", "retry_"))]
     assert len(named) == len(CloseReason) + len(RefusalReason) + len(RetryReason)
     assert all(getattr(counters, n) == 1 for n in named)
-    assert {why.name for why in i.RefusedFor} <= {r.name for r in RefusalReason}
+    assert {why.name for why in RejectionReason} <= {r.name for r in RefusalReason}
 
 
 # ---- from outside
--- a/tests/test_leavers.py
+++ b/tests/test_leavers.py
@@ -15,7 +15,7 @@
 from test_crossings import LONG_DIAL, NEVER
 from test_scenarios import READY, play
 
-from zincstile.decisions import messages as i
+from zincstile.decisions.messages import CustomerUsage, SendGossip
 from zincstile.decisions.state import scatter
 from zincstile.simulator import codec
 
@@ -38,7 +38,7 @@
             sock.bind((HOME, 0))
             sock.setblocking(False)
 
-    def asks(self) -> list[tuple[socket.socket, i.Share]]:
+    def asks(self) -> list[tuple[socket.socket, CustomerUsage]]:
         """What has been asked since, and of whom."""
         found = []
         for sock in self.sockets:
@@ -50,7 +50,7 @@
                 pass
         return found
 
-    def asked_by(self, customers: set[int]) -> list[tuple[socket.socket, i.Share]]:
+    def asked_by(self, customers: set[int]) -> list[tuple[socket.socket, CustomerUsage]]:
         """One ask of each of them."""
         found, end = {}, time.monotonic() + PATIENCE
         while len(found) < len(customers):
@@ -58,9 +58,9 @@
             found |= {share.customer: (sock, share) for sock, share in self.asks()}
         return list(found.values())
 
-    def grant(self, world: World, sock: socket.socket, ask: i.Share) -> None:
-        share = i.Share(ask.customer, ask.plan, 0.0, 0.0, 0, ask.want, ask.mark, True)
-        for message in codec.pack_tell(i.Tell(0, 5, [share])):
+    def grant(self, world: World, sock: socket.socket, ask: CustomerUsage) -> None:
+        share = CustomerUsage(ask.customer, ask.plan, 0.0, 0.0, 0, ask.want, ask.mark, True)
+        for message in codec.pack_tell(SendGossip(0, 5, [share])):
             sock.sendto(message, world.peer_address)
 
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -11,7 +11,7 @@
 
 
 def lines():
-    with open(os.path.join(ROOT, "zincstile", "policy.py"), encoding="utf-8") as text:
+    with open(os.path.join(ROOT, "zincstile", "decisions", "policy.py"), encoding="utf-8") as text:
         return [line.rstrip("\n") for line in text]
 
 
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -6,7 +6,7 @@
 import random
 from types import SimpleNamespace
 
-from zincstile.decisions import messages as i
+from zincstile.decisions.messages import EndpointList, EndpointListKind, EndpointState
 from zincstile.net import endpoint_table
 from zincstile.net.deadlines import Deadlines
 from zincstile.net.endpoint_table import EndpointTable
@@ -54,37 +54,43 @@
 def told(posted, name):
     """What the module heard last of a name."""
     number = endpoint_table.number(name)
-    return [b for e in posted if isinstance(e, i.BackendList) for b in e.entries if b.id == number][-1]
+    return [b for e in posted if isinstance(e, EndpointList) for b in e.entries if b.id == number][-1]
 
 
 def test_a_ban_is_a_drain_whatever_discovery_lists_and_one_call_back_ends_it():
     made, clock, posted, pools = world()
     made.begin({"index": 1, "snapshot": True, "endpoints": [entry("s-a"), entry("s-b")]})
     assert made.maintain("s-a", True)
-    assert told(posted, "s-a").mode is i.Mode.DRAINING and pools[-1] == [
-        (endpoint_table.number("s-a"), i.Mode.DRAINING)
+    assert told(posted, "s-a").mode is EndpointState.DRAINING and pools[-1] == [
+        (endpoint_table.number("s-a"), EndpointState.DRAINING)
     ]
     made._take(
-        {"index": 2, "snapshot": True, "endpoints": [entry("s-a"), entry("s-b")]}, i.ListKind.FULL, made.where
+        {"index": 2, "snapshot": True, "endpoints": [entry("s-a"), entry("s-b")]},
+        EndpointListKind.FULL,
+        made.where,
+    )
+    assert (
+        told(posted, "s-a").mode is EndpointState.DRAINING and told(posted, "s-b").mode is EndpointState.READY
     )
-    assert told(posted, "s-a").mode is i.Mode.DRAINING and told(posted, "s-b").mode is i.Mode.READY
     made.maintain("s-a", True)  # again: harmless
     clock[0] += 3 * SECOND
     made.maintain("s-a", False)
     back = told(posted, "s-a")
-    assert back.mode is i.Mode.READY and back.started_ns == clock[0]  # cold: restarted while out
+    assert back.mode is EndpointState.READY and back.started_ns == clock[0]  # cold: restarted while out
 
 
 def test_what_discovery_says_of_a_later_start_holds_after_the_call_back():
     made, clock, posted, _ = world()
     out_and_back(made, clock)
     reborn = told(posted, "s-a").started_ns
-    made._take({"index": 2, "snapshot": False, "endpoints": [entry("s-a")]}, i.ListKind.DELTA, made.where)
+    made._take(
+        {"index": 2, "snapshot": False, "endpoints": [entry("s-a")]}, EndpointListKind.DELTA, made.where
+    )
     assert told(posted, "s-a").started_ns == reborn  # the old start that discovery still lists is not trusted
     clock[0] = 201 * SECOND
     made._take(
         {"index": 3, "snapshot": False, "endpoints": [entry("s-a", since_ms=200_000)]},
-        i.ListKind.DELTA,
+        EndpointListKind.DELTA,
         made.where,
     )
     assert told(posted, "s-a").started_ns == 200_000 * 1_000_000 + made.reader.apart_ns
@@ -94,8 +100,10 @@
     made, _, posted, _ = world()
     made.begin({"index": 1, "snapshot": True, "endpoints": [entry("s-a")]})
     assert not made.maintain("s-z", True)  # as another process of this gateway may have said
-    made._take({"index": 2, "snapshot": False, "endpoints": [entry("s-z")]}, i.ListKind.DELTA, made.where)
-    assert told(posted, "s-z").mode is i.Mode.DRAINING
+    made._take(
+        {"index": 2, "snapshot": False, "endpoints": [entry("s-z")]}, EndpointListKind.DELTA, made.where
+    )
+    assert told(posted, "s-z").mode is EndpointState.DRAINING
 
 
 def test_one_put_back_is_cold_to_a_new_version_too():
@@ -114,5 +122,5 @@
     made.begin({"index": 1, "snapshot": True, "endpoints": [entry("s-a")]})
     made.maintain("s-a", True)
     made.move(("10.2.0.9", 8500))
-    made._take({"index": 1, "snapshot": True, "endpoints": [entry("s-a")]}, i.ListKind.FULL, made.where)
-    assert told(posted, "s-a").mode is i.Mode.DRAINING
+    made._take({"index": 1, "snapshot": True, "endpoints": [entry("s-a")]}, EndpointListKind.FULL, made.where)
+    assert told(posted, "s-a").mode is EndpointState.DRAINING
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -1,13 +1,30 @@
 import pytest
 from conftest import MS, SECOND, Gateway, backend, only
 
-from zincstile.decisions import messages as i
+from zincstile.decisions.messages import (
+    AttemptOutcome,
+    AttemptResult,
+    CancelAttempt,
+    CounterAnswer,
+    CustomerUsage,
+    EndpointListKind,
+    FailRequest,
+    ForwardRequest,
+    GossipReceived,
+    HealthCheckResult,
+    RequestAbandoned,
+    SetTimer,
+    StreamStarted,
+    TimerFired,
+    WatchEndpoints,
+)
 from zincstile.decisions.policy import split
+from zincstile.decisions.settings import Idempotency, RequestClass
 from zincstile.decisions.state import Leaf
 
 
 def sends(actions):
-    return [a.backend for a in only(actions, i.Send)]
+    return [a.backend for a in only(actions, ForwardRequest)]
 
 
 def leaf(arrivals, worth):
@@ -36,7 +53,7 @@
         for k in range(50):
             rid, acts = g.ask(cls=k % 3, customer=k % 4, after=5 * MS)
             seen.append(acts)
-            seen.append(g.outcome(rid, 0, sends(acts)[0], i.Result.OK) if sends(acts) else [])
+            seen.append(g.outcome(rid, 0, sends(acts)[0], AttemptResult.OK) if sends(acts) else [])
         return seen
 
     assert run() == run()
@@ -49,7 +66,7 @@
         g.tick()
         for rid, acts in ids:
             if sends(acts):
-                g.outcome(rid, 0, sends(acts)[0], i.Result.OK, after=0, latency=1500 * MS)
+                g.outcome(rid, 0, sends(acts)[0], AttemptResult.OK, after=0, latency=1500 * MS)
 
 
 def refused(g, cls, count=100):
@@ -57,7 +74,7 @@
     for _ in range(count):
         rid, acts = g.ask(cls=cls)
         if sends(acts):
-            g.outcome(rid, 0, sends(acts)[0], i.Result.OK, after=0, latency=50 * MS)
+            g.outcome(rid, 0, sends(acts)[0], AttemptResult.OK, after=0, latency=50 * MS)
         else:
             lost += 1
     return lost
@@ -73,7 +90,7 @@
         for k in range(2):
             rid, acts = g.ask(cls=k)
             if sends(acts):
-                g.outcome(rid, 0, sends(acts)[0], i.Result.OK, after=0, latency=50 * MS)
+                g.outcome(rid, 0, sends(acts)[0], AttemptResult.OK, after=0, latency=50 * MS)
         g.tick()
     assert refused(g, 0) == 0
 
@@ -83,7 +100,7 @@
     ids = [g.ask() for _ in range(200)]
     g.tick(after=900 * MS)
     for rid, acts in ids:
-        g.outcome(rid, 0, sends(acts)[0], i.Result.OK, after=0, latency=1500 * MS)
+        g.outcome(rid, 0, sends(acts)[0], AttemptResult.OK, after=0, latency=1500 * MS)
     levels = []
     for _ in range(6):  # within half an aim of the cut, before anything sent since can be late
         g.tick()
@@ -96,7 +113,7 @@
     for _ in range(40):
         rid, acts = g.ask(cls=1, after=20 * MS)
         slow = sends(acts)[0] == 1
-        g.outcome(rid, 0, sends(acts)[0], i.Result.OK, after=0, latency=(2000 if slow else 50) * MS)
+        g.outcome(rid, 0, sends(acts)[0], AttemptResult.OK, after=0, latency=(2000 if slow else 50) * MS)
         g.tick(after=0)
     assert [sends(g.ask(cls=1)[1])[0] for _ in range(10)].count(1) <= 1  # of 10 that stay out at three others
 
@@ -108,7 +125,7 @@
     for _ in range(30):
         rid, acts = g.ask(cls=1, after=100 * MS)
         if sends(acts)[0] != hung:
-            g.outcome(rid, 0, sends(acts)[0], i.Result.OK, after=0, latency=50 * MS)
+            g.outcome(rid, 0, sends(acts)[0], AttemptResult.OK, after=0, latency=50 * MS)
         g.tick(after=0)
     assert sends(g.ask(cls=1)[1]) == [3 - hung]
 
@@ -118,7 +135,7 @@
     for _ in range(6):
         for rid, acts in [g.ask(cls=1, after=MS) for _ in range(12)]:
             bad = sends(acts)[0] == 1
-            result = i.Result.ERROR if bad else i.Result.OK
+            result = AttemptResult.ERROR if bad else AttemptResult.OK
             g.outcome(rid, 0, sends(acts)[0], result, after=0, latency=20 * MS)
         g.tick(after=20 * MS)
     assert g.policy.servers[1].doubt[1] >= 0.3
@@ -128,39 +145,39 @@
 def test_a_new_process_starts_without_the_old_ones_record():
     g = Gateway(backends=2)
     g.policy.touch(g.policy.servers[1]).doubt[0] = 1.0
-    g.list([backend(1, started=g.now)], i.ListKind.DELTA)
+    g.list([backend(1, started=g.now)], EndpointListKind.DELTA)
     assert not g.policy.servers[1].doubt
 
 
 def test_lists_are_asked_for_again_after_failure():
     g = Gateway({"ask_for_list": True})
-    assert only(g.first, i.Watch)
-    assert only(g.list([], i.ListKind.FAILED), i.Watch)
+    assert only(g.first, WatchEndpoints)
+    assert only(g.list([], EndpointListKind.FAILED), WatchEndpoints)
 
 
 def test_streams_are_not_failed_at_the_deadline():
-    g = Gateway({"classes": [i.ClassSpec("s", SECOND, 2 * SECOND, i.Effect.SAFE, 1.0, stream=True)]})
+    g = Gateway({"classes": [RequestClass("s", SECOND, 2 * SECOND, Idempotency.ALWAYS, 1.0, stream=True)]})
     rid, acts = g.ask(life=2 * SECOND)
-    g.feed(i.StreamStarted(rid, 0, sends(acts)[0], MS), after=MS)
-    for timer in only(acts, i.SetTimer):
-        later = g.feed(i.Timer(timer.token), after=max(0, timer.at_ns - g.now))
-        assert not only(later, i.Fail) and not sends(later)
+    g.feed(StreamStarted(rid, 0, sends(acts)[0], MS), after=MS)
+    for timer in only(acts, SetTimer):
+        later = g.feed(TimerFired(timer.token), after=max(0, timer.at_ns - g.now))
+        assert not only(later, FailRequest) and not sends(later)
 
 
 def test_unknown_and_repeated_events_are_ignored():
     g = Gateway()
     rid, acts = g.ask()
-    g.outcome(rid, 0, sends(acts)[0], i.Result.OK)
-    assert g.outcome(rid, 0, sends(acts)[0], i.Result.OK) == []
+    g.outcome(rid, 0, sends(acts)[0], AttemptResult.OK)
+    assert g.outcome(rid, 0, sends(acts)[0], AttemptResult.OK) == []
     for event in (
-        i.Gone(99),
-        i.Timer(99 * 4),
-        i.Outcome(5, 0, 1, i.Result.OK, 1, True),
-        i.StreamStarted(5, 0, 1, 1),
-        i.Probed(1, i.Result.OK, 1),
-        i.Counted(1, i.Result.OK, 1.0, 1),
-        i.PeerMessage(77, 1, []),
-        i.PeerMessage(0, 1, [i.Share(1, 9, 1.0, 1.0, 0)]),
+        RequestAbandoned(99),
+        TimerFired(99 * 4),
+        AttemptOutcome(5, 0, 1, AttemptResult.OK, 1, True),
+        StreamStarted(5, 0, 1, 1),
+        HealthCheckResult(1, AttemptResult.OK, 1),
+        CounterAnswer(1, AttemptResult.OK, 1.0, 1),
+        GossipReceived(77, 1, []),
+        GossipReceived(0, 1, [CustomerUsage(1, 9, 1.0, 1.0, 0)]),
     ):
         assert g.feed(event) == []
 
@@ -203,7 +220,7 @@
         for _ in range(count):
             rid, acts = g.ask(cls=1)
             if sends(acts):
-                g.outcome(rid, 0, sends(acts)[0], i.Result.OK, after=0, latency=latency)
+                g.outcome(rid, 0, sends(acts)[0], AttemptResult.OK, after=0, latency=latency)
             g.tick(after=20 * MS)
         return g.policy.strain
 
@@ -219,15 +236,15 @@
 def test_a_second_copy_beside_a_silent_attempt_where_the_class_allows_it(gateway, cls, over, copies):
     g = gateway(over, backends=3)
     rid, acts = g.ask(cls=cls)
-    first = only(acts, i.Send)[0]
+    first = only(acts, ForwardRequest)[0]
     seconds = []
     for _ in range(30):
-        seconds += only(g.tick(), i.Send)
+        seconds += only(g.tick(), ForwardRequest)
     assert [s.request for s in seconds] == [rid] * copies
     assert first.backend not in [s.backend for s in seconds]
     if copies:  # either answer ends it
-        acts = g.outcome(rid, 1, seconds[0].backend, i.Result.OK)
-        assert [(c.request, c.attempt) for c in only(acts, i.Cancel)] == [(rid, 0)]
+        acts = g.outcome(rid, 1, seconds[0].backend, AttemptResult.OK)
+        assert [(c.request, c.attempt) for c in only(acts, CancelAttempt)] == [(rid, 0)]
 
 
 def test_no_second_copies_under_pressure(gateway):
@@ -239,17 +256,21 @@
     seconds = []
     for _ in range(5):
         g.policy.strain = 2.0
-        seconds += only(g.tick(), i.Send)
+        seconds += only(g.tick(), ForwardRequest)
     assert not seconds
 
 
 def test_one_spoilt_answer_is_no_reason_to_leave_a_backend(gateway):
     """An error is: the two weigh differently."""
-    for result, left in ((i.Result.SPOILT, False), (i.Result.STALE, False), (i.Result.ERROR, True)):
+    for result, left in (
+        (AttemptResult.MALFORMED, False),
+        (AttemptResult.STALE_CONNECTION, False),
+        (AttemptResult.ERROR, True),
+    ):
         g = gateway(backends=2)
         rid, acts = g.ask(cls=1)
-        where = only(acts, i.Send)[0].backend
-        assert only(g.outcome(rid, 0, where, result), i.Fail)
+        where = only(acts, ForwardRequest)[0].backend
+        assert only(g.outcome(rid, 0, where, result), FailRequest)
         server = g.policy.servers[where]
         assert (g.policy._doubted(server, 1, 0) >= 0.3) is left
 
@@ -259,8 +280,8 @@
     sends = []
     for cls in (1, 0, 1):
         rid, acts = g.ask(cls=cls)
-        sends += only(acts, i.Send)
-        g.outcome(rid, 0, sends[-1].backend, i.Result.STALE, finished=True)
+        sends += only(acts, ForwardRequest)
+        g.outcome(rid, 0, sends[-1].backend, AttemptResult.STALE_CONNECTION, finished=True)
     assert [s.fresh for s in sends] == [False, False, True]
 
 
@@ -278,8 +299,8 @@
 def test_one_late_answer_does_not_leave_a_backend_out(gateway):
     g = gateway(backends=2)
     rid, acts = g.ask()
-    where = only(acts, i.Send)[0].backend
-    g.outcome(rid, 0, where, i.Result.OK, after=0, latency=4 * SECOND)
+    where = only(acts, ForwardRequest)[0].backend
+    g.outcome(rid, 0, where, AttemptResult.OK, after=0, latency=4 * SECOND)
     assert 1.0 < g.policy.servers[where].slowness < 2.0
 
 
@@ -296,9 +317,9 @@
                 g.policy.touch(s).doubt = {0: 1.0}
             g.tick(0)
         rid, acts = g.ask(after=10 * MS)
-        for where in [a.backend for a in only(acts, i.Send)]:
+        for where in [a.backend for a in only(acts, ForwardRequest)]:
             sent[where] += k >= 200
-            g.outcome(rid, 0, where, i.Result.OK, latency=20 * MS, after=0)
+            g.outcome(rid, 0, where, AttemptResult.OK, latency=20 * MS, after=0)
     assert sent[1] + sent[2] == 0 and 0.4 * sent[3] < sent[4] < 0.8 * sent[3]  # 0.5 to 0.67 as warm
 
 
@@ -318,9 +339,9 @@
         cold = 0
         for _ in range(400):
             rid, acts = g.ask()
-            if only(acts, i.Send)[0].backend == 2:
+            if only(acts, ForwardRequest)[0].backend == 2:
                 cold += 1
-                g.outcome(rid, 0, 2, i.Result.OK, after=0, latency=20 * MS)
+                g.outcome(rid, 0, 2, AttemptResult.OK, after=0, latency=20 * MS)
         return cold / 400
 
     # Sent: 10 units a second. Its due: half of 1 / 1.5 of that; its most: half of what a warm one did.
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -1,18 +1,27 @@
 from conftest import MS, SECOND, Gateway, only
 
-from zincstile.decisions import messages as i
+from zincstile.decisions.messages import (
+    AttemptResult,
+    CustomerUsage,
+    ForwardRequest,
+    GossipReceived,
+    RejectRequest,
+    SendGossip,
+    TimerFired,
+)
+from zincstile.decisions.settings import CustomerPlan
 
-PLAN = i.PlanSpec("p", rate=2.0, burst=12.0)
+PLAN = CustomerPlan("p", rate=2.0, burst=12.0)
 
 
 def taken(g, count, units=2.0, spread=3, cls=0):
     total = 0.0
     for _ in range(count):
         rid, acts = g.ask(cls=cls, units=units, spread=spread)
-        sent = only(acts, i.Send)
+        sent = only(acts, ForwardRequest)
         if sent:
             total += units
-            g.outcome(rid, 0, sent[0].backend, i.Result.OK, after=0, latency=10 * MS)
+            g.outcome(rid, 0, sent[0].backend, AttemptResult.OK, after=0, latency=10 * MS)
     return total
 
 
@@ -21,7 +30,7 @@
 
 
 def hear(g, shares=(), sender=1, start=5, after=0):
-    return g.feed(i.PeerMessage(sender, start, list(shares)), after)
+    return g.feed(GossipReceived(sender, start, list(shares)), after)
 
 
 def test_unheard_peers_leave_the_even_part():
@@ -33,7 +42,7 @@
     hear(g)
     assert taken(g, 1) == 2.0
     g.tick()
-    g.feed(i.Timer(3), after=100 * MS)
+    g.feed(TimerFired(3), after=100 * MS)
     assert taken(g, 40) >= 2.0
     hear(g)
     assert taken(g, 1, units=4.0) in (0.0, 4.0)
@@ -42,56 +51,56 @@
 def test_a_bare_store_is_not_given_out_by_all_gateways_at_once():
     """Each of three that see units for one request sends it in a third of the cases, if peers use it too."""
     g = gateway()
-    hear(g, [i.Share(k, 0, 0.0, 6.5, 0) for k in range(300)])
-    hear(g, [i.Share(k, 0, 4.0, 2.5, 0) for k in range(300)], after=MS)
-    sent = [k for k in range(300) if only(g.ask(customer=k, units=2.0, spread=3)[1], i.Send)]
+    hear(g, [CustomerUsage(k, 0, 0.0, 6.5, 0) for k in range(300)])
+    hear(g, [CustomerUsage(k, 0, 4.0, 2.5, 0) for k in range(300)], after=MS)
+    sent = [k for k in range(300) if only(g.ask(customer=k, units=2.0, spread=3)[1], ForwardRequest)]
     assert 75 <= len(sent) <= 165
 
 
 def test_who_alone_uses_a_customer_s_quota_is_not_drawn_for():
     g = gateway()
-    hear(g, [i.Share(k, 0, 0.0, 4.5, 0) for k in range(50)])
-    assert all(only(g.ask(customer=k, units=4.0, spread=3)[1], i.Send) for k in range(50))
+    hear(g, [CustomerUsage(k, 0, 0.0, 4.5, 0) for k in range(50)])
+    assert all(only(g.ask(customer=k, units=4.0, spread=3)[1], ForwardRequest) for k in range(50))
 
 
 def test_what_peers_send_and_have_not_told_yet_is_left_to_them():
     """They sent 40 of 45 units lately; of the 5 left, so much may be gone by now that 4 are too many."""
-    g = gateway(plans=[i.PlanSpec("p", rate=2.0, burst=45.0)])
-    hear(g, [i.Share(k, 0, 0.0, 45.0, 0) for k in range(100)])
-    hear(g, [i.Share(k, 0, 40.0, 5.0, 0) for k in range(100)], after=MS)
-    assert not [k for k in range(100) if only(g.ask(customer=k, units=4.0, spread=3)[1], i.Send)]
-    assert [k for k in range(100) if only(g.ask(customer=k, units=1.0, spread=3)[1], i.Send)]
+    g = gateway(plans=[CustomerPlan("p", rate=2.0, burst=45.0)])
+    hear(g, [CustomerUsage(k, 0, 0.0, 45.0, 0) for k in range(100)])
+    hear(g, [CustomerUsage(k, 0, 40.0, 5.0, 0) for k in range(100)], after=MS)
+    assert not [k for k in range(100) if only(g.ask(customer=k, units=4.0, spread=3)[1], ForwardRequest)]
+    assert [k for k in range(100) if only(g.ask(customer=k, units=1.0, spread=3)[1], ForwardRequest)]
 
 
 def test_sends_of_peers_leave_the_store():
     g = gateway()
-    hear(g, [i.Share(7, 0, 0.0, 12.0, 0)])
-    hear(g, [i.Share(7, 0, 11.0, 1.0, 0)], after=20 * MS)
+    hear(g, [CustomerUsage(7, 0, 0.0, 12.0, 0)])
+    hear(g, [CustomerUsage(7, 0, 11.0, 1.0, 0)], after=20 * MS)
     assert taken(g, 5) == 0.0
 
 
 def test_a_lost_message_is_made_good_by_the_next():
     g = gateway()
-    hear(g, [i.Share(7, 0, 0.0, 12.0, 0)])
-    hear(g, [i.Share(7, 0, 10.0, 2.0, 0)], after=20 * MS)
-    hear(g, [i.Share(7, 0, 10.0, 2.0, 0)], after=20 * MS)
+    hear(g, [CustomerUsage(7, 0, 0.0, 12.0, 0)])
+    hear(g, [CustomerUsage(7, 0, 10.0, 2.0, 0)], after=20 * MS)
+    hear(g, [CustomerUsage(7, 0, 10.0, 2.0, 0)], after=20 * MS)
     assert 1.9 < g.policy.customers[7].level < 2.2
 
 
 def test_a_peer_that_starts_again_is_told_and_not_counted_twice():
     g = gateway()
-    hear(g, [i.Share(7, 0, 0.0, 12.0, 0)])
+    hear(g, [CustomerUsage(7, 0, 0.0, 12.0, 0)])
     assert taken(g, 1) == 2.0
-    told = only(hear(g, [], start=6, after=MS), i.Tell)
+    told = only(hear(g, [], start=6, after=MS), SendGossip)
     assert [s.customer for t in told for s in t.shares] == [7]
     level = g.policy.customers[7].level
-    hear(g, [i.Share(7, 0, 1.0, 11.0, 0)], start=6)
+    hear(g, [CustomerUsage(7, 0, 1.0, 11.0, 0)], start=6)
     assert abs(g.policy.customers[7].level - level) < 0.1
 
 
 def test_silence_brings_the_even_part_back():
     g = gateway()
-    hear(g, [i.Share(7, 0, 0.0, 12.0, 0)])
+    hear(g, [CustomerUsage(7, 0, 0.0, 12.0, 0)])
     taken(g, 1)
     g.now += 5 * SECOND
     assert taken(g, 40) <= 12.0 / 3 + 2.0
@@ -102,25 +111,27 @@
     hear(g)
     rid, acts = g.ask(units=2.0, spread=3)
     before = g.policy.customers[7].level
-    g.outcome(rid, 0, only(acts, i.Send)[0].backend, i.Result.OK, after=0, latency=10 * MS, units=5.0)
+    g.outcome(
+        rid, 0, only(acts, ForwardRequest)[0].backend, AttemptResult.OK, after=0, latency=10 * MS, units=5.0
+    )
     assert abs(before - 3.0 - g.policy.customers[7].level) < 1e-9
-    told = only(g.feed(i.Timer(3), after=100 * MS), i.Tell)
+    told = only(g.feed(TimerFired(3), after=100 * MS), SendGossip)
     assert told[0].shares[0].total == 5.0
 
 
 def test_open_limit_counts_the_peers_attempts():
-    plan = i.PlanSpec("o", open_limit=2)
+    plan = CustomerPlan("o", open_limit=2)
     g = Gateway({"plans": [plan], "gateways": 3}, backends=4)
-    hear(g, [i.Share(7, 0, 0.0, 0.0, 1)])
-    assert only(g.ask(spread=3)[1], i.Send)
-    assert not only(g.ask(spread=3)[1], i.Send)
-    hear(g, [i.Share(7, 0, 0.0, 0.0, 0)], after=MS)
-    assert only(g.ask(spread=3)[1], i.Send)
+    hear(g, [CustomerUsage(7, 0, 0.0, 0.0, 1)])
+    assert only(g.ask(spread=3)[1], ForwardRequest)
+    assert not only(g.ask(spread=3)[1], ForwardRequest)
+    hear(g, [CustomerUsage(7, 0, 0.0, 0.0, 0)], after=MS)
+    assert only(g.ask(spread=3)[1], ForwardRequest)
 
 
 def under_a_ceiling():
     """Two gateways have a ceiling that lets each send 2 a second in even parts; the quota would let 4."""
-    plan = i.PlanSpec("c", rate=4.0, burst=8.0, ceiling_rate=4.0, ceiling_burst=8.0)
+    plan = CustomerPlan("c", rate=4.0, burst=8.0, ceiling_rate=4.0, ceiling_burst=8.0)
     g = Gateway({"plans": [plan], "gateways": 2}, backends=8)
     g.now += 10 * SECOND  # the ceiling has filled since the start
     return g
@@ -131,25 +142,25 @@
         g, sent = under_a_ceiling(), 0.0
         for k in range(8 * 10):
             if heard:
-                hear(g, [i.Share(7, 0, 0.0, 8.0, 0)])
+                hear(g, [CustomerUsage(7, 0, 0.0, 8.0, 0)])
             g.now += 100 * MS
             sent += taken(g, 1, units=1.0, spread=2)
             if k % 10 == 9:
                 g.tick(after=0)
-                g.feed(i.Timer(3))
+                g.feed(TimerFired(3))
         assert least <= sent <= most, (heard, sent)
 
 
 def test_the_ceiling_is_empty_at_the_start_unless_all_peers_were_quiet():
-    plan = i.PlanSpec("c", rate=2.0, burst=60.0, ceiling_rate=2.0, ceiling_burst=60.0)
+    plan = CustomerPlan("c", rate=2.0, burst=60.0, ceiling_rate=2.0, ceiling_burst=60.0)
     for senders, shares, least, most in (
         ((1, 2), [], 18.0, 60.0),
         ((1,), [], 0.0, 4.0),
-        ((1, 2), [i.Share(8, 0, 1.0, 60.0, 0)], 0.0, 4.0),
+        ((1, 2), [CustomerUsage(8, 0, 1.0, 60.0, 0)], 0.0, 4.0),
     ):
         g = Gateway({"plans": [plan], "gateways": 3}, backends=8)
         for sender in senders:
-            told = only(hear(g, shares, sender=sender, after=10 * MS), i.Tell)
+            told = only(hear(g, shares, sender=sender, after=10 * MS), SendGossip)
             assert sender in [t.peer for t in told]  # so that it hears of this one too
         g.now += 300 * MS
         assert least <= taken(g, 30, units=1.0) <= most
@@ -158,10 +169,10 @@
 def test_parts_of_the_ceiling_sum_up_to_one():
     one, other = under_a_ceiling(), under_a_ceiling()
     for g in (one, other):
-        hear(g, [i.Share(7, 0, 0.0, 8.0, 0)])
+        hear(g, [CustomerUsage(7, 0, 0.0, 8.0, 0)])
     sent = taken(one, 3, units=1.0, spread=2)
     assert sent == 3.0
-    hear(other, [i.Share(7, 0, sent, 8.0 - sent, 0)], after=MS)
+    hear(other, [CustomerUsage(7, 0, sent, 8.0 - sent, 0)], after=MS)
     taken(other, 0)
     parts = []
     for g in (one, other):
@@ -173,30 +184,30 @@
 
 def test_beyond_the_quota_only_where_it_earns():
     for over_worth, cost, sent in ((0.0, 0.5, False), (0.3, 0.0, True), (0.3, 0.3, False)):
-        plan = i.PlanSpec("p", rate=0.001, burst=2.0, over_worth=over_worth, over_cost=cost)
+        plan = CustomerPlan("p", rate=0.001, burst=2.0, over_worth=over_worth, over_cost=cost)
         g = Gateway({"plans": [plan]}, backends=4)
-        assert only(g.ask(units=2.0)[1], i.Send)
-        assert bool(only(g.ask(units=2.0)[1], i.Send)) is sent
+        assert only(g.ask(units=2.0)[1], ForwardRequest)
+        assert bool(only(g.ask(units=2.0)[1], ForwardRequest)) is sent
 
 
 def test_a_refusal_says_when_the_store_has_filled():
     for over in ({}, {"retry_after": False}):
-        plan = i.PlanSpec("p", rate=20.0, burst=4.0)
+        plan = CustomerPlan("p", rate=20.0, burst=4.0)
         g = Gateway({"plans": [plan], **over}, backends=4)
-        assert only(g.ask(units=4.0)[1], i.Send)
-        refused = only(g.ask(units=2.0)[1], i.Refuse)
+        assert only(g.ask(units=4.0)[1], ForwardRequest)
+        refused = only(g.ask(units=2.0)[1], RejectRequest)
         assert [r.retry_in_ns for r in refused] == [100 * MS]  # two units at twenty a second
-        refused = only(g.ask(units=4.0, after=20 * MS)[1], i.Refuse)
+        refused = only(g.ask(units=4.0, after=20 * MS)[1], RejectRequest)
         assert [r.retry_in_ns for r in refused] == [180 * MS]
-        assert only(g.ask(units=3.6, after=180 * MS)[1], i.Send)
+        assert only(g.ask(units=3.6, after=180 * MS)[1], ForwardRequest)
 
 
 def test_a_customer_is_forgotten_once_its_store_is_full():
     """What was spent comes back by 2 units a second, or their third: 2 are back after 15 s, 100 are not."""
     for units, left in ((2.0, False), (100.0, True)):
-        g = gateway(plans=[i.PlanSpec("p", rate=2.0, burst=120.0)])
-        hear(g, [i.Share(7, 0, 0.0, 120.0, 0)])
-        hear(g, [i.Share(7, 0, units, 120.0 - units, 0)], after=MS)
+        g = gateway(plans=[CustomerPlan("p", rate=2.0, burst=120.0)])
+        hear(g, [CustomerUsage(7, 0, 0.0, 120.0, 0)])
+        hear(g, [CustomerUsage(7, 0, units, 120.0 - units, 0)], after=MS)
         g.tick(after=10 * SECOND)
         assert 7 in g.policy.customers
         g.tick(after=7 * SECOND)
@@ -208,7 +219,7 @@
 def test_parts_of_the_ceiling_are_even_where_more_than_the_quota_is_let_in():
     """Guards the ceiling while words travel: beyond the quota nothing else holds what all send together."""
     for over_worth, least, most in ((0.0, 0.6, 1.0), (0.5, 0.5, 0.5)):
-        plan = i.PlanSpec(
+        plan = CustomerPlan(
             "c",
             rate=4.0,
             burst=8.0,
@@ -219,6 +230,6 @@
         )
         g = Gateway({"plans": [plan], "gateways": 2}, backends=8)
         g.now += 10 * SECOND
-        hear(g, [i.Share(7, 0, 0.0, 8.0, 0)])
+        hear(g, [CustomerUsage(7, 0, 0.0, 8.0, 0)])
         taken(g, 3, units=1.0, spread=2)
         assert least <= g.policy._ceiling_part(g.now, g.policy.customers[7], plan) <= most
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -9,13 +9,14 @@
 from scenario import World, settings
 from test_scenarios import READY
 
-from zincstile.decisions import messages as i
+from zincstile.decisions.messages import AttemptResult, FailRequest, ForwardRequest, RejectRequest
+from zincstile.decisions.settings import CustomerPlan, DeduplicationScope, RequestClass
 from zincstile.net.backend_connection import Attempt, BackendConnection, BackendServer
 from zincstile.net.limits import Limits
 
 LOOK, BOOK, PUT = 0, 1, 2  # safe, unsafe to repeat, keyed: conftest's settings
-NEVER_RAN = {i.Result.FULL, i.Result.CONNECT_FAILED, i.Result.MOOT}
-OTHERS = [r for r in i.Result if r not in (i.Result.OK, i.Result.CANCELLED)]
+NEVER_RAN = {AttemptResult.REJECTED, AttemptResult.CONNECT_FAILED, AttemptResult.NOT_SENT}
+OTHERS = [r for r in AttemptResult if r not in (AttemptResult.OK, AttemptResult.CANCELLED)]
 
 
 @pytest.mark.parametrize("result", OTHERS, ids=lambda r: r.name)
@@ -25,12 +26,12 @@
     refused where nothing has run, or nothing that matters, and fails else."""
     g = gateway()
     number, actions = g.ask(cls)
-    first = only(actions, i.Send)[0].backend
+    first = only(actions, ForwardRequest)[0].backend
     actions = g.outcome(number, 0, first, result)
-    sent, failed = only(actions, i.Send), only(actions, i.Fail)
+    sent, failed = only(actions, ForwardRequest), only(actions, FailRequest)
     assert len(sent) == (cls in (LOOK, PUT) or result in NEVER_RAN)
     assert [s.backend for s in sent if s.backend == first] == []
-    assert len(failed) == (not sent) and not only(actions, i.Refuse)
+    assert len(failed) == (not sent) and not only(actions, RejectRequest)
     if sent and cls == PUT and result not in NEVER_RAN:
         assert sent[0].by_ns == g.now - 10 * MS + 500 * MS  # its window, from when the first was sent
 
@@ -38,11 +39,11 @@
 @pytest.mark.parametrize("result", OTHERS, ids=lambda r: r.name)
 @pytest.mark.parametrize(("cls", "age"), [(PUT, 499 * MS), (PUT, 500 * MS), (LOOK, 500 * MS)])
 def test_a_keyed_repeat_is_decided_on_inside_its_window_only(gateway, cls, age, result):
-    g = gateway({"plans": [i.PlanSpec("only", rate=1000.0, burst=2000.0)]})
+    g = gateway({"plans": [CustomerPlan("only", rate=1000.0, burst=2000.0)]})
     number, actions = g.ask(cls, life=3 * SECOND)
-    actions = g.outcome(number, 0, only(actions, i.Send)[0].backend, result, after=age)
+    actions = g.outcome(number, 0, only(actions, ForwardRequest)[0].backend, result, after=age)
     again = cls == LOOK or result in NEVER_RAN or age < 500 * MS
-    assert (len(only(actions, i.Send)), len(only(actions, i.Fail))) == (again, not again)
+    assert (len(only(actions, ForwardRequest)), len(only(actions, FailRequest))) == (again, not again)
 
 
 @pytest.mark.parametrize("result", OTHERS, ids=lambda r: r.name)
@@ -51,8 +52,8 @@
     g = gateway(backends=0)
     g.list([backend(1, zone=0), backend(2, zone=1)])
     number, actions = g.ask(PUT)
-    actions = g.outcome(number, 0, only(actions, i.Send)[0].backend, result)
-    assert bool(only(actions, i.Send)) == (result in NEVER_RAN)
+    actions = g.outcome(number, 0, only(actions, ForwardRequest)[0].backend, result)
+    assert bool(only(actions, ForwardRequest)) == (result in NEVER_RAN)
 
 
 @pytest.mark.parametrize(("cls", "copies"), [(LOOK, 1), (BOOK, 0), (PUT, 1)])
@@ -61,15 +62,21 @@
     g = gateway(
         {
             "classes": [
-                i.ClassSpec(
-                    c.name, SECOND, 4 * SECOND, c.effect, 1.0, group=i.Group.ALL, window_ns=4 * SECOND
+                RequestClass(
+                    c.name,
+                    SECOND,
+                    4 * SECOND,
+                    c.effect,
+                    1.0,
+                    group=DeduplicationScope.ALL,
+                    window_ns=4 * SECOND,
                 )
                 for c in gateway().policy.set.classes
             ]
         }
     )
     number, _ = g.ask(cls)
-    sent = [s for _ in range(30) for s in only(g.tick(), i.Send)]
+    sent = [s for _ in range(30) for s in only(g.tick(), ForwardRequest)]
     assert len(sent) == copies and all(s.request == number for s in sent)
 
 
@@ -178,13 +185,13 @@
 @pytest.mark.parametrize(
     ("events", "kept", "result"),
     [
-        (["pause_writing"], False, i.Result.CONNECT_FAILED),
-        (["pause_writing"], True, i.Result.CONNECT_FAILED),
-        ([], False, i.Result.RESET),
-        ([], True, i.Result.STALE),
-        (["pause_writing", "resume_writing"], False, i.Result.RESET),
-        (["pause_writing", "resume_writing"], True, i.Result.STALE),
-        (["half"], True, i.Result.RESET),
+        (["pause_writing"], False, AttemptResult.CONNECT_FAILED),
+        (["pause_writing"], True, AttemptResult.CONNECT_FAILED),
+        ([], False, AttemptResult.RESET),
+        ([], True, AttemptResult.STALE_CONNECTION),
+        (["pause_writing", "resume_writing"], False, AttemptResult.RESET),
+        (["pause_writing", "resume_writing"], True, AttemptResult.STALE_CONNECTION),
+        (["half"], True, AttemptResult.RESET),
     ],
 )
 def test_what_breaks_before_its_last_byte_is_written_never_ran(events, kept, result):
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -2,34 +2,46 @@
 
 from conftest import MS, SECOND, Gateway, backend, only
 
-from zincstile.decisions import messages as i
+from zincstile.decisions.messages import (
+    AttemptResult,
+    EndpointListKind,
+    EndpointState,
+    FailRequest,
+    ForwardRequest,
+    RejectionReason,
+    RejectRequest,
+    RequestAbandoned,
+    SetTimer,
+    TimerFired,
+)
+from zincstile.decisions.settings import CustomerPlan
 
 
 def sends(actions):
-    return [a.backend for a in only(actions, i.Send)]
+    return [a.backend for a in only(actions, ForwardRequest)]
 
 
 def finals(actions):
-    return [a for a in actions if isinstance(a, i.Refuse | i.Fail)]
+    return [a for a in actions if isinstance(a, RejectRequest | FailRequest)]
 
 
 def test_each_request_gets_one_answer_by_its_deadline():
     g = Gateway()
     rid, acts = g.ask(cls=1, life=2 * SECOND)
     assert len(sends(acts)) == 1 and not finals(acts)
-    guard = [t for t in only(acts, i.SetTimer) if t.at_ns == g.now + 2 * SECOND]
+    guard = [t for t in only(acts, SetTimer) if t.at_ns == g.now + 2 * SECOND]
     assert guard
-    acts = g.feed(i.Timer(guard[0].token), after=2 * SECOND)
-    assert finals(acts) == [i.Fail(rid)]
-    assert not finals(g.outcome(rid, 0, 1, i.Result.TIMEOUT))
-    assert not finals(g.feed(i.Timer(guard[0].token), after=SECOND))
+    acts = g.feed(TimerFired(guard[0].token), after=2 * SECOND)
+    assert finals(acts) == [FailRequest(rid)]
+    assert not finals(g.outcome(rid, 0, 1, AttemptResult.TIMEOUT))
+    assert not finals(g.feed(TimerFired(guard[0].token), after=SECOND))
 
 
 def test_nothing_goes_out_after_the_end():
     g = Gateway()
     rid, _ = g.ask()
-    g.feed(i.Gone(rid), after=MS)
-    acts = g.outcome(rid, 0, 1, i.Result.ERROR)
+    g.feed(RequestAbandoned(rid), after=MS)
+    acts = g.outcome(rid, 0, 1, AttemptResult.ERROR)
     assert not sends(acts) and not finals(acts)
 
 
@@ -40,31 +52,31 @@
 
 
 def test_unsafe_is_failed_once_it_may_have_run():
-    for result in (i.Result.ERROR, i.Result.TIMEOUT, i.Result.RESET, i.Result.CANCELLED):
+    for result in (AttemptResult.ERROR, AttemptResult.TIMEOUT, AttemptResult.RESET, AttemptResult.CANCELLED):
         g = Gateway()
         rid, acts = g.ask(cls=1)
         acts = g.outcome(rid, 0, sends(acts)[0], result)
-        assert not sends(acts) and finals(acts) == [i.Fail(rid)], result
+        assert not sends(acts) and finals(acts) == [FailRequest(rid)], result
 
 
 def test_unsafe_goes_elsewhere_when_it_never_ran():
-    for result in (i.Result.FULL, i.Result.CONNECT_FAILED):
+    for result in (AttemptResult.REJECTED, AttemptResult.CONNECT_FAILED):
         g = Gateway()
         rid, acts = g.ask(cls=1)
         first = sends(acts)[0]
         acts = g.outcome(rid, 0, first, result)
         assert sends(acts) == [3 - first], result
         assert finals(g.outcome(rid, 1, 3 - first, result)) == [
-            i.Refuse(rid, 400 * MS, i.RefusedFor.NO_RETRY)
+            RejectRequest(rid, 400 * MS, RejectionReason.NO_RETRY)
         ]
 
 
 def test_unsafe_never_has_two_attempts_out():
     g = Gateway()
     rid, acts = g.ask(cls=1)
-    for timer in only(acts, i.SetTimer):
+    for timer in only(acts, SetTimer):
         if timer.at_ns < g.now + 4 * SECOND:
-            assert not sends(g.feed(i.Timer(timer.token), after=timer.at_ns - g.now))
+            assert not sends(g.feed(TimerFired(timer.token), after=timer.at_ns - g.now))
 
 
 def test_keyed_stays_in_its_group_and_window():
@@ -73,30 +85,30 @@
     rid, acts = g.ask(cls=2)
     pairs = {1: 4, 4: 1, 2: 3, 3: 2}
     at = sends(acts)[0]
-    assert sends(g.outcome(rid, 0, at, i.Result.ERROR)) == [pairs[at]]
+    assert sends(g.outcome(rid, 0, at, AttemptResult.ERROR)) == [pairs[at]]
     rid, acts = g.ask(cls=2)
-    acts = g.outcome(rid, 0, sends(acts)[0], i.Result.ERROR, after=600 * MS)
-    assert not sends(acts) and finals(acts) == [i.Fail(rid)]
+    acts = g.outcome(rid, 0, sends(acts)[0], AttemptResult.ERROR, after=600 * MS)
+    assert not sends(acts) and finals(acts) == [FailRequest(rid)]
 
 
 def test_a_repeat_waits_for_the_end_of_the_attempt_before():
     g = Gateway({"second_copies": False})
     rid, acts = g.ask()
-    for timer in only(acts, i.SetTimer):
+    for timer in only(acts, SetTimer):
         if timer.at_ns < g.now + 4 * SECOND:
-            assert not sends(g.feed(i.Timer(timer.token), after=timer.at_ns - g.now))
-    assert len(sends(g.outcome(rid, 0, sends(acts)[0], i.Result.ERROR))) == 1
+            assert not sends(g.feed(TimerFired(timer.token), after=timer.at_ns - g.now))
+    assert len(sends(g.outcome(rid, 0, sends(acts)[0], AttemptResult.ERROR))) == 1
 
 
 def test_draining_and_gone_backends_get_nothing():
     g = Gateway()
-    g.list([backend(1, mode=i.Mode.DRAINING)], i.ListKind.DELTA)
+    g.list([backend(1, mode=EndpointState.DRAINING)], EndpointListKind.DELTA)
     assert all(sends(g.ask()[1]) == [2] for _ in range(20))
     g.list([backend(1)])
     assert all(sends(g.ask()[1]) == [1] for _ in range(20))
-    g.list([], i.ListKind.FAILED)
+    g.list([], EndpointListKind.FAILED)
     assert sends(g.ask()[1]) == [1]
-    g.list([backend(1, mode=i.Mode.GONE)], i.ListKind.DELTA)
+    g.list([backend(1, mode=EndpointState.REMOVED)], EndpointListKind.DELTA)
     assert not sends(g.ask()[1])
 
 
@@ -104,9 +116,9 @@
     g = Gateway({"cold_share": 0.2, "cold_ns": 10 * SECOND, "cold_multiple": 2.0})
     for _ in range(100):  # a warm one is seen to do 10 units a second
         rid, acts = g.ask()
-        g.outcome(rid, 0, sends(acts)[0], i.Result.OK, after=50 * MS)
+        g.outcome(rid, 0, sends(acts)[0], AttemptResult.OK, after=50 * MS)
         g.tick(after=0)
-    g.list([backend(3, started=g.now)], i.ListKind.DELTA)
+    g.list([backend(3, started=g.now)], EndpointListKind.DELTA)
     units = 0.0
     for _ in range(200):
         g.tick(after=10 * MS)
@@ -116,7 +128,7 @@
 
 
 def test_ceiling_holds_from_an_empty_start_and_with_no_word_from_peers():
-    plan = i.PlanSpec(
+    plan = CustomerPlan(
         "hard",
         rate=10.0,
         burst=20.0,
@@ -131,18 +143,18 @@
         rid, acts = g.ask(units=2.0, spread=2, first=0, after=10 * MS)
         if sends(acts):
             taken += 2.0
-            g.outcome(rid, 0, sends(acts)[0], i.Result.OK, after=0, latency=10 * MS)
+            g.outcome(rid, 0, sends(acts)[0], AttemptResult.OK, after=0, latency=10 * MS)
     assert 0 < taken <= 20.0 / 2 * 3.0 + 4.0 / 2
 
 
 def test_one_timer_guards_all_requests():
     g = Gateway()
-    timers = [t for _ in range(20) for t in only(g.ask(cls=1, after=10 * MS)[1], i.SetTimer)]
+    timers = [t for _ in range(20) for t in only(g.ask(cls=1, after=10 * MS)[1], SetTimer)]
     guards = [t for t in timers if t.at_ns >= g.now + 3 * SECOND]
     assert len(guards) == 1  # not one a request: most of them end long before
     ended, due = 0, guards[0]
     while ended < 20:
-        acts = g.feed(i.Timer(due.token), after=due.at_ns - g.now)
+        acts = g.feed(TimerFired(due.token), after=due.at_ns - g.now)
         ended += len(finals(acts))
-        due = next((t for t in only(acts, i.SetTimer)), None)
+        due = next((t for t in only(acts, SetTimer)), None)
         assert finals(acts) and (due is not None or ended == 20)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -15,8 +15,28 @@
 from hypothesis import strategies as st
 from scenario import ROOT, World, call, encode
 
-from zincstile.decisions import messages as i
+from zincstile.decisions.messages import (
+    AttemptOutcome,
+    AttemptResult,
+    CancelAttempt,
+    CustomerUsage,
+    EndpointEntry,
+    EndpointList,
+    EndpointListKind,
+    EndpointState,
+    ErrorSample,
+    FailRequest,
+    ForwardRequest,
+    RejectRequest,
+    Request,
+    RequestAbandoned,
+    SendGossip,
+    SetTimer,
+    Started,
+    TimerFired,
+)
 from zincstile.decisions.policy import Policy
+from zincstile.decisions.settings import Idempotency
 from zincstile.net.config import read
 from zincstile.net.limits import MS, SECOND
 from zincstile.simulator import codec
@@ -115,8 +135,8 @@
 
 # ---- the module alone
 
-NEVER_RAN = (i.Result.FULL, i.Result.CONNECT_FAILED, i.Result.MOOT)
-RESULTS = [*[i.Result.OK] * 6, *(r for r in i.Result if r is not i.Result.CANCELLED)]
+NEVER_RAN = (AttemptResult.REJECTED, AttemptResult.CONNECT_FAILED, AttemptResult.NOT_SENT)
+RESULTS = [*[AttemptResult.OK] * 6, *(r for r in AttemptResult if r is not AttemptResult.CANCELLED)]
 
 
 class Life:
@@ -127,13 +147,15 @@
         self.set, self.rng, self.module = settings, random.Random(seed), Policy(settings, seed)
         self.now, self.heap, self.number = 10 * SECOND, [], 0
         self.asked, self.final, self.sends, self.out = {}, {}, {}, {}
-        self.feed(i.Started())
+        self.feed(Started())
         self.feed(
-            i.BackendList(
-                i.ListKind.FULL,
+            EndpointList(
+                EndpointListKind.FULL,
                 1,
                 [
-                    i.Backend(k, k % 3, 0, k % 2, i.Mode.READY, 1.0, self.now - SECOND if k == 4 else 0)
+                    EndpointEntry(
+                        k, k % 3, 0, k % 2, EndpointState.READY, 1.0, self.now - SECOND if k == 4 else 0
+                    )
                     for k in range(1, 6)
                 ],
             )
@@ -145,25 +167,25 @@
 
     def feed(self, event):
         for action in self.module.handle(self.now, event):
-            getattr(self, "on_" + type(action).__name__.lower(), lambda _: None)(action)
+            carry_out = self.carried_out.get(type(action))
+            if carry_out is not None:
+                carry_out(self, action)
 
-    def on_settimer(self, a):
-        self.later(max(self.now, a.at_ns), i.Timer(a.token))
+    def set_timer(self, a):
+        self.later(max(self.now, a.at_ns), TimerFired(a.token))
 
-    def on_refuse(self, a):
+    def reject(self, a):
         self.end(a.request, "refused")
 
-    on_fail = on_refuse
-
     def end(self, request, how):
         assert request not in self.final, "two final answers"
         assert self.now <= self.asked[request].give_up_ns, "a final answer after its time"
         self.final[request] = how
 
-    def on_cancel(self, a):
+    def cancel(self, a):
         self.out.pop((a.request, a.attempt), None)
 
-    def on_tell(self, a):
+    def send_gossip(self, a):
         for data in codec.pack_tell(a):
             assert len(data) <= codec.LARGEST
             heard = codec.unpack_tell((self.set.me + 1) % max(2, self.set.gateways), data)
@@ -171,25 +193,34 @@
             if self.rng.random() < 0.5:
                 self.later(self.now + 3 * MS, heard)
 
-    def on_send(self, a):
+    def forward(self, a):
         ask = self.asked[a.request]
         spec, before = self.set.classes[ask.cls], self.sends.setdefault(a.request, [])
         assert a.request not in self.final and len(before) < self.set.max_attempts
         may_have_run = [s for s in before if s["result"] not in NEVER_RAN]
-        if spec.effect is i.Effect.UNSAFE:
+        if spec.effect is Idempotency.NEVER:
             assert not may_have_run, "sent again, though it may have run"
-        elif spec.effect is i.Effect.KEYED and may_have_run:
+        elif spec.effect is Idempotency.BY_KEY and may_have_run:
             assert 0 < a.by_ns <= may_have_run[0]["at"] + spec.window_ns and self.now < a.by_ns
-        assert len(may_have_run) < 2 or spec.effect is not i.Effect.UNSAFE
+        assert len(may_have_run) < 2 or spec.effect is not Idempotency.NEVER
         sent = {"at": self.now, "result": None}
         self.out[a.request, len(before)] = sent
         result = self.rng.choice(RESULTS)
         took = self.rng.randint(1, max(2, int(spec.aim_ns / 3)))
-        if result is i.Result.TIMEOUT or self.now + took > a.until_ns:
-            result, took = i.Result.TIMEOUT, max(0, a.until_ns - self.now)
+        if result is AttemptResult.TIMEOUT or self.now + took > a.until_ns:
+            result, took = AttemptResult.TIMEOUT, max(0, a.until_ns - self.now)
         self.later(self.now + took, (a.request, len(before), a.backend, result, took))
         before.append(sent)
 
+    carried_out = {
+        SetTimer: set_timer,
+        RejectRequest: reject,
+        FailRequest: reject,
+        CancelAttempt: cancel,
+        SendGossip: send_gossip,
+        ForwardRequest: forward,
+    }
+
     def step(self):
         self.now, _, event = heapq.heappop(self.heap)
         if not isinstance(event, tuple):
@@ -198,20 +229,20 @@
         request, number, backend, result, took = event
         sent = self.out.pop((request, number), None)
         if sent is None:  # cancelled meanwhile
-            result = i.Result.CANCELLED
-        elif result is i.Result.OK and request not in self.final:
+            result = AttemptResult.CANCELLED
+        elif result is AttemptResult.OK and request not in self.final:
             self.end(request, "served")
         done = request in self.final
         self.sends[request][number]["result"] = result
         self.feed(
-            i.Outcome(request, number, backend, result, took, done, true_units=self.asked[request].units)
+            AttemptOutcome(request, number, backend, result, took, done, true_units=self.asked[request].units)
         )
 
     def play(self, requests=40):
         for number in range(1, requests + 1):
             cls, plan = (self.rng.randrange(len(x)) for x in (self.set.classes, self.set.plans))
             wait_ns = self.set.classes[cls].deadline_ns
-            self.asked[number] = i.Request(
+            self.asked[number] = Request(
                 number,
                 cls,
                 plan,
@@ -228,7 +259,7 @@
             self.now = max(self.now, until)
             if self.rng.random() < 0.05 and number not in self.final:
                 self.final[number] = "left"
-                self.feed(i.Gone(number))
+                self.feed(RequestAbandoned(number))
         last = max(ask.give_up_ns for ask in self.asked.values())
         while set(self.final) != set(self.asked) and self.heap and self.heap[0][0] <= last:
             self.step()
@@ -259,9 +290,9 @@
     module.level = 3.0
     for leaf in module.leaves:
         leaf.rate, leaf.arrivals = 0.5, 2.0
-    shares = [i.Share(k, 1, 3.0, 2.0, 0) for k in range(9)]
-    doubts = [i.Doubt(1, group, 0.5) for group in (0, 11, 250, 251, 255)]
-    messages = codec.pack_tell(i.Tell(1, 7, shares, module.figures(), doubts))
+    shares = [CustomerUsage(k, 1, 3.0, 2.0, 0) for k in range(9)]
+    doubts = [ErrorSample(1, group, 0.5) for group in (0, 11, 250, 251, 255)]
+    messages = codec.pack_tell(SendGossip(1, 7, shares, module.figures(), doubts))
     assert max(map(len, messages)) <= codec.LARGEST
     heard = [codec.unpack_tell(1, data) for data in messages]
     assert [s.customer for m in heard for s in m.shares] == list(range(9))
@@ -271,7 +302,7 @@
     other = Policy(settings, 2)
     for leaf in other.leaves:
         leaf.rate = 0.5
-    other.on_peer_message(SECOND, heard[0])
+    other.on_gossip_received(SECOND, heard[0])
     assert other.leaves[0].arrivals == 1.0 and other.leaves[-1].arrivals == 0.0
 
 
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -2,65 +2,65 @@
 
 from conftest import MS, SECOND, Gateway, only
 
-from zincstile.decisions import messages as i
+from zincstile.decisions.messages import AttemptResult, CloseIdleConnections, ForwardRequest, RejectRequest
 
 
 def rest(g, result, latency=50 * MS):
     """One request after a pause of three seconds; whether its backend's connections were closed before."""
     rid, acts = g.ask(cls=1, after=3 * SECOND)
-    kinds = [type(a) for a in acts if isinstance(a, i.Close | i.Send)]
-    g.outcome(rid, 0, only(acts, i.Send)[0].backend, result, after=0, latency=latency)
-    assert kinds in ([i.Send], [i.Close, i.Send])
-    return kinds[0] is i.Close
+    kinds = [type(a) for a in acts if isinstance(a, CloseIdleConnections | ForwardRequest)]
+    g.outcome(rid, 0, only(acts, ForwardRequest)[0].backend, result, after=0, latency=latency)
+    assert kinds in ([ForwardRequest], [CloseIdleConnections, ForwardRequest])
+    return kinds[0] is CloseIdleConnections
 
 
 def test_rested_connections_are_closed_where_those_kept_stay_silent():
     g = Gateway(backends=1)
-    assert rest(g, i.Result.OK)  # the first is new in any case
-    assert not rest(g, i.Result.OK)
-    assert not rest(g, i.Result.TIMEOUT, SECOND)  # a path forgot it
-    assert [rest(g, i.Result.OK) for _ in range(4)] == [True] * 4
+    assert rest(g, AttemptResult.OK)  # the first is new in any case
+    assert not rest(g, AttemptResult.OK)
+    assert not rest(g, AttemptResult.TIMEOUT, SECOND)  # a path forgot it
+    assert [rest(g, AttemptResult.OK) for _ in range(4)] == [True] * 4
     for _ in range(10):
         g.tick(after=10 * SECOND)
-    assert not rest(g, i.Result.OK)  # it does not latch
+    assert not rest(g, AttemptResult.OK)  # it does not latch
 
 
 def test_rested_connections_are_kept_where_new_ones_fail():
     g = Gateway(backends=1)
-    rest(g, i.Result.OK)
+    rest(g, AttemptResult.OK)
     for _ in range(3):
         g.policy.broken = [0.3, 0.5, 0.0]
-        assert not rest(g, i.Result.OK)
+        assert not rest(g, AttemptResult.OK)
     g = Gateway(backends=40)
     for _ in range(12):  # nothing but new connections, and all fail
-        rest(g, i.Result.CONNECT_FAILED)
+        rest(g, AttemptResult.CONNECT_FAILED)
     assert g.policy.broken[1] > 0.5 and g.policy.broken[0] == 0.0
 
 
 def test_a_connection_in_use_is_not_closed():
     g = Gateway(backends=1)
-    rest(g, i.Result.OK)
+    rest(g, AttemptResult.OK)
     g.policy.broken = [0.9, 0.0, 0.0]
-    assert not only(g.ask(after=300 * MS)[1], i.Close)
+    assert not only(g.ask(after=300 * MS)[1], CloseIdleConnections)
 
 
 def test_no_further_attempt_whose_time_is_up():
     g = Gateway(backends=4)  # class 0 earns nothing after its aim of 1 s
     rid, acts = g.ask(cls=0)
-    first = only(acts, i.Send)[0]
-    acts = g.outcome(rid, 0, first.backend, i.Result.TIMEOUT, after=first.until_ns - g.now)
-    assert not only(acts, i.Send) and [a.request for a in only(acts, i.Refuse)] == [rid]
+    first = only(acts, ForwardRequest)[0]
+    acts = g.outcome(rid, 0, first.backend, AttemptResult.TIMEOUT, after=first.until_ns - g.now)
+    assert not only(acts, ForwardRequest) and [a.request for a in only(acts, RejectRequest)] == [rid]
     rid, acts = g.ask(cls=0)
-    acts = g.outcome(rid, 0, only(acts, i.Send)[0].backend, i.Result.RESET, after=300 * MS)
-    assert [a.until_ns for a in only(acts, i.Send)] == [g.now + 700 * MS]
+    acts = g.outcome(rid, 0, only(acts, ForwardRequest)[0].backend, AttemptResult.RESET, after=300 * MS)
+    assert [a.until_ns for a in only(acts, ForwardRequest)] == [g.now + 700 * MS]
 
 
 def answered(g, count=12, latency=50 * MS, silent=0):
     """A stretch of requests, the last few of which nobody answers."""
     for k in range(count):
         rid, acts = g.ask(cls=1, after=20 * MS)
-        for send in only(acts, i.Send):
-            result = i.Result.TIMEOUT if k >= count - silent else i.Result.OK
+        for send in only(acts, ForwardRequest):
+            result = AttemptResult.TIMEOUT if k >= count - silent else AttemptResult.OK
             took = SECOND if k >= count - silent else latency
             g.outcome(rid, 0, send.backend, result, after=0, latency=took)
     g.tick(after=0)
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -11,8 +11,21 @@
 from hypothesis import settings as limits
 from hypothesis import strategies as st
 
-from zincstile.decisions import messages as i
+from zincstile.decisions.messages import (
+    AttemptOutcome,
+    AttemptResult,
+    CancelAttempt,
+    EndpointEntry,
+    EndpointList,
+    EndpointListKind,
+    EndpointState,
+    ForwardRequest,
+    Request,
+    Started,
+    TimerFired,
+)
 from zincstile.decisions.policy import COLD_LEAST, Policy
+from zincstile.decisions.settings import DeduplicationScope, Idempotency, RequestClass
 from zincstile.decisions.slow_start import COLD_USE
 from zincstile.net import config, features
 from zincstile.net.endpoint_table import EndpointReader, number
@@ -28,21 +41,21 @@
 
 ZONES = ["a", "b", "c"]
 SPREAD = Layout.INTERLEAVED
-READY, DRAINING, GONE = i.Mode.READY, i.Mode.DRAINING, i.Mode.GONE
-DELTA, FULL = i.ListKind.DELTA, i.ListKind.FULL
-SAFE = [i.ClassSpec("look", SECOND, 4 * SECOND, i.Effect.SAFE, 1.0)]
+READY, DRAINING, GONE = EndpointState.READY, EndpointState.DRAINING, EndpointState.REMOVED
+DELTA, FULL = EndpointListKind.DELTA, EndpointListKind.FULL
+SAFE = [RequestClass("look", SECOND, 4 * SECOND, Idempotency.ALWAYS, 1.0)]
 
 
 def gateway(me=0, gateways=12, zone=0, classes=None, zones=ZONES, **subset):
     """A decision module with a subset, in which no class is bound to a group unless given."""
     given_ = settings(me=me, gateways=gateways, zone=zone, classes=classes or SAFE)
     policy = subsetting(Policy, SubsetSettings(**subset), zones, [])(given_, 1)
-    policy.handle(10 * SECOND, i.Started())
+    policy.handle(10 * SECOND, Started())
     return policy
 
 
 def feed(policy, entries, kind=DELTA, now=10 * SECOND):
-    return policy.handle(now, i.BackendList(kind, 1, entries))
+    return policy.handle(now, EndpointList(kind, 1, entries))
 
 
 def ready(policy):
@@ -54,7 +67,7 @@
 
 
 def tick(policy, now):
-    return policy.handle(now, i.Timer(2))
+    return policy.handle(now, TimerFired(2))
 
 
 def fail(policy, numbers, now, bad=1.0):
@@ -113,7 +126,9 @@
 # ---- the table and the module against a plain model
 
 ENTRY = st.builds(
-    lambda number, zone, kind, cell, mode, started: i.Backend(number, zone, kind, cell, mode, 1.0, started),
+    lambda number, zone, kind, cell, mode, started: EndpointEntry(
+        number, zone, kind, cell, mode, 1.0, started
+    ),
     st.integers(1, 40),
     st.integers(0, 3),
     st.integers(0, 2),
@@ -187,7 +202,7 @@
     for me in range(gateways):
         given_ = settings(me=me, gateways=gateways, cold_share=0.2, cold_ns=30 * SECOND, cold_multiple=2.0)
         policy = subsetting(Policy, SubsetSettings(least=least), [], [])(given_, 1)
-        policy.handle(now, i.Started())
+        policy.handle(now, Started())
         feed(policy, [backend(n, started=now if n == cold else 0) for n in range(1, total + 1)])
         policy.leaves[0].arrivals = rate / gateways
         sending = sum(x.arrivals * x.rate for x in policy.leaves)
@@ -288,15 +303,15 @@
     """Handling: `left` keeps what was learned of it; the attempt goes on and is no other's."""
     policy = gateway(me=30, gateways=600, least=4, zones=[])
     feed(policy, many(60, zone=0))
-    actions = policy.handle(10 * SECOND, i.Request(1, 0, 0, 7, 14 * SECOND, 1.0, 1, 0))
-    sent = next(a for a in actions if isinstance(a, i.Send)).backend
+    actions = policy.handle(10 * SECOND, Request(1, 0, 0, 7, 14 * SECOND, 1.0, 1, 0))
+    sent = next(a for a in actions if isinstance(a, ForwardRequest)).backend
     others = [b for b in many(60, zone=0) if b.id in ready(policy) - {sent}]
     for more in range(61, 300):  # until the ring has shifted it out
         feed(policy, [backend(more)])
         if sent not in ready(policy):
             break
-    assert sent not in policy.servers and not [a for a in policy.acts if isinstance(a, i.Cancel)]
-    policy.handle(10 * SECOND + MS, i.Outcome(1, 0, sent, i.Result.ERROR, MS, True))
+    assert sent not in policy.servers and not [a for a in policy.acts if isinstance(a, CancelAttempt)]
+    policy.handle(10 * SECOND + MS, AttemptOutcome(1, 0, sent, AttemptResult.ERROR, MS, True))
     assert not policy.attempts
     feed(policy, [backend(n, mode=GONE) for n in range(61, more + 1)])
     assert sent in ready(policy) and policy.servers[sent].doubt and not policy.servers[sent].out
@@ -337,15 +352,15 @@
 def test_a_service_replaced_whole_never_leaves_a_slice_short_and_moves_no_other_service():
     """Handling: only ready endpoints stand in a ring; changes of one service choose anew for that alone."""
     policy = gateway(gateways=30, least=4, service_by=ServiceBy.TYPE, zones=[])
-    feed(policy, [i.Backend(n, 0, n % 2, 0, READY, 1.0, 0) for n in range(1, 121)])
+    feed(policy, [EndpointEntry(n, 0, n % 2, 0, READY, 1.0, 0) for n in range(1, 121)])
     other = {n for n in ready(policy) if n % 2 == 0}
     for batch in range(4):
         old = range(1 + 30 * batch, 31 + 30 * batch, 2)
         now = 10 * SECOND + batch * 8 * SECOND
-        feed(policy, [i.Backend(n + 1000, 0, 1, 0, READY, 1.0, now) for n in old])
-        feed(policy, [i.Backend(n, 0, 1, 0, DRAINING, 1.0, 0) for n in old])
+        feed(policy, [EndpointEntry(n + 1000, 0, 1, 0, READY, 1.0, now) for n in old])
+        feed(policy, [EndpointEntry(n, 0, 1, 0, DRAINING, 1.0, 0) for n in old])
         assert len(ready(policy) - other) == 8 and other <= ready(policy)
-        feed(policy, [i.Backend(n, 0, 1, 0, GONE, 1.0, 0) for n in old])
+        feed(policy, [EndpointEntry(n, 0, 1, 0, GONE, 1.0, 0) for n in old])
         assert len(ready(policy) - other) == 8
     assert min(ready(policy) - other) > 1000
     assert policy.moved <= 3 * 60 and set(policy.servers) == ready(policy)
@@ -355,13 +370,13 @@
     """Handling: slices and what is needed of them are bounded by the ring."""
     for me in range(5):
         policy = gateway(me, 5, service_by=ServiceBy.TYPE, reach=Reach.ZONE, zone=me % 3, layout=SPREAD)
-        feed(policy, [*many(30), i.Backend(99, 2, 9, 0, READY, 1.0, 0)])
+        feed(policy, [*many(30), EndpointEntry(99, 2, 9, 0, READY, 1.0, 0)])
         assert 99 in ready(policy)
         fail(policy, [99], 11 * SECOND, bad=0.2)
         assert policy.sight()["widened"] == 0
         fail(policy, [99], 11 * SECOND)
         assert 99 in ready(policy)
-        feed(policy, [i.Backend(99, 2, 9, 0, DRAINING, 1.0, 0)])
+        feed(policy, [EndpointEntry(99, 2, 9, 0, DRAINING, 1.0, 0)])
         tick(policy, 12 * SECOND)
         assert 99 not in ready(policy) and policy.sight()["widened"] == 0
 
@@ -378,22 +393,22 @@
     assert len(taken) == total and max(taken.values()) <= 1.25 * gateways * size / total
 
 
-@pytest.mark.parametrize("group", [i.Group.ZONE, i.Group.CELL])
+@pytest.mark.parametrize("group", [DeduplicationScope.ZONE, DeduplicationScope.CELL])
 def test_a_key_that_may_repeat_in_one_group_only_has_a_second_endpoint_there(group):
     """Handling: `Ring.partner`, and at least a pair for each zone, where a class is bound to such a group."""
-    put = i.ClassSpec("put", SECOND, 4 * SECOND, i.Effect.KEYED, 2.0, group=group, window_ns=500 * MS)
+    put = RequestClass("put", SECOND, 4 * SECOND, Idempotency.BY_KEY, 2.0, group=group, window_ns=500 * MS)
     for me in range(20):
         policy = gateway(me, 40, classes=[put], least=1, least_good=1, holders=1)
         listed = {n: backend(n, n % 3, cell=n // 2 % 30) for n in range(1, 121)}
         feed(policy, list(listed.values()))
         assert len(ready(policy)) < 60
-        sent = policy.handle(10 * SECOND, i.Request(1, 0, 0, 7, 14 * SECOND, 1.0, 1, 0))
-        first = next(a for a in sent if isinstance(a, i.Send)).backend
-        again = policy.handle(10 * SECOND + MS, i.Outcome(1, 0, first, i.Result.ERROR, MS, False))
-        second = next(a for a in again if isinstance(a, i.Send)).backend
+        sent = policy.handle(10 * SECOND, Request(1, 0, 0, 7, 14 * SECOND, 1.0, 1, 0))
+        first = next(a for a in sent if isinstance(a, ForwardRequest)).backend
+        again = policy.handle(10 * SECOND + MS, AttemptOutcome(1, 0, first, AttemptResult.ERROR, MS, False))
+        second = next(a for a in again if isinstance(a, ForwardRequest)).backend
         one, other = listed[first], listed[second]
         assert first != second
-        assert one.zone == other.zone if group is i.Group.ZONE else one.cell == other.cell
+        assert one.zone == other.zone if group is DeduplicationScope.ZONE else one.cell == other.cell
 
 
 def test_a_change_undone_by_the_next_in_the_same_turn_leaves_all_as_it_was():
--- a/tests/test_throng.py
+++ b/tests/test_throng.py
@@ -7,7 +7,7 @@
 import pytest
 from conftest import MS, Gateway, backend
 
-from zincstile.decisions import messages as i
+from zincstile.decisions.messages import EndpointListKind, EndpointState
 from zincstile.emulators.listservice import Manners
 from zincstile.net.limits import SECOND, Limits
 from zincstile.simulation import plan
@@ -42,7 +42,7 @@
         g.policy.done_units = 6.0  # 10 units a second of each
         g.tick(100 * MS)
     known = g.policy.seen_rate
-    g.list([backend(n, mode=i.Mode.DRAINING) for n in range(2, 7)], i.ListKind.DELTA)
+    g.list([backend(n, mode=EndpointState.DRAINING) for n in range(2, 7)], EndpointListKind.DELTA)
     for _ in range(10):
         g.policy.done_units = 6.0  # they finish what they have
         g.tick(100 * MS)
--- a/tests/test_turn.py
+++ b/tests/test_turn.py
@@ -5,7 +5,19 @@
 import pytest
 from conftest import backend, settings
 
-from zincstile.decisions import messages as i
+from zincstile.decisions.messages import (
+    AttemptOutcome,
+    AttemptResult,
+    CheckHealth,
+    FailRequest,
+    ForwardRequest,
+    HealthCheckResult,
+    Request,
+    RequestAbandoned,
+    SetTimer,
+    Started,
+    TimerFired,
+)
 from zincstile.net.backend import Backends
 from zincstile.net.counters import Counters
 from zincstile.net.deadlines import every
@@ -19,9 +31,9 @@
     """A module that can't bear request 1 nor the end of it, and fails every other request."""
 
     def handle(self, now, event):
-        if isinstance(event, i.Gone | i.Request) and getattr(event, "id", 0) == 1:
+        if isinstance(event, RequestAbandoned | Request) and getattr(event, "id", 0) == 1:
             raise KeyError("one")
-        return [i.Fail(event.id)] if isinstance(event, i.Request) else []
+        return [FailRequest(event.id)] if isinstance(event, Request) else []
 
 
 class Client:
@@ -41,7 +53,7 @@
         turn = Turn(asyncio.get_running_loop(), Failing(), Limits(), Counters(), Log("n0"))
         for number in (1, 2):
             call = Call(True, b"c", b"id", [b"d=1"], 0, None)
-            turn.take(Session(number, call, client, 10**18), i.Request(number, 0, 0, 7, 10**18, 1.0, 1, 0))
+            turn.take(Session(number, call, client, 10**18), Request(number, 0, 0, 7, 10**18, 1.0, 1, 0))
         while len(client.answers) < 2:
             await asyncio.sleep(0)
         return client.answers, turn
@@ -74,18 +86,18 @@
         self.rung = []
 
     def handle(self, now, event):
-        if isinstance(event, i.Timer):
+        if isinstance(event, TimerFired):
             self.rung.append(event.token)
             if len(self.rung) == 1:
                 raise KeyError("tick")
-        return [i.SetTimer(now, 7)] if isinstance(event, i.Started) else []
+        return [SetTimer(now, 7)] if isinstance(event, Started) else []
 
 
 def test_a_timer_that_the_module_fails_at_rings_again(capsys):
     async def play():
         module = Stumbling()
         turn = Turn(asyncio.get_running_loop(), module, Limits(backoff_ns=1), Counters(), Log("n0"))
-        turn.post(i.Started())
+        turn.post(Started())
         while len(module.rung) < 2:
             await asyncio.sleep(0)
         return module.rung
@@ -101,9 +113,9 @@
         self.probed = []
 
     def handle(self, now, event):
-        if isinstance(event, i.Probed):
+        if isinstance(event, HealthCheckResult):
             self.probed.append(event)
-        return [i.Probe(5)] if isinstance(event, i.Started) else []
+        return [CheckHealth(5)] if isinstance(event, Started) else []
 
 
 def probe(answer):
@@ -126,7 +138,7 @@
         turn = Turn(asyncio.get_running_loop(), module, Limits(), Counters(), Log("n0"))
         backends = Backends(turn, settings(report_fields=["inflight", "queue"]), memoryview(bytearray(65536)))
         backends.update([(backend(5), address)], True)
-        turn.post(i.Started())
+        turn.post(Started())
         while not module.probed:
             await asyncio.sleep(0)
         backends.shut()
@@ -141,7 +153,7 @@
     """Also by the names that the settings use on the wire: those are what backend servers send."""
     asked, probed = probe(b"$%d\r\n%b\r\n" % (len(report), report))
     assert asked == [b"*2\r\n$4\r\nINFO\r\n$4\r\nload\r\n"]
-    assert [(p.backend, p.result, p.report) for p in probed] == [(5, i.Result.OK, [7.0, 2.0])]
+    assert [(p.backend, p.result, p.report) for p in probed] == [(5, AttemptResult.OK, [7.0, 2.0])]
 
 
 @pytest.mark.parametrize(
@@ -157,12 +169,12 @@
 )
 def test_a_report_that_can_not_be_is_none(report):
     _, probed = probe(b"$%d\r\n%b\r\n" % (len(report), report))
-    assert [(p.result, p.report) for p in probed] == [(i.Result.OK, [])]
+    assert [(p.result, p.report) for p in probed] == [(AttemptResult.OK, [])]
 
 
 def test_a_probe_of_nobody_fails_to_connect():
     asked, probed = probe(None)
-    assert not asked and [p.result for p in probed] == [i.Result.CONNECT_FAILED]
+    assert not asked and [p.result for p in probed] == [AttemptResult.CONNECT_FAILED]
 
 
 class Leaving:
@@ -172,11 +184,13 @@
         self.sent, self.told = 0, []
 
     def handle(self, now, event):
-        if isinstance(event, i.Outcome):
+        if isinstance(event, AttemptOutcome):
             self.told.append((event.attempt, event.result))
-        if isinstance(event, i.Request) or (isinstance(event, i.Outcome) and event.result is i.Result.FULL):
+        if isinstance(event, Request) or (
+            isinstance(event, AttemptOutcome) and event.result is AttemptResult.REJECTED
+        ):
             self.sent += 1
-            return [i.Send(1, 5, 10**18)]
+            return [ForwardRequest(1, 5, 10**18)]
         return []
 
 
@@ -192,7 +206,7 @@
         session = Session(1, Call(True, b"c", b"id", [b"d=1"], 0, None), Client(), 10**18)
         turn.sessions[1] = session
         session.attempts = 1
-        turn.post(i.Outcome(1, 0, 5, i.Result.FULL, 1, False))
+        turn.post(AttemptOutcome(1, 0, 5, AttemptResult.REJECTED, 1, False))
         turn.leave(session)
         while len(module.told) < 2:
             await asyncio.sleep(0)
@@ -200,7 +214,7 @@
         return module
 
     module = asyncio.run(asyncio.wait_for(play(), 20))
-    assert module.sent == 1 and module.told == [(0, i.Result.FULL), (1, i.Result.MOOT)]
+    assert module.sent == 1 and module.told == [(0, AttemptResult.REJECTED), (1, AttemptResult.NOT_SENT)]
 
 
 def test_a_process_that_got_no_processor_says_so(capsys):
--- a/tests/test_wide.py
+++ b/tests/test_wide.py
@@ -2,15 +2,26 @@
 
 from conftest import MS, SECOND, Gateway, backend, only
 
-from zincstile.decisions import messages as i
+from zincstile.decisions.messages import (
+    AttemptResult,
+    CustomerUsage,
+    ErrorSample,
+    ForwardRequest,
+    GossipReceived,
+    RejectRequest,
+    SendGossip,
+    SetTimer,
+    TimerFired,
+)
 from zincstile.decisions.policy import EVERY
+from zincstile.decisions.settings import CustomerPlan
 
-PLAN = i.PlanSpec("p", rate=2.0, burst=12.0)
+PLAN = CustomerPlan("p", rate=2.0, burst=12.0)
 WIDE = 40
 
 
 def sends(actions):
-    return [a.backend for a in only(actions, i.Send)]
+    return [a.backend for a in only(actions, ForwardRequest)]
 
 
 def gateway(me=0, seed=1, backends=8, **over):
@@ -20,7 +31,7 @@
 
 def asked(g, **more):
     rid, acts = g.ask(spread=WIDE, **more)
-    return rid, acts, only(acts, i.Tell)
+    return rid, acts, only(acts, SendGossip)
 
 
 def relay_of(customer=7):
@@ -28,7 +39,7 @@
 
 
 def pass_on(told, sender, to):
-    return to.feed(i.PeerMessage(sender, told.start, told.shares, told.figures, told.doubts))
+    return to.feed(GossipReceived(sender, told.start, told.shares, told.figures, told.doubts))
 
 
 def test_a_wide_set_asks_one_relay_and_waits():
@@ -44,7 +55,7 @@
     taken = 0.0
     for g in peers:
         rid, _, told = asked(g, units=4.0)
-        answer = only(pass_on(told[0], g.policy.set.me, relay), i.Tell)[0]
+        answer = only(pass_on(told[0], g.policy.set.me, relay), SendGossip)[0]
         assert answer.peer == g.policy.set.me and answer.shares[0].answer
         taken += 4.0 * len(sends(pass_on(answer, relay.policy.set.me, g)))
     assert taken == 12.0
@@ -53,10 +64,10 @@
 def test_an_ask_without_answer_is_sent_again_then_the_even_part_decides():
     g = gateway()
     rid, acts, _ = asked(g)
-    timer = next(t for t in only(acts, i.SetTimer) if t.at_ns < g.now + SECOND)
-    acts = g.feed(i.Timer(timer.token), after=100 * MS)
-    assert len(only(acts, i.Tell)) == 1 and not sends(acts)
-    assert len(sends(g.feed(i.Timer(timer.token), after=100 * MS))) == 1
+    timer = next(t for t in only(acts, SetTimer) if t.at_ns < g.now + SECOND)
+    acts = g.feed(TimerFired(timer.token), after=100 * MS)
+    assert len(only(acts, SendGossip)) == 1 and not sends(acts)
+    assert len(sends(g.feed(TimerFired(timer.token), after=100 * MS))) == 1
     let_in = sum(len(sends(asked(g, units=4.0)[1])) for _ in range(20))
     assert let_in <= 1  # the relay counts as silent: no more than the largest request
 
@@ -64,24 +75,26 @@
 def test_an_overloaded_relay_does_not_open_the_quota():
     g = gateway()
     rid, acts, told = asked(g, units=4.0)
-    no = i.Share(7, 0, 0.0, 0.5, 0, -4.0, told[0].shares[0].mark, True)
-    assert only(g.feed(i.PeerMessage(told[0].peer, 5, [no])), i.Refuse)
+    no = CustomerUsage(7, 0, 0.0, 0.5, 0, -4.0, told[0].shares[0].mark, True)
+    assert only(g.feed(GossipReceived(told[0].peer, 5, [no])), RejectRequest)
     sent = 0
     for _ in range(10):  # none of these is answered
         rid, acts, _ = asked(g, units=4.0, after=200 * MS)
         sent += len(sends(acts))
-        for timer in only(acts, i.SetTimer):
+        for timer in only(acts, SetTimer):
             if timer.at_ns < g.now + SECOND:
-                sent += len(sends(g.feed(i.Timer(timer.token)))) + len(sends(g.feed(i.Timer(timer.token))))
+                sent += len(sends(g.feed(TimerFired(timer.token)))) + len(
+                    sends(g.feed(TimerFired(timer.token)))
+                )
     assert sent == 0
 
 
 def test_a_total_on_its_way_beside_a_grant_gives_nothing_back():
     relay = gateway(me=relay_of())
     for mark in (1, 2):  # both were sent before the first answer came
-        relay.feed(i.PeerMessage(1, 5, [i.Share(7, 0, 0.0, 12.0, 0, 4.0, mark)]), after=MS)
+        relay.feed(GossipReceived(1, 5, [CustomerUsage(7, 0, 0.0, 12.0, 0, 4.0, mark)]), after=MS)
     assert 3.9 < relay.policy.customers[7].level < 4.1
-    relay.feed(i.PeerMessage(1, 5, [i.Share(7, 0, 0.0, 12.0, 0, 4.0, 2)]), after=MS)  # asked again
+    relay.feed(GossipReceived(1, 5, [CustomerUsage(7, 0, 0.0, 12.0, 0, 4.0, 2)]), after=MS)  # asked again
     assert 3.9 < relay.policy.customers[7].level < 4.1
 
 
@@ -89,17 +102,17 @@
     for gateways in (40, 400):
         g = gateway(gateways=gateways)
         _, acts = g.ask(spread=gateways)
-        more = g.tick() + g.tick(after=2 * SECOND) + g.feed(i.Timer(3))
-        assert len(only(acts, i.Tell)) + len(only(more, i.Tell)) <= 2
+        more = g.tick() + g.tick(after=2 * SECOND) + g.feed(TimerFired(3))
+        assert len(only(acts, SendGossip)) + len(only(more, SendGossip)) <= 2
 
 
 def test_figures_of_the_fleet_meet_in_the_middle():
     g, told = gateway(), [3.0, 1.0, 2.0, 1.0, 8.0, 4.0, 0.6, 0.2, 0.0, 0.1, 0.1, 0.1]
-    g.feed(i.PeerMessage(3, 5, [], told))
+    g.feed(GossipReceived(3, 5, [], told))
     assert (g.policy.late, g.policy.answers, g.policy.out, g.policy.done_rate) == (1.5, 0.5, 4.0, 2.0)
     assert (g.policy.silence, g.policy.silences) == (1.0, 0.5) and g.policy.broken[:2] == [0.3, 0.1]
     for bad in ([float("nan")] * 12, [float("inf")] * 12, [-1.0] * 12, [1.0], []):
-        g.feed(i.PeerMessage(3, 5, [], bad))
+        g.feed(GossipReceived(3, 5, [], bad))
     assert g.policy.late == 1.5
 
 
@@ -108,43 +121,45 @@
 
 
 def test_a_doubt_told_by_a_peer_moves_one_class_only():
-    g = gateway(plans=[i.PlanSpec("p", rate=1000.0, burst=2000.0)])
-    told = [i.Doubt(name(1), 1, 0.9), i.Doubt(999999, 1, 0.9), i.Doubt(name(1), 99, 0.9)]
-    g.feed(i.PeerMessage(3, 5, [], [], told))
+    g = gateway(plans=[CustomerPlan("p", rate=1000.0, burst=2000.0)])
+    told = [ErrorSample(name(1), 1, 0.9), ErrorSample(999999, 1, 0.9), ErrorSample(name(1), 99, 0.9)]
+    g.feed(GossipReceived(3, 5, [], [], told))
     g.tick(after=MS)
     assert 1 in [b for _ in range(60) for b in sends(g.ask(cls=1)[1])]  # one gateway's word is not enough
     for peer in (4, 5):
-        g.feed(i.PeerMessage(peer, 5, [], [], told))
+        g.feed(GossipReceived(peer, 5, [], [], told))
     g.tick(after=MS)
     assert 1 not in [b for _ in range(60) for b in sends(g.ask(cls=1)[1])]
     assert 1 in [b for _ in range(60) for b in sends(g.ask(cls=0)[1])]
 
 
 def test_a_doubt_of_most_of_the_fleet_is_not_believed():
-    g = gateway(plans=[i.PlanSpec("p", rate=1000.0, burst=2000.0)])
+    g = gateway(plans=[CustomerPlan("p", rate=1000.0, burst=2000.0)])
     for peer in (3, 4, 5):
-        g.feed(i.PeerMessage(peer, 5, [], [], [i.Doubt(name(n), 1, 0.8) for n in range(1, 8)]))
+        g.feed(GossipReceived(peer, 5, [], [], [ErrorSample(name(n), 1, 0.8) for n in range(1, 8)]))
     g.tick(after=MS)
     where = [b for _ in range(60) for b in sends(g.ask(cls=1)[1])]
     assert len(set(where)) == 8
 
 
 def test_a_doubt_fades():
-    g = gateway(plans=[i.PlanSpec("p", rate=1000.0, burst=2000.0)])
+    g = gateway(plans=[CustomerPlan("p", rate=1000.0, burst=2000.0)])
     for peer in (3, 4, 5):
-        g.feed(i.PeerMessage(peer, 5, [], [], [i.Doubt(name(1), 1, 0.9)]))
+        g.feed(GossipReceived(peer, 5, [], [], [ErrorSample(name(1), 1, 0.9)]))
     for _ in range(40):
         g.tick(after=SECOND)
     assert 1 in [b for _ in range(60) for b in sends(g.ask(cls=1)[1])]
 
 
 def test_full_for_one_plan_is_no_pressure_and_no_doubt_for_the_rest():
-    plans = [i.PlanSpec(n, rate=1000.0, burst=2000.0) for n in ("a", "b")]
+    plans = [CustomerPlan(n, rate=1000.0, burst=2000.0) for n in ("a", "b")]
     g = Gateway({"plans": plans, "max_attempts": 1}, backends=4)
     for _ in range(60):
         rid, acts = g.ask(cls=1, plan=0, customer=1)
         full = sends(acts) and sends(acts)[0] == 1
-        g.outcome(rid, 0, sends(acts)[0], i.Result.FULL if full else i.Result.OK, latency=20 * MS)
+        g.outcome(
+            rid, 0, sends(acts)[0], AttemptResult.REJECTED if full else AttemptResult.OK, latency=20 * MS
+        )
         g.tick(after=0)
     assert g.policy.level == float("inf")
     rest = [g.ask(cls=1, plan=1, customer=2) for _ in range(40)]
@@ -163,7 +178,7 @@
             rid, acts = g.ask(cls=1, units=2.0, after=SECOND if step >= 10 else (1 + step) * 100 * MS)
             seconds[step // 10] += 2.0 * sends(acts).count(3)
             if sends(acts):
-                g.outcome(rid, 0, sends(acts)[0], i.Result.OK, after=0, latency=50 * MS)
+                g.outcome(rid, 0, sends(acts)[0], AttemptResult.OK, after=0, latency=50 * MS)
     assert sum(seconds) > 0 and max(seconds) <= 2.0 * 0.1 * rate
 
 
@@ -171,7 +186,9 @@
     """The relay's word on what was asked."""
     s = told.shares[0]
     want = s.want if granted else -s.want
-    return g.feed(i.PeerMessage(told.peer, 1, [i.Share(s.customer, 0, 0.0, level, 0, want, s.mark, True)]))
+    return g.feed(
+        GossipReceived(told.peer, 1, [CustomerUsage(s.customer, 0, 0.0, level, 0, want, s.mark, True)])
+    )
 
 
 def test_a_customer_whose_store_is_bare_is_not_asked_for_at_each_try():
@@ -195,7 +212,7 @@
         for leaf in row:
             leaf.rate = 0.0
     _, acts, told = asked(g)
-    assert not told and len(only(acts, i.Refuse)) == 1
+    assert not told and len(only(acts, RejectRequest)) == 1
 
 
 def test_another_relay_stands_in_for_a_silent_one_and_one_that_was_heard_is_not_silent():
@@ -204,15 +221,15 @@
     def unanswered():
         _, acts, told = asked(g)
         for _ in range(2):
-            timer = next(t for t in only(acts, i.SetTimer) if t.at_ns < g.now + SECOND)
-            acts = g.feed(i.Timer(timer.token), after=100 * MS)
+            timer = next(t for t in only(acts, SetTimer) if t.at_ns < g.now + SECOND)
+            acts = g.feed(TimerFired(timer.token), after=100 * MS)
         return told[0].peer
 
     first = unanswered()
     second = asked(g)[2][0].peer
     assert second == (first + 1) % WIDE  # the next of its set, for every gateway alike
     other = gateway()
-    other.feed(i.PeerMessage(first, 1, []))  # its words are lost now and then, but it lives
+    other.feed(GossipReceived(first, 1, []))  # its words are lost now and then, but it lives
     g = other
     assert unanswered() == first == asked(g)[2][0].peer
 
@@ -223,7 +240,7 @@
         "cold_ns": 10**6 * SECOND,
         "cold_multiple": 2.0,
         "cold_window_ns": 3 * SECOND,
-        "plans": [i.PlanSpec("p", rate=1e6, burst=1e6)],
+        "plans": [CustomerPlan("p", rate=1e6, burst=1e6)],
     }
     got = sent = 0
     for me in range(WIDE):
@@ -234,41 +251,43 @@
             g.tick(after=SECOND // 2)
             rid, acts = g.ask(cls=1, units=2.0)
             sent, got = sent + 1, got + sum(b > 30 for b in sends(acts))
-            g.outcome(rid, 0, sends(acts)[0], i.Result.OK, after=0, latency=50 * MS)
+            g.outcome(rid, 0, sends(acts)[0], AttemptResult.OK, after=0, latency=50 * MS)
     due = 15 / 45  # by what they can do
     assert 0.6 * due < got / sent <= 1.1 * due
 
 
 def test_one_refused_connection_turns_every_class_away_and_costs_no_credit():
-    g = gateway(backends=4, plans=[i.PlanSpec("p", rate=1e6, burst=1e6)], max_attempts=4)
+    g = gateway(backends=4, plans=[CustomerPlan("p", rate=1e6, burst=1e6)], max_attempts=4)
     g.policy.credit, seen = 0.0, set()
     rid, acts = g.ask(cls=0)
     for attempt in range(3):  # three of four don't listen any more, and no further attempt was earned
         seen.add(sends(acts)[0])
-        acts = g.outcome(rid, attempt, sends(acts)[0], i.Result.CONNECT_FAILED, latency=0)
+        acts = g.outcome(rid, attempt, sends(acts)[0], AttemptResult.CONNECT_FAILED, latency=0)
     last = sends(acts)[0]
     assert len(seen) == 3 and last not in seen
-    g.outcome(rid, 3, last, i.Result.OK)
+    g.outcome(rid, 3, last, AttemptResult.OK)
     assert {sends(g.ask(cls=1 + k % 2)[1])[0] for k in range(12)} == {last}
 
 
 def test_a_peers_word_of_a_refused_connection_counts_for_every_class():
-    g = gateway(backends=2, plans=[i.PlanSpec("p", rate=1e6, burst=1e6)])
+    g = gateway(backends=2, plans=[CustomerPlan("p", rate=1e6, burst=1e6)])
     name = g.policy.servers[1].name
     for _ in range(4):
-        g.feed(i.PeerMessage(3, 1, [], [], [i.Doubt(name, EVERY, 1.0), i.Doubt(name, EVERY - 1, 1.0)]))
+        g.feed(
+            GossipReceived(3, 1, [], [], [ErrorSample(name, EVERY, 1.0), ErrorSample(name, EVERY - 1, 1.0)])
+        )
     assert {sends(g.ask(cls=k % 3)[1])[0] for k in range(12)} == {2}
 
 
 def test_words_of_peers_do_not_end_the_learning_of_the_calm_time():
     g = gateway()
     for _ in range(200):
-        g.feed(i.PeerMessage(3, 1, [], g.policy.figures()))
+        g.feed(GossipReceived(3, 1, [], g.policy.figures()))
     assert g.policy.calm_ns == [float("inf")] * 3 and g.policy.seen == [0] * 3
 
 
 def test_a_plan_with_a_ceiling_is_served_at_the_start_of_a_tier_that_nobody_hears():
-    plan = i.PlanSpec(
+    plan = CustomerPlan(
         "plus", rate=7.0, burst=24.0, over_cost=1.0, ceiling_rate=12.0, ceiling_burst=39.0, ceiling_slack=6.0
     )
     let_in = 0.0
@@ -280,19 +299,19 @@
 
 def test_a_cold_backend_gets_its_part_among_many_warm_ones():
     over = {"cold_share": 0.5, "cold_ns": 1000 * SECOND, "cold_multiple": 4.0, "cold_window_ns": SECOND}
-    g = gateway(backends=0, plans=[i.PlanSpec("p", rate=1e6, burst=1e6)], **over)
+    g = gateway(backends=0, plans=[CustomerPlan("p", rate=1e6, burst=1e6)], **over)
     g.list([backend(n) for n in range(1, 31)] + [backend(99, started=g.now)])
     got = 0
     for _ in range(600):  # 3 a second on 30 warm ones: a cold one is due about 0.06 of them
         g.policy.done_rate, g.policy.good = 3.0, 30.5
         rid, acts = g.ask(cls=1, after=SECOND // 3)
         got += sends(acts).count(99)
-        g.outcome(rid, 0, sends(acts)[0], i.Result.OK, after=0, latency=50 * MS)
+        g.outcome(rid, 0, sends(acts)[0], AttemptResult.OK, after=0, latency=50 * MS)
     assert 5 <= got <= 30
 
 
 def test_one_late_answer_does_not_keep_a_backend_out_for_good():
-    g = gateway(plans=[i.PlanSpec("p", rate=1e6, burst=1e6)])
+    g = gateway(plans=[CustomerPlan("p", rate=1e6, burst=1e6)])
     g.policy.touch(g.policy.servers[1]).slowness = 5.0
     for _ in range(40):
         g.tick(after=SECOND)
@@ -301,41 +320,41 @@
 
 def test_many_words_add_up_and_good_ones_outvote_a_bad_path():
     g = gateway()
-    bad, good = i.Doubt(name(1), 1, 1.0), i.Doubt(name(1), 1, 0.0)
+    bad, good = ErrorSample(name(1), 1, 1.0), ErrorSample(name(1), 1, 0.0)
     for peer in range(3, 9):
-        g.feed(i.PeerMessage(peer, 5, [], [], [bad]))
+        g.feed(GossipReceived(peer, 5, [], [], [bad]))
     assert g.policy.servers[1].doubt[1] > 0.7
     for _ in range(10):  # one gateway can't reach it, nine can
-        g.feed(i.PeerMessage(3, 5, [], [], [bad]))
+        g.feed(GossipReceived(3, 5, [], [], [bad]))
         for peer in range(4, 13):
-            g.feed(i.PeerMessage(peer, 5, [], [], [good]))
+            g.feed(GossipReceived(peer, 5, [], [], [good]))
     assert g.policy.servers[1].doubt[1] < 0.1
 
 
 def test_own_samples_are_told_good_or_bad_and_not_for_long():
-    g = gateway(plans=[i.PlanSpec("p", rate=1e6, burst=1e6)])
-    relay = only(g.ask(spread=WIDE)[1], i.Tell)[0].peer
+    g = gateway(plans=[CustomerPlan("p", rate=1e6, burst=1e6)])
+    relay = only(g.ask(spread=WIDE)[1], SendGossip)[0].peer
     for k in range(4):
         rid, acts = g.ask(cls=1, customer=1)
-        result = i.Result.ERROR if k == 3 else i.Result.OK
+        result = AttemptResult.ERROR if k == 3 else AttemptResult.OK
         g.outcome(rid, 0, sends(acts)[0], result, latency=40 * MS)
-    doubts = only(g.ask(spread=WIDE)[1], i.Tell)[0].doubts
+    doubts = only(g.ask(spread=WIDE)[1], SendGossip)[0].doubts
     assert relay >= 0 and len(doubts) == 4 and [d.value == 1.0 for d in doubts] == [False] * 3 + [True]
     for _ in range(5):
         g.tick(after=SECOND)
-    assert not only(g.ask(spread=WIDE)[1], i.Tell)[0].doubts
+    assert not only(g.ask(spread=WIDE)[1], SendGossip)[0].doubts
 
 
 def test_backends_that_are_doubted_do_not_count_in_the_budget():
-    g = gateway(plans=[i.PlanSpec("p", rate=1e6, burst=1e6)])
+    g = gateway(plans=[CustomerPlan("p", rate=1e6, burst=1e6)])
     for leaf, units in zip(g.policy.leaves, (30.0, 10.0), strict=False):
         leaf.sent = units  # three of four units are of the first class
     for peer in range(3, 9):
-        bad = [i.Doubt(name(n), 0, 1.0) for n in (1, 2)] + [i.Doubt(name(3), 1, 1.0)]
-        g.feed(i.PeerMessage(peer, 5, [], [], bad))
+        bad = [ErrorSample(name(n), 0, 1.0) for n in (1, 2)] + [ErrorSample(name(3), 1, 1.0)]
+        g.feed(GossipReceived(peer, 5, [], [], bad))
     g.tick(after=MS)
     assert abs(g.policy.good - (8 - 2 * 0.75 - 0.25)) < 0.01
     for peer in range(3, 9):  # when all look bad, none is believed to be
-        g.feed(i.PeerMessage(peer, 5, [], [], [i.Doubt(name(n), 0, 1.0) for n in range(1, 9)]))
+        g.feed(GossipReceived(peer, 5, [], [], [ErrorSample(name(n), 0, 1.0) for n in range(1, 9)]))
     g.tick(after=MS)
     assert g.policy.good > 7.7
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -8,7 +8,14 @@
 
 import pytest
 
-from zincstile.decisions import messages as i
+from zincstile.decisions.messages import (
+    CloseIdleConnections,
+    CustomerUsage,
+    ErrorSample,
+    ForwardRequest,
+    SendGossip,
+)
+from zincstile.decisions.settings import CustomerPlan, RequestClass, Settings
 from zincstile.simulator import codec
 
 ROOT = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
@@ -130,11 +137,11 @@
 
 def test_peer_messages_survive_the_trip_and_damage_is_dropped():
     shares = [
-        i.Share(2**33 - k, 0, 12.5 + k, -1.25, k, want=-2.5, mark=65535 - k, answer=k % 2 == 0)
+        CustomerUsage(2**33 - k, 0, 12.5 + k, -1.25, k, want=-2.5, mark=65535 - k, answer=k % 2 == 0)
         for k in range(40)
     ]
-    figures, doubts = [0.5, 2.0, 1024.0], [i.Doubt(2**16 - 1, 5, 1.0), i.Doubt(7, 0, 0.0)]
-    messages = codec.pack_tell(i.Tell(2, 4_000_000_000, shares, figures, doubts))
+    figures, doubts = [0.5, 2.0, 1024.0], [ErrorSample(2**16 - 1, 5, 1.0), ErrorSample(7, 0, 0.0)]
+    messages = codec.pack_tell(SendGossip(2, 4_000_000_000, shares, figures, doubts))
     assert all(len(m) <= 256 for m in messages)
     back = [codec.unpack_tell(2, m) for m in messages]
     assert [s for b in back for s in b.shares] == shares
@@ -152,11 +159,11 @@
 def test_settings_name_the_field_that_cannot_work():
     ok = codec.read_settings(json.dumps(SETTINGS).encode())
     with pytest.raises(ValueError, match="classes"):
-        i.Settings(me=0, gateways=1, classes=[], plans=ok.plans)
+        Settings(me=0, gateways=1, classes=[], plans=ok.plans)
     with pytest.raises(ValueError, match="me"):
-        i.Settings(me=3, gateways=3, classes=ok.classes, plans=ok.plans)
+        Settings(me=3, gateways=3, classes=ok.classes, plans=ok.plans)
     with pytest.raises(ValueError, match="rate"):
-        i.Settings(me=0, gateways=1, classes=ok.classes, plans=[i.PlanSpec("p", rate=-1.0)])
+        Settings(me=0, gateways=1, classes=ok.classes, plans=[CustomerPlan("p", rate=-1.0)])
 
 
 @pytest.mark.parametrize("figure", [float("nan"), float("inf"), -1.0])
@@ -165,10 +172,10 @@
     spec = vars_of(ok.classes[0])
     for key in ("aim_ns", "worth", "late_worth"):
         with pytest.raises(ValueError, match=key):
-            i.Settings(me=0, gateways=1, plans=ok.plans, classes=[i.ClassSpec(**(spec | {key: figure}))])
+            Settings(me=0, gateways=1, plans=ok.plans, classes=[RequestClass(**(spec | {key: figure}))])
     for key in ("peer_in_per_s", "largest_units", "cold_ns", "cold_multiple", "cold_share", "max_attempts"):
         with pytest.raises(ValueError, match=key):
-            i.Settings(me=0, gateways=1, plans=ok.plans, classes=ok.classes, **{key: figure})
+            Settings(me=0, gateways=1, plans=ok.plans, classes=ok.classes, **{key: figure})
 
 
 def vars_of(record):
@@ -177,8 +184,8 @@
 
 def test_a_close_goes_out_before_the_send_after_it():
     reply, number = codec.Reply(4), int.from_bytes(BACKEND, "little")
-    reply.add(3, i.Close(number))
-    reply.add(3, i.Send(9, number, 77))
+    reply.add(3, CloseIdleConnections(number))
+    reply.add(3, ForwardRequest(9, number, 77))
     size, count, batch = struct.unpack_from("<III", reply.data())
     assert (count, batch) == (3, 4)
     body = reply.data()[12:]
--- a/zincstile/cold_start/policy.py
+++ b/zincstile/cold_start/policy.py
@@ -9,8 +9,9 @@
 import random
 from dataclasses import dataclass
 
-from ..decisions import messages as i
+from ..decisions.messages import AttemptOutcome, AttemptResult, LogMessage, Started, StateInherited
 from ..decisions.policy import Policy
+from ..decisions.settings import Settings
 from ..decisions.state import Attempt, Live, Server
 from .opening import Opening
 from .settings import StartSettings
@@ -26,18 +27,18 @@
 
     start_settings: StartSettings
 
-    def __init__(self, settings: i.Settings, seed: int, *more: object) -> None:
+    def __init__(self, settings: Settings, seed: int, *more: object) -> None:
         super().__init__(settings, seed, *more)
         self.opening: Opening | None = Opening(
             self.start_settings, settings.gateways, settings.largest_units, random.Random(f"opening {seed}")
         )
 
-    def on_started(self, now: int, event: i.Started) -> None:
+    def on_started(self, now: int, event: Started) -> None:
         self.opening.begin(now)
         super().on_started(now, event)
 
-    def on_inherited(self, now: int, event: i.Inherited) -> None:
-        super().on_inherited(now, event)
+    def on_state_inherited(self, now: int, event: StateInherited) -> None:
+        super().on_state_inherited(now, event)
         if self.opening is not None:  # the old process of this gateway knew what the back end bears
             self.opening.known(self.done_rate)
 
@@ -53,9 +54,9 @@
             paced.took(live.ask.units)
         return server
 
-    def _learn(self, now: int, e: i.Outcome, attempt: Attempt) -> None:
+    def _learn(self, now: int, e: AttemptOutcome, attempt: Attempt) -> None:
         super()._learn(now, e, attempt)
-        if self.opening is not None and e.result is i.Result.OK:
+        if self.opening is not None and e.result is AttemptResult.OK:
             # a cold server takes the longer without being pressed
             took_ns = e.latency_ns * self._warmth(now, attempt.server)
             self.opening.answered(attempt.units, took_ns <= attempt.bound_ns)
@@ -72,7 +73,9 @@
     def _open(self, now: int, why: str) -> None:
         after, refused = (now - self.start_ns) // 1_000_000, self.opening.refused
         self.acts.append(
-            i.Log(f"start admission is open after {after} ms, {why}; {refused} tries turned away by the pace")
+            LogMessage(
+                f"start admission is open after {after} ms, {why}; {refused} tries turned away by the pace"
+            )
         )
         self.opening = None
 
--- a/zincstile/decisions/deferred_admission.py
+++ b/zincstile/decisions/deferred_admission.py
@@ -11,8 +11,8 @@
 from abc import ABC, abstractmethod
 from enum import Enum
 
-from . import messages as i
 from .policy import KINDS, Policy
+from .settings import Settings
 from .state import Customer, Live
 
 ASKED = 1  # `policy`'s kind of timer for a try that waits
@@ -31,7 +31,7 @@
 
     held_ns: int
 
-    def __init__(self, settings: i.Settings, seed: int) -> None:
+    def __init__(self, settings: Settings, seed: int) -> None:
         super().__init__(settings, seed)
         self.held: dict[int, dict[int, Live]] = {}  # customer: tries that wait
 
--- a/zincstile/decisions/policy.py
+++ b/zincstile/decisions/policy.py
@@ -11,10 +11,29 @@
 from bisect import bisect
 from collections import deque
 
-from . import messages as i
 from . import slow_start
 from .budget_split import split
-from .messages import Effect, RefusedFor, Result
+from .messages import (
+    AttemptOutcome,
+    AttemptResult,
+    CloseIdleConnections,
+    CustomerUsage,
+    EndpointList,
+    EndpointListKind,
+    ErrorSample,
+    FailRequest,
+    ForwardRequest,
+    GossipReceived,
+    RejectionReason,
+    RejectRequest,
+    Request,
+    RequestAbandoned,
+    SendGossip,
+    Started,
+    TimerFired,
+    WatchEndpoints,
+)
+from .settings import CustomerPlan, DeduplicationScope, Idempotency, Settings
 from .state import LEVEL, Attempt, Customer, Live, Memory, Server, scatter
 
 SECOND = 1_000_000_000
@@ -50,17 +69,20 @@
 CREDIT, CREDIT_MAX = 0.1, 4.0  # further attempts earned by each request sent, and how many can be saved up
 SAFELY, COLD_LEAST = 0.5, 4  # of the ceiling's slack; a cold one's first rate
 GUARD, ASKED, TICK, FLUSH, KINDS = 0, 1, 2, 3, 4  # timer kinds, and their number
-FAULTS, EVERY = (Result.ERROR, Result.RESET), 255  # a doubt of every class
+FAULTS, EVERY = (AttemptResult.ERROR, AttemptResult.RESET), 255  # a doubt of every class
 KEPT, OPENED, BUSY = 0, 1, 2  # the connection of an attempt: rested and kept, new, heard of lately
-COSTS = {Result.FULL: 0.0, Result.CONNECT_FAILED: 0.0, Result.STALE: 0.5}  # of credit: two cost no work there
+COSTS = {  # of credit: two cost no work there
+    AttemptResult.REJECTED: 0.0, AttemptResult.CONNECT_FAILED: 0.0, AttemptResult.STALE_CONNECTION: 0.5}
 STALE = 0.01  # part of the attempts that ends so from which what may not run again gets a new connection
-NEVER_RAN = (Result.FULL, Result.CONNECT_FAILED, Result.MOOT)
+HEARD = (AttemptResult.OK, AttemptResult.ERROR, AttemptResult.REJECTED, AttemptResult.MALFORMED)
+SINGLE = (AttemptResult.MALFORMED, AttemptResult.STALE_CONNECTION)
+NEVER_RAN = (AttemptResult.REJECTED, AttemptResult.CONNECT_FAILED, AttemptResult.NOT_SENT)
 
 
 class Policy(Memory):
     """The decisions of one gateway: feed it events in order, carry out the actions it returns."""
 
-    def __init__(self, settings: i.Settings, seed: int) -> None:
+    def __init__(self, settings: Settings, seed: int) -> None:
         super().__init__()
         self.set, self.tier = settings, settings.gateways  # tier: among how many a budget is shared out
         self.rng = random.Random(seed)
@@ -69,9 +91,8 @@
         told = min(DIRECT, settings.gateways - 1)
         self.period_ns = int(SECOND * told / max(1.0, INTAKE * settings.peer_in_per_s))
         self.level = math.inf  # units out per good server that the budget aims at
-        self.credit = CREDIT_MAX
-        self.wait_ns = settings.max_retry_after_ns
-        self.fresh: deque[tuple[int, i.Doubt]] = deque(maxlen=TOLD)  # last own samples of backends
+        self.credit, self.wait_ns = CREDIT_MAX, settings.max_retry_after_ns
+        self.fresh: deque[tuple[int, ErrorSample]] = deque(maxlen=TOLD)  # last own samples of backends
         self.usual = [0.0] * len(settings.classes) * (1 + len(settings.plans))
         self.cut_every_ns = AIM_SHARE * min(c.aim_ns for c in settings.classes)  # late answers show by then
         self.calm_ns, self.seen = [math.inf] * len(settings.classes), [0] * len(settings.classes)
@@ -79,19 +100,19 @@
         self.plant([[[c.worth * p.price * (p.over_worth if beyond else 1.0) for p in settings.plans]
                      for c in settings.classes] for beyond in (False, True)])
 
-    def on_started(self, now: int, _: i.Started) -> None:
+    def on_started(self, now: int, _: Started) -> None:
         self.start_ns = self.spent_ns = self.tick_ns = self.beat_ns = now
         self.timer(now + TICK_NS, TICK)
         if self.set.ask_for_list:
-            self.acts.append(i.Watch())
+            self.acts.append(WatchEndpoints())
         self._flush(now, beat=True)
 
-    def on_backend_list(self, now: int, event: i.BackendList) -> None:
-        if event.kind is i.ListKind.FAILED and self.set.ask_for_list:
-            self.acts.append(i.Watch())
+    def on_endpoint_list(self, now: int, event: EndpointList) -> None:
+        if event.kind is EndpointListKind.FAILED and self.set.ask_for_list:
+            self.acts.append(WatchEndpoints())
         self.follow_list(now, event)
 
-    def on_timer(self, now: int, event: i.Timer) -> None:
+    def on_timer_fired(self, now: int, event: TimerFired) -> None:
         number, kind = event.token // KINDS, event.token % KINDS
         live = self.live.get(number)
         if kind == TICK:
@@ -106,7 +127,7 @@
                 self._seek(now, live)
         elif kind == GUARD:
             for live in self.overdue(now, GUARD):
-                self.acts.append(i.Fail(live.ask.id))
+                self.acts.append(FailRequest(live.ask.id))
                 self.close(live, self.set.cancel)
 
     def _tick(self, now: int) -> None:
@@ -147,7 +168,7 @@
         one with a bad path is outvoted. Slowness is not told: all would herd onto whom all think quick."""
         self._observe(a.server, group, bad, weight)
         self.broken[a.connection] += SMOOTH * (bad - self.broken[a.connection])
-        self.fresh.append((now, i.Doubt(a.server.name, group, bad)))
+        self.fresh.append((now, ErrorSample(a.server.name, group, bad)))
 
     def _observe(self, s: Server, group: int, bad: float, weight: float) -> None:
         """Guards against learning class by class that nobody listens there."""
@@ -257,7 +278,7 @@
         full = c.level + plan.rate * idle_s / c.spread >= plan.burst
         return not c.open and idle_s > (IDLE_S if full and not c.wide else FORGET_NS / SECOND)
 
-    def _meet(self, c: Customer, ask: i.Request) -> None:
+    def _meet(self, c: Customer, ask: Request) -> None:
         """A customer's first request here. All of a small set are told of it, the relay of a wide one."""
         c.known, c.spread, c.used_ns = True, min(max(1, ask.spread), self.set.gateways), self.spent_ns
         plan, row = self.set.plans[c.plan], [(ask.first + k) % self.set.gateways for k in range(c.spread)]
@@ -296,7 +317,7 @@
                                  share * (level + c.untold) - c.untold >= units * self.rng.random())
         return room and out < plan.open_limit
 
-    def _ceiling_part(self, now: int, c: Customer, plan: i.PlanSpec) -> float:
+    def _ceiling_part(self, now: int, c: Customer, plan: CustomerPlan) -> float:
         """Rule 5: this gateway's part of the ceiling, by recent use. The parts sum up to one where all know
         the same, and are even as soon as a peer of the customer is unheard for more than a beat. Guards
         against refusing inside the quota at the gateway that a customer mostly uses. Views differ for as
@@ -315,20 +336,20 @@
             self.flushing = True
             self.timer(max(now, self.flush_ns + self.period_ns), FLUSH)
 
-    def _tell(self, peer: int, shares: list[i.Share], figures: bool = False) -> None:
+    def _tell(self, peer: int, shares: list[CustomerUsage], figures: bool = False) -> None:
         """With an ask, its answer and a beat go the last own samples of backends."""
         if self.set.peers and peer != self.set.me:
             doubts = [d for at, d in self.fresh if (figures or not shares) and self.tick_ns - at < FRESH_NS]
-            self.acts.append(i.Tell(peer, self.start, shares, self.figures() if figures else [], doubts))
+            self.acts.append(SendGossip(peer, self.start, shares, self.figures() if figures else [], doubts))
 
-    def _share(self, c: Customer, want: float = 0.0, mark: int = -1) -> i.Share:
+    def _share(self, c: Customer, want: float = 0.0, mark: int = -1) -> CustomerUsage:
         heard = not c.wide or c.filled_ns - c.word_ns < SILENCE_NS  # else the own level says nothing
         level = c.level if heard else self.set.plans[c.plan].burst
-        return i.Share(c.key, c.plan, c.total, level, c.open, want, c.mark if mark < 0 else mark)
+        return CustomerUsage(c.key, c.plan, c.total, level, c.open, want, c.mark if mark < 0 else mark)
 
     def _flush(self, now: int, beat: bool = False) -> None:
         """Tells what has changed to those whom it concerns; a beat goes to all that are told directly."""
-        notes: dict[int, list[i.Share]] = {p: [] for p in self.near} if beat else {}
+        notes: dict[int, list[CustomerUsage]] = {p: [] for p in self.near} if beat else {}
         for c in self.dirty.values():
             c.untold = 0.0
             for p in [self._relay(now, c)] if c.wide else c.told:
@@ -338,7 +359,7 @@
             self._tell(p, shares)
         self.dirty, self.flush_ns = {}, now
 
-    def on_peer_message(self, now: int, event: i.PeerMessage) -> None:
+    def on_gossip_received(self, now: int, event: GossipReceived) -> None:
         sender = event.sender
         if sender >= self.set.gateways or any(s.plan >= len(self.set.plans) for s in event.shares):
             return
@@ -368,13 +389,14 @@
         if event.figures:
             self._blend(event.figures)
 
-    def _grant(self, now: int, sender: int, s: i.Share, c: Customer) -> None:
+    def _grant(self, now: int, sender: int, s: CustomerUsage, c: Customer) -> None:
         """A relay's answer. What it grants leaves its store at once, so two that ask together get it once."""
         granted = self._inside(c, s.want)
         if granted:
             c.grant(sender, s, now, TOTALS)
         want = s.want if granted else -s.want
-        self._tell(sender, [i.Share(s.customer, s.plan, 0.0, c.level, 0, want, s.mark, True)], figures=True)
+        answer = CustomerUsage(s.customer, s.plan, 0.0, c.level, 0, want, s.mark, True)
+        self._tell(sender, [answer], figures=True)
 
     def _ask(self, now: int, live: Live) -> bool:
         """Where the set is wide no word is fresh: the request waits for the relay's, some milliseconds."""
@@ -387,7 +409,7 @@
         self.timer(now + ASK_NS, live.ask.id * KINDS + ASKED)
         return True
 
-    def _answered(self, now: int, s: i.Share, c: Customer) -> None:
+    def _answered(self, now: int, s: CustomerUsage, c: Customer) -> None:
         live = self.asked.pop(s.mark, None)
         if live is None or live.customer is not c or live.ask.id not in self.live or live.leaf:
             return
@@ -409,7 +431,7 @@
         if idle or not self._ask(now, live):
             self._decide(now, live, not spent and self._inside(c, ask.units))
 
-    def on_request(self, now: int, ask: i.Request) -> None:
+    def on_request(self, now: int, ask: Request) -> None:
         if not self.begun:
             self._begin(now)
         c = self.customer(ask.customer, ask.plan, self.set.plans[ask.plan].burst, now)
@@ -429,9 +451,9 @@
         part = self._ceiling_part(now, c, plan)
         c.fill_ceiling(now, plan.ceiling_rate * part, plan.ceiling_burst * part)
         capped = plan.ceiling_rate > 0 and c.ceiling + SAFELY * plan.ceiling_slack / c.spread < ask.units
-        server, why = None, RefusedFor.CEILING if capped else RefusedFor.QUOTA
+        server, why = None, RejectionReason.CEILING if capped else RejectionReason.QUOTA
         if not capped and (inside or plan.over_worth > plan.over_cost):
-            why = RefusedFor.NO_SERVER if live.draw < leaf.rate else RefusedFor.BUDGET
+            why = RejectionReason.NO_ENDPOINT if live.draw < leaf.rate else RejectionReason.BUDGET
             leaf.arrived += ask.units
             self.met += 1
             self.mean_units += max(FLEET, 1 / self.met) * (ask.units - self.mean_units)
@@ -439,7 +461,7 @@
         if inside and counted != (server is not None):  # sent and not yet counted, or counted and not sent
             self._spend(now, c, -ask.units if counted else ask.units)
         if server is None:
-            self.acts.append(i.Refuse(ask.id, self._come_back_ns(live), why))
+            self.acts.append(RejectRequest(ask.id, self._come_back_ns(live), why))
             self.close(live, self.set.cancel)
             return
         leaf.sent += ask.units
@@ -484,7 +506,8 @@
 
     def _may(self, live: Live, s: Server) -> bool:
         """Rule 2: a keyed request that may have run stays where its repeats are dropped."""
-        group = live.spec.group if live.ran and live.spec.effect is Effect.KEYED else i.Group.ALL
+        keyed = live.ran and live.spec.effect is Idempotency.BY_KEY
+        group = live.spec.group if keyed else DeduplicationScope.ALL
         return s not in live.tried and (not live.ran or s.within(group) == live.ran.within(group))
 
     def _send(self, now: int, live: Live, server: Server) -> None:
@@ -494,9 +517,10 @@
         self.launch(live, Attempt(server, now, live.due_ns, ask.units, bound, ask.cls, ask.plan,
                                   self._connection(now, server)))
         # Guards what may not run again against kept connections, where those end beneath requests
-        fresh = spec.effect is not Effect.SAFE and self.stale > STALE
-        by_ns = live.ran_ns + spec.window_ns if live.ran and spec.effect is Effect.KEYED else live.until_ns
-        self.acts.append(i.Send(ask.id, server.info.id, live.until_ns, fresh, by_ns))
+        fresh = spec.effect is not Idempotency.ALWAYS and self.stale > STALE
+        keyed = live.ran and spec.effect is Idempotency.BY_KEY
+        by_ns = live.ran_ns + spec.window_ns if keyed else live.until_ns
+        self.acts.append(ForwardRequest(ask.id, server.info.id, live.until_ns, fresh, by_ns))
 
     def _connection(self, now: int, server: Server) -> int:
         """Guards against paths that forget a resting connection and what is sent on it: where kept ones fail
@@ -505,11 +529,11 @@
             return BUSY
         if server.heard_ns > 0 and self.broken[KEPT] <= self.broken[OPENED] + WORSE:
             return KEPT
-        self.acts.append(i.Close(server.info.id))
+        self.acts.append(CloseIdleConnections(server.info.id))
         server.heard_ns = now
         return OPENED
 
-    def on_outcome(self, now: int, e: i.Outcome) -> None:
+    def on_attempt_outcome(self, now: int, e: AttemptOutcome) -> None:
         attempt, live = self.settle(e.request, e.attempt), self.live.get(e.request)
         if attempt:
             self._learn(now, e, attempt)
@@ -517,7 +541,7 @@
             return
         if live.plan.open_limit:
             self._spend(now, live.customer, 0.0)  # to tell what is out
-        if e.finished and e.result is Result.OK:
+        if e.finished and e.result is AttemptResult.OK:
             self._earn(now, live, e)
         if e.finished:
             self.close(live, self.set.cancel)
@@ -526,30 +550,30 @@
         if live.out == 0 and not e.finished:
             self._again(now, live, COSTS.get(e.result, 1.0))
 
-    def _learn(self, now: int, e: i.Outcome, attempt: Attempt) -> None:
+    def _learn(self, now: int, e: AttemptOutcome, attempt: Attempt) -> None:
         server, ratio = attempt.server, e.latency_ns / attempt.due_ns
-        if e.result in (Result.OK, Result.ERROR, Result.FULL, Result.SPOILT):
+        if e.result in HEARD:
             server.heard_ns = now
-        timed = e.result in (Result.OK, Result.TIMEOUT)
-        if timed or (e.result is Result.CANCELLED and ratio > 1):
+        timed = e.result in (AttemptResult.OK, AttemptResult.TIMEOUT)
+        if timed or (e.result is AttemptResult.CANCELLED and ratio > 1):
             self.touch(server).slowness += SMOOTH * (min(ratio, SLOWEST) - server.slowness)
-        if e.result is Result.FULL:  # that backend's word on one class and plan, not the fleet's
+        if e.result is AttemptResult.REJECTED:  # that backend's word on one class and plan, not the fleet's
             self._sample(now, attempt, self.set.pair(attempt.cls, attempt.plan), 1.0, SURE)
-        elif e.result is Result.CONNECT_FAILED:
+        elif e.result is AttemptResult.CONNECT_FAILED:
             self._sample(now, attempt, EVERY, 1.0, CERTAIN)
         elif e.result in FAULTS:
             self._sample(now, attempt, attempt.cls, 1.0, SURE)
-        elif e.result in (Result.SPOILT, Result.STALE):  # one alone is no reason to leave that backend
+        elif e.result in SINGLE:  # one alone is no reason to leave that backend
             self._sample(now, attempt, attempt.cls, 1.0, SMOOTH)
         elif timed:
             self._sample(now, attempt, attempt.cls, min(1.0, max(0.0, ratio / PATIENCE - 1)), SMOOTH)
-        self.stale += FLEET * ((e.result is Result.STALE) - self.stale)
-        if e.result is Result.OK:
+        self.stale += FLEET * ((e.result is AttemptResult.STALE_CONNECTION) - self.stale)
+        if e.result is AttemptResult.OK:
             self.done_units += attempt.units
         if timed and not attempt.late:
-            self._press(e.latency_ns, attempt, silent=e.result is Result.TIMEOUT)
+            self._press(e.latency_ns, attempt, silent=e.result is AttemptResult.TIMEOUT)
 
-    def _earn(self, now: int, live: Live, e: i.Outcome) -> None:
+    def _earn(self, now: int, live: Live, e: AttemptOutcome) -> None:
         spec, plan, ask = live.spec, live.plan, live.ask
         part = 1.0 if now - live.came_ns <= spec.aim_ns else spec.late_worth
         part *= 1.0 if live.inside else plan.over_worth
@@ -574,8 +598,8 @@
 
     def _further(self, now: int, live: Live, cost: float) -> bool:
         """A further attempt where the class allows one (rule 2) and the credit for it was earned."""
-        free = live.ran is None or live.spec.effect is Effect.SAFE
-        may = free or (live.spec.effect is Effect.KEYED and now - live.ran_ns < live.spec.window_ns)
+        free = live.ran is None or live.spec.effect is Idempotency.ALWAYS
+        may = free or (live.spec.effect is Idempotency.BY_KEY and now - live.ran_ns < live.spec.window_ns)
         more = may and len(live.tried) < self.set.max_attempts and self.credit >= cost
         server = self._choose(now, live) if more and live.until_ns - now > live.due_ns / 2 else None
         if server:
@@ -586,11 +610,11 @@
     def _again(self, now: int, live: Live, cost: float) -> None:
         """A further attempt, else the final answer."""
         if not self._further(now, live, cost):
-            free = live.ran is None or live.spec.effect is Effect.SAFE
-            refusal = i.Refuse(live.ask.id, self._come_back_ns(live), RefusedFor.NO_RETRY)
-            self.acts.append(refusal if free else i.Fail(live.ask.id))
+            free = live.ran is None or live.spec.effect is Idempotency.ALWAYS
+            refusal = RejectRequest(live.ask.id, self._come_back_ns(live), RejectionReason.NO_RETRY)
+            self.acts.append(refusal if free else FailRequest(live.ask.id))
             self.close(live, self.set.cancel)
 
-    def on_gone(self, now: int, event: i.Gone) -> None:
+    def on_request_abandoned(self, now: int, event: RequestAbandoned) -> None:
         if event.request in self.live:
             self.close(self.live[event.request], self.set.cancel)
--- a/zincstile/decisions/quota_bounds.py
+++ b/zincstile/decisions/quota_bounds.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from .messages import PlanSpec
+from .settings import CustomerPlan
 
 MINUTE_S = 60.0
 DIGITS = 1e-9  # what sums of floats are off by
@@ -37,7 +37,7 @@
         return self.burst + MINUTE_S * self.rate
 
 
-def of_plan(plan: PlanSpec, spread: int, largest: float) -> Quota:
+def of_plan(plan: CustomerPlan, spread: int, largest: float) -> Quota:
     """A plan's quota. Where nothing beyond it is let in and it has a ceiling, what passes it by mistake has
     to stay under that."""
     held = plan.over_worth <= plan.over_cost and plan.ceiling_rate >= plan.rate
--- a/zincstile/decisions/slow_start.py
+++ b/zincstile/decisions/slow_start.py
@@ -4,7 +4,7 @@
 
 from itertools import accumulate
 
-from .messages import Settings
+from .settings import Settings
 
 COLD_USE = 0.5  # of the multiple of its capacity by which a cold backend falls
 
--- a/zincstile/decisions/state.py
+++ b/zincstile/decisions/state.py
@@ -9,9 +9,22 @@
 from types import MappingProxyType
 from typing import Any, Final
 
-from . import messages as i
 from . import state_transfer
-from .messages import Backend, ClassSpec, PlanSpec, Request
+from .messages import (
+    Action,
+    CancelAttempt,
+    CustomerUsage,
+    EndpointEntry,
+    EndpointList,
+    EndpointListKind,
+    EndpointState,
+    Event,
+    Request,
+    SetTimer,
+    StateInherited,
+    StreamStarted,
+)
+from .settings import CustomerPlan, DeduplicationScope, RequestClass
 
 LEVEL = 8  # place of the level in figures(); the times per unit follow it
 SLOWNESS_EPSILON: Final = 0.001  # so near to 1 a slowness is 1: a hundredth of the chance in a choice
@@ -40,7 +53,7 @@
 class Server:
     """What is known of one backend. `Memory.touch` comes before any change of its doubt or slowness."""
 
-    info: Backend
+    info: EndpointEntry
     slowness: float = 1.0  # latency over what the fleet takes for the like
     doubt: dict[int, float] = field(default_factory=lambda: NO_DOUBT)  # by class, or class and plan
     out: int = 0  # attempts that are out at it
@@ -49,9 +62,13 @@
     position: int = 0  # its index there
     namesake: Server | None = field(default=None, repr=False)  # whose place among the named it took
 
-    def within(self, group: i.Group) -> int:
+    def within(self, group: DeduplicationScope) -> int:
         """Alike for those backends that drop each other's repeats."""
-        return {i.Group.ALL: 0, i.Group.ZONE: self.info.zone, i.Group.CELL: self.info.cell}[group]
+        return {
+            DeduplicationScope.ALL: 0,
+            DeduplicationScope.ZONE: self.info.zone,
+            DeduplicationScope.CELL: self.info.cell,
+        }[group]
 
     @property
     def name(self) -> int:
@@ -141,7 +158,9 @@
     open: int = 0
     peers: dict[int, Word] = field(default_factory=dict)
 
-    def merge(self, peer: int, start: int, s: i.Share, now: int, turn: int, flight_ns: int) -> float | None:
+    def merge(
+        self, peer: int, start: int, s: CustomerUsage, now: int, turn: int, flight_ns: int
+    ) -> float | None:
         """Units the peer sent since its last word by running totals modulo turn; None without such a word.
 
         What was granted counts as told. A repeated ask takes its grant back first; a total from before a
@@ -178,7 +197,7 @@
         self.theirs += max(0.0, units)
         self.level = max(self.level - units, min(self.level, least))
 
-    def grant(self, peer: int, s: i.Share, now: int, turn: int) -> None:
+    def grant(self, peer: int, s: CustomerUsage, now: int, turn: int) -> None:
         """Counts what the peer will send as told already."""
         word = self.peers[peer]
         word.total, word.open = (word.total + s.want) % turn, word.open + 1
@@ -194,8 +213,8 @@
     """A request that still owes its final answer."""
 
     ask: Request
-    spec: ClassSpec
-    plan: PlanSpec
+    spec: RequestClass
+    plan: CustomerPlan
     came_ns: int
     until_ns: int  # when it can earn nothing any more
     customer: Customer
@@ -216,7 +235,7 @@
     """All that one gateway remembers, and how it is kept."""
 
     def __init__(self) -> None:
-        self.acts: list[i.Action] = []
+        self.acts: list[Action] = []
         self.start_ns = self.tick_ns = self.flush_ns = self.cut_ns = self.beat_ns = 0
         self.spent_ns, self.begun = 0, False  # when ceilings were last spent, at most; a request has come
         self.servers: dict[int, Server] = {}
@@ -255,12 +274,12 @@
         self.tree: list[list[list[Leaf]]] = []
         self.leaves: list[Leaf] = []
 
-    def handle(self, now: int, event: i.Event) -> list[i.Action]:
+    def handle(self, now: int, event: Event) -> list[Action]:
         """Hands the event to the method that is named for its kind; unknown kinds are ignored. Changes of
         the list cost one sort, before whatever comes after them."""
         self.acts = []
         kind = type(event)
-        if self.sort_due and kind is not i.BackendList:
+        if self.sort_due and kind is not EndpointList:
             self.sort_if_due(now)
         if kind not in self.handlers:
             name = "on" + "".join("_" + c.lower() if c.isupper() else c for c in kind.__name__)
@@ -279,9 +298,9 @@
         self.tree = [[[Leaf(x) for x in row] for row in side] for side in priors]
         self.leaves = [leaf for side in self.tree for row in side for leaf in row]
 
-    def follow_list(self, now: int, event: i.BackendList) -> None:
+    def follow_list(self, now: int, event: EndpointList) -> None:
         """Applies a list or a change of it. The work grows with what is told, not with what is known."""
-        if event.kind in (i.ListKind.FULL, i.ListKind.CACHED):
+        if event.kind in (EndpointListKind.FULL, EndpointListKind.CACHED):
             told = {b.id for b in event.entries}
             for left_out in [s for key, s in self.servers.items() if key not in told]:
                 self._remove(left_out)
@@ -333,9 +352,9 @@
 
     def _place(self, s: Server) -> None:
         """Among the ready ones or not, by its mode. One with a known start is cold until the next sort."""
-        if s.info.mode is i.Mode.GONE:
+        if s.info.mode is EndpointState.REMOVED:
             self._remove(s)
-        elif s.info.mode is not i.Mode.READY:
+        elif s.info.mode is not EndpointState.READY:
             self._retire(s)
         elif s.members is None:
             s.join(self.cold if s.info.started_ns else self.warm)
@@ -384,7 +403,7 @@
             doubt = self.touch(s).doubt
             doubt[group] = doubt.get(group, 0.0) * (1 - weight) + weight * bad
 
-    def on_inherited(self, now: int, event: i.Inherited) -> None:
+    def on_state_inherited(self, now: int, event: StateInherited) -> None:
         state_transfer.take(self, now, event.table)
 
     def word(self, c: Customer, peer: int, start: int, total: float, open_: int, told_ns: int) -> Word:
@@ -463,7 +482,7 @@
             del self.customers[key]
 
     def timer(self, at: int, token: int) -> None:
-        self.acts.append(i.SetTimer(at, token))
+        self.acts.append(SetTimer(at, token))
 
     def guard(self, at: int, request: int, token: int) -> None:
         """Guards against a timer for each request: most end long before their deadline, so that one timer for
@@ -493,9 +512,9 @@
         live.customer.open -= live.out
         for number in range(len(live.tried)):
             if cancel and (live.ask.id, number) in self.attempts:
-                self.acts.append(i.Cancel(live.ask.id, number))
+                self.acts.append(CancelAttempt(live.ask.id, number))
 
-    def on_stream_started(self, _: int, event: i.StreamStarted) -> None:
+    def on_stream_started(self, _: int, event: StreamStarted) -> None:
         if event.request in self.live:
             self.live[event.request].stream = True
 
--- a/zincstile/leases/module.py
+++ b/zincstile/leases/module.py
@@ -12,10 +12,11 @@
 import random
 from dataclasses import dataclass, field
 
-from ..decisions import messages as i
 from ..decisions.deferred_admission import HeldPolicy, Paid
+from ..decisions.messages import CustomerUsage, GossipReceived, LogMessage, Request, Started, TimerFired
 from ..decisions.policy import SECOND
 from ..decisions.quota_bounds import DIGITS, Quota, of_plan
+from ..decisions.settings import CustomerPlan, Settings
 from ..decisions.state import Attempt, Customer, Live, Server
 from .bound import bounds
 from .judges import EVERY, Judges
@@ -58,7 +59,7 @@
 
     concentration = 1.0  # endpoints of the whole table for each one that this gateway uses
 
-    def __init__(self, settings: i.Settings, seed: int, shared: SharedSettings) -> None:
+    def __init__(self, settings: Settings, seed: int, shared: SharedSettings) -> None:
         super().__init__(settings, seed)
         self.shared, self.held_ns = shared, shared.held_ns
         self.draws = random.Random(f"shared {seed}")
@@ -77,14 +78,14 @@
         self.said_trouble = False
         self.strange = 0  # asks that don't fit what is known here
 
-    def on_started(self, now: int, event: i.Started) -> None:
+    def on_started(self, now: int, event: Started) -> None:
         """Builds what needs the start time, and begins to look about."""
         self.leases = LeaseManager(self.shared, self.set.me, self.process, now, self.draws)
         self.levels.life = now // LIFE_NS % 2**32  # a machine's clock goes on over its processes' starts
         super().on_started(now, event)
         self._look(now)
 
-    def on_timer(self, now: int, event: i.Timer) -> None:
+    def on_timer_fired(self, now: int, event: TimerFired) -> None:
         """The own timers, or one of the base module."""
         if event.token == LOOK:
             self._look(now)
@@ -94,7 +95,7 @@
             slow, self.leases.slow = list(self.leases.slow), {}
             self.try_held(now, slow)
         else:
-            super().on_timer(now, event)
+            super().on_timer_fired(now, event)
 
     def _look(self, now: int) -> None:
         """What goes by time, once a beat."""
@@ -109,7 +110,7 @@
         if self.judges.trouble is not self.said_trouble:
             self.said_trouble = self.judges.trouble
             self.acts.append(
-                i.Log(
+                LogMessage(
                     "shared this gateway is cut off from the back end"
                     if self.said_trouble
                     else "shared this gateway reaches the back end again"
@@ -250,7 +251,7 @@
         elif c.key in self.leases.purses:
             self.leases.charge(now, self.leases.purses[c.key], -units)
 
-    def _share(self, c: Customer, want: float = 0.0, mark: int = -1) -> i.Share:
+    def _share(self, c: Customer, want: float = 0.0, mark: int = -1) -> CustomerUsage:
         """The level that is told is what this gateway's own part holds: a hint for those that borrow."""
         found = super()._share(c, want, mark)
         account = self.leases.purses.get(c.key)
@@ -258,16 +259,16 @@
             found.level = account.own
         return found
 
-    def on_peer_message(self, now: int, event: i.PeerMessage) -> None:
+    def on_gossip_received(self, now: int, event: GossipReceived) -> None:
         """As the base module takes it, without suspicions, which come with their origin; levels are hints."""
         event.doubts = []  # judgements come with their origin, by `Evidence`
-        super().on_peer_message(now, event)
+        super().on_gossip_received(now, event)
         for s in event.shares:
             account = self.leases.purses.get(s.customer)
             if account is not None and event.sender < self.set.gateways:
                 self.leases.note_available(now, account, event.sender, s.level)
 
-    def _covers(self, plan: i.PlanSpec) -> bool:
+    def _covers(self, plan: CustomerPlan) -> bool:
         """The quota holds what goes out under the ceiling, whatever fails: it is lower by more than what may
         go out beyond it."""
         if not plan.rate or plan.over_worth > plan.over_cost or plan.ceiling_rate < plan.rate:
@@ -280,11 +281,11 @@
             if b.failure in self.shared.endured
         )
 
-    def _ceiling_part(self, now: int, c: Customer, plan: i.PlanSpec) -> float:
+    def _ceiling_part(self, now: int, c: Customer, plan: CustomerPlan) -> float:
         """All of it where the quota alone holds it; else an even part, whoever is heard."""
         return 1.0 if self.covered[c.plan] else 1 / c.spread
 
-    def _meet(self, c: Customer, ask: i.Request) -> None:
+    def _meet(self, c: Customer, ask: Request) -> None:
         super()._meet(c, ask)
         if self.covered[c.plan]:
             c.ceiling = self.set.plans[c.plan].ceiling_burst
--- a/zincstile/net/backend.py
+++ b/zincstile/net/backend.py
@@ -10,7 +10,18 @@
 import errno
 import math
 
-from ..decisions import messages as i
+from ..decisions.messages import (
+    AttemptOutcome,
+    AttemptResult,
+    CancelAttempt,
+    CheckHealth,
+    CloseIdleConnections,
+    EndpointEntry,
+    EndpointState,
+    ForwardRequest,
+    HealthCheckResult,
+)
+from ..decisions.settings import Settings
 from ..simulator.codec import FIELD_NAMES
 from . import resp
 from .backend_connection import Attempt, BackendConnection, BackendServer
@@ -21,45 +32,55 @@
 from .transient import is_lack
 from .turn import Turn
 
-Result = i.Result
 READ, WRITE = b"CALL.GET", b"CALL.POST"
 BUSY = b"BUSY"
 DENIALS = (BUSY, b"ERR failed")  # error lines after which the connection serves on
-COUNTERS = {r: r.name.lower() for r in Result}
+COUNTERS = {
+    AttemptResult.OK: "ok",
+    AttemptResult.ERROR: "error",
+    AttemptResult.REJECTED: "full",
+    AttemptResult.TIMEOUT: "timeout",
+    AttemptResult.CONNECT_FAILED: "connect_failed",
+    AttemptResult.RESET: "reset",
+    AttemptResult.CANCELLED: "cancelled",
+    AttemptResult.NOT_SENT: "moot",
+    AttemptResult.STALE_CONNECTION: "stale",
+    AttemptResult.MALFORMED: "spoilt",
+}
 RETRIES = {
-    Result.CONNECT_FAILED: RetryReason.CONNECT,
-    Result.FULL: RetryReason.FULL,
-    Result.MOOT: RetryReason.MOOT,
-    Result.ERROR: RetryReason.ERROR,
-    Result.RESET: RetryReason.BROKEN,
-    Result.STALE: RetryReason.BROKEN,
-    Result.TIMEOUT: RetryReason.TIMEOUT,
-    Result.SPOILT: RetryReason.SPOILT,
+    AttemptResult.CONNECT_FAILED: RetryReason.CONNECT,
+    AttemptResult.REJECTED: RetryReason.FULL,
+    AttemptResult.NOT_SENT: RetryReason.MOOT,
+    AttemptResult.ERROR: RetryReason.ERROR,
+    AttemptResult.RESET: RetryReason.BROKEN,
+    AttemptResult.STALE_CONNECTION: RetryReason.BROKEN,
+    AttemptResult.TIMEOUT: RetryReason.TIMEOUT,
+    AttemptResult.MALFORMED: RetryReason.SPOILT,
 }  # by how the attempt before ended
 
 
 class Backends:
     """All backend servers, their pools, and the attempts that are out."""
 
-    def __init__(self, turn: Turn, settings: i.Settings, buffer: memoryview) -> None:
+    def __init__(self, turn: Turn, settings: Settings, buffer: memoryview) -> None:
         self.turn, self.settings, self.buffer = turn, settings, buffer
-        self.listed: dict[int, tuple[i.Backend, tuple[str, int]]] = {}  # the endpoint table, as last told
+        self.listed: dict[int, tuple[EndpointEntry, tuple[str, int]]] = {}  # the endpoint table, as last told
         self.servers: dict[int, BackendServer] = {}  # of those listed, the ones that have a connection
         self.attempts: dict[tuple[int, int], Attempt] = {}
         self.connections: set[BackendConnection] = set()  # those on their way included
         self.resting: dict[BackendConnection, None] = {}  # of these, in the order in which they came to rest
         self.closing = False
         self._tasks: set[asyncio.Task] = set()
-        turn.carry_out[i.Send] = self._send
-        turn.carry_out[i.Cancel] = self._cancel
-        turn.carry_out[i.Probe] = self._probe
-        turn.carry_out[i.Close] = self._close
+        turn.carry_out[ForwardRequest] = self._send
+        turn.carry_out[CancelAttempt] = self._cancel
+        turn.carry_out[CheckHealth] = self._probe
+        turn.carry_out[CloseIdleConnections] = self._close
         turn.withdraw = self._take_back
         every(turn, turn.limits.idle_ns // 8, self._tend)
 
     # ---- the server table
 
-    def update(self, entries: list[tuple[i.Backend, tuple[str, int]]], whole: bool) -> None:
+    def update(self, entries: list[tuple[EndpointEntry, tuple[str, int]]], whole: bool) -> None:
         """A list, or a change of it. What is not connected to is only noted."""
         if whole:
             told = {b.id for b, _ in entries}
@@ -67,7 +88,7 @@
                 self._forget(number)
         for entry in entries:
             b, address = entry
-            if b.mode is i.Mode.GONE:
+            if b.mode is EndpointState.REMOVED:
                 self._forget(b.id)
                 continue
             self.listed[b.id] = entry
@@ -77,7 +98,7 @@
             if (server.address, server.started_ns) != (address, b.started_ns):
                 self._retire(server)  # another process: the old one's connections lead nowhere
                 continue
-            server.ready, server.backend = b.mode is i.Mode.READY, b
+            server.ready, server.backend = b.mode is EndpointState.READY, b
             if not server.ready:
                 self._withdraw(server)
 
@@ -98,7 +119,7 @@
         server = self.servers.get(number)
         if server is None:
             entry = self.listed.get(number)
-            if entry is None or entry[0].mode is not i.Mode.READY:
+            if entry is None or entry[0].mode is not EndpointState.READY:
                 return None
             listed, address = entry
             server = BackendServer(number, address, listed.started_ns, ready=True, backend=listed)
@@ -114,12 +135,12 @@
         """Guards rule 3: what still waits for a connection is not begun once the server drains or is gone,
         nor at a restarted one, which is cold."""
         for attempt in list(server.queued):
-            self.finish(attempt, Result.CONNECT_FAILED)
+            self.finish(attempt, AttemptResult.CONNECT_FAILED)
         self._close_resting(server)
 
     # ---- actions
 
-    def _send(self, now: int, action: i.Send) -> None:
+    def _send(self, now: int, action: ForwardRequest) -> None:
         session = self.turn.sessions.get(action.request) or self.turn.over.get(action.request)
         if session is None:
             return
@@ -127,7 +148,7 @@
         if session.over or session.frontend.gone():
             # Guards against an attempt that the module takes for out for good: the client left, or was
             # answered, in the very turn in which a further attempt was decided on.
-            self._report(session, number, action.backend, Result.MOOT, 0)
+            self._report(session, number, action.backend, AttemptResult.NOT_SENT, 0)
             return
         if number:
             self.turn.counters.retried(self._retry_reason(session))
@@ -161,7 +182,7 @@
     ) -> None:
         server = self._ready_server(backend) if by_ns > now else None
         if server is None:
-            self._report(session, number, backend, Result.MOOT, 0)
+            self._report(session, number, backend, AttemptResult.NOT_SENT, 0)
             return
         attempt = Attempt(session, number, server, now, until_ns, by_ns)
         if session is not None:
@@ -177,7 +198,7 @@
         if len(self.connections) >= self.turn.limits.backend_connections and not self._make_room():
             # Guards against running out of descriptors: it was never sent, and is nobody's fault over there.
             self.turn.log.often("full", f"{len(self.connections)} backend connections: no more for now")
-            self.finish(attempt, Result.MOOT)
+            self.finish(attempt, AttemptResult.NOT_SENT)
             self._release(server)
             return
         self._limit(attempt, min(by_ns, now + self.turn.limits.connect_ns))
@@ -187,7 +208,7 @@
         """The one place at which an attempt's first byte is written."""
         now, session = self.turn.now_ns(), attempt.session
         if not self.turn.guard.may_send(now, attempt):
-            self.finish(attempt, Result.MOOT)
+            self.finish(attempt, AttemptResult.NOT_SENT)
             self._rest(connection, settled=True)
             return
         if session is not None:
@@ -210,12 +231,12 @@
         """Not whole by now: it never ran, as the rest is never written."""
         attempt.deadline = None
         whole = attempt.begun and attempt.connection is not None and attempt.connection.whole
-        self.finish(attempt, Result.TIMEOUT if whole else Result.CONNECT_FAILED)
+        self.finish(attempt, AttemptResult.TIMEOUT if whole else AttemptResult.CONNECT_FAILED)
 
-    def _cancel(self, _: int, action: i.Cancel) -> None:
+    def _cancel(self, _: int, action: CancelAttempt) -> None:
         attempt = self.attempts.get((action.request, action.attempt))
         if attempt is not None:
-            self.finish(attempt, Result.CANCELLED)
+            self.finish(attempt, AttemptResult.CANCELLED)
 
     def _take_back(self, session: Session) -> None:
         """Guards against sending on what has had its final answer, or whose client has left, where the
@@ -224,13 +245,13 @@
         for number in range(session.attempts):
             attempt = self.attempts.get((session.id, number))
             if attempt is not None and (attempt.connection is None or not attempt.connection.whole):
-                self.finish(attempt, Result.CANCELLED)
+                self.finish(attempt, AttemptResult.CANCELLED)
 
-    def _probe(self, now: int, action: i.Probe) -> None:
+    def _probe(self, now: int, action: CheckHealth) -> None:
         until_ns = now + self.turn.limits.connect_ns
         self._launch(now, None, 0, action.backend, until_ns, until_ns)
 
-    def _close(self, _: int, action: i.Close) -> None:
+    def _close(self, _: int, action: CloseIdleConnections) -> None:
         server = self.servers.get(action.backend)
         if server is not None:
             self._close_resting(server)
@@ -255,7 +276,10 @@
         except (OSError, TimeoutError) as err:
             if connection.transport is None:
                 connection.attempt = None
-                self.finish(attempt, Result.MOOT if self._is_own_lack(err) else Result.CONNECT_FAILED)
+                self.finish(
+                    attempt,
+                    AttemptResult.NOT_SENT if self._is_own_lack(err) else AttemptResult.CONNECT_FAILED,
+                )
                 self._drop(connection)
 
     def _is_own_lack(self, err: Exception) -> bool:
@@ -271,7 +295,7 @@
         connection.attempt = None
         if connection.dial.expired():  # just now: the dial's task closes it next, whatever it carries
             if attempt in server.queued:
-                self.finish(attempt, Result.CONNECT_FAILED)
+                self.finish(attempt, AttemptResult.CONNECT_FAILED)
             return
         connection.dial.reschedule(None)  # guards against a close beneath whatever is written to it
         if attempt not in server.queued:  # given up meanwhile; the connection serves another
@@ -280,7 +304,7 @@
         session = attempt.session
         ended = session is not None and (session.over or session.frontend.gone())  # since the last turn
         if ended or self.turn.now_ns() >= attempt.by_ns:
-            self.finish(attempt, Result.CANCELLED if ended else Result.CONNECT_FAILED)
+            self.finish(attempt, AttemptResult.CANCELLED if ended else AttemptResult.CONNECT_FAILED)
             self._rest(connection, settled=True)
             return
         del server.queued[attempt]
@@ -373,7 +397,7 @@
     def spoilt(self, attempt: Attempt, why: str) -> None:
         """It ran. The connection is of no further use."""
         self.turn.log.often("spoilt", f"answer of {attempt.server.address}: {why}")
-        self.finish(attempt, Result.SPOILT)
+        self.finish(attempt, AttemptResult.MALFORMED)
 
     # ---- values passed on as they come
 
@@ -424,7 +448,7 @@
                 parts = connection.tail_parts
                 clean = len(parts) == 2 and tail.idle and not tail.error
                 report = parts[1] if clean and type(parts[1]) is bytes else b""
-                self._stream_over(connection, Result.OK, report)
+                self._stream_over(connection, AttemptResult.OK, report)
                 if clean and connection.whole:
                     self._rest(connection)
                 else:
@@ -453,9 +477,9 @@
             where, short = connection.server.address, connection.left
             self.turn.log.often("cut", f"a value of {where}: {short} bytes short")
             stream.end(cut=True)
-        self._stream_over(connection, Result.OK if whole else Result.RESET)
+        self._stream_over(connection, AttemptResult.OK if whole else AttemptResult.RESET)
 
-    def _stream_over(self, connection: BackendConnection, result: Result, report: bytes = b"") -> None:
+    def _stream_over(self, connection: BackendConnection, result: AttemptResult, report: bytes = b"") -> None:
         attempt, connection.attempt, connection.stream = connection.attempt, None, None
         connection.held = False
         if attempt is None:
@@ -487,19 +511,21 @@
         attempt.connection = None
         if denial:
             word, _, rest = reply.partition(b" ")
-            result = Result.FULL if word == BUSY else Result.ERROR
+            result = AttemptResult.REJECTED if word == BUSY else AttemptResult.ERROR
             report = rest.rpartition(b" ")[2]
-            if result is Result.ERROR and not rest.startswith(b"failed"):
+            if result is AttemptResult.ERROR and not rest.startswith(b"failed"):
                 self.turn.log.often("backend", f"{attempt.server.address} says {bytes(reply[:80])!r}")
             self.finish(attempt, result, report=report)
         elif attempt.session is None:
-            self.finish(attempt, Result.OK, report=reply if type(reply) is bytes else b"")
+            self.finish(attempt, AttemptResult.OK, report=reply if type(reply) is bytes else b"")
         elif found is not None:
-            self.finish(attempt, Result.OK, *found)
+            self.finish(attempt, AttemptResult.OK, *found)
         else:
             self.spoilt(attempt, f"not of the form agreed on: {str(reply)[:80]}")
 
-    def finish(self, attempt: Attempt, result: Result, value: bytes = b"", report: bytes = b"") -> None:
+    def finish(
+        self, attempt: Attempt, result: AttemptResult, value: bytes = b"", report: bytes = b""
+    ) -> None:
         """The one outcome of an attempt. A connection that still carries it is closed."""
         session = attempt.session
         if session is not None and self.attempts.pop((session.id, attempt.number), None) is None:
@@ -507,12 +533,12 @@
         self.turn.deadlines.drop(attempt.deadline)
         attempt.deadline = None
         attempt.server.queued.pop(attempt, None)
-        if result is Result.FULL:
+        if result is AttemptResult.REJECTED:
             attempt.may_have_run = False
         connection, attempt.connection = attempt.connection, None
         if connection is not None and connection.attempt is attempt:
             connection.drop()
-        if session is not None and result is Result.OK:
+        if session is not None and result is AttemptResult.OK:
             self.turn.end(session, Answer(Kind.SERVED, value))
         latency = self.turn.now_ns() - attempt.sent_ns
         self._report(session, attempt.number, attempt.server.id, result, latency, report)
@@ -522,19 +548,21 @@
         session: Session | None,
         number: int,
         backend: int,
-        result: Result,
+        result: AttemptResult,
         latency: int,
         report: bytes = b"",
     ) -> None:
         figures = self._figures(report)
         if session is None:
-            self.turn.post(i.Probed(backend, result, latency, figures))
+            self.turn.post(HealthCheckResult(backend, result, latency, figures))
             return
         session.last_result = result
         self.turn.trace.note(self.turn.now_ns(), Step.OUTCOME, session.call.id, result)
         name = COUNTERS[result]
         setattr(self.turn.counters, name, getattr(self.turn.counters, name) + 1)
-        self.turn.post(i.Outcome(session.id, number, backend, result, latency, session.over, 0, 0.0, figures))
+        self.turn.post(
+            AttemptOutcome(session.id, number, backend, result, latency, session.over, 0, 0.0, figures)
+        )
 
     def _figures(self, report: bytes) -> list[float]:
         """In the order of the settings; empty where the report is none. It may carry the names that the
--- a/zincstile/net/backend_connection.py
+++ b/zincstile/net/backend_connection.py
@@ -9,14 +9,12 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from ..decisions import messages as i
+from ..decisions.messages import AttemptResult, EndpointEntry
 from . import resp
 from .deadlines import Key
 from .session import Session, Stream
 from .turn import Turn
 
-Result = i.Result
-
 
 class Owner(Protocol):
     """What a connection tells of itself: `Backends`, which hears it in this order."""
@@ -38,7 +36,7 @@
     def streaming(self, connection: BackendConnection, data: bytes) -> None: ...
     def stream_lost(self, connection: BackendConnection) -> None: ...
     def lost(self, connection: BackendConnection) -> None: ...
-    def finish(self, attempt: Attempt, result: Result) -> None: ...
+    def finish(self, attempt: Attempt, result: AttemptResult) -> None: ...
 
 
 class Attempt:
@@ -80,7 +78,7 @@
     resting: list[BackendConnection] = field(default_factory=list)  # the last used comes last
     queued: dict[Attempt, None] = field(default_factory=dict)  # wait for a connection of their own
     connections: int = 0  # those on their way included
-    backend: i.Backend | None = None  # as it is listed
+    backend: EndpointEntry | None = None  # as it is listed
 
     def settled(self, now: int) -> BackendConnection | None:
         """The one used last of those on which nothing more can come behind their last answer. Guards
@@ -242,8 +240,10 @@
         attempt, self.attempt = self.attempt, None
         self.pools.lost(self)
         if attempt is not None:
-            broken = Result.STALE if self._kept and self._parser.idle else Result.RESET
-            self.pools.finish(attempt, broken if self.whole else Result.CONNECT_FAILED)
+            broken = (
+                AttemptResult.STALE_CONNECTION if self._kept and self._parser.idle else AttemptResult.RESET
+            )
+            self.pools.finish(attempt, broken if self.whole else AttemptResult.CONNECT_FAILED)
 
     def drop(self) -> None:
         self.attempt = None
--- a/zincstile/net/call_reader.py
+++ b/zincstile/net/call_reader.py
@@ -2,7 +2,8 @@
 
 from __future__ import annotations
 
-from ..decisions import messages as i
+from ..decisions.messages import Request
+from ..decisions.settings import Idempotency, Settings
 from .session import Call
 
 READ, WRITE = b"CALL.GET", b"CALL.POST"
@@ -17,7 +18,7 @@
 
     __slots__ = ("classes", "specs", "plans", "margin_ns", "gateways", "largest_units", "id_bytes")
 
-    def __init__(self, settings: i.Settings, margin_ns: int, id_bytes: int) -> None:
+    def __init__(self, settings: Settings, margin_ns: int, id_bytes: int) -> None:
         self.gateways, self.largest_units = settings.gateways, settings.largest_units
         self.id_bytes = id_bytes
         self.specs = settings.classes
@@ -25,7 +26,7 @@
         self.plans = {p.name.encode(): k for k, p in enumerate(settings.plans)}
         self.margin_ns = margin_ns
 
-    def read(self, words: list[bytes], number: int, now: int) -> tuple[Call, i.Request]:
+    def read(self, words: list[bytes], number: int, now: int) -> tuple[Call, Request]:
         verb = words[0].upper()
         if verb != READ and verb != WRITE:
             raise CallError("unknown command")
@@ -68,13 +69,13 @@
             and first < self.gateways
         ):
             raise CallError("a value out of range")
-        if (spec.effect is i.Effect.SAFE) != (verb == READ):
+        if (spec.effect is Idempotency.ALWAYS) != (verb == READ):
             raise CallError("the wrong command for this class")
-        if spec.effect is i.Effect.KEYED and not given.get(b"k"):
+        if spec.effect is Idempotency.BY_KEY and not given.get(b"k"):
             raise CallError("no key")
         wait_ns = wait_ms * 1_000_000
         give_up = now + wait_ns - min(self.margin_ns, wait_ns // 2)
         call = Call(verb == READ, words[1], words[2], fields, wait_at, words[4] if len(words) > 4 else None)
-        return call, i.Request(
+        return call, Request(
             number, cls, plan, customer, give_up, units, spread, first, given.get(b"r") == b"1"
         )
--- a/zincstile/net/config.py
+++ b/zincstile/net/config.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, fields
 from typing import Any
 
-from ..decisions.messages import Settings
+from ..decisions.settings import Settings
 from ..simulator import codec
 from .limits import Limits
 
--- a/zincstile/net/endpoint_table.py
+++ b/zincstile/net/endpoint_table.py
@@ -10,7 +10,7 @@
 from typing import Any, Final
 
 from ..cold_start.asking import Asking
-from ..decisions import messages as i
+from ..decisions.messages import EndpointEntry, EndpointList, EndpointListKind, EndpointState, WatchEndpoints
 from . import http
 from .config import Address, ConfigError, address
 from .discovery_clock import DiscoveryClock
@@ -20,9 +20,9 @@
 from .turn import Turn
 
 GONE_KEPT: Final = 1024  # names that were listed and are gone: so many may still be called by operators
-MODES = {"Ready": i.Mode.READY, "Terminating": i.Mode.DRAINING, "Gone": i.Mode.GONE}
+MODES = {"Ready": EndpointState.READY, "Terminating": EndpointState.DRAINING, "Gone": EndpointState.REMOVED}
 USUAL_WEIGHT: Final = 1.0  # one object for all
-Entries = list[tuple[i.Backend, Address]]
+Entries = list[tuple[EndpointEntry, Address]]
 
 
 def number(name: str) -> int:
@@ -60,16 +60,18 @@
         known = self.kinds.get(e.get("type"))
         return number(str(e.get("type") or "")) if known is None else known
 
-    def entry(self, e: dict[str, Any]) -> tuple[i.Backend, Address]:
+    def entry(self, e: dict[str, Any]) -> tuple[EndpointEntry, Address]:
         mode = MODES[e["status"]]
         weight = float(e.get("weight") or USUAL_WEIGHT)
-        host, port = ("", 0) if mode is i.Mode.GONE and not e.get("address") else address(e["address"])
+        host, port = (
+            ("", 0) if mode is EndpointState.REMOVED and not e.get("address") else address(e["address"])
+        )
         id_ = number(str(e["name"]))
         since_ms, now = int(e.get("since_ms") or 0), self.now_ns()
         if since_ms and not self.clock.settled:  # read as its text came, before the list is whole
             self.clock.settle([since_ms], now)
         started = self.clock.started_ns(id_, since_ms, now)
-        return i.Backend(
+        return EndpointEntry(
             id_,
             self.zones.get(e.get("zone"), len(self.zones)),
             self._kind(e),
@@ -114,23 +116,23 @@
         # back from maintenance: the name, and when; started then, where discovery says earlier
         self.reborn: dict[int, tuple[str, int]] = {}
         self.endpoints: dict[
-            int, tuple[i.Backend, Address]
+            int, tuple[EndpointEntry, Address]
         ] = {}  # discovery's own word of what it lists, by number
         self.gone: dict[int, int] = {}  # what it listed before, and when that had started: the last of these
         self._heard_ns: int | None = None  # when discovery last said anything; none: not yet
-        turn.carry_out[i.Watch] = lambda now, _: None  # the watch is always open, or being opened
+        turn.carry_out[WatchEndpoints] = lambda now, _: None  # the watch is always open, or being opened
 
     def begin(self, known: dict[str, Any], hold: bool = False) -> None:
         """`hold`: somebody else opens the watch, when it is time."""
         if known.get("endpoints"):
             try:
-                self._take(known, i.ListKind.CACHED, self.where)
+                self._take(known, EndpointListKind.CACHED, self.where)
             except (ValueError, KeyError, TypeError, AttributeError) as err:
                 raise ConfigError(f"known: {type(err).__name__} {err}") from None
             if not hold:
                 self.open_soon()
         else:
-            self.turn.post(i.BackendList(i.ListKind.CACHED, 0, []))
+            self.turn.post(EndpointList(EndpointListKind.CACHED, 0, []))
             if not hold:
                 self.open(None)
 
@@ -147,7 +149,9 @@
             return False
         try:
             self._take(
-                {"index": version, "snapshot": True, "endpoints": entries}, i.ListKind.CACHED, self.where
+                {"index": version, "snapshot": True, "endpoints": entries},
+                EndpointListKind.CACHED,
+                self.where,
             )
         except (ValueError, KeyError, TypeError, AttributeError) as err:
             self.turn.log.often("start", f"a peer's list can't be read: {type(err).__name__} {err}")
@@ -245,7 +249,7 @@
     def line(self, watch: Watch, table: dict[str, Any]) -> None:
         if watch is not self._watch and watch is not self._old:
             return  # guards against an old watch that goes on after the new one has spoken
-        self._take(table, i.ListKind.FULL if table["snapshot"] else i.ListKind.DELTA, watch.where)
+        self._take(table, EndpointListKind.FULL if table["snapshot"] else EndpointListKind.DELTA, watch.where)
         if self.listener is not None:
             self.listener.told(self.version, table["endpoints"], bool(table["snapshot"]))
         if watch is self._watch:
@@ -257,7 +261,7 @@
             self.told = True
             self.first()
 
-    def _take(self, table: dict[str, Any], kind: i.ListKind, where: Address) -> None:
+    def _take(self, table: dict[str, Any], kind: EndpointListKind, where: Address) -> None:
         version, _, entries = self.reader.read(table)
         if where == self.where:  # an old watch may still speak after a move, and count in another way
             self.version = version
@@ -282,14 +286,14 @@
         known = self.endpoints.get(entry[0].id)
         return known if known == entry else entry
 
-    def _keep(self, kind: i.ListKind, entries: Entries) -> None:
+    def _keep(self, kind: EndpointListKind, entries: Entries) -> None:
         """Remembers what is listed, and of what is gone only that it was, and not for ever."""
-        if kind is not i.ListKind.DELTA:
+        if kind is not EndpointListKind.DELTA:
             told = {b.id for b, _ in entries}
             for left_out in [k for k in self.endpoints if k not in told]:
                 self._forget(left_out)
         for entry in entries:
-            if entry[0].mode is i.Mode.GONE:
+            if entry[0].mode is EndpointState.REMOVED:
                 self._forget(entry[0].id)
             else:
                 self.endpoints[entry[0].id] = entry
@@ -298,11 +302,11 @@
         """Discovery has said something, be it that nothing has changed."""
         self._heard_ns = self.turn.now_ns()
 
-    def _dated(self, kind: i.ListKind, entries: Entries) -> Entries:
+    def _dated(self, kind: EndpointListKind, entries: Entries) -> Entries:
         """Guards a cold server against a wall clock that is ahead: one that discovery tells of anew, and that
         was not listed when it last spoke, has started since then, or not long before, whatever the clock
         says. It counts as started now."""
-        if self._heard_ns is None or kind is i.ListKind.CACHED:
+        if self._heard_ns is None or kind is EndpointListKind.CACHED:
             return entries
         earliest_ns = self._heard_ns - self.turn.limits.start_told_ns
         return [
@@ -312,13 +316,13 @@
             for entry in entries
         ]
 
-    def _is_news(self, b: i.Backend) -> bool:
+    def _is_news(self, b: EndpointEntry) -> bool:
         """This start of it was never told before."""
         known = self.endpoints.get(b.id)
         told_ns = known[0].started_ns if known is not None else self.gone.get(b.id)
-        return b.started_ns != 0 and b.started_ns != told_ns and b.mode is not i.Mode.GONE
+        return b.started_ns != 0 and b.started_ns != told_ns and b.mode is not EndpointState.REMOVED
 
-    def _started_now(self, entry: tuple[i.Backend, Address]) -> tuple[i.Backend, Address]:
+    def _started_now(self, entry: tuple[EndpointEntry, Address]) -> tuple[EndpointEntry, Address]:
         b, where = entry
         clock, now = self.reader.clock, self.turn.now_ns()
         self.turn.log.often(
@@ -341,17 +345,17 @@
         number_ = number(str(name))
         return number_ in self.endpoints or number_ in self.gone
 
-    def _dispatch(self, kind: i.ListKind, version: int, entries: Entries) -> None:
+    def _dispatch(self, kind: EndpointListKind, version: int, entries: Entries) -> None:
         """To the module first: what the pools withdraw by the same change is then decided on by the new list,
         and not sent to the next server that it takes out."""
-        self.turn.post(i.BackendList(kind, version, [b for b, _ in entries]))
-        self.update(entries, kind is not i.ListKind.DELTA)
+        self.turn.post(EndpointList(kind, version, [b for b, _ in entries]))
+        self.update(entries, kind is not EndpointListKind.DELTA)
 
-    def _masked(self, entry: tuple[i.Backend, Address]) -> tuple[i.Backend, Address]:
+    def _masked(self, entry: tuple[EndpointEntry, Address]) -> tuple[EndpointEntry, Address]:
         """Discovery's word as operators have changed it."""
         b, where = entry
-        if b.id in self.banned and b.mode is i.Mode.READY:
-            return replace(b, mode=i.Mode.DRAINING), where
+        if b.id in self.banned and b.mode is EndpointState.READY:
+            return replace(b, mode=EndpointState.DRAINING), where
         reborn = self.reborn.get(b.id)
         if reborn is not None:
             if b.started_ns < reborn[1]:
@@ -384,7 +388,7 @@
             # discovery told it, and is cold. Started at the call back as the module counts, it is ramped up.
             self.reborn[number_] = name, self.turn.now_ns()
         if entry is not None:
-            self._dispatch(i.ListKind.DELTA, self.version, [self._masked(entry)])
+            self._dispatch(EndpointListKind.DELTA, self.version, [self._masked(entry)])
         return name in self
 
 
--- a/zincstile/net/features.py
+++ b/zincstile/net/features.py
@@ -14,8 +14,8 @@
 
 if TYPE_CHECKING:  # a start loads what its own files need: each feature's modules are some 10 ms of its CPU
     from ..cold_start.settings import StartSettings
-    from ..decisions.messages import Settings
     from ..decisions.quota_bounds import Quota
+    from ..decisions.settings import Settings
     from ..leases.settings import SharedSettings
     from ..quota_service.settings import KeeperSettings
     from ..subsetting.settings import SubsetSettings
--- a/zincstile/net/frontend.py
+++ b/zincstile/net/frontend.py
@@ -6,7 +6,7 @@
 import socket
 from collections import deque
 
-from ..decisions import messages as i
+from ..decisions.settings import Settings
 from . import resp
 from .accept import Acceptor, Taken
 from .call_reader import CallError, CallReader
@@ -406,7 +406,7 @@
 class FrontDoor:
     """The listening socket and all clients that came in by it."""
 
-    def __init__(self, turn: Turn, settings: i.Settings, buffer: memoryview, host: Host) -> None:
+    def __init__(self, turn: Turn, settings: Settings, buffer: memoryview, host: Host) -> None:
         self.turn, self.buffer, self.host, self.counters = turn, buffer, host, turn.counters
         self.reader = CallReader(settings, turn.limits.margin_ns, turn.limits.id_bytes)
         self.open: dict[bytes, Session] = {}  # by the id that the client gave
--- a/zincstile/net/gateway.py
+++ b/zincstile/net/gateway.py
@@ -10,7 +10,7 @@
 from collections.abc import Coroutine
 from typing import Any
 
-from ..decisions import messages as i
+from ..decisions.messages import RequestAbandoned, Started
 from ..decisions.policy import Policy
 from .backend import Backends
 from .config import Config, ConfigError
@@ -281,7 +281,7 @@
 
     async def _serve(self) -> None:
         """Takes clients from here on."""
-        self.turn.post(i.Started())
+        self.turn.post(Started())
         known = self._begin_table()
         await patiently(lambda: self.door.listen(self.config.listen, self.config.socket_fd))
         if self.control is not None:
@@ -423,7 +423,7 @@
         self.door.over = True
         for session in list(self.turn.sessions.values()):
             if self.turn.end(session, FAILED):
-                self.turn.post(i.Gone(session.id))
+                self.turn.post(RequestAbandoned(session.id))
 
     def _end_if_empty(self, _: object) -> None:
         self.door.close_idle()  # also those that came last and ask nothing
--- a/zincstile/net/inherit.py
+++ b/zincstile/net/inherit.py
@@ -14,8 +14,8 @@
 from collections.abc import Callable
 from typing import Any
 
-from ..decisions import messages as i
 from ..decisions import state_transfer
+from ..decisions.messages import StateInherited
 from ..decisions.policy import TOTALS
 from .host import Host
 from .turn import Turn
@@ -65,7 +65,7 @@
             self.turn.counters.handover_bad += 1
             return f"ignored: {self.base}.memory: {err}"
         self.left = {c["key"]: c["total"] for c in memory["customers"]}
-        self.turn.post(i.Inherited(memory))
+        self.turn.post(StateInherited(memory))
         age_ms = max(0, now_ns - since_ns) / 1e6
         return f"{len(memory['customers'])} customers, {len(memory['servers'])} servers, {age_ms:.0f} ms old"
 
--- a/zincstile/net/invariants.py
+++ b/zincstile/net/invariants.py
@@ -11,7 +11,8 @@
 from collections.abc import Callable
 from enum import Enum
 
-from ..decisions import messages as i
+from ..decisions.messages import EndpointEntry
+from ..decisions.settings import DeduplicationScope, Idempotency
 from .counters import Counters
 from .log import Log
 from .session import Sending, Session
@@ -93,12 +94,12 @@
 
 def _repeat_problem(now: int, attempt: Sending, session: Session) -> str:
     spec = session.spec
-    if spec is None or spec.effect is i.Effect.SAFE:
+    if spec is None or spec.effect is Idempotency.ALWAYS:
         return ""
     first = next((one for one in session.carried if one.may_have_run), None)
     if first is None:
         return ""
-    if spec.effect is i.Effect.UNSAFE:
+    if spec.effect is Idempotency.NEVER:
         return f"it may have run at {first.server.address}"
     if not _same_group(spec.group, first.server.backend, attempt.server.backend):
         return f"out of the group of {first.server.address}, where it may have run"
@@ -107,8 +108,8 @@
     return ""
 
 
-def _same_group(group: i.Group, one: i.Backend | None, other: i.Backend | None) -> bool:
+def _same_group(group: DeduplicationScope, one: EndpointEntry | None, other: EndpointEntry | None) -> bool:
     """Both drop each other's repeats of a key."""
-    if one is None or other is None or group is i.Group.ALL:
+    if one is None or other is None or group is DeduplicationScope.ALL:
         return True
-    return one.zone == other.zone if group is i.Group.ZONE else one.cell == other.cell
+    return one.zone == other.zone if group is DeduplicationScope.ZONE else one.cell == other.cell
--- a/zincstile/net/peers.py
+++ b/zincstile/net/peers.py
@@ -6,7 +6,7 @@
 import socket
 from collections.abc import Callable
 
-from ..decisions import messages as i
+from ..decisions.messages import SendGossip
 from ..simulator import codec
 from .config import Address
 from .turn import Turn
@@ -20,7 +20,7 @@
         self.numbers = {a: k for k, a in enumerate(addresses)}
         self.transport: asyncio.DatagramTransport | None = None
         self.others: dict[int, Callable[[int, bytes], object | None]] = {}  # by a message's first byte
-        turn.carry_out[i.Tell] = self._tell
+        turn.carry_out[SendGossip] = self._tell
 
     async def open(self, where: Address) -> None:
         family = socket.AF_INET6 if ":" in where[0] else socket.AF_INET
@@ -67,7 +67,7 @@
             self.turn.counters.messages_out += 1
             self.transport.sendto(message, self.addresses[peer])
 
-    def _tell(self, _: int, action: i.Tell) -> None:
+    def _tell(self, _: int, action: SendGossip) -> None:
         if self.transport is None or not 0 <= action.peer < len(self.addresses):
             return
         for message in codec.pack_tell(action):
--- a/zincstile/net/reasons.py
+++ b/zincstile/net/reasons.py
@@ -37,7 +37,7 @@
     QUOTA = "quota"  # beyond the customer's quota, and not worth it
     CEILING = "ceiling"  # beyond the customer's ceiling
     BUDGET = "budget"  # the draw for the back end's budget was lost
-    NO_SERVER = "no_server"  # no backend server can take it
+    NO_ENDPOINT = "no_server"  # no backend server can take it
     NO_RETRY = "no_retry"  # its attempts never ran, and no further one is allowed
 
 
--- a/zincstile/net/session.py
+++ b/zincstile/net/session.py
@@ -6,7 +6,8 @@
 from enum import Enum
 from typing import Protocol
 
-from ..decisions import messages as i
+from ..decisions.messages import AttemptResult, EndpointEntry
+from ..decisions.settings import RequestClass
 
 
 @dataclass(slots=True)
@@ -96,7 +97,7 @@
 
     address: tuple[str, int]
     ready: bool  # it may be sent to
-    backend: i.Backend | None  # as it is listed
+    backend: EndpointEntry | None  # as it is listed
 
 
 class Sending(Protocol):
@@ -131,12 +132,12 @@
         call: Call,
         frontend: Frontend,
         give_up_ns: int,
-        spec: i.ClassSpec | None = None,
+        spec: RequestClass | None = None,
     ) -> None:
         self.id, self.call, self.frontend, self.give_up_ns = number, call, frontend, give_up_ns
         self.spec = spec  # of its class; none: it is as one that is safe to repeat
         self.attempts = 0  # made so far
         self.carried: list[Sending] = []  # of these, the ones whose first byte may have left
-        self.last_result: i.Result | None = None  # of the attempt that ended last
+        self.last_result: AttemptResult | None = None  # of the attempt that ended last
         self.over = False
         self.reply: bytes | Stream | None = None
--- a/zincstile/net/turn.py
+++ b/zincstile/net/turn.py
@@ -6,7 +6,18 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from ..decisions import messages as i
+from ..decisions.messages import (
+    Action,
+    Event,
+    FailRequest,
+    LogMessage,
+    RejectionReason,
+    RejectRequest,
+    Request,
+    RequestAbandoned,
+    SetTimer,
+    TimerFired,
+)
 from ..decisions.policy import Policy
 from .counters import Counters
 from .deadlines import Deadlines
@@ -18,7 +29,7 @@
 from .session import DENIED, FAILED, Answer, Kind, Session
 from .trace import Step, Trace
 
-REFUSALS = {why: RefusalReason[why.name] for why in i.RefusedFor}
+REFUSALS = {why: RefusalReason[why.name] for why in RejectionReason}
 
 
 class Writer(Protocol):
@@ -47,14 +58,14 @@
         self.deadlines = Deadlines()
         self.sessions: dict[int, Session] = {}
         self.carry_out: dict[type, Callable[[int, Any], None]] = {
-            i.SetTimer: self._set_timer,
-            i.Refuse: self._deny,
-            i.Fail: self._fail,
-            i.Log: self._note,
+            SetTimer: self._set_timer,
+            RejectRequest: self._deny,
+            FailRequest: self._fail,
+            LogMessage: self._note,
         }
         self.over: dict[int, Session] = {}  # ended since the last turn's end: the module may not know it yet
         self.withdraw: Callable[[Session], None] = lambda session: None  # what of one that ended is not sent
-        self._events: list[i.Event] = []
+        self._events: list[Event] = []
         self._writers: list[Writer] = []
         self._scheduled = False
         self._alarm: asyncio.TimerHandle | None = None
@@ -63,7 +74,7 @@
 
     # ---- what the connections use
 
-    def post(self, event: i.Event) -> None:
+    def post(self, event: Event) -> None:
         self._events.append(event)
         self.wake()
 
@@ -80,7 +91,7 @@
         self._number += 1
         return self._number
 
-    def take(self, session: Session, request: i.Request) -> None:
+    def take(self, session: Session, request: Request) -> None:
         self.counters.requests += 1
         self.trace.note(self.now_ns(), Step.COME, session.call.id)
         self.sessions[session.id] = session
@@ -111,7 +122,7 @@
             self.over[session.id] = session
             self.counters.left += 1
             self.trace.note(self.now_ns(), Step.LEFT, session.call.id)
-            self.post(i.Gone(session.id))
+            self.post(RequestAbandoned(session.id))
 
     # ---- the turn
 
@@ -146,14 +157,14 @@
             self.wake()
         self._set_alarm()
 
-    def _decide(self, now: int, events: list[i.Event]) -> list[i.Action]:
-        actions: list[i.Action] = []
+    def _decide(self, now: int, events: list[Event]) -> list[Action]:
+        actions: list[Action] = []
         for event in events:
             try:
                 actions += self.policy.handle(now, event)
             except Exception as err:
                 self._fault(err, event)
-                if isinstance(event, i.Timer):  # guards what the module does by a chain of timers
+                if isinstance(event, TimerFired):  # guards what the module does by a chain of timers
                     self.deadlines.add(now + self.limits.backoff_ns, self._timer, event.token)
         return actions
 
@@ -169,11 +180,11 @@
         for line in self.trace.tell(self.now_ns(), session.call.id if session else None):
             self.log.line(f"trace {line}")
         if session is not None and self.end(session, FAILED):
-            self.post(i.Gone(session.id))
+            self.post(RequestAbandoned(session.id))
 
     def _session_of(self, about: object) -> Session | None:
         """The open request that an event, an action or a deadline was about."""
-        if isinstance(about, i.Request):
+        if isinstance(about, Request):
             return self.sessions.get(about.id)
         session = about if isinstance(about, Session) else getattr(about, "session", None)
         if isinstance(session, Session):
@@ -199,13 +210,13 @@
 
     # ---- actions that need no connection
 
-    def _set_timer(self, _: int, action: i.SetTimer) -> None:
+    def _set_timer(self, _: int, action: SetTimer) -> None:
         self.deadlines.add(action.at_ns, self._timer, action.token)
 
     def _timer(self, token: int) -> None:
-        self._events.append(i.Timer(token))
+        self._events.append(TimerFired(token))
 
-    def _deny(self, _: int, action: i.Refuse) -> None:
+    def _deny(self, _: int, action: RejectRequest) -> None:
         session = self.sessions.get(action.request)
         if session is not None:
             reason = REFUSALS[action.why]
@@ -214,10 +225,10 @@
             ms = -(-action.retry_in_ns // 1_000_000)
             self.end(session, Answer(Kind.DENIED, retry_ms=ms) if ms else DENIED)
 
-    def _fail(self, _: int, action: i.Fail) -> None:
+    def _fail(self, _: int, action: FailRequest) -> None:
         session = self.sessions.get(action.request)
         if session is not None:
             self.end(session, FAILED)
 
-    def _note(self, _: int, action: i.Log) -> None:
+    def _note(self, _: int, action: LogMessage) -> None:
         self.log.often("module", action.text)
--- a/zincstile/quota_service/module.py
+++ b/zincstile/quota_service/module.py
@@ -10,10 +10,11 @@
 
 from dataclasses import dataclass
 
-from ..decisions import messages as i
 from ..decisions.deferred_admission import HeldPolicy, Paid
+from ..decisions.messages import LogMessage, Request, Started, TimerFired
 from ..decisions.policy import SECOND
 from ..decisions.quota_bounds import Quota
+from ..decisions.settings import Settings
 from ..decisions.state import Customer, Live
 from .accounts import Account, Accounts
 from .settings import KeeperSettings
@@ -61,7 +62,7 @@
 
     held_ns = HELD_NS
 
-    def __init__(self, settings: i.Settings, seed: int, keeper: KeeperSettings, apart_ns: int) -> None:
+    def __init__(self, settings: Settings, seed: int, keeper: KeeperSettings, apart_ns: int) -> None:
         super().__init__(settings, seed)
         self.keeper, self.apart_ns = keeper, apart_ns
         self.view: View | None = None
@@ -70,19 +71,19 @@
         self.said: State | None = None
         self._numbers = 0
 
-    def on_started(self, now: int, event: i.Started) -> None:
+    def on_started(self, now: int, event: Started) -> None:
         """Builds the view and the accounts, and begins to beat."""
         super().on_started(now, event)
         self.view = View(self.keeper, self.set.me, now + self.apart_ns)
         self.accounts = Accounts(self.keeper, self.view, self.set.me)
         self._beat(now)
 
-    def on_timer(self, now: int, event: i.Timer) -> None:
+    def on_timer_fired(self, now: int, event: TimerFired) -> None:
         """The own heartbeat, or a timer of the base module."""
         if event.token == BEAT:
             self._beat(now)
         else:
-            super().on_timer(now, event)
+            super().on_timer_fired(now, event)
 
     # ---- the keeper
 
@@ -119,7 +120,7 @@
         self._carry_on(now)
         if self.view.state is not self.said:
             self.said = self.view.state
-            self.acts.append(i.Log(self.view.line(now + self.apart_ns)))
+            self.acts.append(LogMessage(self.view.line(now + self.apart_ns)))
             self._tell_peers(now)  # at once, where trust ends
 
     def on_keeper_word(self, now: int, event: KeeperWord) -> None:
@@ -129,7 +130,7 @@
 
     # ---- quotas
 
-    def _account(self, now: int, c: Customer, ask: i.Request) -> Account:
+    def _account(self, now: int, c: Customer, ask: Request) -> Account:
         plan = self.set.plans[c.plan]
         row = [(ask.first + k) % self.set.gateways for k in range(c.spread)]
         return self.accounts.account(
--- a/zincstile/scale/capacity_answers.py
+++ b/zincstile/scale/capacity_answers.py
@@ -21,7 +21,7 @@
 
 SUBSET_LEAST: Final = 3  # endpoints that a gateway keeps of each service in each zone in reach, at least
 SUBSET_HOLDERS: Final = 4  # gateways that keep each endpoint, at least: with fewer the load is uneven
-SUBSETTING: Final = "subset/selection.Selection"
+SUBSETTING: Final = "subsetting/selection.Selection"
 CHOICES: Final = 2  # d of the power of d choices, as it is usually told
 SAMPLE_AGE_S: Final = 1.0  # an answer's word on load is of use for so long, about
 
@@ -153,7 +153,7 @@
             f"to apply {lost:,} one by one within {topology.budgets.in_force_s:g} s on a whole core",
             Unit.SECONDS,
             lambda: change_cost(measured, topology),
-            "state.Memory.follow_list",
+            "decisions/state.Memory.follow_list",
             need_s,
         ),
     ]
@@ -186,14 +186,14 @@
             f"of {topology.backends:,}; {CHOICES} is usual",
             Unit.COUNT,
             exact(policy.CANDIDATES),
-            "policy.Policy._choose",
+            "decisions/policy.Policy._choose",
         ),
         Row(
             "power of d choices: answers of one backend that a gateway sees",
             f"to tell load by, one each {SAMPLE_AGE_S:g} s would be needed",
             Unit.PER_S,
             exact(each),
-            "policy.Policy._learn",
+            "decisions/policy.Policy._learn",
         ),
     ]
 
@@ -208,14 +208,14 @@
             f"{size} gateways, {settings.holders} holders, one loan each {life_s:g} s; off unless named",
             Unit.PER_S,
             exact(asks),
-            "shared/loans.Grant",
+            "leases/lease_messages.LeaseGrant",
         ),
         Row(
             "leases: asks at each holder",
             f"{settings.holders} holders",
             Unit.PER_S,
             exact(asks / settings.holders),
-            "shared/loans.Grant",
+            "leases/lease_messages.LeaseGrant",
             capacity_load.PEER_IN_PER_S,
         ),
     ]
