--- a/zincstile/scale/capacity_gateway.py
+++ b/zincstile/scale/capacity_gateway.py
@@ -29,7 +29,7 @@
 WATCH_LINE_S: Final = 2.0  # discovery's empty lines come so often
 TICK_S: Final = policy.TICK_NS / policy.SECOND
 WATCH: Final = "net/endpoint_table.Watch"
-FOLLOW: Final = "state.Memory.follow_list, net/backend.Backends.update"
+FOLLOW: Final = "decisions/state.Memory.follow_list, net/backend.Backends.update"
 
 
 def memory(measured: Measured, load: Load) -> list[Row]:
@@ -45,10 +45,10 @@
             (
                 "endpoint table",
                 Dimension.BACKENDS,
-                "state.Server, net/endpoint_table.EndpointTable, net/backend.Backends",
+                "decisions/state.Server, net/endpoint_table.EndpointTable, net/backend.Backends",
             ),
             ("peers", Dimension.GATEWAYS, "net/peers.Peers"),
-            ("tenants", Dimension.TENANTS, "state.Customer"),
+            ("tenants", Dimension.TENANTS, "decisions/state.Customer"),
         ),
     )
     budget = topology.budgets.memory_mb * MEGABYTE
@@ -75,10 +75,14 @@
         Figure.CPU_REST_SHARE,
         Unit.CORE,
         (
-            ("at rest, with the smallest table measured", None, "policy.Policy._tick"),
-            ("at rest, endpoint table", Dimension.BACKENDS, "policy.Policy._tick, net/backend.Backends"),
-            ("at rest, peers", Dimension.GATEWAYS, "policy.Policy._flush"),
-            ("at rest, tenants", Dimension.TENANTS, "policy.Policy._idle"),
+            ("at rest, with the smallest table measured", None, "decisions/policy.Policy._tick"),
+            (
+                "at rest, endpoint table",
+                Dimension.BACKENDS,
+                "decisions/policy.Policy._tick, net/backend.Backends",
+            ),
+            ("at rest, peers", Dimension.GATEWAYS, "decisions/policy.Policy._flush"),
+            ("at rest, tenants", Dimension.TENANTS, "decisions/policy.Policy._idle"),
         ),
     )
     parts += _activities(measured, load)
@@ -91,7 +95,7 @@
             f"{load.requests_per_s:,.0f} a second; beside control, not in the sum",
             Unit.CORE,
             lambda: request_cost(measured, targets(load)).times(load.requests_per_s),
-            "net/turn.Turn, policy.Policy.on_request",
+            "net/turn.Turn, decisions/policy.Policy.on_request",
         ),
     ]
 
@@ -121,7 +125,7 @@
             f"{datagrams:,.0f} in a second, and as many out",
             Unit.CORE,
             lambda: message_cost(measured, sizes).times(datagrams),
-            "net/peers.Peers, policy.Policy.on_peer_message",
+            "net/peers.Peers, decisions/policy.Policy.on_gossip_received",
         ),
     ]
 
@@ -166,7 +170,7 @@
             "all kinds above",
             Unit.PER_S,
             exact(load.datagrams_per_s),
-            "interface.Settings.peer_in_per_s",
+            "decisions/settings.Settings.peer_in_per_s",
             capacity_load.PEER_IN_PER_S,
         ),
         Row(
@@ -238,7 +242,7 @@
             f"each {1000 * TICK_S:g} ms under load",
             Unit.SECONDS,
             lambda: _behind_ticks(rest(measured, sizes)),
-            "policy.Policy._tick",
+            "decisions/policy.Policy._tick",
             added,
         ),
         row(
@@ -253,7 +257,7 @@
             f"a round trip; {100 * load.wide_per_s / load.requests_per_s:.0f}% of requests ask one",
             Unit.SECONDS,
             None,
-            "policy.Policy._ask",
+            "decisions/policy.Policy._ask",
             added,
             "distances are the network's",
         ),
@@ -262,7 +266,7 @@
             f"{policy.ASKS} asks, {policy.ASK_NS / 1e6:.0f} ms each",
             Unit.SECONDS,
             exact(capacity_load.ASK_WAIT_S),
-            "policy.Policy._ask",
+            "decisions/policy.Policy._ask",
             added,
         ),
     ]
--- a/zincstile/scale/capacity_load.py
+++ b/zincstile/scale/capacity_load.py
@@ -82,7 +82,7 @@
             "beats to neighbours",
             neighbours * SECOND / BEAT_NS,
             messages.tell_bytes(0, doubts=TOLD),
-            "policy.Policy._flush",
+            "decisions/policy.Policy._flush",
         ),
         tells=_tells(requests, narrow, flushes),
         relay_tells=_relay_tells(topology, wide, flushes),
@@ -90,7 +90,7 @@
             "asks of relays",
             asks_per_s,
             messages.tell_bytes(1, figures=True, doubts=TOLD),
-            "policy.Policy._ask",
+            "decisions/policy.Policy._ask",
         ),
     )
 
@@ -149,7 +149,7 @@
         told += 2 * flushes * -math.expm1(-rate / flushes)
         shares += 2 * rate
     size = messages.tell_bytes(shares / told) if told else 0.0
-    return Flow("changes to neighbours", told, size, "policy.Policy._flush")
+    return Flow("changes to neighbours", told, size, "decisions/policy.Policy._flush")
 
 
 def _relay_tells(topology: Topology, wide: list[tuple[int, float]], flushes: float) -> Flow:
@@ -158,4 +158,4 @@
     for size, weight in wide:
         rate = topology.requests_per_s * weight / size  # at a gateway of its set
         told += (size - 1) / topology.gateways * flushes * -math.expm1(-rate / flushes)
-    return Flow("changes to relays", told, messages.tell_bytes(1), "policy.Policy._flush")
+    return Flow("changes to relays", told, messages.tell_bytes(1), "decisions/policy.Policy._flush")
--- a/zincstile/scale/capacity_messages.py
+++ b/zincstile/scale/capacity_messages.py
@@ -12,7 +12,7 @@
 from typing import Final
 
 from ..cold_start import words as list_words
-from ..decisions import messages as i
+from ..decisions.messages import CustomerUsage, ErrorSample, SendGossip
 from ..decisions.state import LEVEL
 from ..simulator import codec
 from ..zone_failover import words as place_words
@@ -76,12 +76,12 @@
 
 @cache
 def _tell(shares: int, figures: bool, doubts: int) -> int:
-    told = i.Tell(
+    told = SendGossip(
         peer=1,
         start=2**31,
-        shares=[i.Share(2**32 + k, 1, 1234.5, 17.5, 1, 2.0, 77) for k in range(shares)],
+        shares=[CustomerUsage(2**32 + k, 1, 1234.5, 17.5, 1, 2.0, 77) for k in range(shares)],
         figures=[1.0] * (LEVEL + 1 + CLASSES) if figures else [],
-        doubts=[i.Doubt(4711, 1, 0.5)] * doubts,
+        doubts=[ErrorSample(4711, 1, 0.5)] * doubts,
     )
     return sum(len(message) for message in codec.pack_tell(told))
 
--- a/zincstile/scale/capacity_moments.py
+++ b/zincstile/scale/capacity_moments.py
@@ -170,7 +170,7 @@
             f"{started:,} lists, {1000 * list_s:g} ms of work each",
             Unit.SECONDS,
             exact(started * list_s),
-            "start/asking.Asking",
+            "cold_start/asking.Asking",
             READY_S,
         ),
         Row(
@@ -185,7 +185,7 @@
             f"{datagrams:,} datagrams at {intake:g} a second",
             Unit.SECONDS,
             exact(datagrams / intake),
-            "start/lists.Lists",
+            "cold_start/lists.Lists",
             READY_S,
         ),
         Row(
@@ -224,7 +224,7 @@
             "the whole rate on each side, once one peer is heard; bounded by features.shared",
             Unit.TIMES,
             exact(QUOTA_SIDES),
-            "policy.Policy._refill",
+            "decisions/policy.Policy._refill",
             1.0,
         ),
         Row(
@@ -232,7 +232,7 @@
             "until another stands in",
             Unit.SECONDS,
             exact(capacity_load.ASK_WAIT_S),
-            "policy.Policy._relay",
+            "decisions/policy.Policy._relay",
             topology.budgets.added_p99_ms / 1000,
         ),
         Row(
--- a/zincstile/scale/capacity_roles.py
+++ b/zincstile/scale/capacity_roles.py
@@ -80,7 +80,7 @@
             f"{topology.backends:,} entries",
             Unit.COUNT,
             exact(len(parts)),
-            "start/words.Lines",
+            "cold_start/words.Lines",
             line,
         ),
         *(
@@ -108,14 +108,14 @@
             f"sets of more than {policy.DIRECT + 1} gateways",
             Unit.COUNT,
             exact(load.wide_tenants),
-            "policy.Policy._meet",
+            "decisions/policy.Policy._meet",
         ),
         Row(
             "of them, asked more often than a gateway takes words",
             f"over {intake:g} a second, all requests inside their quotas",
             Unit.COUNT,
             exact(capacity_load.hot_relays(topology)),
-            "policy.Policy._relay",
+            "decisions/policy.Policy._relay",
             0.0,
         ),
         Row(
@@ -123,7 +123,7 @@
             f"all requests of a set of {size} gateways, at one relay",
             Unit.PER_S,
             exact(hot),
-            "policy.Policy._grant",
+            "decisions/policy.Policy._grant",
             intake,
         ),
         Row(
@@ -131,7 +131,7 @@
             f"{hot:,.0f} asks and answers × {load.asks.size_bytes:.0f} bytes",
             Unit.BYTES_PER_S,
             exact(2 * hot * load.asks.size_bytes),
-            "wire.pack_tell",
+            "simulator/codec.pack_tell",
             topology.budgets.control_bytes_per_s,
         ),
         row(
@@ -139,7 +139,7 @@
             f"{hot:,.0f} messages a second",
             Unit.CORE,
             lambda: message_cost(measured, sizes).times(hot),
-            "policy.Policy.on_peer_message",
+            "decisions/policy.Policy.on_gossip_received",
             topology.budgets.control_core_share,
         ),
         Row(
@@ -147,14 +147,14 @@
             "one a gateway",
             Unit.COUNT,
             exact(size),
-            "state.Customer.peers",
+            "decisions/state.Customer.peers",
         ),
         row(
             "memory of a tenant, as a gateway holds it",
             "mean growth over the tenants of one gateway",
             Unit.BYTES,
             lambda: tenant_bytes(measured, load),
-            "state.Customer",
+            "decisions/state.Customer",
         ),
     ]
 
@@ -168,7 +168,7 @@
             "names under maintenance, standby; on each gateway",
             Unit.COUNT,
             exact(gateways),
-            "control/operator.Operator",
+            "admin/operator.Operator",
         ),
         Row(
             "one word to each gateway, one after another, at worst",
--- a/zincstile/scale/emulators.py
+++ b/zincstile/scale/emulators.py
@@ -18,7 +18,7 @@
 from dataclasses import asdict, dataclass
 from typing import Any, Final
 
-from ..decisions import messages as i
+from ..decisions.messages import CustomerUsage, SendGossip
 from ..emulators import wire as emulated_wire
 from ..emulators.discovery import BEAT_S, Entry
 from ..simulator import codec
@@ -339,12 +339,12 @@
             self.strange += 1
             return
         told = [
-            i.Share(s.customer, s.plan, 0.0, s.level, 0, s.want, s.mark, True)
+            CustomerUsage(s.customer, s.plan, 0.0, s.level, 0, s.want, s.mark, True)
             if s.want > 0
-            else i.Share(s.customer, s.plan, s.total, s.level, s.open, 0.0, s.mark)
+            else CustomerUsage(s.customer, s.plan, s.total, s.level, s.open, 0.0, s.mark)
             for s in message.shares
         ]
-        for answer in codec.pack_tell(i.Tell(0, self._start(peer), told)):
+        for answer in codec.pack_tell(SendGossip(0, self._start(peer), told)):
             self.send(sender, peer, answer)
 
     def send(self, gateway: tuple[str, int], peer: int, data: bytes) -> None:
@@ -363,8 +363,8 @@
     ) -> None:
         """That peer tells every gateway what it sent for some tenants, at most `SHARES_IN_DATAGRAM`, to one
         after the other within `spread_s`: woken together, those of one process find its caches warm."""
-        told = [i.Share(t.key, plan, total, level, 0) for t in tenants]
-        for data in codec.pack_tell(i.Tell(0, self._start(peer), told)):
+        told = [CustomerUsage(t.key, plan, total, level, 0) for t in tenants]
+        for data in codec.pack_tell(SendGossip(0, self._start(peer), told)):
             for gateway, number in self.places.items():
                 self.loop.call_later(spread_s * number / len(self.places), self.send, gateway, peer, data)
 
--- a/zincstile/simulation/mutants.py
+++ b/zincstile/simulation/mutants.py
@@ -12,8 +12,9 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ..decisions import messages as i
+from ..decisions.messages import AttemptResult, EndpointList, EndpointListKind, EndpointState
 from ..decisions.policy import Policy
+from ..decisions.settings import Idempotency
 from ..decisions.state import Memory
 from ..net import backend, deadlines, endpoint_table, frontend, gateway, resp, turn
 from ..net.invariants import InvariantGuard
@@ -63,7 +64,7 @@
 def _drain_unseen() -> Undo:
     """A box that drains is taken for one that is ready."""
     old = endpoint_table.MODES["Terminating"]
-    endpoint_table.MODES["Terminating"] = i.Mode.READY
+    endpoint_table.MODES["Terminating"] = EndpointState.READY
     return lambda: endpoint_table.MODES.__setitem__("Terminating", old)
 
 
@@ -134,7 +135,7 @@
     old = Policy.__dict__["_further"]
 
     def further(self, now, live, cost):
-        if live.spec.effect is i.Effect.KEYED:
+        if live.spec.effect is Idempotency.BY_KEY:
             live.ran = None
         return old(self, now, live, cost)
 
@@ -148,7 +149,7 @@
         attempt, self.attempt = self.attempt, None
         self.pools.lost(self)
         if attempt is not None:
-            self.pools.finish(attempt, i.Result.CONNECT_FAILED)
+            self.pools.finish(attempt, AttemptResult.CONNECT_FAILED)
 
     return _swap(backend.BackendConnection, "connection_lost", lost)
 
@@ -366,13 +367,13 @@
 
 def _fault_in_turn() -> Undo:
     """An outcome that comes when its request is over is not borne."""
-    old = Policy.__dict__["on_outcome"]
+    old = Policy.__dict__["on_attempt_outcome"]
 
-    def on_outcome(self, now, e):
+    def on_attempt_outcome(self, now, e):
         _ = self.live[e.request]
         old(self, now, e)
 
-    return _swap(Policy, "on_outcome", on_outcome)
+    return _swap(Policy, "on_attempt_outcome", on_attempt_outcome)
 
 
 def _guard_blind() -> Undo:
@@ -429,7 +430,7 @@
     """The list of the start is thrown away, and the gateway says that it is ready all the same."""
 
     def begin(self):
-        self.turn.post(i.BackendList(i.ListKind.CACHED, 0, []))
+        self.turn.post(EndpointList(EndpointListKind.CACHED, 0, []))
         return True
 
     return _swap(gateway.Gateway, "_begin_table", begin)
--- a/zincstile/simulator/adapter.py
+++ b/zincstile/simulator/adapter.py
@@ -5,15 +5,15 @@
 import sys
 from typing import BinaryIO
 
-from ..decisions import messages as i
+from ..decisions.messages import Action, Started
 from ..decisions.policy import Policy
 from . import codec
 
 
-def _handle(policies: dict[int, Policy], now: int, instance: int, event: object) -> list[i.Action]:
+def _handle(policies: dict[int, Policy], now: int, instance: int, event: object) -> list[Action]:
     if isinstance(event, codec.Open):
         policies[instance] = Policy(event.settings, event.seed)
-        return policies[instance].handle(now, i.Started())
+        return policies[instance].handle(now, Started())
     if isinstance(event, codec.Stop):
         policies.pop(instance, None)
         return []
--- a/zincstile/simulator/codec.py
+++ b/zincstile/simulator/codec.py
@@ -9,7 +9,35 @@
 from collections.abc import Callable
 from typing import Any
 
-from ..decisions import messages as i
+from ..decisions.messages import (
+    Action,
+    AttemptOutcome,
+    AttemptResult,
+    CancelAttempt,
+    CheckHealth,
+    CloseIdleConnections,
+    CounterAnswer,
+    CustomerUsage,
+    EndpointEntry,
+    EndpointList,
+    EndpointListKind,
+    EndpointState,
+    ErrorSample,
+    FailRequest,
+    ForwardRequest,
+    GossipReceived,
+    HealthCheckResult,
+    LogMessage,
+    RejectRequest,
+    Request,
+    RequestAbandoned,
+    SendGossip,
+    SetTimer,
+    StreamStarted,
+    TimerFired,
+    WatchEndpoints,
+)
+from ..decisions.settings import CustomerPlan, DeduplicationScope, Idempotency, RequestClass, Settings
 
 HEADER = struct.Struct("<QIII")
 REPLY = struct.Struct("<III")
@@ -17,16 +45,16 @@
 HEAD, FIGURE, DOUBT = struct.Struct("<BIHBB"), struct.Struct("<e"), struct.Struct("<HBB")
 SHARE = struct.Struct("<IBBIhBhH")
 MAGIC, LARGEST, GRAIN, ANSWER, MOST = 0xB9, 256, 16.0, 0x80, 60000.0
-EFFECTS = {"free": i.Effect.SAFE, "guarded": i.Effect.KEYED, "single_shot": i.Effect.UNSAFE}
+EFFECTS = {"free": Idempotency.ALWAYS, "guarded": Idempotency.BY_KEY, "single_shot": Idempotency.NEVER}
 RESULTS = {
-    0: i.Result.OK,
-    5: i.Result.ERROR,
-    11: i.Result.FULL,
-    110: i.Result.TIMEOUT,
-    111: i.Result.CONNECT_FAILED,
-    104: i.Result.RESET,
-    125: i.Result.CANCELLED,
-    114: i.Result.MOOT,
+    0: AttemptResult.OK,
+    5: AttemptResult.ERROR,
+    11: AttemptResult.REJECTED,
+    110: AttemptResult.TIMEOUT,
+    111: AttemptResult.CONNECT_FAILED,
+    104: AttemptResult.RESET,
+    125: AttemptResult.CANCELLED,
+    114: AttemptResult.NOT_SENT,
 }
 FIELD_NAMES = {
     "rif": "inflight",
@@ -47,7 +75,7 @@
 
     __slots__ = ("seed", "settings")
 
-    def __init__(self, seed: int, settings: i.Settings) -> None:
+    def __init__(self, seed: int, settings: Settings) -> None:
         self.seed, self.settings = seed, settings
 
 
@@ -67,7 +95,7 @@
     return table[key]
 
 
-def read_settings(text: bytes) -> i.Settings:
+def read_settings(text: bytes) -> Settings:
     try:
         table = json.loads(text)
     except (ValueError, RecursionError):
@@ -80,21 +108,21 @@
         raise WireError(f"settings: {err}") from None
 
 
-def _settings(t: dict[str, Any]) -> i.Settings:
+def _settings(t: dict[str, Any]) -> Settings:
     classes = []
     for c in _need(t, "classes"):
         effect = _need(c, "effect")
         if effect not in EFFECTS:
             raise WireError(f"settings: unknown effect '{effect}'")
         classes.append(
-            i.ClassSpec(
+            RequestClass(
                 name=str(_need(c, "name")),
                 aim_ns=int(_need(c, "aim_ns")),
                 deadline_ns=int(_need(c, "deadline_ns")),
                 effect=EFFECTS[effect],
                 worth=float(_need(c, "gain")),
                 late_worth=float(c.get("late_worth", 0)),
-                group=i.Group(c.get("group", "all")),
+                group=DeduplicationScope(c.get("group", "all")),
                 window_ns=int(c.get("window_ns", 0)),
                 stream=bool(c.get("stream", False)),
             )
@@ -102,7 +130,7 @@
     plans = []
     for p in _need(t, "plans"):
         plans.append(
-            i.PlanSpec(
+            CustomerPlan(
                 name=str(p.get("name", "")),
                 price=float(_need(p, "price")),
                 rate=float(_need(p, "refill")),
@@ -120,7 +148,7 @@
         raise WireError(f"settings: unknown discovery '{discovery}'")
     limits, rules = _need(t, "limits"), _need(t, "obligations")
     domain = t.get("domain") or {}
-    return i.Settings(
+    return Settings(
         me=int(_need(t, "ordinal")),
         gateways=int(_need(t, "balancers")),
         classes=classes,
@@ -175,7 +203,7 @@
 TIMER = struct.Struct("<Q")
 
 
-def _result(code: int) -> i.Result:
+def _result(code: int) -> AttemptResult:
     if code not in RESULTS:
         raise WireError(f"frame: unknown outcome {code}")
     return RESULTS[code]
@@ -191,7 +219,7 @@
     return Open(seed, read_settings(r.raw(size)))
 
 
-def _list(r: _Reader) -> i.BackendList:
+def _list(r: _Reader) -> EndpointList:
     kind, version, count = r.take(LIST)
     if kind > 3:
         raise WireError(f"frame: unknown list mode {kind}")
@@ -200,18 +228,20 @@
         raw, zone, machine, cell, mode, weight, started = r.take(ENTRY)
         if mode > 2:
             raise WireError(f"frame: unknown backend mode {mode}")
-        entries.append(i.Backend(_backend(raw), zone, machine, cell, i.Mode(mode), weight, started))
-    return i.BackendList(i.ListKind(kind), version, entries)
+        entries.append(
+            EndpointEntry(_backend(raw), zone, machine, cell, EndpointState(mode), weight, started)
+        )
+    return EndpointList(EndpointListKind(kind), version, entries)
 
 
-def _request(r: _Reader) -> i.Request:
+def _request(r: _Reader) -> Request:
     rid, cls, plan, customer, give_up, units, spread, first, bits = r.take(REQUEST)
     if not (math.isfinite(units) and math.isfinite(spread) and math.isfinite(first)):
         raise WireError("frame: a request's figures are not numbers")
-    return i.Request(rid, cls, plan, customer, give_up, units, int(spread), int(first), bool(bits & 2))
+    return Request(rid, cls, plan, customer, give_up, units, int(spread), int(first), bool(bits & 2))
 
 
-def _peer(r: _Reader) -> i.PeerMessage | None:
+def _peer(r: _Reader) -> GossipReceived | None:
     sender, size = r.take(PEER)
     return unpack_tell(sender, r.raw(size))
 
@@ -220,7 +250,7 @@
     return max(-32768, min(32767, round(units * GRAIN)))
 
 
-def pack_tell(tell: i.Tell) -> list[bytes]:
+def pack_tell(tell: SendGossip) -> list[bytes]:
     """Messages between gateways, 256 bytes at most each; units travel in sixteenths, totals modulo 2^32.
     Where the settings have many classes and plans, the figures of the last groups are left out, and doubts of
     groups past a byte: guards against a message that has no room for any share, and so against none or one
@@ -252,7 +282,7 @@
     return messages
 
 
-def unpack_tell(sender: int, data: bytes) -> i.PeerMessage | None:
+def unpack_tell(sender: int, data: bytes) -> GossipReceived | None:
     """None for a message that is damaged or of another layout."""
     if len(data) < HEAD.size:
         return None
@@ -265,7 +295,7 @@
     if len(body) < first or (len(body) - first) % SHARE.size:
         return None
     shares = [
-        i.Share(
+        CustomerUsage(
             low | (high % ANSWER) << 32,
             plan,
             total / GRAIN,
@@ -277,35 +307,35 @@
         )
         for low, high, plan, total, level, out, want, mark in SHARE.iter_unpack(body[first:])
     ]
-    return i.PeerMessage(
+    return GossipReceived(
         sender,
         start,
         shares,
         [x for (x,) in FIGURE.iter_unpack(body[:after])],
-        [i.Doubt(b, g, v / 255) for b, g, v in DOUBT.iter_unpack(body[after:first])],
+        [ErrorSample(b, g, v / 255) for b, g, v in DOUBT.iter_unpack(body[after:first])],
     )
 
 
-def _outcome(r: _Reader) -> i.Outcome:
+def _outcome(r: _Reader) -> AttemptOutcome:
     rid, attempt, raw, code, latency, finished, used, cost = r.take(OUTCOME)
-    return i.Outcome(
+    return AttemptOutcome(
         rid, attempt, _backend(raw), _result(code), latency, bool(finished), used, float(cost), _report(r)
     )
 
 
-def _stream(r: _Reader) -> i.StreamStarted:
+def _stream(r: _Reader) -> StreamStarted:
     rid, latency, attempt, raw = r.take(STREAM)
-    return i.StreamStarted(rid, attempt, _backend(raw), latency)
+    return StreamStarted(rid, attempt, _backend(raw), latency)
 
 
-def _probed(r: _Reader) -> i.Probed:
+def _probed(r: _Reader) -> HealthCheckResult:
     raw, code, latency = r.take(PROBED)
-    return i.Probed(_backend(raw), _result(code), latency, _report(r))
+    return HealthCheckResult(_backend(raw), _result(code), latency, _report(r))
 
 
-def _counted(r: _Reader) -> i.Counted:
+def _counted(r: _Reader) -> CounterAnswer:
     name, code, total, latency = r.take(COUNTED)
-    return i.Counted(name, _result(code), total, latency)
+    return CounterAnswer(name, _result(code), total, latency)
 
 
 READERS: dict[int, Callable[[_Reader], Any]] = {
@@ -318,8 +348,8 @@
     100: _stream,
     80: _probed,
     10: _counted,
-    20: lambda r: i.Gone(r.take(U32)[0]),
-    60: lambda r: i.Timer(r.take(TIMER)[0]),
+    20: lambda r: RequestAbandoned(r.take(U32)[0]),
+    60: lambda r: TimerFired(r.take(TIMER)[0]),
 }
 
 
@@ -363,30 +393,30 @@
         words = text.encode()[:60000]
         self._put(struct.pack("<BH", 30, len(words)) + words)
 
-    def add(self, instance: int, action: i.Action) -> None:
+    def add(self, instance: int, action: Action) -> None:
         self._for(instance)
-        if isinstance(action, i.Send):
+        if isinstance(action, ForwardRequest):
             data = struct.pack("<BIQ", 10, action.request, max(0, action.until_ns))
             data += action.backend.to_bytes(6, "little")
-        elif isinstance(action, i.SetTimer):
+        elif isinstance(action, SetTimer):
             data = struct.pack("<BQQ", 50, max(0, action.at_ns), action.token)
-        elif isinstance(action, i.Refuse):
+        elif isinstance(action, RejectRequest):
             data = struct.pack("<BIQ", 120, action.request, action.retry_in_ns)
-        elif isinstance(action, i.Fail):
+        elif isinstance(action, FailRequest):
             data = struct.pack("<BI", 110, action.request)
-        elif isinstance(action, i.Cancel):
+        elif isinstance(action, CancelAttempt):
             data = struct.pack("<BIB", 40, action.request, action.attempt)
-        elif isinstance(action, i.Tell):
+        elif isinstance(action, SendGossip):
             for message in pack_tell(action):
                 self._put(struct.pack("<BIH", 70, action.peer, len(message)) + message)
             return
-        elif isinstance(action, i.Probe):
+        elif isinstance(action, CheckHealth):
             data = b"\x82" + action.backend.to_bytes(6, "little")
-        elif isinstance(action, i.Close):
+        elif isinstance(action, CloseIdleConnections):
             data = b"\x3c" + action.backend.to_bytes(6, "little")
-        elif isinstance(action, i.Watch):
+        elif isinstance(action, WatchEndpoints):
             data = struct.pack("<BB", 20, 1)
-        elif isinstance(action, i.Log):
+        elif isinstance(action, LogMessage):
             words = action.text.encode()[:1000]
             data = struct.pack("<BH", 100, len(words)) + words
         else:
--- a/zincstile/subsetting/module.py
+++ b/zincstile/subsetting/module.py
@@ -11,9 +11,9 @@
 import math
 from dataclasses import replace
 
-from ..decisions import messages as i
-from ..decisions.messages import Backend, Effect, Group, ListKind, Mode
+from ..decisions.messages import EndpointEntry, EndpointList, EndpointListKind, EndpointState, LogMessage
 from ..decisions.policy import FADE_S, FAULTY, FORGOTTEN, Policy
+from ..decisions.settings import DeduplicationScope, Idempotency, Settings
 from ..decisions.state import NO_DOUBT, Server
 from .fleet import Fleet
 from .selection import Selection
@@ -26,9 +26,9 @@
 PAIR = 2  # endpoints of a group in which a keyed request may be repeated
 
 
-def keyed_groups(settings: i.Settings) -> set[Group]:
+def keyed_groups(settings: Settings) -> set[DeduplicationScope]:
     """Groups within which some class's requests may be repeated, and nowhere else."""
-    return {c.group for c in settings.classes if c.effect is Effect.KEYED} - {Group.ALL}
+    return {c.group for c in settings.classes if c.effect is Idempotency.BY_KEY} - {DeduplicationScope.ALL}
 
 
 class SubsetPolicy(Policy):
@@ -38,21 +38,21 @@
     zones_named: list[str]  # in the settings' order
     services: list[int]  # a number for each type that the settings name
 
-    def __init__(self, settings: i.Settings, seed: int, *more: object) -> None:
+    def __init__(self, settings: Settings, seed: int, *more: object) -> None:
         self._tier, self.concentration = float(settings.gateways), 1.0
         super().__init__(settings, seed, *more)
         groups = keyed_groups(settings)
-        by_cell = Group.CELL in groups and self.subset.service_by is not ServiceBy.GROUP
+        by_cell = DeduplicationScope.CELL in groups and self.subset.service_by is not ServiceBy.GROUP
         self.table = EndpointTable(self.service_of, by_cell)
         fleet = Fleet(self.subset, settings.me, settings.gateways, settings.zone, self.zones_named)
         least = max(self.subset.least, PAIR) if groups else self.subset.least
         self.selection = Selection(self.subset, fleet, self.table, least)
-        self.used: dict[int, Backend] = {}  # as the module below was told of them last
+        self.used: dict[int, EndpointEntry] = {}  # as the module below was told of them last
         self.left: dict[int, tuple[int, Server]] = {}  # since when, and the evidence; the oldest first
         self.moved = 0  # endpoints that came in or left, since the start
         self._now = 0
 
-    def service_of(self, entry: Backend) -> int:
+    def service_of(self, entry: EndpointEntry) -> int:
         """The service of an endpoint, by the field that the settings name."""
         if self.subset.service_by is ServiceBy.TYPE:
             known = 0 <= entry.kind < len(self.services)
@@ -70,12 +70,12 @@
 
     # ---- the list
 
-    def on_backend_list(self, now: int, event: i.BackendList) -> None:
-        if event.kind is ListKind.FAILED:
-            super().on_backend_list(now, event)
+    def on_endpoint_list(self, now: int, event: EndpointList) -> None:
+        if event.kind is EndpointListKind.FAILED:
+            super().on_endpoint_list(now, event)
             return
         first = not self.used
-        if event.kind is ListKind.DELTA:
+        if event.kind is EndpointListKind.DELTA:
             named = {entry.id for entry in event.entries}
             services = self.table.apply(event.entries)
         else:
@@ -83,7 +83,7 @@
             services = self.table.replace(event.entries)
         self._pass_on(now, named | self.selection.update(services), event.version)
         if first and self.used:
-            self.acts.append(i.Log(self._line()))
+            self.acts.append(LogMessage(self._line()))
 
     def _pass_on(self, now: int, named: set[int], version: int) -> None:
         """What the module below has to hear of these endpoints."""
@@ -92,12 +92,12 @@
         self.concentration = self.table.ready / ready if ready else 1.0
         if entries:
             self._now = now
-            super().on_backend_list(now, i.BackendList(ListKind.DELTA, version, entries))
+            super().on_endpoint_list(now, EndpointList(EndpointListKind.DELTA, version, entries))
 
-    def _change(self, now: int, number: int) -> Backend | None:
+    def _change(self, now: int, number: int) -> EndpointEntry | None:
         """An endpoint's entry as the module below is to have it; None where it has that already."""
         entry, told = self.table.endpoints.get(number), self.used.get(number)
-        drains = entry is not None and entry.mode is Mode.DRAINING and told is not None
+        drains = entry is not None and entry.mode is EndpointState.DRAINING and told is not None
         if entry is not None and (drains or number in self.selection.members):
             self.used[number] = entry
             return entry if entry != told else None
@@ -105,7 +105,7 @@
             return None
         del self.used[number]
         self._keep(now, number)
-        return replace(told, mode=Mode.GONE)
+        return replace(told, mode=EndpointState.REMOVED)
 
     def _keep(self, now: int, number: int) -> None:
         server = self.servers.get(number)
--- a/zincstile/subsetting/table.py
+++ b/zincstile/subsetting/table.py
@@ -9,7 +9,7 @@
 from bisect import bisect_left, insort
 from collections.abc import Callable, Iterable
 
-from ..decisions.messages import Backend, Mode
+from ..decisions.messages import EndpointEntry, EndpointState
 from .placement import ID_MASK, ring_key
 
 Place = tuple[int, int]  # service and zone
@@ -55,20 +55,20 @@
     """All endpoints that discovery told of. `service_of` says of which service one is; `by_cell`: the rings
     know cells too."""
 
-    def __init__(self, service_of: Callable[[Backend], int], by_cell: bool = False) -> None:
+    def __init__(self, service_of: Callable[[EndpointEntry], int], by_cell: bool = False) -> None:
         self.service_of, self.by_cell = service_of, by_cell
-        self.endpoints: dict[int, Backend] = {}
+        self.endpoints: dict[int, EndpointEntry] = {}
         self.rings: dict[Place, Ring] = {}
         self.ready = 0
 
-    def apply(self, entries: Iterable[Backend]) -> set[int]:
+    def apply(self, entries: Iterable[EndpointEntry]) -> set[int]:
         """Changes, in their order. The services of which a ring has changed."""
         changed: set[int] = set()
         for entry in entries:
             self._put(entry, changed)
         return changed
 
-    def replace(self, entries: Iterable[Backend]) -> set[int]:
+    def replace(self, entries: Iterable[EndpointEntry]) -> set[int]:
         """A whole list: what it leaves out has gone. The services of which a ring has changed."""
         listed = {entry.id: entry for entry in entries}
         changed: set[int] = set()
@@ -78,10 +78,10 @@
             self._put(entry, changed)
         return changed
 
-    def _put(self, entry: Backend, changed: set[int]) -> None:
+    def _put(self, entry: EndpointEntry, changed: set[int]) -> None:
         old = self.endpoints.get(entry.id)
         stays = old is not None and self._spot(old) == self._spot(entry)
-        if entry.mode is Mode.GONE:
+        if entry.mode is EndpointState.REMOVED:
             self.endpoints.pop(entry.id, None)
         else:
             self.endpoints[entry.id] = entry
@@ -91,13 +91,13 @@
             self._leave(old, changed)
         self._join(entry, changed)
 
-    def _spot(self, entry: Backend) -> tuple[int, int, int] | None:
+    def _spot(self, entry: EndpointEntry) -> tuple[int, int, int] | None:
         """Where an endpoint stands; None: in no ring."""
-        if entry.mode is not Mode.READY:
+        if entry.mode is not EndpointState.READY:
             return None
         return self.service_of(entry), entry.zone, entry.cell
 
-    def _join(self, entry: Backend, changed: set[int]) -> None:
+    def _join(self, entry: EndpointEntry, changed: set[int]) -> None:
         spot = self._spot(entry)
         if spot is None:
             return
@@ -108,7 +108,7 @@
         self.ready += 1
         changed.add(service)
 
-    def _leave(self, entry: Backend, changed: set[int]) -> None:
+    def _leave(self, entry: EndpointEntry, changed: set[int]) -> None:
         spot = self._spot(entry)
         if spot is None:
             return
--- a/zincstile/zone_failover/module.py
+++ b/zincstile/zone_failover/module.py
@@ -14,9 +14,9 @@
 import random
 from dataclasses import dataclass
 
-from ..decisions import messages as i
-from ..decisions.messages import Effect
+from ..decisions.messages import AttemptOutcome, AttemptResult, Started, TimerFired
 from ..decisions.policy import FAULTY, Policy
+from ..decisions.settings import Idempotency, Settings
 from ..decisions.state import Attempt, Live, Server
 from .council import Council
 from .flows import PARTS
@@ -111,7 +111,7 @@
     zone_count: int
     distance: list[list[int]]  # between zones, by number
 
-    def __init__(self, settings: i.Settings, seed: int, *more: object) -> None:
+    def __init__(self, settings: Settings, seed: int, *more: object) -> None:
         super().__init__(settings, seed, *more)
         self.luck = random.Random(f"place {seed}")
         self.home = min(settings.zone, self.zone_count - 1)
@@ -136,14 +136,14 @@
 
     # ---- what goes by time
 
-    def on_started(self, now: int, event: i.Started) -> None:
+    def on_started(self, now: int, event: Started) -> None:
         self.council.start(now)
         super().on_started(now, event)
         self.timer(now + self.luck.randrange(self.place.beat_ns), PLACE)
 
-    def on_timer(self, now: int, event: i.Timer) -> None:
+    def on_timer_fired(self, now: int, event: TimerFired) -> None:
         if event.token != PLACE:
-            super().on_timer(now, event)
+            super().on_timer_fired(now, event)
             return
         self.timer(now + self.place.beat_ns, PLACE)
         self._beat(now)
@@ -208,14 +208,19 @@
             fade = math.exp(-span * 8.0 / TRIED_S)  # `policy.FADE_S` over our own
             one.failed, one.all = one.failed * fade, one.all * fade
 
-    def _learn(self, now: int, e: i.Outcome, attempt: Attempt) -> None:
+    def _learn(self, now: int, e: AttemptOutcome, attempt: Attempt) -> None:
         super()._learn(now, e, attempt)
         zone = min(attempt.server.info.zone, self.zone_count - 1)
-        if e.result is i.Result.CONNECT_FAILED:
+        if e.result is AttemptResult.CONNECT_FAILED:
             self.tries[zone].add(True)
-        elif e.result in (i.Result.OK, i.Result.ERROR, i.Result.FULL, i.Result.SPOILT):
+        elif e.result in (
+            AttemptResult.OK,
+            AttemptResult.ERROR,
+            AttemptResult.REJECTED,
+            AttemptResult.MALFORMED,
+        ):
             self.tries[zone].add(False)
-        elif e.result is i.Result.TIMEOUT and attempt.late:  # silent for long
+        elif e.result is AttemptResult.TIMEOUT and attempt.late:  # silent for long
             self.tries[zone].add(True)
 
     # ---- the choice
@@ -236,13 +241,13 @@
     def _choose(self, now: int, live: Live) -> Server | None:
         if live.ran is not None and live.tried:  # a repeat: where it may go says its group
             table = self.council.table(now)
-            if live.spec.effect is Effect.SAFE and table is not None:
+            if live.spec.effect is Idempotency.ALWAYS and table is not None:
                 self.barred = [s in (State.LOST, State.DRAINING) for s in table.states]
             try:
                 return super()._choose(now, live)
             finally:
                 self.barred = []
-        if live.spec.effect is Effect.SAFE and not live.tried:
+        if live.spec.effect is Idempotency.ALWAYS and not live.tried:
             server = self._tried(now, live)
             if server is not None:
                 return server
