--- a/zincstile/net/gateway.py
+++ b/zincstile/net/gateway.py
@@ -11,7 +11,6 @@
 from typing import Any
 
 from ..decisions.messages import RequestAbandoned, Started
-from ..decisions.policy import Policy
 from .backend import Backends
 from .config import Config, ConfigError
 from .counters import Counters
@@ -21,6 +20,7 @@
 from .host import HOST, Host
 from .log import Log
 from .peers import Peers
+from .policy_assembly import build_policy
 from .session import FAILED
 from .trace import Step
 from .transient import is_momentary, patiently
@@ -33,7 +33,7 @@
     def __init__(self, config: Config, loop: asyncio.AbstractEventLoop, host: Host = HOST) -> None:
         self.config, self.loop, self.host = config, loop, host
         self.log, self.counters = Log(config.name, host=host), Counters()
-        self.turn = Turn(loop, self._module(), config.limits, self.counters, self.log, host)
+        self.turn = Turn(loop, build_policy(config, host), config.limits, self.counters, self.log, host)
         buffer = memoryview(bytearray(config.limits.read_bytes))  # each read is taken out of it at once
         self.door = FrontDoor(self.turn, config.settings, buffer, host)
         self.backends = Backends(self.turn, config.settings, buffer)
@@ -59,32 +59,6 @@
         self._stopping = False
         self._stop_ns = 0
 
-    def _module(self) -> Policy:
-        """Quotas by gossip; by parts and loans, or through a count keeper, where a file under deploy/ says
-        so. Admission opens at a pace where one says so."""
-        config, kind, more = self.config, Policy, ()
-        if config.shared:
-            from ..leases.module import SharedPolicy
-
-            kind, more = SharedPolicy, (config.shared,)
-        elif config.keeper:
-            from ..quota_service.module import KeptPolicy
-
-            kind, more = KeptPolicy, (config.keeper, self.host.unix_ns() - self.host.monotonic_ns())
-        if config.place:
-            from ..zone_failover.module import placed
-
-            kind = placed(kind, config.place, config.zones)
-        if config.start:
-            from ..cold_start.policy import opening
-
-            kind = opening(kind, config.start)
-        if config.subset:
-            from ..subsetting.module import subsetting
-
-            kind = subsetting(kind, config.subset, config.zones, [name_number(k) for k in config.kinds])
-        return kind(config.settings, config.seed, *more)
-
     def _keep(self, buffer: memoryview) -> Any:
         """The count keeper's client, and the words between gateways that belong to it."""
         from ..quota_service import module, words
