--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -16,10 +16,10 @@
 from zincstile.decisions.messages import AttemptOutcome, AttemptResult, ForwardRequest, Request
 from zincstile.net.backend import Backends
 from zincstile.net.counters import Counters
+from zincstile.net.dispatcher import Dispatcher
 from zincstile.net.limits import MS, SECOND, Limits
 from zincstile.net.log import Log
 from zincstile.net.session import Call, Kind, Session
-from zincstile.net.turn import Turn
 
 NEVER = 10**12
 # A dial that comes up after the client of its attempt has left
@@ -388,8 +388,8 @@
     """One request to a backend server whose connection comes up; `between` runs once it has, in the step of
     the loop that makes its transport."""
     loop, buffer = asyncio.get_running_loop(), memoryview(bytearray(65536))
-    turn = Turn(loop, Asked(), Limits(connect_ns=connect_ns), Counters(), Log("n0"))
-    backends = Backends(turn, module_settings(), buffer)
+    dispatcher = Dispatcher(loop, Asked(), Limits(connect_ns=connect_ns), Counters(), Log("n0"))
+    backends = Backends(dispatcher, module_settings(), buffer)
     backends.update([(backend(1), listening.getsockname())], True)
     plain = loop.create_connection
 
@@ -402,10 +402,12 @@
         return await plain(made, *where)
 
     loop.create_connection = slow
-    client, now = Client(), turn.now_ns()
+    client, now = Client(), dispatcher.now_ns()
     call = Call(True, b"0" * 16, b"1", [b"c=look", b"d=9000"], 1, None)
-    turn.take(Session(1, call, client, now + 9 * SECOND), Request(1, 0, 0, 7, now + 9 * SECOND, 1.0, 1, 0))
-    return turn, backends, client
+    dispatcher.take(
+        Session(1, call, client, now + 9 * SECOND), Request(1, 0, 0, 7, now + 9 * SECOND, 1.0, 1, 0)
+    )
+    return dispatcher, backends, client
 
 
 def test_a_dial_that_comes_up_as_its_time_ends_is_kept_by_the_attempt_that_it_carries():
@@ -413,17 +415,17 @@
     the attempt is sent on it, and nothing of the dial may close it afterwards."""
 
     async def play(listening):
-        turn, _, client = await dialled(listening, lambda _: time.sleep(0.2))
+        dispatcher, _, client = await dialled(listening, lambda _: time.sleep(0.2))
         loop = asyncio.get_running_loop()
         taken, _ = await loop.sock_accept(listening)
         with taken:
             got = await loop.sock_recv(taken, 4096)
             if not got:
-                return [], turn.policy.outcomes, client.answers
+                return [], dispatcher.policy.outcomes, client.answers
             await loop.sock_sendall(taken, b"*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n")
-            while not turn.policy.outcomes:
+            while not dispatcher.policy.outcomes:
                 await asyncio.sleep(0)
-        return got[:4], turn.policy.outcomes, client.answers
+        return got[:4], dispatcher.policy.outcomes, client.answers
 
     with socket.create_server(("127.0.0.1", 0)) as listening:
         listening.setblocking(False)
@@ -436,21 +438,21 @@
     in the step of the loop in which the dial's time ends."""
 
     async def play(listening):
-        turn, backends, _ = await dialled(listening, lambda _: time.sleep(0.2))
+        dispatcher, backends, _ = await dialled(listening, lambda _: time.sleep(0.2))
         loop, plain = asyncio.get_running_loop(), backends.connected
 
         def connected(connection):  # given up in the moment before
             backends.finish(connection.attempt, AttemptResult.CANCELLED)
             plain(connection)
             if backends.servers[1].resting:  # taken again in the same step
-                now = turn.now_ns()
+                now = dispatcher.now_ns()
                 session = Session(
                     2,
                     Call(True, b"0" * 16, b"2", [b"c=look", b"d=9000"], 1, None),
                     Client(),
                     now + 9 * SECOND,
                 )
-                turn.take(session, Request(2, 0, 0, 7, now + 9 * SECOND, 1.0, 1, 0))
+                dispatcher.take(session, Request(2, 0, 0, 7, now + 9 * SECOND, 1.0, 1, 0))
 
         backends.connected = connected
         taken, _ = await loop.sock_accept(listening)
@@ -458,9 +460,9 @@
             got = await loop.sock_recv(taken, 4096)
             if got:
                 await loop.sock_sendall(taken, b"*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n")
-                while len(turn.policy.outcomes) < 2:
+                while len(dispatcher.policy.outcomes) < 2:
                     await asyncio.sleep(0)
-        return turn.policy.outcomes
+        return dispatcher.policy.outcomes
 
     with socket.create_server(("127.0.0.1", 0)) as listening:
         listening.setblocking(False)
@@ -473,10 +475,10 @@
         def given_up(connection):
             connection.dial = SimpleNamespace(expired=lambda: True)
 
-        turn, _, _ = await dialled(listening, given_up, connect_ns=9 * SECOND)
-        while not turn.policy.outcomes:
+        dispatcher, _, _ = await dialled(listening, given_up, connect_ns=9 * SECOND)
+        while not dispatcher.policy.outcomes:
             await asyncio.sleep(0)
-        return turn.policy.outcomes, turn.counters.attempts
+        return dispatcher.policy.outcomes, dispatcher.counters.attempts
 
     with socket.create_server(("127.0.0.1", 0)) as listening:
         assert asyncio.run(asyncio.wait_for(play(listening), PATIENCE)) == ([AttemptResult.CONNECT_FAILED], 0)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -21,11 +21,11 @@
 
 from zincstile.net.accept import Acceptor, Taken
 from zincstile.net.counters import Counters
-from zincstile.net.frontend import ClientConnection, FrontDoor
+from zincstile.net.dispatcher import Dispatcher
+from zincstile.net.frontend import ClientConnection, ClientListener
 from zincstile.net.host import HOST
 from zincstile.net.limits import MS, SECOND, Limits
 from zincstile.net.log import Log
-from zincstile.net.turn import Turn
 
 NEVER = 10**12
 SHUT_AT_ONCE = {"drain_quiet_ns": 1}
@@ -419,7 +419,7 @@
 
     async def play(listening):
         made = []
-        turn = SimpleNamespace(loop=asyncio.get_running_loop())
+        dispatcher = SimpleNamespace(loop=asyncio.get_running_loop())
 
         class Welcomed(asyncio.Protocol):
             def connection_made(self, transport):
@@ -427,7 +427,7 @@
                     transport.get_extra_info("socket").getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
                 )
 
-        acceptor = Acceptor(turn, Welcomed)
+        acceptor = Acceptor(dispatcher, Welcomed)
         with socket.create_connection(listening.getsockname(), PATIENCE):
             while acceptor.take(listening) is not Taken.ONE:
                 await asyncio.sleep(0)
@@ -468,9 +468,9 @@
             self.aborted = True
 
     async def play():
-        turn = Turn(asyncio.get_running_loop(), None, Limits(), Counters(), Log("n0"))
-        turn.readable = turn.ended = lambda transport: False
-        door = FrontDoor(turn, module_settings(), memoryview(bytearray(64)), HOST)
+        dispatcher = Dispatcher(asyncio.get_running_loop(), None, Limits(), Counters(), Log("n0"))
+        dispatcher.readable = dispatcher.ended = lambda transport: False
+        door = ClientListener(dispatcher, module_settings(), memoryview(bytearray(64)), HOST)
         wires = [Wire(gone=k == 0) for k in range(3)]
         for wire in wires:
             client = ClientConnection(door)
--- a/tests/test_endpoint_table.py
+++ b/tests/test_endpoint_table.py
@@ -30,7 +30,7 @@
 
 def table(number, lim):
     """A table whose tries to open a watch are counted instead."""
-    turn = SimpleNamespace(
+    dispatcher = SimpleNamespace(
         limits=lim,
         deadlines=Deadlines(),
         now_ns=lambda: 0,
@@ -42,7 +42,7 @@
         counters=SimpleNamespace(tables=0, watches=0),
     )
     made = EndpointTable(
-        turn,
+        dispatcher,
         endpoint_table.EndpointReader([], [], Host),
         ("10.2.0.1", 8500),
         lambda entries, whole: None,
@@ -59,7 +59,7 @@
     got = []
     for _ in range(tries):
         made.lost(made.where, "turned away")
-        ((at, _, then, about),) = made.turn.deadlines.sweep(1 << 62)
+        ((at, _, then, about),) = made.dispatcher.deadlines.sweep(1 << 62)
         got.append(at)
     return got
 
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -13,11 +13,11 @@
 from test_scenarios import READY, play
 
 from zincstile.net.counters import Counters
+from zincstile.net.dispatcher import Dispatcher
 from zincstile.net.endpoint_table import EndpointReader, EndpointTable
 from zincstile.net.host import HOST
 from zincstile.net.limits import MS, Limits
 from zincstile.net.log import Log
-from zincstile.net.turn import Turn
 
 NEVER = 10**12
 
@@ -152,9 +152,11 @@
 
     async def play(listening):
         loop, clock, limits = asyncio.get_running_loop(), Clock(), Limits()
-        turn = Turn(loop, SimpleNamespace(handle=lambda now, event: []), limits, Counters(), Log("n0"), clock)
+        dispatcher = Dispatcher(
+            loop, SimpleNamespace(handle=lambda now, event: []), limits, Counters(), Log("n0"), clock
+        )
         table = EndpointTable(
-            turn,
+            dispatcher,
             EndpointReader(["z"], ["k"], clock),
             listening.getsockname(),
             lambda entries, whole: None,
@@ -168,7 +170,7 @@
         while not table.told:
             await asyncio.sleep(0)
         clock.at += limits.table_silence_ns
-        turn.wake()
+        dispatcher.wake()
         second, _ = await loop.sock_accept(listening)
         await loop.sock_recv(second, 4096)
         dialled = []
@@ -179,7 +181,7 @@
 
         loop.create_connection = hangs
         clock.at += limits.table_answer_ns
-        turn.wake()
+        dispatcher.wake()
         while not dialled:
             await asyncio.sleep(0)
         await told(second, [ready | {"status": "Terminating"}], 2)
@@ -187,7 +189,7 @@
             await asyncio.sleep(0)
         first.close()
         second.close()
-        return turn.counters.tables
+        return dispatcher.counters.tables
 
     with socket.create_server(("127.0.0.1", 0)) as listening:
         listening.setblocking(False)
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -21,7 +21,7 @@
 def world():
     clock = [100 * SECOND]
     posted, pools = [], []
-    turn = SimpleNamespace(
+    dispatcher = SimpleNamespace(
         limits=Limits(),
         deadlines=Deadlines(),
         now_ns=lambda: clock[0],
@@ -33,8 +33,10 @@
         counters=SimpleNamespace(tables=0, watches=0),
     )
     made = EndpointTable(
-        turn,
-        endpoint_table.EndpointReader([], [], SimpleNamespace(monotonic_ns=turn.now_ns, unix_ns=turn.now_ns)),
+        dispatcher,
+        endpoint_table.EndpointReader(
+            [], [], SimpleNamespace(monotonic_ns=dispatcher.now_ns, unix_ns=dispatcher.now_ns)
+        ),
         ("10.2.0.1", 8500),
         lambda entries, _: pools.append([(b.id, b.mode) for b, _ in entries]),
         lambda: None,
--- a/tests/test_net_keeper.py
+++ b/tests/test_net_keeper.py
@@ -9,10 +9,10 @@
 
 from zincstile.emulators.counter import Counter
 from zincstile.net.counters import Counters
+from zincstile.net.dispatcher import Dispatcher
 from zincstile.net.keeper import Keeper
 from zincstile.net.limits import Limits
 from zincstile.net.log import Log
-from zincstile.net.turn import Turn
 from zincstile.virtual.clock import MS, SECOND, Scheduler
 from zincstile.virtual.host import VirtualHost
 from zincstile.virtual.network import Network, Ways
@@ -33,9 +33,9 @@
         self.gateway, self.there = (Process(self.network, n, f"10.0.0.{k}") for k, n in enumerate(("g", "k")))
         host = VirtualHost(self.gateway, lambda: None)
         log = Log("g", host=host)
-        self.turn = Turn(self.gateway.loop, Still(), limits or Limits(), Counters(), log, host)
+        self.dispatcher = Dispatcher(self.gateway.loop, Still(), limits or Limits(), Counters(), log, host)
         self.counter = self.count(self.there, **counter)
-        self.keeper = Keeper(self.turn, (self.there.host, 80), memoryview(bytearray(65536)))
+        self.keeper = Keeper(self.dispatcher, (self.there.host, 80), memoryview(bytearray(65536)))
         self.said, self.run = [], lambda ms: self.scheduler.run(self.scheduler.now_ns + int(ms * MS))
         self.run(5)
 
@@ -111,7 +111,7 @@
     world.run(200)
     assert world.said == [None] * 10
     world.run(3000)
-    assert not world.keeper.waiting and len(world.turn.deadlines) <= 2
+    assert not world.keeper.waiting and len(world.dispatcher.deadlines) <= 2
 
 
 def test_a_stuck_connection_is_left_and_the_next_call_gets_another():
@@ -158,7 +158,7 @@
     world = World(Limits(keeper_waiting=3))
     world.call(count=10)
     world.run(1)
-    assert world.turn.counters.keeper_full == 7 and world.said == [None] * 7
+    assert world.dispatcher.counters.keeper_full == 7 and world.said == [None] * 7
 
 
 def test_a_call_that_cannot_be_is_refused():
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -229,11 +229,11 @@
         new = start()
         new.until_ready()
         most = [0, 0]
-        for turn in range(40):
+        for dispatcher in range(40):
             crowd(10)
             now = held()
             most = max(most, now, key=sum)
-            if turn == 10:
+            if dispatcher == 10:
                 old.program.send_signal(signal.SIGTERM)
             time.sleep(0.01)
         assert old.program.wait(5) == 0
--- a/tests/test_place.py
+++ b/tests/test_place.py
@@ -210,7 +210,7 @@
     assert sum(after) <= 0.08 * len(after)
     back = [z == 1 for at, z, home in sent if at > 14.5 and home == 1]
     assert sum(back) >= 0.8 * len(back)
-    tables = {s.gateway.turn.policy.council.table(run.scheduler.now_ns).shares for s in run.seats}
+    tables = {s.gateway.dispatcher.policy.council.table(run.scheduler.now_ns).shares for s in run.seats}
     assert len(tables) == 1
 
 
@@ -231,7 +231,7 @@
     for at, drained in ((3, True), (8, False)):
         run.scheduler.at(
             run.began_ns + at * 10**9,
-            lambda drained=drained: run.seats[0].gateway.turn.post(said(1, drained)),
+            lambda drained=drained: run.seats[0].gateway.dispatcher.post(said(1, drained)),
         )
     assert run.play().breach is None
 
@@ -240,4 +240,4 @@
         return sum(chosen) / len(chosen)
 
     assert part(0, 3) > 0.2 and part(4.5, 8) == 0.0 and part(12, 15) > 0.2
-    assert {s.gateway.turn.policy.council.states[1].state.name for s in run.seats} == {"WELL"}
+    assert {s.gateway.dispatcher.policy.council.states[1].state.name for s in run.seats} == {"WELL"}
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -164,7 +164,10 @@
 
 class Owner:
     def __init__(self):
-        self.turn, self.buffer = SimpleNamespace(limits=Limits(), now_ns=lambda: 0), memoryview(bytearray(64))
+        self.dispatcher, self.buffer = (
+            SimpleNamespace(limits=Limits(), now_ns=lambda: 0),
+            memoryview(bytearray(64)),
+        )
         self.results = []
 
     def encode(self, attempt):
--- a/tests/test_turn.py
+++ b/tests/test_turn.py
@@ -21,10 +21,10 @@
 from zincstile.net.backend import Backends
 from zincstile.net.counters import Counters
 from zincstile.net.deadlines import every
+from zincstile.net.dispatcher import Dispatcher
 from zincstile.net.limits import Limits
 from zincstile.net.log import Log
 from zincstile.net.session import Call, Kind, Session
-from zincstile.net.turn import Turn
 
 
 class Failing:
@@ -50,32 +50,37 @@
 def test_a_fault_in_one_session_fails_that_session_alone(capsys):
     async def play():
         client = Client()
-        turn = Turn(asyncio.get_running_loop(), Failing(), Limits(), Counters(), Log("n0"))
+        dispatcher = Dispatcher(asyncio.get_running_loop(), Failing(), Limits(), Counters(), Log("n0"))
         for number in (1, 2):
             call = Call(True, b"c", b"id", [b"d=1"], 0, None)
-            turn.take(Session(number, call, client, 10**18), Request(number, 0, 0, 7, 10**18, 1.0, 1, 0))
+            dispatcher.take(
+                Session(number, call, client, 10**18), Request(number, 0, 0, 7, 10**18, 1.0, 1, 0)
+            )
         while len(client.answers) < 2:
             await asyncio.sleep(0)
-        return client.answers, turn
+        return client.answers, dispatcher
 
-    answers, turn = asyncio.run(asyncio.wait_for(play(), 20))
+    answers, dispatcher = asyncio.run(asyncio.wait_for(play(), 20))
     assert answers == [(1, Kind.FAILED), (2, Kind.FAILED)]
-    assert turn.counters.faults == 1 and not turn.sessions
+    assert dispatcher.counters.faults == 1 and not dispatcher.sessions
     assert "fault KeyError" in capsys.readouterr().err
 
 
 def test_a_deadline_that_fails_does_not_stop_the_next(capsys):
     async def play():
-        turn, done = Turn(asyncio.get_running_loop(), Failing(), Limits(), Counters(), Log("n0")), []
-        turn.deadlines.add(0, lambda _: 1 // 0)
-        turn.deadlines.add(1, done.append, "next")
-        turn.wake()
+        dispatcher, done = (
+            Dispatcher(asyncio.get_running_loop(), Failing(), Limits(), Counters(), Log("n0")),
+            [],
+        )
+        dispatcher.deadlines.add(0, lambda _: 1 // 0)
+        dispatcher.deadlines.add(1, done.append, "next")
+        dispatcher.wake()
         while not done:
             await asyncio.sleep(0)
-        return turn
+        return dispatcher
 
-    turn = asyncio.run(asyncio.wait_for(play(), 20))
-    assert turn.counters.faults == 1 and len(turn.deadlines) == 0
+    dispatcher = asyncio.run(asyncio.wait_for(play(), 20))
+    assert dispatcher.counters.faults == 1 and len(dispatcher.deadlines) == 0
     assert "ZeroDivisionError" in capsys.readouterr().err
 
 
@@ -96,8 +101,10 @@
 def test_a_timer_that_the_module_fails_at_rings_again(capsys):
     async def play():
         module = Stumbling()
-        turn = Turn(asyncio.get_running_loop(), module, Limits(backoff_ns=1), Counters(), Log("n0"))
-        turn.post(Started())
+        dispatcher = Dispatcher(
+            asyncio.get_running_loop(), module, Limits(backoff_ns=1), Counters(), Log("n0")
+        )
+        dispatcher.post(Started())
         while len(module.rung) < 2:
             await asyncio.sleep(0)
         return module.rung
@@ -135,10 +142,12 @@
         if answer is None:
             server.close()
             await server.wait_closed()
-        turn = Turn(asyncio.get_running_loop(), module, Limits(), Counters(), Log("n0"))
-        backends = Backends(turn, settings(report_fields=["inflight", "queue"]), memoryview(bytearray(65536)))
+        dispatcher = Dispatcher(asyncio.get_running_loop(), module, Limits(), Counters(), Log("n0"))
+        backends = Backends(
+            dispatcher, settings(report_fields=["inflight", "queue"]), memoryview(bytearray(65536))
+        )
         backends.update([(backend(5), address)], True)
-        turn.post(Started())
+        dispatcher.post(Started())
         while not module.probed:
             await asyncio.sleep(0)
         backends.shut()
@@ -200,17 +209,17 @@
 
     async def play():
         module = Leaving()
-        turn = Turn(asyncio.get_running_loop(), module, Limits(), Counters(), Log("n0"))
-        backends = Backends(turn, settings(), memoryview(bytearray(65536)))
+        dispatcher = Dispatcher(asyncio.get_running_loop(), module, Limits(), Counters(), Log("n0"))
+        backends = Backends(dispatcher, settings(), memoryview(bytearray(65536)))
         backends.update([(backend(5), ("127.0.0.1", 1))], True)
         session = Session(1, Call(True, b"c", b"id", [b"d=1"], 0, None), Client(), 10**18)
-        turn.sessions[1] = session
+        dispatcher.sessions[1] = session
         session.attempts = 1
-        turn.post(AttemptOutcome(1, 0, 5, AttemptResult.REJECTED, 1, False))
-        turn.leave(session)
+        dispatcher.post(AttemptOutcome(1, 0, 5, AttemptResult.REJECTED, 1, False))
+        dispatcher.leave(session)
         while len(module.told) < 2:
             await asyncio.sleep(0)
-        assert not backends.attempts and not turn.over
+        assert not backends.attempts and not dispatcher.over
         return module
 
     module = asyncio.run(asyncio.wait_for(play(), 20))
@@ -222,11 +231,13 @@
 
     async def play(late_ns):
         now = [0]
-        turn = Turn(asyncio.get_running_loop(), Stumbling(), Limits(held_up_ns=10), Counters(), Log("n0"))
-        turn.now_ns = lambda: now[0]
-        turn._alarm_ns, now[0] = 100, 100 + late_ns
-        turn._ring()
-        return turn.counters.held_up
+        dispatcher = Dispatcher(
+            asyncio.get_running_loop(), Stumbling(), Limits(held_up_ns=10), Counters(), Log("n0")
+        )
+        dispatcher.now_ns = lambda: now[0]
+        dispatcher._alarm_ns, now[0] = 100, 100 + late_ns
+        dispatcher._ring()
+        return dispatcher.counters.held_up
 
     assert asyncio.run(play(10)) == 0
     assert asyncio.run(play(11)) == 1
@@ -237,7 +248,7 @@
     """The next round is set before the act."""
 
     async def play():
-        turn = Turn(asyncio.get_running_loop(), Stumbling(), Limits(), Counters(), Log("n0"))
+        dispatcher = Dispatcher(asyncio.get_running_loop(), Stumbling(), Limits(), Counters(), Log("n0"))
         rounds = []
 
         def act():
@@ -245,10 +256,10 @@
             if len(rounds) == 2:
                 raise KeyError("round")
 
-        every(turn, 1, act)
+        every(dispatcher, 1, act)
         while len(rounds) < 4:
             await asyncio.sleep(0)
-        return turn.counters.faults
+        return dispatcher.counters.faults
 
     assert asyncio.run(asyncio.wait_for(play(), 20)) == 1
     assert "fault KeyError" in capsys.readouterr().err
--- a/zincstile/net/accept.py
+++ b/zincstile/net/accept.py
@@ -7,8 +7,8 @@
 from collections.abc import Callable
 from enum import Enum
 
+from .dispatcher import Dispatcher
 from .transient import is_lack
-from .turn import Turn
 
 
 class Taken(Enum):
@@ -23,8 +23,8 @@
 class Acceptor:
     """Takes connections for one listening socket."""
 
-    def __init__(self, turn: Turn, protocol: Callable[[], asyncio.BaseProtocol]) -> None:
-        self.turn, self.protocol = turn, protocol
+    def __init__(self, dispatcher: Dispatcher, protocol: Callable[[], asyncio.BaseProtocol]) -> None:
+        self.dispatcher, self.protocol = dispatcher, protocol
         self.coming = 0  # accepted, and not at their protocol yet: they hold descriptors too
         self._tasks: set[asyncio.Task] = set()
 
@@ -37,18 +37,18 @@
         except InterruptedError:
             return Taken.FAILED
         except OSError as err:
-            self.turn.log.often("accept", f"failed: {err.strerror}")
+            self.dispatcher.log.often("accept", f"failed: {err.strerror}")
             return Taken.LACK if is_lack(err) else Taken.FAILED
         connection.setblocking(False)
         self.coming += 1
-        task = self.turn.loop.create_task(self._welcome(connection))
+        task = self.dispatcher.loop.create_task(self._welcome(connection))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         return Taken.ONE
 
     async def _welcome(self, connection: socket.socket) -> None:
         try:
-            await self.turn.loop.connect_accepted_socket(self.protocol, connection)
+            await self.dispatcher.loop.connect_accepted_socket(self.protocol, connection)
         except OSError:
             connection.close()
         finally:
--- a/zincstile/net/backend.py
+++ b/zincstile/net/backend.py
@@ -26,11 +26,11 @@
 from . import resp
 from .backend_connection import Attempt, BackendConnection, BackendServer
 from .deadlines import every
+from .dispatcher import Dispatcher
 from .reasons import RetryReason
 from .session import Answer, Call, Kind, Session, Stream
 from .trace import Step
 from .transient import is_lack
-from .turn import Turn
 
 READ, WRITE = b"CALL.GET", b"CALL.POST"
 BUSY = b"BUSY"
@@ -62,8 +62,8 @@
 class Backends:
     """All backend servers, their pools, and the attempts that are out."""
 
-    def __init__(self, turn: Turn, settings: Settings, buffer: memoryview) -> None:
-        self.turn, self.settings, self.buffer = turn, settings, buffer
+    def __init__(self, dispatcher: Dispatcher, settings: Settings, buffer: memoryview) -> None:
+        self.dispatcher, self.settings, self.buffer = dispatcher, settings, buffer
         self.listed: dict[int, tuple[EndpointEntry, tuple[str, int]]] = {}  # the endpoint table, as last told
         self.servers: dict[int, BackendServer] = {}  # of those listed, the ones that have a connection
         self.attempts: dict[tuple[int, int], Attempt] = {}
@@ -71,12 +71,12 @@
         self.resting: dict[BackendConnection, None] = {}  # of these, in the order in which they came to rest
         self.closing = False
         self._tasks: set[asyncio.Task] = set()
-        turn.carry_out[ForwardRequest] = self._send
-        turn.carry_out[CancelAttempt] = self._cancel
-        turn.carry_out[CheckHealth] = self._probe
-        turn.carry_out[CloseIdleConnections] = self._close
-        turn.withdraw = self._take_back
-        every(turn, turn.limits.idle_ns // 8, self._tend)
+        dispatcher.carry_out[ForwardRequest] = self._send
+        dispatcher.carry_out[CancelAttempt] = self._cancel
+        dispatcher.carry_out[CheckHealth] = self._probe
+        dispatcher.carry_out[CloseIdleConnections] = self._close
+        dispatcher.withdraw = self._take_back
+        every(dispatcher, dispatcher.limits.idle_ns // 8, self._tend)
 
     # ---- the server table
 
@@ -141,7 +141,7 @@
     # ---- actions
 
     def _send(self, now: int, action: ForwardRequest) -> None:
-        session = self.turn.sessions.get(action.request) or self.turn.over.get(action.request)
+        session = self.dispatcher.sessions.get(action.request) or self.dispatcher.over.get(action.request)
         if session is None:
             return
         number, session.attempts = session.attempts, session.attempts + 1
@@ -151,7 +151,7 @@
             self._report(session, number, action.backend, AttemptResult.NOT_SENT, 0)
             return
         if number:
-            self.turn.counters.retried(self._retry_reason(session))
+            self.dispatcher.counters.retried(self._retry_reason(session))
         until_ns = min(action.until_ns, session.give_up_ns)
         self._launch(
             now,
@@ -195,37 +195,37 @@
                 self._carry(connection, attempt, True)
                 return
             connection.transport.abort()
-        if len(self.connections) >= self.turn.limits.backend_connections and not self._make_room():
+        if len(self.connections) >= self.dispatcher.limits.backend_connections and not self._make_room():
             # Guards against running out of descriptors: it was never sent, and is nobody's fault over there.
-            self.turn.log.often("full", f"{len(self.connections)} backend connections: no more for now")
+            self.dispatcher.log.often("full", f"{len(self.connections)} backend connections: no more for now")
             self.finish(attempt, AttemptResult.NOT_SENT)
             self._release(server)
             return
-        self._limit(attempt, min(by_ns, now + self.turn.limits.connect_ns))
+        self._limit(attempt, min(by_ns, now + self.dispatcher.limits.connect_ns))
         self._connect(attempt)
 
     def _carry(self, connection: BackendConnection, attempt: Attempt, kept: bool = False) -> None:
         """The one place at which an attempt's first byte is written."""
-        now, session = self.turn.now_ns(), attempt.session
-        if not self.turn.guard.may_send(now, attempt):
+        now, session = self.dispatcher.now_ns(), attempt.session
+        if not self.dispatcher.guard.may_send(now, attempt):
             self.finish(attempt, AttemptResult.NOT_SENT)
             self._rest(connection, settled=True)
             return
         if session is not None:
             session.carried.append(attempt)
-            self.turn.trace.note(now, Step.SENT, session.call.id, attempt.server.address)
+            self.dispatcher.trace.note(now, Step.SENT, session.call.id, attempt.server.address)
         connection.carry(attempt, kept)
         self._limit(attempt, attempt.until_ns if connection.whole else attempt.by_ns)
 
     def _limit(self, attempt: Attempt, at_ns: int) -> None:
-        self.turn.deadlines.drop(attempt.deadline)
-        attempt.deadline = self.turn.deadlines.add(at_ns, self._late, attempt)
+        self.dispatcher.deadlines.drop(attempt.deadline)
+        attempt.deadline = self.dispatcher.deadlines.add(at_ns, self._late, attempt)
 
     def written(self, attempt: Attempt) -> None:
         """Its last byte has left."""
         if attempt.by_ns < attempt.until_ns:
             self._limit(attempt, attempt.until_ns)
-            self.turn.wake()
+            self.dispatcher.wake()
 
     def _late(self, attempt: Attempt) -> None:
         """Not whole by now: it never ran, as the rest is never written."""
@@ -248,7 +248,7 @@
                 self.finish(attempt, AttemptResult.CANCELLED)
 
     def _probe(self, now: int, action: CheckHealth) -> None:
-        until_ns = now + self.turn.limits.connect_ns
+        until_ns = now + self.dispatcher.limits.connect_ns
         self._launch(now, None, 0, action.backend, until_ns, until_ns)
 
     def _close(self, _: int, action: CloseIdleConnections) -> None:
@@ -259,20 +259,20 @@
     # ---- connections
 
     def _connect(self, attempt: Attempt) -> None:
-        self.turn.counters.connects += 1
+        self.dispatcher.counters.connects += 1
         attempt.server.queued[attempt] = None
         connection = BackendConnection(self, attempt.server, attempt)
         self.connections.add(connection)
         attempt.server.connections += 1
-        task = self.turn.loop.create_task(self._open(attempt, connection))
+        task = self.dispatcher.loop.create_task(self._open(attempt, connection))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     async def _open(self, attempt: Attempt, connection: BackendConnection) -> None:
         """One task a new connection, none a request."""
         try:
-            async with asyncio.timeout(self.turn.limits.connect_ns / 1e9) as connection.dial:
-                await self.turn.loop.create_connection(lambda: connection, *attempt.server.address)
+            async with asyncio.timeout(self.dispatcher.limits.connect_ns / 1e9) as connection.dial:
+                await self.dispatcher.loop.create_connection(lambda: connection, *attempt.server.address)
         except (OSError, TimeoutError) as err:
             if connection.transport is None:
                 connection.attempt = None
@@ -287,7 +287,7 @@
         were never asked."""
         own = is_lack(err) or (isinstance(err, OSError) and err.errno == errno.EADDRNOTAVAIL)
         if own:
-            self.turn.log.often("full", f"no connection to backend servers for now: {err}")
+            self.dispatcher.log.often("full", f"no connection to backend servers for now: {err}")
         return own
 
     def connected(self, connection: BackendConnection) -> None:
@@ -303,7 +303,7 @@
             return
         session = attempt.session
         ended = session is not None and (session.over or session.frontend.gone())  # since the last turn
-        if ended or self.turn.now_ns() >= attempt.by_ns:
+        if ended or self.dispatcher.now_ns() >= attempt.by_ns:
             self.finish(attempt, AttemptResult.CANCELLED if ended else AttemptResult.CONNECT_FAILED)
             self._rest(connection, settled=True)
             return
@@ -316,8 +316,8 @@
         if self.closing or self.servers.get(server.id) is not server or not server.ready:
             connection.transport.close()
             return
-        connection.rested_ns = now = self.turn.now_ns()
-        connection.settled_ns = now if settled else now + self.turn.limits.settled_ns
+        connection.rested_ns = now = self.dispatcher.now_ns()
+        connection.settled_ns = now if settled else now + self.dispatcher.limits.settled_ns
         server.resting.append(connection)
         self.resting[connection] = None
 
@@ -354,7 +354,7 @@
 
     def _tend(self) -> None:
         """Closes what has rested long, before the backend server does it beneath a request."""
-        now, limits = self.turn.now_ns(), self.turn.limits
+        now, limits = self.dispatcher.now_ns(), self.dispatcher.limits
         while (oldest := next(iter(self.resting), None)) and now - oldest.rested_ns > limits.idle_ns:
             self._end_rest(oldest)
 
@@ -369,26 +369,26 @@
         if attempt.session is None:
             return resp.command([b"INFO", b"load"])
         call: Call = attempt.session.call
-        wait_ms = max(1, (attempt.until_ns - self.turn.now_ns()) // 1_000_000)
+        wait_ms = max(1, (attempt.until_ns - self.dispatcher.now_ns()) // 1_000_000)
         fields = call.fields.copy()
         fields[call.wait_at] = b"d=%d" % wait_ms
         words = [READ if call.repeatable else WRITE, call.customer, call.id, b",".join(fields)]
         if call.body is not None:
             words.append(call.body)
-        self.turn.counters.attempts += 1
+        self.dispatcher.counters.attempts += 1
         return resp.command(words)
 
     def begun(self, attempt: Attempt) -> None:
         """Guards against an answer that stops halfway, as one does whose length is more than what comes."""
-        at = attempt.connection.heard_ns + self.turn.limits.answer_ns
+        at = attempt.connection.heard_ns + self.dispatcher.limits.answer_ns
         if at < attempt.until_ns:
-            self.turn.deadlines.drop(attempt.deadline)
-            attempt.deadline = self.turn.deadlines.add(at, self._cut, attempt)
-            self.turn.wake()
+            self.dispatcher.deadlines.drop(attempt.deadline)
+            attempt.deadline = self.dispatcher.deadlines.add(at, self._cut, attempt)
+            self.dispatcher.wake()
 
     def _cut(self, attempt: Attempt) -> None:
         attempt.deadline = None
-        if attempt.connection.heard_ns + self.turn.limits.answer_ns > self.turn.now_ns():
+        if attempt.connection.heard_ns + self.dispatcher.limits.answer_ns > self.dispatcher.now_ns():
             self._limit(attempt, attempt.until_ns)
             self.begun(attempt)  # it has gone on since
         else:
@@ -396,7 +396,7 @@
 
     def spoilt(self, attempt: Attempt, why: str) -> None:
         """It ran. The connection is of no further use."""
-        self.turn.log.often("spoilt", f"answer of {attempt.server.address}: {why}")
+        self.dispatcher.log.often("spoilt", f"answer of {attempt.server.address}: {why}")
         self.finish(attempt, AttemptResult.MALFORMED)
 
     # ---- values passed on as they come
@@ -404,26 +404,26 @@
     def stream_begin(self, connection: BackendConnection, attempt: Attempt, size: int, data: bytes) -> None:
         """The answer is served from its first byte on: no other attempt can answer it, and none is made
         again. Its outcome is told to the module once it is whole or cut."""
-        session, now, limits = attempt.session, self.turn.now_ns(), self.turn.limits
+        session, now, limits = attempt.session, self.dispatcher.now_ns(), self.dispatcher.limits
         self.attempts.pop((session.id, attempt.number), None)
-        self.turn.deadlines.drop(attempt.deadline)
+        self.dispatcher.deadlines.drop(attempt.deadline)
         attempt.deadline = None
         stream = Stream(connection)
         connection.stream, connection.left = stream, len(b"$%d\r\n" % size) + size + 2
         connection.last2, connection.tail, connection.tail_parts = b"", None, []
         connection.held = connection.paced = False
-        if not self.turn.end(session, Answer(Kind.SERVED, stream=stream)):
+        if not self.dispatcher.end(session, Answer(Kind.SERVED, stream=stream)):
             connection.abandon()  # the client left or was answered meanwhile
             return
-        self.turn.counters.streamed += 1
+        self.dispatcher.counters.streamed += 1
         connection.heard_ns = now
-        attempt.deadline = self.turn.deadlines.add(now + limits.stream_stall_ns, self._stalled, attempt)
-        self.turn.wake()
+        attempt.deadline = self.dispatcher.deadlines.add(now + limits.stream_stall_ns, self._stalled, attempt)
+        self.dispatcher.wake()
         self.streaming(connection, data)
 
     def streaming(self, connection: BackendConnection, data: bytes) -> None:
-        stream, limits = connection.stream, self.turn.limits
-        connection.heard_ns = self.turn.now_ns()
+        stream, limits = connection.stream, self.dispatcher.limits
+        connection.heard_ns = self.dispatcher.now_ns()
         if connection.left:
             piece = data[: connection.left]
             data = data[len(piece) :]
@@ -432,7 +432,9 @@
             stream.push(piece)
             if connection.left == 0:
                 if connection.last2 != resp.CRLF:  # the value's length was not its length
-                    self.turn.log.often("cut", f"a value of {connection.server.address} without its end")
+                    self.dispatcher.log.often(
+                        "cut", f"a value of {connection.server.address} without its end"
+                    )
                     connection.abandon()
                     return
                 stream.end(cut=False)
@@ -461,21 +463,21 @@
         connection = attempt.connection
         if connection is None or connection.stream is None:
             return
-        at = max(connection.heard_ns + self.turn.limits.stream_stall_ns, attempt.session.give_up_ns)
-        if at > self.turn.now_ns() or connection.held:
-            at = max(at, self.turn.now_ns() + 1)
-            attempt.deadline = self.turn.deadlines.add(at, self._stalled, attempt)
+        at = max(connection.heard_ns + self.dispatcher.limits.stream_stall_ns, attempt.session.give_up_ns)
+        if at > self.dispatcher.now_ns() or connection.held:
+            at = max(at, self.dispatcher.now_ns() + 1)
+            attempt.deadline = self.dispatcher.deadlines.add(at, self._stalled, attempt)
             return
-        self.turn.log.often("cut", f"a value of {connection.server.address} that does not go on")
+        self.dispatcher.log.often("cut", f"a value of {connection.server.address} that does not go on")
         connection.transport.abort()
 
     def stream_lost(self, connection: BackendConnection) -> None:
         stream = connection.stream
         whole = stream.whole
         if not whole:
-            self.turn.counters.streams_cut += 1
+            self.dispatcher.counters.streams_cut += 1
             where, short = connection.server.address, connection.left
-            self.turn.log.often("cut", f"a value of {where}: {short} bytes short")
+            self.dispatcher.log.often("cut", f"a value of {where}: {short} bytes short")
             stream.end(cut=True)
         self._stream_over(connection, AttemptResult.OK if whole else AttemptResult.RESET)
 
@@ -485,14 +487,14 @@
         if attempt is None:
             return
         attempt.connection = None
-        self.turn.deadlines.drop(attempt.deadline)
+        self.dispatcher.deadlines.drop(attempt.deadline)
         attempt.deadline = None
         self._report(
             attempt.session,
             attempt.number,
             attempt.server.id,
             result,
-            self.turn.now_ns() - attempt.sent_ns,
+            self.dispatcher.now_ns() - attempt.sent_ns,
             report,
         )
 
@@ -514,7 +516,7 @@
             result = AttemptResult.REJECTED if word == BUSY else AttemptResult.ERROR
             report = rest.rpartition(b" ")[2]
             if result is AttemptResult.ERROR and not rest.startswith(b"failed"):
-                self.turn.log.often("backend", f"{attempt.server.address} says {bytes(reply[:80])!r}")
+                self.dispatcher.log.often("backend", f"{attempt.server.address} says {bytes(reply[:80])!r}")
             self.finish(attempt, result, report=report)
         elif attempt.session is None:
             self.finish(attempt, AttemptResult.OK, report=reply if type(reply) is bytes else b"")
@@ -530,7 +532,7 @@
         session = attempt.session
         if session is not None and self.attempts.pop((session.id, attempt.number), None) is None:
             return
-        self.turn.deadlines.drop(attempt.deadline)
+        self.dispatcher.deadlines.drop(attempt.deadline)
         attempt.deadline = None
         attempt.server.queued.pop(attempt, None)
         if result is AttemptResult.REJECTED:
@@ -539,8 +541,8 @@
         if connection is not None and connection.attempt is attempt:
             connection.drop()
         if session is not None and result is AttemptResult.OK:
-            self.turn.end(session, Answer(Kind.SERVED, value))
-        latency = self.turn.now_ns() - attempt.sent_ns
+            self.dispatcher.end(session, Answer(Kind.SERVED, value))
+        latency = self.dispatcher.now_ns() - attempt.sent_ns
         self._report(session, attempt.number, attempt.server.id, result, latency, report)
 
     def _report(
@@ -554,13 +556,13 @@
     ) -> None:
         figures = self._figures(report)
         if session is None:
-            self.turn.post(HealthCheckResult(backend, result, latency, figures))
+            self.dispatcher.post(HealthCheckResult(backend, result, latency, figures))
             return
         session.last_result = result
-        self.turn.trace.note(self.turn.now_ns(), Step.OUTCOME, session.call.id, result)
+        self.dispatcher.trace.note(self.dispatcher.now_ns(), Step.OUTCOME, session.call.id, result)
         name = COUNTERS[result]
-        setattr(self.turn.counters, name, getattr(self.turn.counters, name) + 1)
-        self.turn.post(
+        setattr(self.dispatcher.counters, name, getattr(self.dispatcher.counters, name) + 1)
+        self.dispatcher.post(
             AttemptOutcome(session.id, number, backend, result, latency, session.over, 0, 0.0, figures)
         )
 
--- a/zincstile/net/backend_connection.py
+++ b/zincstile/net/backend_connection.py
@@ -12,14 +12,14 @@
 from ..decisions.messages import AttemptResult, EndpointEntry
 from . import resp
 from .deadlines import Key
+from .dispatcher import Dispatcher
 from .session import Session, Stream
-from .turn import Turn
 
 
 class Owner(Protocol):
     """What a connection tells of itself: `Backends`, which hears it in this order."""
 
-    turn: Turn
+    dispatcher: Dispatcher
     buffer: memoryview
 
     def connected(self, connection: BackendConnection) -> None: ...
@@ -119,7 +119,7 @@
         self.rested_ns = 0
         self.settled_ns = 0  # from when it may carry another attempt
         self.heard_ns = 0  # when the answer that is not whole yet last went on
-        self._parser = resp.ReplyParser(pools.turn.limits)
+        self._parser = resp.ReplyParser(pools.dispatcher.limits)
         self._unwritten = False  # part of a command has not left this process
         self._half = False  # part of an answer has come
         self._kept = False  # it has carried another attempt before
@@ -154,7 +154,7 @@
     def quiet(self) -> bool:
         """Nothing came since it rests, not even its end. Guards against taking what came late behind an
         answer for the next one's, and against a reset where the backend server has closed it."""
-        return not self.transport.is_closing() and not self.pools.turn.readable(self.transport)
+        return not self.transport.is_closing() and not self.pools.dispatcher.readable(self.transport)
 
     def pause_writing(self) -> None:
         self._unwritten = True
@@ -176,15 +176,15 @@
             return
         if not self._decided and attempt is not None and attempt.session is not None:
             kept = parser.kept()
-            head = resp.stream_head(kept[:16] + data[:16], pools.turn.limits.stream_bytes)
+            head = resp.stream_head(kept[:16] + data[:16], pools.dispatcher.limits.stream_bytes)
             self._decided = head is None
             if head is not None and head[0]:
-                self._parser = resp.ReplyParser(pools.turn.limits)
+                self._parser = resp.ReplyParser(pools.dispatcher.limits)
                 pools.stream_begin(self, attempt, head[0], (kept + data)[head[1] :])
                 return
         replies = parser.feed(data)
         if attempt is None:
-            pools.turn.log.often("backend", f"{self.server.address} sent what nobody asked for")
+            pools.dispatcher.log.often("backend", f"{self.server.address} sent what nobody asked for")
             self.transport.abort()
         elif replies:  # the first is the answer, whatever came behind it
             self.attempt = None
@@ -192,7 +192,7 @@
         elif parser.error:
             pools.spoilt(attempt, parser.error)
         else:
-            self.heard_ns = pools.turn.now_ns()
+            self.heard_ns = pools.dispatcher.now_ns()
             if not self._half:
                 self._half = True
                 pools.begun(attempt)
@@ -218,7 +218,7 @@
         if not self.paced:
             self.paced = True
             self.transport.pause_reading()
-            self.pools.turn.deadlines.add(until_ns, self._paced)
+            self.pools.dispatcher.deadlines.add(until_ns, self._paced)
 
     def _paced(self, _: object) -> None:
         if self.paced:
--- a/zincstile/net/control.py
+++ b/zincstile/net/control.py
@@ -17,9 +17,9 @@
 from .accept import Acceptor, Taken
 from .config import Address
 from .deadlines import every
+from .dispatcher import Dispatcher
 from .handover_file import HandoverFile
 from .host import Host
-from .turn import Turn
 
 LASTING = (Change.BAN, Change.UNBAN)  # what holds in later processes too
 
@@ -31,7 +31,7 @@
         self.door = door
         self.transport: asyncio.Transport | None = None
         self.parser = CallParser(door.bounds)
-        self.came_ns = door.turn.now_ns()
+        self.came_ns = door.dispatcher.now_ns()
         self.done = False
         self.whole = False  # its call is carried out, and its yes has to wait
 
@@ -62,7 +62,7 @@
             door.apply(reply)
         except Exception as err:  # guards the door: a fault fails this call alone
             door.counters.faults += 1
-            door.turn.log.often("control", f"fault: {type(err).__name__}: {err}")
+            door.dispatcher.log.often("control", f"fault: {type(err).__name__}: {err}")
             reply = Reply(500, "fault")
         if reply.change in LASTING and not door.handover.kept:
             self.whole = True
@@ -93,47 +93,55 @@
 class ControlDoor:
     def __init__(
         self,
-        turn: Turn,
+        dispatcher: Dispatcher,
         operator: Operator,
         apply: Callable[[Reply], None],
         ready: Callable[[], bool],
         host: Host,
         handover: HandoverFile,
     ) -> None:
-        self.turn, self.operator, self.apply, self.ready, self.host = turn, operator, apply, ready, host
+        self.dispatcher, self.operator, self.apply, self.ready, self.host = (
+            dispatcher,
+            operator,
+            apply,
+            ready,
+            host,
+        )
         self.handover = handover
         handover.on_kept = self._kept
         self._unkept: dict[ControlConnection, Reply] = {}  # a yes that waits for its word to be in the file
-        self.counters = turn.counters
-        limits = turn.limits
+        self.counters = dispatcher.counters
+        limits = dispatcher.limits
         self.bounds = Bounds(limits.line_bytes, limits.header_lines, limits.line_bytes)
         self.connections: dict[ControlConnection, None] = {}
         self.buffer = memoryview(bytearray(limits.line_bytes))  # each read is taken out of it at once
         self._socket: socket.socket | None = None
-        self._acceptor = Acceptor(turn, lambda: ControlConnection(self))
+        self._acceptor = Acceptor(dispatcher, lambda: ControlConnection(self))
 
     def open(self, where: Address) -> None:
         """With the clients' backlog: where one is full, the machine drops what comes, and a caller's own
         machine tries again only after 1 s, which is as long as an answer may take."""
-        self._socket = self.host.listen(where, self.turn.limits.backlog)
+        self._socket = self.host.listen(where, self.dispatcher.limits.backlog)
         self._listen(None)
-        every(self.turn, self.turn.limits.control_call_ns // 4, self._tend)
+        every(self.dispatcher, self.dispatcher.limits.control_call_ns // 4, self._tend)
 
     def _accept(self) -> None:
         """As many in one turn as the door holds: each that is too many is answered in the turns between, so
         that a crowd of callers costs no more descriptors than the door may hold and as many again."""
-        for _ in range(self.turn.limits.control_connections):
+        for _ in range(self.dispatcher.limits.control_connections):
             taken = self._acceptor.take(self._socket)
             if taken is Taken.LACK:  # else the loop would spin
-                self.turn.loop.remove_reader(self._socket.fileno())
-                self.turn.deadlines.add(self.turn.now_ns() + self.turn.limits.backoff_ns, self._listen)
-                self.turn.wake()
+                self.dispatcher.loop.remove_reader(self._socket.fileno())
+                self.dispatcher.deadlines.add(
+                    self.dispatcher.now_ns() + self.dispatcher.limits.backoff_ns, self._listen
+                )
+                self.dispatcher.wake()
             if taken in (Taken.NONE, Taken.LACK):
                 return
 
     def _listen(self, _: object) -> None:
         if self._socket is not None:
-            self.turn.loop.add_reader(self._socket.fileno(), self._accept)
+            self.dispatcher.loop.add_reader(self._socket.fileno(), self._accept)
 
     @property
     def address(self) -> str:
@@ -141,7 +149,7 @@
 
     def joined(self, c: ControlConnection) -> None:
         self.connections[c] = None
-        if len(self.connections) > self.turn.limits.control_connections:
+        if len(self.connections) > self.dispatcher.limits.control_connections:
             oldest = next(iter(self.connections))
             oldest.finish(503, "too many callers at once")
 
@@ -153,10 +161,10 @@
         """A yes is one that outlasts this process: it waits until its word is in the file, and is a no where
         that takes too long. What was said holds in this process from the call on, either way."""
         self._unkept[connection] = reply
-        self.turn.deadlines.add(
-            self.turn.now_ns() + self.turn.limits.handover_kept_ns, self._give_up, connection
+        self.dispatcher.deadlines.add(
+            self.dispatcher.now_ns() + self.dispatcher.limits.handover_kept_ns, self._give_up, connection
         )
-        self.turn.wake()
+        self.dispatcher.wake()
 
     def _kept(self) -> None:
         unkept, self._unkept = self._unkept, {}
@@ -169,7 +177,7 @@
             connection.finish(503, f"{reply.text}, but not kept over a restart: it can't be written for now")
 
     def _tend(self) -> None:
-        now, limits = self.turn.now_ns(), self.turn.limits
+        now, limits = self.dispatcher.now_ns(), self.dispatcher.limits
         for c in list(self.connections):
             if now - c.came_ns >= limits.control_call_ns and not c.whole:
                 self.counters.control_bad += 1
@@ -177,6 +185,6 @@
 
     def close(self) -> None:
         if self._socket is not None:
-            self.turn.loop.remove_reader(self._socket.fileno())
+            self.dispatcher.loop.remove_reader(self._socket.fileno())
             self._socket.close()
             self._socket = None
--- a/zincstile/net/deadlines.py
+++ b/zincstile/net/deadlines.py
@@ -48,7 +48,7 @@
 
 
 class Sweeper(Protocol):
-    """Who has the deadlines swept: `turn.Turn`."""
+    """Who has the deadlines swept: `dispatcher.Dispatcher`."""
 
     deadlines: Deadlines
 
@@ -57,13 +57,13 @@
     def wake(self) -> None: ...
 
 
-def every(turn: Sweeper, period_ns: int, act: Callable[[], None]) -> None:
+def every(dispatcher: Sweeper, period_ns: int, act: Callable[[], None]) -> None:
     """Calls act() now and then in each period, for good. The next time is set before the call: guards what is
     done again and again against ending for good with one round that fails."""
 
     def again(_: object) -> None:
-        turn.deadlines.add(turn.now_ns() + period_ns, again)
+        dispatcher.deadlines.add(dispatcher.now_ns() + period_ns, again)
         act()
 
     again(None)
-    turn.wake()
+    dispatcher.wake()
--- a/zincstile/net/turn.py
+++ b/zincstile/net/dispatcher.py
@@ -38,7 +38,7 @@
     def flush(self) -> None: ...
 
 
-class Turn:
+class Dispatcher:
     """Holds the sessions, the events of the next turn, and the one alarm for the deadlines."""
 
     def __init__(
--- a/zincstile/net/endpoint_table.py
+++ b/zincstile/net/endpoint_table.py
@@ -14,10 +14,10 @@
 from . import http
 from .config import Address, ConfigError, address
 from .discovery_clock import DiscoveryClock
+from .dispatcher import Dispatcher
 from .host import Host
 from .json_objects import JsonObjects
 from .trace import Step
-from .turn import Turn
 
 GONE_KEPT: Final = 1024  # names that were listed and are gone: so many may still be called by operators
 MODES = {"Ready": EndpointState.READY, "Terminating": EndpointState.DRAINING, "Gone": EndpointState.REMOVED}
@@ -87,19 +87,25 @@
 
     def __init__(
         self,
-        turn: Turn,
+        dispatcher: Dispatcher,
         reader: EndpointReader,
         where: Address,
         update: Callable[[Entries, bool], None],
         first: Callable[[], None],
         rng: random.Random,
     ) -> None:
-        self.turn, self.reader, self.where, self.update, self.first = turn, reader, where, update, first
+        self.dispatcher, self.reader, self.where, self.update, self.first = (
+            dispatcher,
+            reader,
+            where,
+            update,
+            first,
+        )
         self.rng = rng  # of this gateway alone: a fleet that draws alike calls in step
         self.told = False  # discovery has said something since the start
         self.version = 0  # of the table, as the discovery at `where` counts
         self.closed = False
-        limits = turn.limits
+        limits = dispatcher.limits
         self.listener: Any = None  # hears discovery's own words too (`net/start`)
         self.asking = Asking(
             rng,
@@ -120,7 +126,9 @@
         ] = {}  # discovery's own word of what it lists, by number
         self.gone: dict[int, int] = {}  # what it listed before, and when that had started: the last of these
         self._heard_ns: int | None = None  # when discovery last said anything; none: not yet
-        turn.carry_out[WatchEndpoints] = lambda now, _: None  # the watch is always open, or being opened
+        dispatcher.carry_out[WatchEndpoints] = (
+            lambda now, _: None
+        )  # the watch is always open, or being opened
 
     def begin(self, known: dict[str, Any], hold: bool = False) -> None:
         """`hold`: somebody else opens the watch, when it is time."""
@@ -132,15 +140,15 @@
             if not hold:
                 self.open_soon()
         else:
-            self.turn.post(EndpointList(EndpointListKind.CACHED, 0, []))
+            self.dispatcher.post(EndpointList(EndpointListKind.CACHED, 0, []))
             if not hold:
                 self.open(None)
 
     def open_soon(self) -> None:
         """At a drawn moment: a list is there, and a fleet that asks in step is turned away."""
-        wait = self.rng.randint(1, self.turn.limits.table_first_ask_ns)
-        self.turn.deadlines.add(self.turn.now_ns() + wait, self.open, None)
-        self.turn.wake()
+        wait = self.rng.randint(1, self.dispatcher.limits.table_first_ask_ns)
+        self.dispatcher.deadlines.add(self.dispatcher.now_ns() + wait, self.open, None)
+        self.dispatcher.wake()
 
     def take_told(self, version: int, entries: list[dict[str, Any]], sure: bool) -> bool:
         """A list that peers told. False where discovery's own word is there already, or it can't be read. Not
@@ -154,7 +162,7 @@
                 self.where,
             )
         except (ValueError, KeyError, TypeError, AttributeError) as err:
-            self.turn.log.often("start", f"a peer's list can't be read: {type(err).__name__} {err}")
+            self.dispatcher.log.often("start", f"a peer's list can't be read: {type(err).__name__} {err}")
             return False
         if not sure:
             self.version = 0
@@ -163,7 +171,7 @@
     def open(self, where: Address | None) -> None:
         """None, or the address that a try again was meant for: discovery may have moved since."""
         if not self.closed and where in (None, self.where):
-            self._task = self.turn.loop.create_task(self._connect(self.where))
+            self._task = self.dispatcher.loop.create_task(self._connect(self.where))
 
     def move(self, where: Address) -> None:
         """Discovery is found elsewhere from now on. The table stands, and the old watch is heard, until the
@@ -175,8 +183,8 @@
 
     async def _connect(self, where: Address) -> None:
         try:
-            async with asyncio.timeout(self.turn.limits.backoff_most_ns / 1e9):
-                await self.turn.loop.create_connection(lambda: Watch(self, where), *where)
+            async with asyncio.timeout(self.dispatcher.limits.backoff_most_ns / 1e9):
+                await self.dispatcher.loop.create_connection(lambda: Watch(self, where), *where)
         except (OSError, TimeoutError) as err:
             self.lost(where, f"can't connect: {err or type(err).__name__}")
 
@@ -194,35 +202,35 @@
         """Another is opened beside it, and it stands until that has come up, as what discovery tells the
         moment it returns counts at once: a call has to be out then. Where discovery is one service that each
         call costs work, it is given up first."""
-        if self.turn.limits.table_patience_ns or watch is not self._watch or watch.where != self.where:
+        if self.dispatcher.limits.table_patience_ns or watch is not self._watch or watch.where != self.where:
             watch.give_up("silent", watch.unheard_ns())
             return
-        self.turn.log.often("watch", "silent: another is opened beside it; the last list stands")
+        self.dispatcher.log.often("watch", "silent: another is opened beside it; the last list stands")
         self.open(None)
 
     def waits_on(self, watch: Watch) -> bool:
         """A call that nobody answered yet. Where discovery is one service for the whole fleet, its turn may
         still come: given up and made again, it would cost the service twice, and all that wait behind it. So
         it is looked whether the service is there at all, by a connection that asks for nothing."""
-        if not self.turn.limits.table_patience_ns or watch is not self._watch:
+        if not self.dispatcher.limits.table_patience_ns or watch is not self._watch:
             return False
-        task = self.turn.loop.create_task(self._look(watch))
+        task = self.dispatcher.loop.create_task(self._look(watch))
         self._looks[task] = None
         task.add_done_callback(lambda done: self._looks.pop(done, None))
         return True
 
     async def _look(self, watch: Watch) -> None:
         try:
-            async with asyncio.timeout(self.turn.limits.backoff_most_ns / 1e9):
-                transport, _ = await self.turn.loop.create_connection(asyncio.Protocol, *watch.where)
+            async with asyncio.timeout(self.dispatcher.limits.backoff_most_ns / 1e9):
+                transport, _ = await self.dispatcher.loop.create_connection(asyncio.Protocol, *watch.where)
             transport.abort()
         except (OSError, TimeoutError):
             watch.give_up("silent, and it takes no connection")
             return
-        if self.asking.silent(self.turn.now_ns() - watch.began_ns):
+        if self.asking.silent(self.dispatcher.now_ns() - watch.began_ns):
             watch.wait_on()
         else:
-            watch.give_up("silent for all of the patience", self.turn.now_ns() - watch.began_ns)
+            watch.give_up("silent for all of the patience", self.dispatcher.now_ns() - watch.began_ns)
 
     def lost(
         self,
@@ -241,10 +249,10 @@
             return  # an old watch: another has been opened, or is being opened
         if watch is not None:  # else the one that stands is heard on, though the next did not come up
             self._watch = None
-        self.turn.log.often("watch", f"lost: {why}; the last list stands")
+        self.dispatcher.log.often("watch", f"lost: {why}; the last list stands")
         wait = self.asking.failed(retry_after_ns, unheard_ns)
-        self.turn.deadlines.add(self.turn.now_ns() + wait, self.open, where)
-        self.turn.wake()
+        self.dispatcher.deadlines.add(self.dispatcher.now_ns() + wait, self.open, where)
+        self.dispatcher.wake()
 
     def line(self, watch: Watch, table: dict[str, Any]) -> None:
         if watch is not self._watch and watch is not self._old:
@@ -265,8 +273,10 @@
         version, _, entries = self.reader.read(table)
         if where == self.where:  # an old watch may still speak after a move, and count in another way
             self.version = version
-        self.turn.counters.tables += 1
-        self.turn.trace.note(self.turn.now_ns(), Step.STATE, "list", (kind, version, len(entries)))
+        self.dispatcher.counters.tables += 1
+        self.dispatcher.trace.note(
+            self.dispatcher.now_ns(), Step.STATE, "list", (kind, version, len(entries))
+        )
         entries = self._dated(kind, entries)
         self._keep(kind, entries)
         if self.banned or self.reborn:
@@ -300,7 +310,7 @@
 
     def heard(self) -> None:
         """Discovery has said something, be it that nothing has changed."""
-        self._heard_ns = self.turn.now_ns()
+        self._heard_ns = self.dispatcher.now_ns()
 
     def _dated(self, kind: EndpointListKind, entries: Entries) -> Entries:
         """Guards a cold server against a wall clock that is ahead: one that discovery tells of anew, and that
@@ -308,7 +318,7 @@
         says. It counts as started now."""
         if self._heard_ns is None or kind is EndpointListKind.CACHED:
             return entries
-        earliest_ns = self._heard_ns - self.turn.limits.start_told_ns
+        earliest_ns = self._heard_ns - self.dispatcher.limits.start_told_ns
         return [
             self._started_now(entry)
             if entry[0].started_ns < earliest_ns and self._is_news(entry[0])
@@ -324,8 +334,8 @@
 
     def _started_now(self, entry: tuple[EndpointEntry, Address]) -> tuple[EndpointEntry, Address]:
         b, where = entry
-        clock, now = self.reader.clock, self.turn.now_ns()
-        self.turn.log.often(
+        clock, now = self.reader.clock, self.dispatcher.now_ns()
+        self.dispatcher.log.often(
             "clock",
             f"a server told of just now had started {(now - b.started_ns) / 1e9:.0f} s ago: taken as cold",
         )
@@ -348,7 +358,7 @@
     def _dispatch(self, kind: EndpointListKind, version: int, entries: Entries) -> None:
         """To the module first: what the pools withdraw by the same change is then decided on by the new list,
         and not sent to the next server that it takes out."""
-        self.turn.post(EndpointList(kind, version, [b for b, _ in entries]))
+        self.dispatcher.post(EndpointList(kind, version, [b for b, _ in entries]))
         self.update(entries, kind is not EndpointListKind.DELTA)
 
     def _masked(self, entry: tuple[EndpointEntry, Address]) -> tuple[EndpointEntry, Address]:
@@ -371,22 +381,24 @@
         """What an older process of this gateway says of them. Guards a server that is cold against a new
         process that has only discovery's word, which may be of before it was taken out."""
         for name, age_ns in back_age_ns.items():
-            self.reborn[number(name)] = name, self.turn.now_ns() - age_ns
+            self.reborn[number(name)] = name, self.dispatcher.now_ns() - age_ns
 
     def maintain(self, name: str, banned: bool) -> bool:
         """An operator's word on a backend server, told as a change of the list where discovery listed it;
         False where the name was never listed. Guards the rule on drains: the module and the pools hear it in
         the same turn, before any further attempt is decided on."""
-        self.turn.trace.note(self.turn.now_ns(), Step.STATE, name, "maintenance" if banned else "back")
+        self.dispatcher.trace.note(
+            self.dispatcher.now_ns(), Step.STATE, name, "maintenance" if banned else "back"
+        )
         number_ = number(name)  # perhaps not listed here yet: another process of this gateway has told it
         since = self.banned.pop(number_, None)
         if banned:
-            self.banned[number_] = since or self.turn.now_ns()
+            self.banned[number_] = since or self.dispatcher.now_ns()
         entry = self.endpoints.get(number_)
         if not banned and since is not None and (entry is None or entry[0].started_ns < since):
             # Guards against pushing over what comes back: it was restarted while out, whether or not
             # discovery told it, and is cold. Started at the call back as the module counts, it is ramped up.
-            self.reborn[number_] = name, self.turn.now_ns()
+            self.reborn[number_] = name, self.dispatcher.now_ns()
         if entry is not None:
             self._dispatch(EndpointListKind.DELTA, self.version, [self._masked(entry)])
         return name in self
@@ -415,19 +427,19 @@
     def __init__(self, table: EndpointTable, where: Address) -> None:
         self.table, self.where = table, where
         self.transport: asyncio.Transport | None = None
-        self._buffer = memoryview(bytearray(table.turn.limits.read_bytes))
-        self._lines = http.LineReader(table.turn.limits)
+        self._buffer = memoryview(bytearray(table.dispatcher.limits.read_bytes))
+        self._lines = http.LineReader(table.dispatcher.limits)
         each = table.read_early if table.listener is None else None  # who listens hears discovery's own words
-        self._objects = JsonObjects(table.turn.limits.table_bytes, each)
+        self._objects = JsonObjects(table.dispatcher.limits.table_bytes, each)
         self._why = "it ended"
-        self._heard_ns = self.began_ns = self.table.turn.now_ns()
+        self._heard_ns = self.began_ns = self.table.dispatcher.now_ns()
         self._deadline = None
         self._spoke = False
         self._first_ns = self._retry_ns = self._given_up_after_ns = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = transport  # type: ignore[assignment]
-        self.table.turn.counters.watches += 1
+        self.table.dispatcher.counters.watches += 1
         self.table.opened(self)
         host = f"{self.where[0]}:{self.where[1]}"
         # What was missed since: every line costs discovery work, for each gateway of the fleet. Where that is
@@ -438,24 +450,24 @@
     def _await(self, _: object) -> None:
         """Guards against a watch that fell silent: what discovery has to tell counts as told after 6 s, so
         that drains would be missed. It is opened anew, in time for another try."""
-        limits, now = self.table.turn.limits, self.table.turn.now_ns()
+        limits, now = self.table.dispatcher.limits, self.table.dispatcher.now_ns()
         silence = limits.table_silence_ns if self._spoke else limits.table_answer_ns
         if now - self._heard_ns >= silence:
             if self._spoke or not self.table.waits_on(self):
                 self.table.fell_silent(self)
             return
-        self._deadline = self.table.turn.deadlines.add(self._heard_ns + silence, self._await)
-        self.table.turn.wake()
+        self._deadline = self.table.dispatcher.deadlines.add(self._heard_ns + silence, self._await)
+        self.table.dispatcher.wake()
 
     def wait_on(self) -> None:
         """The service is there: its answer may still come. It is looked again after as long."""
         if not self._spoke and not self.transport.is_closing():
-            self._heard_ns = self.table.turn.now_ns()
+            self._heard_ns = self.table.dispatcher.now_ns()
             self._await(None)
 
     def unheard_ns(self) -> int:
         """How long it has said nothing."""
-        return self.table.turn.now_ns() - self._heard_ns
+        return self.table.dispatcher.now_ns() - self._heard_ns
 
     def give_up(self, why: str, unheard_ns: int = 0) -> None:
         """Unless it has spoken meanwhile, and is heard as ever."""
@@ -471,12 +483,12 @@
         return self._buffer
 
     def buffer_updated(self, size: int) -> None:
-        self._heard_ns = self.table.turn.now_ns()
+        self._heard_ns = self.table.dispatcher.now_ns()
         if self._spoke and self.table.listener is not None:
             self.table.listener.alive()
         if not self._spoke:
             self._spoke, self._first_ns = True, self._heard_ns
-            self.table.turn.deadlines.drop(self._deadline)
+            self.table.dispatcher.deadlines.drop(self._deadline)
             self._await(None)
         self._read(self._lines.feed, bytes(self._buffer[:size]))
         self.table.heard()
@@ -501,5 +513,5 @@
         self._read(self._lines.end)  # an answer without a length ends so; a reset is no end
 
     def connection_lost(self, err: Exception | None) -> None:
-        self.table.turn.deadlines.drop(self._deadline)
+        self.table.dispatcher.deadlines.drop(self._deadline)
         self.table.lost(self.where, self._why, self, self._retry_ns, self._given_up_after_ns)
--- a/zincstile/net/frontend.py
+++ b/zincstile/net/frontend.py
@@ -11,11 +11,11 @@
 from .accept import Acceptor, Taken
 from .call_reader import CallError, CallReader
 from .deadlines import Key, every
+from .dispatcher import Dispatcher
 from .host import Host
 from .reasons import CloseReason, RefusalReason
 from .session import Answer, Kind, Session, Stream
 from .trace import Step
-from .turn import Turn
 
 SERVED, DENIED = Kind.SERVED, Kind.DENIED
 
@@ -24,8 +24,8 @@
     """One client. Its commands are answered in order; it is read no further while too much is unanswered."""
 
     __slots__ = (
-        "door",
-        "turn",
+        "listener",
+        "dispatcher",
         "counters",
         "transport",
         "_parser",
@@ -49,10 +49,14 @@
         "_from_old_queue",
     )
 
-    def __init__(self, door: FrontDoor) -> None:
-        self.door, self.turn, self.counters = door, door.turn, door.turn.counters
+    def __init__(self, listener: ClientListener) -> None:
+        self.listener, self.dispatcher, self.counters = (
+            listener,
+            listener.dispatcher,
+            listener.dispatcher.counters,
+        )
         self.transport: asyncio.Transport | None = None
-        self._parser = resp.CommandParser(door.turn.limits)
+        self._parser = resp.CommandParser(listener.dispatcher.limits)
         self._waiting: deque[Session | bytes] = deque()  # in the order of the commands; bytes: answered here
         self._out: list[bytes] = []
         self._dirty = self._closing = self._full = self._paused = False
@@ -74,25 +78,25 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = transport  # type: ignore[assignment]
-        self.transport.set_write_buffer_limits(high=self.turn.limits.written_bytes)
-        self.rested_ns = self.turn.now_ns()
+        self.transport.set_write_buffer_limits(high=self.dispatcher.limits.written_bytes)
+        self.rested_ns = self.dispatcher.now_ns()
         self.counters.clients += 1
-        self.door.joined(self)
+        self.listener.joined(self)
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        return self.door.buffer
+        return self.listener.buffer
 
     def buffer_updated(self, size: int) -> None:
         if not self._closing:
             if self.may_have_waited:
                 self.may_have_waited = False
-                self._waited_ns = self.door.host.unread_ns(self.transport)
-                self._from_old_queue &= self._waited_ns > self.turn.limits.held_up_ns
-            self._read(bytes(self.door.buffer[:size]))
+                self._waited_ns = self.listener.host.unread_ns(self.transport)
+                self._from_old_queue &= self._waited_ns > self.dispatcher.limits.held_up_ns
+            self._read(bytes(self.listener.buffer[:size]))
             self._waited_ns = 0
             return
         self._drained += size
-        if self._drained > self.turn.limits.drained_bytes:
+        if self._drained > self.dispatcher.limits.drained_bytes:
             self._abort(CloseReason.FLOOD)
 
     def pause_writing(self) -> None:
@@ -115,15 +119,15 @@
         self._closing = True
         reason = self._close_reason or CloseReason.CLIENT
         self.counters.closed(reason)
-        self.turn.trace.note(self.turn.now_ns(), Step.CLOSED, id(self), reason)
-        self.door.left(self)
+        self.dispatcher.trace.note(self.dispatcher.now_ns(), Step.CLOSED, id(self), reason)
+        self.listener.left(self)
         waiting, self._waiting = self._waiting, deque()
         for session in waiting:
             if isinstance(session, Session):
                 if type(session.reply) is Stream:
                     session.reply.abandon()
-                self.door.done(session)
-                self.turn.leave(session)
+                self.listener.done(session)
+                self.dispatcher.leave(session)
 
     # ---- commands in
 
@@ -146,11 +150,11 @@
         for number, words in enumerate(commands):
             self._command(words, number < last and self._from_old_queue)
         self._from_old_queue = False
-        self.heard_ns = self.turn.now_ns()
+        self.heard_ns = self.dispatcher.now_ns()
         self.begun_ns = 0 if self._parser.idle else self.begun_ns or self.heard_ns
         if self._parser.error:  # nothing after it can be understood
             self.counters.malformed += 1
-            self.turn.log.often("malformed", f"command: {self._parser.error}")
+            self.dispatcher.log.often("malformed", f"command: {self._parser.error}")
             self._give_up("Protocol error: " + self._parser.error, CloseReason.MALFORMED)
         self._throttle()
 
@@ -167,46 +171,46 @@
     def _command(self, words: list[bytes], of_unknown_age: bool) -> None:
         if not words:
             return
-        turn = self.turn
+        dispatcher = self.dispatcher
         if len(words) == 1 and words[0].upper() == b"PING":
             self.counters.pings += 1
             self.asked += 1
-            door = self.door
+            listener = self.listener
             self._reply(
                 resp.error("standby")
-                if door.standby
+                if listener.standby
                 else resp.PONG
-                if door.ready and not door.over
+                if listener.ready and not listener.over
                 else resp.error("not ready")
             )
             return
-        number, now = turn.next_id(), self.turn.now_ns()
+        number, now = dispatcher.next_id(), self.dispatcher.now_ns()
         try:
-            call, request = self.door.reader.read(words, number, now - self._waited_ns)
-            if call.id in self.door.open:  # guards its session: backend servers would see a second copy
+            call, request = self.listener.reader.read(words, number, now - self._waited_ns)
+            if call.id in self.listener.open:  # guards its session: backend servers would see a second copy
                 raise CallError("the id of an open request")
         except CallError as err:
             self.counters.malformed += 1
             self._reply(resp.error(str(err)))
             return
         self.asked += 1
-        refusal = RefusalReason.WAITED if of_unknown_age else self.door.refusal()
+        refusal = RefusalReason.WAITED if of_unknown_age else self.listener.refusal()
         if refusal is not None:
             self.counters.denied += 1
             self.counters.refused(refusal)
             self._reply(resp.busy(0))
             return
-        self.door.heard_ns = now
-        spec = self.door.reader.specs[request.cls]
+        self.listener.heard_ns = now
+        spec = self.listener.reader.specs[request.cls]
         session = Session(number, call, self, request.give_up_ns, spec)
         self._waiting.append(session)
-        self.door.open[call.id] = session
-        turn.take(session, request)
+        self.listener.open[call.id] = session
+        dispatcher.take(session, request)
 
     def _throttle(self) -> None:
         if self._closing or self.transport.is_closing():
             return
-        stop = self._full or len(self._waiting) > self.turn.limits.pipelined
+        stop = self._full or len(self._waiting) > self.dispatcher.limits.pipelined
         if stop != self._paused:
             self._paused = stop
             if stop:
@@ -228,10 +232,10 @@
     def _schedule_flush(self) -> None:
         if not self._dirty:
             self._dirty = True
-            self.turn.write_later(self)
+            self.dispatcher.write_later(self)
 
     def answer(self, session: Session, answer: Answer) -> None:
-        self.door.done(session)
+        self.listener.done(session)
         if answer.stream is not None:
             session.reply = answer.stream
             answer.stream.writer = self
@@ -246,7 +250,7 @@
     def gone(self) -> bool:
         """Guards against sending on what a client left behind: its end may have come with the request, or lie
         behind what is not read yet."""
-        if not self.transport.is_closing() and self.turn.ended(self.transport):
+        if not self.transport.is_closing() and self.dispatcher.ended(self.transport):
             self._abort(CloseReason.CLIENT)
         return self.transport.is_closing()
 
@@ -286,9 +290,9 @@
             self._abort(CloseReason.CUT)
             return
         if not waiting:
-            self.rested_ns = self.turn.now_ns()
-            if self._closing or self.door.closing or self.door.standby or self._ending:
-                self._finish_when_written(CloseReason.STOP if self.door.closing else CloseReason.STANDBY)
+            self.rested_ns = self.dispatcher.now_ns()
+            if self._closing or self.listener.closing or self.listener.standby or self._ending:
+                self._finish_when_written(CloseReason.STOP if self.listener.closing else CloseReason.STANDBY)
                 return
         if self._paused:
             self._throttle()
@@ -304,10 +308,10 @@
             self._ending = True
             self.transport.set_write_buffer_limits(high=0)  # `resume_writing` once all has left
             self._abort_if_stalled(None)
-        elif self._ending and self.turn.readable(self.transport):
+        elif self._ending and self.dispatcher.readable(self.transport):
             self._ending, self._close_reason = False, None  # the answer to what has come brings it here again
-            self.turn.deadlines.drop(self._stall_deadline)
-            self.transport.set_write_buffer_limits(high=self.turn.limits.written_bytes)
+            self.dispatcher.deadlines.drop(self._stall_deadline)
+            self.transport.set_write_buffer_limits(high=self.dispatcher.limits.written_bytes)
         else:
             self._finish()
 
@@ -319,7 +323,7 @@
         sends it elsewhere."""
         if not self.transport.is_closing() and self._may_close():
             self._closing, self._ending = True, False
-            self.ended_ns = self.turn.now_ns()
+            self.ended_ns = self.dispatcher.now_ns()
             try:
                 self.transport.write_eof()
             except OSError:  # its client has reset it since it was last looked at: nobody is there
@@ -333,7 +337,7 @@
     def _may_close(self) -> bool:
         """Nothing is owed on it."""
         owed = sum(isinstance(x, Session) and not x.over for x in self._waiting)
-        return self.turn.guard.may_close(self.turn.now_ns(), owed, f"connection {id(self)}")
+        return self.dispatcher.guard.may_close(self.dispatcher.now_ns(), owed, f"connection {id(self)}")
 
     def _abort(self, reason: CloseReason) -> None:
         """Closed at once, whatever is on its way. Only a client that left, or has to see that a value is cut,
@@ -347,21 +351,21 @@
         last looked at; one that goes on taking them is not cut."""
         if self.transport.is_closing():
             return
-        limits, size = self.turn.limits, self.transport.get_write_buffer_size()
+        limits, size = self.dispatcher.limits, self.transport.get_write_buffer_size()
         if left is not None and size >= left and not self._waiting:
             self._abort(CloseReason.STALLED)
             return
         wait = limits.silent_ns if size else limits.drained_ns
-        self.turn.deadlines.drop(self._stall_deadline)
-        self._stall_deadline = self.turn.deadlines.add(
-            self.turn.now_ns() + wait, self._abort_if_stalled, size
+        self.dispatcher.deadlines.drop(self._stall_deadline)
+        self._stall_deadline = self.dispatcher.deadlines.add(
+            self.dispatcher.now_ns() + wait, self._abort_if_stalled, size
         )
-        self.turn.wake()
+        self.dispatcher.wake()
 
     def tend(self, now: int) -> None:
         """Guards the descriptors against clients that say nothing, begin a command and never end it, or ask
         once and stay; and the backend servers against the requests of one that left while it was not read."""
-        limits = self.turn.limits
+        limits = self.dispatcher.limits
         if self._paused and self.gone():
             return
         if self._closing or self._waiting or self.transport.is_closing():
@@ -373,18 +377,23 @@
                 self._give_up("a command that does not end", CloseReason.INCOMPLETE)
         elif now - self.rested_ns > (
             limits.standby_rest_ns
-            if self.door.standby
+            if self.listener.standby
             else limits.rest_ns
             if self.asked
             else limits.silent_ns
         ):
             reason = CloseReason.IDLE if self.asked else CloseReason.SILENT
-            closed = self.close_if_idle(CloseReason.STANDBY if self.door.standby else reason)
-            self.counters.standby_closed += closed and self.door.standby
+            closed = self.close_if_idle(CloseReason.STANDBY if self.listener.standby else reason)
+            self.counters.standby_closed += closed and self.listener.standby
 
     def close_if_idle(self, reason: CloseReason) -> bool:
         """Ended, unless something is owed on it or has come. True: its end is sent."""
-        if not self.idle or self._ending or self.transport.is_closing() or self.turn.readable(self.transport):
+        if (
+            not self.idle
+            or self._ending
+            or self.transport.is_closing()
+            or self.dispatcher.readable(self.transport)
+        ):
             return False  # guards against closing beneath a request that has come but is not read yet
         self._finish_when_written(reason)
         return self._closing
@@ -403,12 +412,12 @@
         return True
 
 
-class FrontDoor:
+class ClientListener:
     """The listening socket and all clients that came in by it."""
 
-    def __init__(self, turn: Turn, settings: Settings, buffer: memoryview, host: Host) -> None:
-        self.turn, self.buffer, self.host, self.counters = turn, buffer, host, turn.counters
-        self.reader = CallReader(settings, turn.limits.margin_ns, turn.limits.id_bytes)
+    def __init__(self, dispatcher: Dispatcher, settings: Settings, buffer: memoryview, host: Host) -> None:
+        self.dispatcher, self.buffer, self.host, self.counters = dispatcher, buffer, host, dispatcher.counters
+        self.reader = CallReader(settings, dispatcher.limits.margin_ns, dispatcher.limits.id_bytes)
         self.open: dict[bytes, Session] = {}  # by the id that the client gave
         self.ready = False
         self.heard_ns = 0  # the last call
@@ -420,7 +429,7 @@
         self._listening = False
         self.inherited = False
         self._resumed_ns = 0  # when connections were last taken again, or first
-        self._acceptor = Acceptor(turn, lambda: ClientConnection(self))
+        self._acceptor = Acceptor(dispatcher, lambda: ClientConnection(self))
 
     def listen(self, address: tuple[str, int], inherited: int | None = None) -> None:
         """On the address, or on the socket that the platform hands down, which an old process shares."""
@@ -428,13 +437,13 @@
         self._socket = (
             self.host.inherit(inherited)
             if self.inherited
-            else self.host.listen(address, self.turn.limits.backlog)
+            else self.host.listen(address, self.dispatcher.limits.backlog)
         )
         self._resume()  # a shared queue is left to the old process until this one is ready: see `take`
-        every(self.turn, self.turn.limits.tend_ns, self._tend)
+        every(self.dispatcher, self.dispatcher.limits.tend_ns, self._tend)
 
     def _tend(self) -> None:
-        now = self.turn.now_ns()
+        now = self.dispatcher.now_ns()
         for client in list(self.clients):
             client.tend(now)
 
@@ -453,7 +462,7 @@
             return RefusalReason.NOT_READY
         if self.over:
             return RefusalReason.OVER
-        full = len(self.turn.sessions) >= self.turn.limits.sessions
+        full = len(self.dispatcher.sessions) >= self.dispatcher.limits.sessions
         return RefusalReason.SESSIONS if full else None
 
     def take(self) -> None:
@@ -465,32 +474,32 @@
         may = self._socket is not None and not self.closing and (self.ready or not self.inherited)
         if may and not self._listening:
             self._listening = True
-            self._resumed_ns = self.turn.now_ns()
-            self.turn.loop.add_reader(self._socket.fileno(), self._take_queued)
+            self._resumed_ns = self.dispatcher.now_ns()
+            self.dispatcher.loop.add_reader(self._socket.fileno(), self._take_queued)
 
     def _pause(self) -> None:
         if self._socket is not None and self._listening:
             self._listening = False
-            self.turn.loop.remove_reader(self._socket.fileno())
+            self.dispatcher.loop.remove_reader(self._socket.fileno())
 
     def _take_queued(self) -> bool:
         """Takes what waits in the queue, as much as one turn may. True: it was found empty."""
-        for _ in range(self.turn.limits.accepts):
+        for _ in range(self.dispatcher.limits.accepts):
             held = len(self.clients) + self._acceptor.coming
-            if held >= self.turn.limits.frontend_connections and not self._make_room():
+            if held >= self.dispatcher.limits.frontend_connections and not self._make_room():
                 # Guards against running out of descriptors: the rest waits in the backlog until one is free.
-                self.turn.log.often(
+                self.dispatcher.log.often(
                     "full",
                     f"{len(self.clients)} client connections {self._kinds()}: " "taking no more for now",
                 )
-                self._take_later(self.turn.limits.newcomer_ns)
+                self._take_later(self.dispatcher.limits.newcomer_ns)
                 return False
             taken = self._acceptor.take(self._socket)
             if taken is Taken.NONE:
                 return True
             if taken is Taken.LACK:
                 self._make_room()
-                self._take_later(self.turn.limits.backoff_ns)
+                self._take_later(self.dispatcher.limits.backoff_ns)
                 return False
         return False
 
@@ -498,8 +507,8 @@
         """Guards the processor against a queue that says at every look that something waits."""
         self._pause()
         if not self.closing:
-            self.turn.deadlines.add(self.turn.now_ns() + after_ns, self._resume)
-            self.turn.wake()
+            self.dispatcher.deadlines.add(self.dispatcher.now_ns() + after_ns, self._resume)
+            self.dispatcher.wake()
 
     def _kinds(self) -> str:
         count = dict.fromkeys(("asking", "resting", "silent", "half", "ending"), 0)
@@ -512,7 +521,7 @@
         those that never asked, then of those that asked once, which crowds of clients leave behind, and at
         last, after a longer rest, of those used again and again. Each is spared for a while: its next request
         may be on its way, or its last answer."""
-        now, limits = self.turn.now_ns(), self.turn.limits
+        now, limits = self.dispatcher.now_ns(), self.dispatcher.limits
         for c in self.clients:
             if c.lingers and now - c.ended_ns > limits.newcomer_ns and not c.transport.is_closing():
                 return c.give_way()
@@ -531,7 +540,9 @@
     def joined(self, client: ClientConnection) -> None:
         self.clients[client] = None
         # it may have come, and asked, while none were taken: before this process, on an inherited queue
-        client.may_have_waited = self.turn.now_ns() - self._resumed_ns < self.turn.limits.newcomer_ns
+        client.may_have_waited = (
+            self.dispatcher.now_ns() - self._resumed_ns < self.dispatcher.limits.newcomer_ns
+        )
         client._from_old_queue = client.may_have_waited and self.inherited
 
     def left(self, client: ClientConnection) -> None:
@@ -557,8 +568,10 @@
             if self._take_queued():
                 self._close_listening()
             elif not self._listening:
-                self.turn.deadlines.add(self.turn.now_ns() + self.turn.limits.backoff_ns, self._empty_queue)
-                self.turn.wake()
+                self.dispatcher.deadlines.add(
+                    self.dispatcher.now_ns() + self.dispatcher.limits.backoff_ns, self._empty_queue
+                )
+                self.dispatcher.wake()
                 return
 
     def _close_listening(self) -> None:
@@ -578,13 +591,13 @@
 
     def fit(self) -> None:
         """The limits have become narrower: connections that rest are closed as where new ones need room."""
-        while len(self.clients) > self.turn.limits.frontend_connections and self._make_room():
+        while len(self.clients) > self.dispatcher.limits.frontend_connections and self._make_room():
             pass
 
     def close_idle(self, reason: CloseReason = CloseReason.STOP) -> int:
         """All that rest; how many. Spared for a moment are those that came last and have not asked: what they
         came for is on its way."""
-        now, least = self.turn.now_ns(), self.turn.limits.newcomer_ns
+        now, least = self.dispatcher.now_ns(), self.dispatcher.limits.newcomer_ns
         return sum(
             [
                 client.close_if_idle(reason)
--- a/zincstile/net/gateway.py
+++ b/zincstile/net/gateway.py
@@ -14,9 +14,10 @@
 from .backend import Backends
 from .config import Config, ConfigError
 from .counters import Counters
+from .dispatcher import Dispatcher
 from .endpoint_table import EndpointReader, EndpointTable
 from .endpoint_table import number as name_number
-from .frontend import FrontDoor
+from .frontend import ClientListener
 from .host import HOST, Host
 from .log import Log
 from .peers import Peers
@@ -24,7 +25,6 @@
 from .session import FAILED
 from .trace import Step
 from .transient import is_momentary, patiently
-from .turn import Turn
 
 RELOAD_AGAIN_NS, RELOAD_TRIES = 100_000_000, 30  # where the file can't be read for now
 
@@ -33,13 +33,15 @@
     def __init__(self, config: Config, loop: asyncio.AbstractEventLoop, host: Host = HOST) -> None:
         self.config, self.loop, self.host = config, loop, host
         self.log, self.counters = Log(config.name, host=host), Counters()
-        self.turn = Turn(loop, build_policy(config, host), config.limits, self.counters, self.log, host)
+        self.dispatcher = Dispatcher(
+            loop, build_policy(config, host), config.limits, self.counters, self.log, host
+        )
         buffer = memoryview(bytearray(config.limits.read_bytes))  # each read is taken out of it at once
-        self.door = FrontDoor(self.turn, config.settings, buffer, host)
-        self.backends = Backends(self.turn, config.settings, buffer)
-        self.peers = Peers(self.turn, config.peers)
+        self.listener = ClientListener(self.dispatcher, config.settings, buffer, host)
+        self.backends = Backends(self.dispatcher, config.settings, buffer)
+        self.peers = Peers(self.dispatcher, config.peers)
         self.table = EndpointTable(
-            self.turn,
+            self.dispatcher,
             EndpointReader(config.zones, config.kinds, host),
             config.discovery,
             self.backends.update,
@@ -64,22 +66,22 @@
         from ..quota_service import module, words
         from .keeper import Keeper
 
-        keeper, turn = Keeper(self.turn, self.config.counter, buffer), self.turn
+        keeper, dispatcher = Keeper(self.dispatcher, self.config.counter, buffer), self.dispatcher
 
         def call(_: int, action: module.KeeperCall) -> None:
             keeper.call(
                 action.name,
                 action.amount,
                 action.ttl_ms,
-                lambda at, total: turn.post(module.KeeperAnswer(action.number, total)),
+                lambda at, total: dispatcher.post(module.KeeperAnswer(action.number, total)),
             )
 
         def heard(sender: int, data: bytes) -> module.KeeperWord | None:
             word = words.unpack(sender, data)
             return None if word is None else module.KeeperWord(word)
 
-        turn.carry_out[module.KeeperCall] = call
-        turn.carry_out[module.KeeperTell] = lambda _, action: self.peers.send(
+        dispatcher.carry_out[module.KeeperCall] = call
+        dispatcher.carry_out[module.KeeperTell] = lambda _, action: self.peers.send(
             action.peer, words.pack(action.word)
         )
         self.peers.others[words.MAGIC] = heard
@@ -97,7 +99,7 @@
             for data in words.pack(action.process, action.words):
                 self.peers.send(action.peer, data)
 
-        self.turn.carry_out[module.SharedTell] = tell
+        self.dispatcher.carry_out[module.SharedTell] = tell
         self.peers.others[words.MAGIC] = heard
 
     def _start_beside(self) -> Any:
@@ -106,7 +108,7 @@
 
         config = self.config
         return Starter(
-            self.turn,
+            self.dispatcher,
             self.peers,
             self.table,
             config.start,
@@ -125,7 +127,7 @@
             found = words.unpack(data)
             return None if found is None else module.PlaceWord(sender, found)
 
-        self.turn.carry_out[module.PlaceTell] = lambda _, action: self.peers.send(
+        self.dispatcher.carry_out[module.PlaceTell] = lambda _, action: self.peers.send(
             action.peer, words.pack(action.word)
         )
         self.peers.others[words.MAGIC] = heard
@@ -141,22 +143,22 @@
         self.operator = Operator(listed=self.table)
         if self.config.place:
             self.operator.zones = self.config.zones
-            self.operator.table = lambda: self.turn.policy.shown(self.turn.now_ns())
+            self.operator.table = lambda: self.dispatcher.policy.shown(self.dispatcher.now_ns())
         base = os.path.join(self.host.tmpdir(), f"zincstile-{self.config.name}")
         self.handover = HandoverFile(
-            self.turn, self.operator, self.config.name, f"{base}.handover", self.host, self._adopt
+            self.dispatcher, self.operator, self.config.name, f"{base}.handover", self.host, self._adopt
         )
         self.handover.me = f"{self.config.seed:x}"
         self.handover.apart_ns = lambda: self.table.reader.apart_ns
         self.control = ControlDoor(
-            self.turn,
+            self.dispatcher,
             self.operator,
             self._apply,
-            lambda: self.door.ready and not self._stopping,
+            lambda: self.listener.ready and not self._stopping,
             self.host,
             self.handover,
         )
-        self.heritage = Heritage(self.turn, self.host, base, self.handover.me, self._share)
+        self.heritage = Heritage(self.dispatcher, self.host, base, self.handover.me, self._share)
         self.handover.also, self.handover.back = self.heritage.look, self.table.back
 
     def _apply(self, reply: Any) -> None:
@@ -164,14 +166,14 @@
 
         if reply.change is Change.STANDBY:
             self.log.line("standby: PING says no; connections are closed once nothing is owed on them")
-            self.door.set_standby(True)
+            self.listener.set_standby(True)
         elif reply.change is Change.ACTIVE:
             self.log.line("active: taking clients again")
-            self.door.set_standby(False)
+            self.listener.set_standby(False)
         elif reply.change in (Change.ZONE_DRAIN, Change.ZONE_HOLD, Change.ZONE_BACK):
             from ..zone_failover.module import ZoneSaid
 
-            self.turn.post(
+            self.dispatcher.post(
                 ZoneSaid(
                     self.config.zones.index(reply.name),
                     reply.change is Change.ZONE_DRAIN,
@@ -184,7 +186,7 @@
             self.table.maintain(reply.name, banned)
             self.log.line(f"maintenance {'enter' if banned else 'exit'} {reply.name}")
             self.handover.write()
-        self.turn.wake()
+        self.dispatcher.wake()
 
     def _adopt(self, newly: set[str], back: set[str]) -> None:
         """What another process of this gateway was told."""
@@ -197,8 +199,8 @@
     def _share(self, shared: bool) -> None:
         """Another process of this gateway serves beside this one, or no more: both have one's descriptors."""
         limits = self.config.limits
-        self.turn.limits = limits.shared() if shared else limits
-        self.door.fit()
+        self.dispatcher.limits = limits.shared() if shared else limits
+        self.listener.fit()
 
     def _state_bounds(self) -> None:
         """The error by which quotas are held, stated before anything fails."""
@@ -255,22 +257,24 @@
 
     async def _serve(self) -> None:
         """Takes clients from here on."""
-        self.turn.post(Started())
+        self.dispatcher.post(Started())
         known = self._begin_table()
-        await patiently(lambda: self.door.listen(self.config.listen, self.config.socket_fd))
+        await patiently(lambda: self.listener.listen(self.config.listen, self.config.socket_fd))
         if self.control is not None:
             await patiently(lambda: self.control.open(self.config.control))
             self.handover.watch()
         if self.starter is None and known:
             # discovery may be down: then the known list must do
-            self.turn.deadlines.add(self.turn.now_ns() + self.config.limits.table_first_ns, self._ready)
-        self.turn.wake()
+            self.dispatcher.deadlines.add(
+                self.dispatcher.now_ns() + self.config.limits.table_first_ns, self._ready
+            )
+        self.dispatcher.wake()
         if self.config.keeper or self.config.shared:
             self._state_bounds()
-        inherited = " (inherited)" if self.door.inherited else ""
+        inherited = " (inherited)" if self.listener.inherited else ""
         operators = f", operators on {self.control.address}" if self.control else ""
         self.log.line(
-            f"start listening on {self.door.address}{inherited}, peers on {self.peers.address}{operators}"
+            f"start listening on {self.listener.address}{inherited}, peers on {self.peers.address}{operators}"
         )
 
     async def _unless_stopped(self, work: Coroutine[Any, Any, None]) -> None:
@@ -286,7 +290,7 @@
         """What an older process of this gateway has left, before anything of this one is seen outside."""
         self.log.line(f"handover: {await self.handover.first()}")
         for name in self.operator.banned:
-            self.table.banned[name_number(name)] = self.turn.now_ns()
+            self.table.banned[name_number(name)] = self.dispatcher.now_ns()
         found = self.handover.found
         if found is None:
             return
@@ -304,9 +308,9 @@
         return bool(known.get("endpoints"))
 
     def _ready(self, _: object = None) -> None:
-        if not self.door.ready and self._may_be_ready():
-            self.turn.trace.note(self.turn.now_ns(), Step.STATE, "ready")
-            self.door.take()
+        if not self.listener.ready and self._may_be_ready():
+            self.dispatcher.trace.note(self.dispatcher.now_ns(), Step.STATE, "ready")
+            self.listener.take()
             if self.handover is not None:
                 self.handover.say_ready()
             by = "told" if self.table.told else "as known before"
@@ -316,13 +320,13 @@
 
     def _may_be_ready(self) -> bool:
         """A list is here: discovery's, peers', or the one known before."""
-        return self.turn.guard.may_be_ready(
-            self.turn.now_ns(), len(self.backends.listed), self.table.told or self.starter is not None
+        return self.dispatcher.guard.may_be_ready(
+            self.dispatcher.now_ns(), len(self.backends.listed), self.table.told or self.starter is not None
         )
 
     def _count(self) -> None:
         self.log.line(self.counters.line(self.host))
-        self.log.line("state " + json.dumps(self.turn.policy.sight()))
+        self.log.line("state " + json.dumps(self.dispatcher.policy.sight()))
 
     def reload(self, tries: int = RELOAD_TRIES) -> None:
         """SIGHUP: where discovery is found is read again, all else stays as it is. Sessions, connections and
@@ -332,9 +336,9 @@
             config = self.host.again()
         except (ConfigError, OSError) as err:
             if is_momentary(err.__cause__ or err) and tries > 1:
-                at_ns = self.turn.now_ns() + RELOAD_AGAIN_NS
-                self.turn.deadlines.add(at_ns, self.reload, tries - 1)
-                self.turn.wake()
+                at_ns = self.dispatcher.now_ns() + RELOAD_AGAIN_NS
+                self.dispatcher.deadlines.add(at_ns, self.reload, tries - 1)
+                self.dispatcher.wake()
                 return
             self.log.line(f"reload refused: {' '.join(str(err).split())}; the old configuration stands")
             return
@@ -351,22 +355,24 @@
         if self._stopping:
             return
         self._stopping = True
-        self.turn.trace.note(self.turn.now_ns(), Step.STATE, "stop")
-        self.log.line(f"stop with {len(self.turn.sessions)} sessions")
-        if not self.door.opened:
+        self.dispatcher.trace.note(self.dispatcher.now_ns(), Step.STATE, "stop")
+        self.log.line(f"stop with {len(self.dispatcher.sessions)} sessions")
+        if not self.listener.opened:
             self._end(None)
             return
-        now, limits = self.turn.now_ns(), self.config.limits
-        self._stop_ns = self.door.heard_ns = now
-        if self.door.inherited and self.handover is not None and self.handover.other_ready:
+        now, limits = self.dispatcher.now_ns(), self.config.limits
+        self._stop_ns = self.listener.heard_ns = now
+        if self.listener.inherited and self.handover is not None and self.handover.other_ready:
             self._taken_over()
         else:
-            if self.door.inherited and self.handover is not None:  # a new one may yet say that it is ready
+            if (
+                self.listener.inherited and self.handover is not None
+            ):  # a new one may yet say that it is ready
                 self.handover.taken_over = self._taken_over
             self._shut_if_quiet(None)
-        self.turn.deadlines.add(now + limits.drain_most_ns - limits.drain_margin_ns, self._fail_rest)
-        self.turn.deadlines.add(now + limits.drain_most_ns, self._end)
-        self.turn.wake()
+        self.dispatcher.deadlines.add(now + limits.drain_most_ns - limits.drain_margin_ns, self._fail_rest)
+        self.dispatcher.deadlines.add(now + limits.drain_most_ns, self._end)
+        self.dispatcher.wake()
 
     def _taken_over(self) -> None:
         """The listening socket is shared with a new process that takes clients: it takes what comes from now
@@ -374,41 +380,43 @@
         Guards against a gap where SIGTERM comes before the new one is ready."""
         if self.handover is not None:
             self.handover.taken_over = None
-        if self.door.closing:
+        if self.listener.closing:
             return
-        self.door.shut(take_queued=False)
+        self.listener.shut(take_queued=False)
         self.peers.close()  # else what peers send to the address goes to one of both processes, by chance
         self._end_if_empty(None)
 
     def _shut_if_quiet(self, _: object) -> None:
         limits = self.config.limits
-        at = min(self._stop_ns + limits.drain_ns, self.door.heard_ns + limits.drain_quiet_ns)
-        if self.door.closing:
+        at = min(self._stop_ns + limits.drain_ns, self.listener.heard_ns + limits.drain_quiet_ns)
+        if self.listener.closing:
             return  # taken over meanwhile
-        if self.turn.now_ns() < at:
-            self.turn.deadlines.add(at, self._shut_if_quiet)
+        if self.dispatcher.now_ns() < at:
+            self.dispatcher.deadlines.add(at, self._shut_if_quiet)
         else:
-            self.door.shut()
+            self.listener.shut()
             self._end_if_empty(None)
 
     def _fail_rest(self, _: object) -> None:
         """Guards against ending with a request unanswered, however long its client would wait; and against
         taking one that could not be answered before the end."""
-        self.door.over = True
-        for session in list(self.turn.sessions.values()):
-            if self.turn.end(session, FAILED):
-                self.turn.post(RequestAbandoned(session.id))
+        self.listener.over = True
+        for session in list(self.dispatcher.sessions.values()):
+            if self.dispatcher.end(session, FAILED):
+                self.dispatcher.post(RequestAbandoned(session.id))
 
     def _end_if_empty(self, _: object) -> None:
-        self.door.close_idle()  # also those that came last and ask nothing
-        if self.door.empty:
+        self.listener.close_idle()  # also those that came last and ask nothing
+        if self.listener.empty:
             self._end(None)
         else:
-            self.turn.deadlines.add(self.turn.now_ns() + self.config.limits.backoff_ns, self._end_if_empty)
+            self.dispatcher.deadlines.add(
+                self.dispatcher.now_ns() + self.config.limits.backoff_ns, self._end_if_empty
+            )
 
     def _end(self, _: object) -> None:
         if not self.ended.done():
-            self.turn.guard.may_end(self.turn.now_ns(), len(self.turn.sessions))
+            self.dispatcher.guard.may_end(self.dispatcher.now_ns(), len(self.dispatcher.sessions))
             if self.heritage is not None:
                 self.heritage.end()
             self.ended.set_result(None)
--- a/zincstile/net/handover_file.py
+++ b/zincstile/net/handover_file.py
@@ -14,8 +14,8 @@
 from ..admin import handover as ho
 from ..admin.operator import Operator
 from .deadlines import every
+from .dispatcher import Dispatcher
 from .host import Host
-from .turn import Turn
 
 Stat = tuple[int, int, int]  # inode, mtime in ns, size
 
@@ -25,7 +25,7 @@
 
     def __init__(
         self,
-        turn: Turn,
+        dispatcher: Dispatcher,
         operator: Operator,
         gateway: str,
         path: str,
@@ -33,7 +33,13 @@
         adopt: Callable[[set[str], set[str]], None],
     ) -> None:
         """adopt: told what another process heard of operators: names taken out, names put back."""
-        self.turn, self.operator, self.gateway, self.path, self.host = turn, operator, gateway, path, host
+        self.dispatcher, self.operator, self.gateway, self.path, self.host = (
+            dispatcher,
+            operator,
+            gateway,
+            path,
+            host,
+        )
         self.adopt = adopt
         self.me = ""  # this process, as `ready_by` names it
         self.ready_by = ""  # the process that said last that it takes clients
@@ -64,14 +70,14 @@
     async def first(self) -> str:
         """At the start: takes what an earlier or older process left, and takes away what its writes left half
         done. One that can't be read is tried again for a while. The log line says what was found."""
-        limits = self.turn.limits
+        limits = self.dispatcher.limits
         self.host.remove_parts(self.path)
-        until = self.turn.now_ns() + limits.handover_read_ns
+        until = self.dispatcher.now_ns() + limits.handover_read_ns
         while True:
             try:
                 return self._first()
             except OSError as err:
-                if self.turn.now_ns() >= until:
+                if self.dispatcher.now_ns() >= until:
                     return f"can't be read for now: {self.path}: {err.strerror or err}"
             await asyncio.sleep(limits.inherit_look_ns / 1e9)
 
@@ -94,11 +100,11 @@
             self._seen = None
             return None
         try:
-            stale_ns, dated_ns = self.turn.limits.handover_stale_ns, seen[1] if seen else 0
+            stale_ns, dated_ns = self.dispatcher.limits.handover_stale_ns, seen[1] if seen else 0
             found = ho.unpack(data, self.gateway, self.host.moment(), stale_ns, dated_ns)
         except ho.HandoverError as err:
             self._seen = seen
-            self.turn.counters.handover_bad += 1
+            self.dispatcher.counters.handover_bad += 1
             return err
         self._seen = seen
         self.ready_by = found.ready_by
@@ -112,10 +118,10 @@
         try:
             found = self._read()
         except OSError as err:
-            self.turn.log.often("handover", f"can't read {self.path}: {err.strerror or err}")
+            self.dispatcher.log.often("handover", f"can't read {self.path}: {err.strerror or err}")
             return False
         if isinstance(found, ho.HandoverError):
-            self.turn.log.often("handover", f"ignored: {self.path}: {found}")
+            self.dispatcher.log.often("handover", f"ignored: {self.path}: {found}")
             self._unkept = True  # what is trusted here goes over it
         elif found is not None:
             self._take(found)
@@ -145,10 +151,10 @@
         try:
             self.host.write_file(self.path, self._packed(), sync=self._unkept)
         except OSError as err:
-            self.turn.log.often("handover", f"can't write {self.path}: {err.strerror or err}")
+            self.dispatcher.log.often("handover", f"can't write {self.path}: {err.strerror or err}")
             self._show_life()
             return False
-        self._seen, self._written_ns = self.host.stat(self.path), self.turn.now_ns()
+        self._seen, self._written_ns = self.host.stat(self.path), self.dispatcher.now_ns()
         was_unkept, self._unkept = self._unkept, False
         if was_unkept:
             self.on_kept()
@@ -185,11 +191,11 @@
 
     def watch(self) -> None:
         """Reads the file where it changed, and keeps it fresh, from now on."""
-        every(self.turn, self.turn.limits.handover_poll_ns, self._look)
+        every(self.dispatcher, self.dispatcher.limits.handover_poll_ns, self._look)
 
     def _look(self) -> None:
         self.refresh()
-        due = self.turn.now_ns() - self._written_ns >= self.turn.limits.handover_keep_ns
+        due = self.dispatcher.now_ns() - self._written_ns >= self.dispatcher.limits.handover_keep_ns
         if due or self._unkept:
             self._write()
         self.also()
--- a/zincstile/net/keeper.py
+++ b/zincstile/net/keeper.py
@@ -15,7 +15,7 @@
 from . import http
 from .config import Address
 from .deadlines import Key, every
-from .turn import Turn
+from .dispatcher import Dispatcher
 
 Then = Callable[[int, float | None], None]
 
@@ -39,11 +39,11 @@
         self.transport: asyncio.Transport | None = None
         self.calls: deque[Call] = deque()  # written and not answered, in their order
         self.rested_ns = 0
-        self._answers = http.Answers(keeper.turn.limits)
+        self._answers = http.Answers(keeper.dispatcher.limits)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = transport  # type: ignore[assignment]
-        self.rested_ns = self.keeper.turn.now_ns()
+        self.rested_ns = self.keeper.dispatcher.now_ns()
         self.keeper.opened(self)
 
     def get_buffer(self, sizehint: int) -> memoryview:
@@ -57,11 +57,11 @@
                 if not self.keeper.answered(self.calls.popleft(), status, body):
                     raise http.HttpError(f"no number: {body[:40]!r}")
         except http.HttpError as err:
-            self.keeper.turn.log.often("keeper", f"spoilt answer of {self.address}: {err}")
+            self.keeper.dispatcher.log.often("keeper", f"spoilt answer of {self.address}: {err}")
             self.transport.abort()
             return
-        self.rested_ns = self.keeper.turn.now_ns()
-        self.keeper.turn.write_later(self.keeper)
+        self.rested_ns = self.keeper.dispatcher.now_ns()
+        self.keeper.dispatcher.write_later(self.keeper)
 
     def eof_received(self) -> None:
         return None
@@ -73,15 +73,15 @@
 class Keeper:
     """All calls to the count keeper, wherever it is found at present."""
 
-    def __init__(self, turn: Turn, address: Address, buffer: memoryview) -> None:
-        self.turn, self.address, self.buffer = turn, address, buffer
+    def __init__(self, dispatcher: Dispatcher, address: Address, buffer: memoryview) -> None:
+        self.dispatcher, self.address, self.buffer = dispatcher, address, buffer
         self.connections: dict[KeeperConnection, None] = {}
         self.waiting: deque[Call] = deque()
         self.closed = False
         self._opening = 0
         self._tasks: dict[asyncio.Task, None] = {}
         self._not_before_ns = 0  # after a connect that failed
-        every(turn, turn.limits.tend_ns, self._tend)
+        every(dispatcher, dispatcher.limits.tend_ns, self._tend)
 
     def call(self, name: str, amount: float, ttl_ms: int, then: Then) -> None:
         """Adds the amount to the name; ValueError where that can't be asked."""
@@ -93,24 +93,24 @@
             or ttl_ms < 1
         ):
             raise ValueError(f"no such call: {name[:70]!r} {amount} {ttl_ms}")
-        turn, now = self.turn, self.turn.now_ns()
+        dispatcher, now = self.dispatcher, self.dispatcher.now_ns()
         host = "{}:{}".format(*self.address)
         one = Call(http.post(host, f"/v1/count/{name}?add={amount:.9g}&ttl_ms={ttl_ms}"), then, now)
-        turn.counters.keeper_calls += 1
-        if self.closed or len(self.waiting) >= turn.limits.keeper_waiting:
-            turn.counters.keeper_full += 1
+        dispatcher.counters.keeper_calls += 1
+        if self.closed or len(self.waiting) >= dispatcher.limits.keeper_waiting:
+            dispatcher.counters.keeper_full += 1
             self._end(one, None)
             return
-        one.deadline = turn.deadlines.add(now + turn.limits.keeper_call_ns, self._late, one)
+        one.deadline = dispatcher.deadlines.add(now + dispatcher.limits.keeper_call_ns, self._late, one)
         self.waiting.append(one)
-        turn.write_later(self)
+        dispatcher.write_later(self)
 
     def move(self, address: Address) -> None:
         """The keeper is found elsewhere from now on; what was written to the old one may still be
         answered."""
         if address != self.address:
             self.address, self._not_before_ns = address, 0
-            self.turn.write_later(self)
+            self.dispatcher.write_later(self)
 
     def close(self) -> None:
         """No more calls; none is left without its word."""
@@ -124,7 +124,7 @@
 
     def flush(self) -> None:
         """Writes what waits, shared out evenly; opens another connection where those that are up are busy."""
-        limits, waiting = self.turn.limits, self.waiting
+        limits, waiting = self.dispatcher.limits, self.waiting
         while waiting and waiting[0].over:
             waiting.popleft()
         if not waiting:
@@ -143,32 +143,32 @@
             self._open()
 
     def _open(self) -> None:
-        if self._opening or self.closed or self.turn.now_ns() < self._not_before_ns:
+        if self._opening or self.closed or self.dispatcher.now_ns() < self._not_before_ns:
             return
         self._opening += 1
-        task = self.turn.loop.create_task(self._connect(self.address))
+        task = self.dispatcher.loop.create_task(self._connect(self.address))
         self._tasks[task] = None
         task.add_done_callback(lambda done: self._tasks.pop(done, None))
 
     async def _connect(self, address: Address) -> None:
-        turn = self.turn
+        dispatcher = self.dispatcher
         try:
-            async with asyncio.timeout(turn.limits.connect_ns / 1e9):
-                await turn.loop.create_connection(lambda: KeeperConnection(self, address), *address)
+            async with asyncio.timeout(dispatcher.limits.connect_ns / 1e9):
+                await dispatcher.loop.create_connection(lambda: KeeperConnection(self, address), *address)
         except (OSError, TimeoutError) as err:
-            turn.log.often("keeper", f"can't connect to {address}: {err or type(err).__name__}")
-            self._not_before_ns = turn.now_ns() + turn.limits.backoff_ns
-            turn.deadlines.add(self._not_before_ns, self._again)
-            turn.wake()
+            dispatcher.log.often("keeper", f"can't connect to {address}: {err or type(err).__name__}")
+            self._not_before_ns = dispatcher.now_ns() + dispatcher.limits.backoff_ns
+            dispatcher.deadlines.add(self._not_before_ns, self._again)
+            dispatcher.wake()
         finally:
             self._opening -= 1
 
     def _again(self, _: object) -> None:
-        self.turn.write_later(self)
+        self.dispatcher.write_later(self)
 
     def opened(self, connection: KeeperConnection) -> None:
         self.connections[connection] = None
-        self.turn.write_later(self)
+        self.dispatcher.write_later(self)
 
     # ---- what comes of calls
 
@@ -194,10 +194,10 @@
         if call.over:
             return
         call.over = True
-        self.turn.deadlines.drop(call.deadline)
+        self.dispatcher.deadlines.drop(call.deadline)
         if total is None:
-            self.turn.counters.keeper_unanswered += 1
-        call.then(self.turn.now_ns(), total)
+            self.dispatcher.counters.keeper_unanswered += 1
+        call.then(self.dispatcher.now_ns(), total)
 
     def lost(self, connection: KeeperConnection) -> None:
         """What was written on it may have been added."""
@@ -205,12 +205,12 @@
         calls, connection.calls = connection.calls, deque()
         for call in calls:
             self._end(call, None)
-        self.turn.write_later(self)
+        self.dispatcher.write_later(self)
 
     def _tend(self) -> None:
         """Closes what rests, what the keeper has left, and what is stuck behind an answer that does not
         come."""
-        now, limits = self.turn.now_ns(), self.turn.limits
+        now, limits = self.dispatcher.now_ns(), self.dispatcher.limits
         for connection in list(self.connections):
             if connection.calls:
                 if now - connection.calls[0].made_ns > limits.keeper_call_ns + limits.keeper_stuck_ns:
--- a/zincstile/net/start.py
+++ b/zincstile/net/start.py
@@ -13,9 +13,9 @@
 from ..cold_start.policy import Running
 from ..cold_start.ready import Readiness, Right
 from ..cold_start.settings import StartSettings
+from .dispatcher import Dispatcher
 from .endpoint_table import EndpointTable
 from .peers import HEARD, Peers
-from .turn import Turn
 
 LOOK_NS, REST_NS = 30_000_000, 1_000_000_000  # how often it is looked at what is sought; once it is found
 
@@ -25,7 +25,7 @@
 
     def __init__(
         self,
-        turn: Turn,
+        dispatcher: Dispatcher,
         peers: Peers,
         table: EndpointTable,
         settings: StartSettings,
@@ -35,10 +35,16 @@
         seed: int,
         ready: Callable[[], None],
     ) -> None:
-        self.turn, self.peers, self.table, self.settings, self._ready = turn, peers, table, settings, ready
+        self.dispatcher, self.peers, self.table, self.settings, self._ready = (
+            dispatcher,
+            peers,
+            table,
+            settings,
+            ready,
+        )
         self.rng = random.Random(f"start {seed}")
         self.lists = Lists(settings, me, gateways, intake_per_s, self.rng)
-        self.apart_ns = gateways * settings.each_ns if turn.limits.table_patience_ns else 0
+        self.apart_ns = gateways * settings.each_ns if dispatcher.limits.table_patience_ns else 0
         self.readiness: Readiness | None = None
         self._opened = False
         self._open_ns = 0
@@ -47,7 +53,7 @@
 
     def begin(self, known: dict[str, Any]) -> None:
         """With the list of before the start, or none."""
-        now = self.turn.now_ns()
+        now = self.dispatcher.now_ns()
         self.readiness = Readiness(self.settings, now)
         self.table.begin(known, hold=True)
         has = bool(known.get("endpoints"))
@@ -71,23 +77,23 @@
 
     def told(self, version: int, entries: list[dict[str, Any]], whole: bool) -> None:
         """Discovery's own word."""
-        now = self.turn.now_ns()
+        now = self.dispatcher.now_ns()
         self.lists.told_by_discovery(now, version, entries, whole)
         self.readiness.has(Right.TOLD)
         self._say()
         self._send()
 
     def alive(self) -> None:
-        self.lists.alive(self.turn.now_ns())
+        self.lists.alive(self.dispatcher.now_ns())
 
     def _heard(self, sender: int, data: bytes) -> object | None:
         word = words.unpack(data)
         if word is None:
             return None
-        self.lists.open = self.turn.policy.opening is None  # type: ignore[attr-defined]
-        self.lists.hear(self.turn.now_ns(), sender, word)
+        self.lists.open = self.dispatcher.policy.opening is None  # type: ignore[attr-defined]
+        self.lists.hear(self.dispatcher.now_ns(), sender, word)
         if not self.lists.open and self.lists.running():
-            self.turn.post(Running())
+            self.dispatcher.post(Running())
         self._take()
         self._send()
         return HEARD
@@ -101,7 +107,7 @@
             return
         sure = found.right is Right.AGREED
         if self.table.take_told(found.version, found.entries, sure):
-            self.turn.log.line(
+            self.dispatcher.log.line(
                 f"list of {len(found.entries)} backend servers, version {found.version}, "
                 f"{found.right.value}, confirmed {found.age_ns // 1_000_000} ms ago"
             )
@@ -111,7 +117,7 @@
             self._say()
 
     def _look(self, _: object) -> None:
-        now = self.turn.now_ns()
+        now = self.dispatcher.now_ns()
         self.lists.look(now)
         if self.lists.confirmed:
             self.readiness.has(Right.KNOWN, confirmed=True)
@@ -122,11 +128,11 @@
         self._send()
         if self.lists.seeking or self._ready is not None:
             found = self._ready is None and self.readiness.right in (Right.AGREED, Right.TOLD)
-            self.turn.deadlines.add(now + (REST_NS if found else LOOK_NS), self._look)
-            self.turn.wake()
+            self.dispatcher.deadlines.add(now + (REST_NS if found else LOOK_NS), self._look)
+            self.dispatcher.wake()
 
     def _say(self) -> None:
-        if self._ready is not None and self.readiness.ready(self.turn.now_ns()):
+        if self._ready is not None and self.readiness.ready(self.dispatcher.now_ns()):
             ready, self._ready = self._ready, None
             ready()
 
--- a/zincstile/scale/capacity_gateway.py
+++ b/zincstile/scale/capacity_gateway.py
@@ -95,7 +95,7 @@
             f"{load.requests_per_s:,.0f} a second; beside control, not in the sum",
             Unit.CORE,
             lambda: request_cost(measured, targets(load)).times(load.requests_per_s),
-            "net/turn.Turn, decisions/policy.Policy.on_request",
+            "net/dispatcher.Dispatcher, decisions/policy.Policy.on_request",
         ),
     ]
 
--- a/zincstile/simulation/mutants.py
+++ b/zincstile/simulation/mutants.py
@@ -16,7 +16,7 @@
 from ..decisions.policy import Policy
 from ..decisions.settings import Idempotency
 from ..decisions.state import Memory
-from ..net import backend, deadlines, endpoint_table, frontend, gateway, resp, turn
+from ..net import backend, deadlines, dispatcher, endpoint_table, frontend, gateway, resp
 from ..net.invariants import InvariantGuard
 from . import plan
 from .world import Run
@@ -89,7 +89,7 @@
             self._out.append(resp.bulk(answer.value))
         old(self, session, answer)
 
-    return _both(_swap(turn.Turn, "end", end), _swap(frontend.ClientConnection, "answer", again))
+    return _both(_swap(dispatcher.Dispatcher, "end", end), _swap(frontend.ClientConnection, "answer", again))
 
 
 def _out_of_order() -> Undo:
@@ -105,10 +105,10 @@
         if out and not self.transport.is_closing():
             self.transport.write(b"".join(out))
         if not self._waiting:
-            self.rested_ns = self.turn.now_ns()
+            self.rested_ns = self.dispatcher.now_ns()
             if self._closing:
                 self._finish()
-            elif self.door.closing:
+            elif self.listener.closing:
                 self.transport.close()
 
     return _swap(frontend.ClientConnection, "flush", flush)
@@ -221,13 +221,13 @@
 
 def _never_rests() -> Undo:
     """Every turn asks for the next."""
-    old = turn.Turn.__dict__["run"]
+    old = dispatcher.Dispatcher.__dict__["run"]
 
     def run(self):
         old(self)
         self.wake()
 
-    return _swap(turn.Turn, "run", run)
+    return _swap(dispatcher.Dispatcher, "run", run)
 
 
 def _deadline_lost() -> Undo:
@@ -285,7 +285,7 @@
     """After SIGTERM a connection is closed whether something is owed on it or not."""
 
     def close_if_idle(self, reason):
-        if self.door.closing:
+        if self.listener.closing:
             self.transport.close()
         return True
 
@@ -298,7 +298,7 @@
 
     def finish(self):
         self._closing = True
-        self.turn.loop.call_later(0.02, old, self)
+        self.dispatcher.loop.call_later(0.02, old, self)
 
     return _swap(frontend.ClientConnection, "_finish", finish)
 
@@ -308,7 +308,7 @@
     old = frontend.ClientConnection.__dict__["flush"]
 
     def buffer_updated(self, size):
-        self._read(bytes(self.door.buffer[:size]))
+        self._read(bytes(self.listener.buffer[:size]))
 
     def flush(self):
         if not self.ended_ns:  # nothing can be written any more
@@ -322,7 +322,7 @@
 
 def _ids_leak() -> Undo:
     """The ids of requests that are over are kept."""
-    return _swap(frontend.FrontDoor, "done", lambda self, session: None)
+    return _swap(frontend.ClientListener, "done", lambda self, session: None)
 
 
 def _connections_leak() -> Undo:
@@ -336,7 +336,7 @@
     def cancel(self, _, action):
         attempt = self.attempts.get((action.request, action.attempt))
         if attempt is not None:
-            self.turn.deadlines.drop(attempt.deadline)
+            self.dispatcher.deadlines.drop(attempt.deadline)
 
     return _swap(backend.Backends, "_cancel", cancel)
 
@@ -392,7 +392,7 @@
     old = backend.Backends.__dict__["_send"]
 
     def send(self, now, action):
-        session = self.turn.sessions.get(action.request) or self.turn.over.get(action.request)
+        session = self.dispatcher.sessions.get(action.request) or self.dispatcher.over.get(action.request)
         if session is not None and session.over:
             session.over = False
             old(self, now, action)
@@ -406,7 +406,7 @@
 
     return _both(
         _swap(backend.Backends, "_send", send),
-        _swap(turn.Turn, "leave", leave),
+        _swap(dispatcher.Dispatcher, "leave", leave),
         _swap(frontend.ClientConnection, "gone", lambda self: False),
         _swap(backend.Backends, "_take_back", lambda self, session: None),
     )
@@ -430,7 +430,7 @@
     """The list of the start is thrown away, and the gateway says that it is ready all the same."""
 
     def begin(self):
-        self.turn.post(EndpointList(EndpointListKind.CACHED, 0, []))
+        self.dispatcher.post(EndpointList(EndpointListKind.CACHED, 0, []))
         return True
 
     return _swap(gateway.Gateway, "_begin_table", begin)
@@ -440,12 +440,12 @@
     """At SIGTERM each connection is ended by the ordinary way, whether something is owed on it or not."""
 
     def close_if_idle(self, reason):
-        if self.door.closing:
+        if self.listener.closing:
             self._finish()
         return True
 
     def shut_at_once(self, _):
-        self.door.shut()
+        self.listener.shut()
         self._end_if_empty(None)
 
     return _both(
--- a/zincstile/simulation/shared_trials.py
+++ b/zincstile/simulation/shared_trials.py
@@ -59,8 +59,8 @@
     def _look(self) -> None:
         """Attempts of processes that are dead run on at the servers and are not theirs any more."""
         seats = [s for s in self.run.seats if s.process is not None and s.process.alive]
-        out = sum(a.units for s in seats for a in s.gateway.turn.policy.attempts.values())
-        self._count_open([s.gateway.turn.policy for s in seats])
+        out = sum(a.units for s in seats for a in s.gateway.dispatcher.policy.attempts.values())
+        self._count_open([s.gateway.dispatcher.policy for s in seats])
         ready = sum(p.process.alive for p in self.run.places.values())
         self.out = max(self.out, out / max(1, ready))
         if self.run.scheduler.now_ns < self.run.began_ns + self.run.plan.last_ms * traffic.MS:
--- a/zincstile/simulation/world.py
+++ b/zincstile/simulation/world.py
@@ -290,7 +290,7 @@
         self.checker.started(seat.name)
         self.network.note("start", seat.name)
         gateway = Gateway(self.config(seat), process.loop, machine)
-        gateway.turn.guard.observer = lambda which, text: self.checker.violated(
+        gateway.dispatcher.guard.observer = lambda which, text: self.checker.violated(
             seat.name, f"{which.value} {text}"
         )
         seat.process, seat.gateway, seat.machine = process, gateway, machine
@@ -451,7 +451,11 @@
             return False
         return not any(
             s.process.alive
-            and (s.gateway.turn.sessions or s.gateway.backends.attempts or s.gateway.turn.policy.attempts)
+            and (
+                s.gateway.dispatcher.sessions
+                or s.gateway.backends.attempts
+                or s.gateway.dispatcher.policy.attempts
+            )
             for s in self.seats
         )
 
@@ -464,20 +468,20 @@
             gateway = seat.gateway
             if seat.stopping:
                 continue
-            module, backends, tasks = gateway.turn.policy, gateway.backends, seat.process.loop.tasks
+            module, backends, tasks = gateway.dispatcher.policy, gateway.backends, seat.process.loop.tasks
             self.checker.left_over(
                 seat.name,
                 {
-                    "sessions": len(gateway.turn.sessions),
+                    "sessions": len(gateway.dispatcher.sessions),
                     "attempts": len(backends.attempts),
-                    "open ids": len(gateway.door.open),
+                    "open ids": len(gateway.listener.open),
                     "requests in the module": len(module.live),
                     "attempts in the module": len(module.attempts),
                     "asks": len(module.asked),
                     "held tries": len(getattr(module, "held", ())),
                     "queued attempts": sum(len(s.queued) for s in backends.servers.values()),
-                    "clients lost": len(gateway.door.clients)
-                    - sum(c.transport in seat.process.endpoints for c in gateway.door.clients),
+                    "clients lost": len(gateway.listener.clients)
+                    - sum(c.transport in seat.process.endpoints for c in gateway.listener.clients),
                     "connections lost": len(backends.connections)
                     - sum(c.transport in seat.process.endpoints for c in backends.connections),
                     "connections that nobody knows": sum(
@@ -487,7 +491,7 @@
                     ),
                     "tasks": max(0, len(tasks) - 1 - (gateway.table._watch is None)),
                     "beats missed": int(self.scheduler.now_ns - module.tick_ns > BEAT_NS),
-                    "deadlines": max(0, len(gateway.turn.deadlines) - 40),
+                    "deadlines": max(0, len(gateway.dispatcher.deadlines) - 40),
                 },
             )
 
