--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -20,9 +20,10 @@
 from test_scenarios import PING, READY, play
 
 from zincstile.net.accept import Acceptor, Taken
+from zincstile.net.clients.connection import ClientConnection
+from zincstile.net.clients.listener import ClientListener
 from zincstile.net.counters import Counters
 from zincstile.net.dispatcher import Dispatcher
-from zincstile.net.frontend import ClientConnection, ClientListener
 from zincstile.net.host import HOST
 from zincstile.net.limits import MS, SECOND, Limits
 from zincstile.net.log import Log
--- a/zincstile/net/call_reader.py
+++ b/zincstile/net/clients/call_reader.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from ..decisions.messages import Request
-from ..decisions.settings import Idempotency, Settings
-from .session import Call
+from ...decisions.messages import Request
+from ...decisions.settings import Idempotency, Settings
+from ..session import Call
 
 READ, WRITE = b"CALL.GET", b"CALL.POST"
 
--- a/zincstile/net/gateway.py
+++ b/zincstile/net/gateway.py
@@ -12,12 +12,12 @@
 
 from ..decisions.messages import RequestAbandoned, Started
 from .backend import Backends
+from .clients.listener import ClientListener
 from .config import Config, ConfigError
 from .counters import Counters
 from .dispatcher import Dispatcher
 from .endpoint_table import EndpointReader, EndpointTable
 from .endpoint_table import number as name_number
-from .frontend import ClientListener
 from .host import HOST, Host
 from .log import Log
 from .peers import Peers
--- a/zincstile/simulation/mutants.py
+++ b/zincstile/simulation/mutants.py
@@ -16,7 +16,8 @@
 from ..decisions.policy import Policy
 from ..decisions.settings import Idempotency
 from ..decisions.state import Memory
-from ..net import backend, deadlines, dispatcher, endpoint_table, frontend, gateway, resp
+from ..net import backend, deadlines, dispatcher, endpoint_table, gateway, resp
+from ..net.clients import call_reader, connection, listener
 from ..net.invariants import InvariantGuard
 from . import plan
 from .world import Run
@@ -82,14 +83,16 @@
         session.frontend.answer(session, answer)
         return True
 
-    old = frontend.ClientConnection.__dict__["answer"]
+    old = connection.ClientConnection.__dict__["answer"]
 
     def again(self, session, answer):
         if session not in self._waiting:
             self._out.append(resp.bulk(answer.value))
         old(self, session, answer)
 
-    return _both(_swap(dispatcher.Dispatcher, "end", end), _swap(frontend.ClientConnection, "answer", again))
+    return _both(
+        _swap(dispatcher.Dispatcher, "end", end), _swap(connection.ClientConnection, "answer", again)
+    )
 
 
 def _out_of_order() -> Undo:
@@ -97,7 +100,7 @@
 
     def flush(self):
         self._dirty = False
-        ready = [x for x in self._waiting if not isinstance(x, frontend.Session) or x.reply is not None]
+        ready = [x for x in self._waiting if not isinstance(x, connection.Session) or x.reply is not None]
         for one in ready:
             self._waiting.remove(one)
             self._out.append(one if isinstance(one, bytes) else one.reply)
@@ -111,7 +114,7 @@
             elif self.listener.closing:
                 self.transport.close()
 
-    return _swap(frontend.ClientConnection, "flush", flush)
+    return _swap(connection.ClientConnection, "flush", flush)
 
 
 def _any_rack() -> Undo:
@@ -185,26 +188,26 @@
 
 def _give_up_late() -> Undo:
     """The time that a client waits is counted a tenth too long."""
-    old = frontend.CallReader.__dict__["read"]
+    old = call_reader.CallReader.__dict__["read"]
 
     def read(self, words, number, now):
         call, request = old(self, words, number, now)
         request.give_up_ns += (request.give_up_ns - now) // 10
         return call, request
 
-    return _swap(frontend.CallReader, "read", read)
+    return _swap(call_reader.CallReader, "read", read)
 
 
 def _give_up_one_off() -> Undo:
     """Each request is given the time of the one before it."""
-    old, last = frontend.CallReader.__dict__["read"], [0]
+    old, last = call_reader.CallReader.__dict__["read"], [0]
 
     def read(self, words, number, now):
         call, request = old(self, words, number, now)
         last[0], request.give_up_ns = request.give_up_ns, max(last[0], now + 1_000_000)
         return call, request
 
-    return _swap(frontend.CallReader, "read", read)
+    return _swap(call_reader.CallReader, "read", read)
 
 
 def _deadlines_off() -> Undo:
@@ -289,23 +292,23 @@
             self.transport.close()
         return True
 
-    return _swap(frontend.ClientConnection, "close_if_idle", close_if_idle)
+    return _swap(connection.ClientConnection, "close_if_idle", close_if_idle)
 
 
 def _read_before_end_dropped() -> Undo:
     """What is read between the decision to end a connection and its end is thrown away."""
-    old = frontend.ClientConnection.__dict__["_finish"]
+    old = connection.ClientConnection.__dict__["_finish"]
 
     def finish(self):
         self._closing = True
         self.dispatcher.loop.call_later(0.02, old, self)
 
-    return _swap(frontend.ClientConnection, "_finish", finish)
+    return _swap(connection.ClientConnection, "_finish", finish)
 
 
 def _read_after_end_sent_on() -> Undo:
     """What is read after a connection's end was sent is taken for a request like any other."""
-    old = frontend.ClientConnection.__dict__["flush"]
+    old = connection.ClientConnection.__dict__["flush"]
 
     def buffer_updated(self, size):
         self._read(bytes(self.listener.buffer[:size]))
@@ -315,14 +318,14 @@
             old(self)
 
     return _both(
-        _swap(frontend.ClientConnection, "buffer_updated", buffer_updated),
-        _swap(frontend.ClientConnection, "flush", flush),
+        _swap(connection.ClientConnection, "buffer_updated", buffer_updated),
+        _swap(connection.ClientConnection, "flush", flush),
     )
 
 
 def _ids_leak() -> Undo:
     """The ids of requests that are over are kept."""
-    return _swap(frontend.ClientListener, "done", lambda self, session: None)
+    return _swap(listener.ClientListener, "done", lambda self, session: None)
 
 
 def _connections_leak() -> Undo:
@@ -407,7 +410,7 @@
     return _both(
         _swap(backend.Backends, "_send", send),
         _swap(dispatcher.Dispatcher, "leave", leave),
-        _swap(frontend.ClientConnection, "gone", lambda self: False),
+        _swap(connection.ClientConnection, "gone", lambda self: False),
         _swap(backend.Backends, "_take_back", lambda self, session: None),
     )
 
@@ -449,7 +452,7 @@
         self._end_if_empty(None)
 
     return _both(
-        _swap(frontend.ClientConnection, "close_if_idle", close_if_idle),
+        _swap(connection.ClientConnection, "close_if_idle", close_if_idle),
         _swap(gateway.Gateway, "_shut_if_quiet", shut_at_once),
     )
 
