--- a/tests/test_shared.py
+++ b/tests/test_leases.py
@@ -15,11 +15,11 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
 from zincstile.decisions.quota_bounds import Quota
-from zincstile.leases import words
+from zincstile.leases import codec
 from zincstile.leases.bound import bounds, gossip, holders, opening, refused, turn_most
-from zincstile.leases.judges import EVERY, Evidence, Judges
+from zincstile.leases.concurrency_budget import Levels, LevelWord
+from zincstile.leases.failure_detector import EVERY, Evidence, Judges
 from zincstile.leases.lease_messages import LeaseGrant, LeaseRelease, LeaseRequest
-from zincstile.leases.levels import Levels, LevelWord
 from zincstile.leases.module import SharedPolicy
 from zincstile.leases.rendezvous import choose_holders
 from zincstile.leases.settings import FAILURES, MS, SECOND, SharedSettings
@@ -133,21 +133,21 @@
 
 
 def test_words_survive_the_way_and_damage_does_not():
-    found = [words.unpack(d) for d in words.pack(5, WORDS * 9)]
-    assert all(len(d) <= words.LARGEST for d in words.pack(5, WORDS * 9)) and len(found) > 3
+    found = [codec.unpack(d) for d in codec.pack(5, WORDS * 9)]
+    assert all(len(d) <= codec.LARGEST for d in codec.pack(5, WORDS * 9)) and len(found) > 3
     read = [w for process, some in found for w in some]
     sent = [replace(w, to=-1) if hasattr(w, "to") else w for w in WORDS]
     assert read == sent * 9 and found[0][0] == 5
-    data = words.pack(5, WORDS)[0]
-    assert all(words.unpack(data[:k]) is None for k in range(len(data)))
+    data = codec.pack(5, WORDS)[0]
+    assert all(codec.unpack(data[:k]) is None for k in range(len(data)))
     assert all(
-        words.unpack(data[:k] + bytes([data[k] ^ 1]) + data[k + 1 :]) is None for k in range(len(data))
+        codec.unpack(data[:k] + bytes([data[k] ^ 1]) + data[k + 1 :]) is None for k in range(len(data))
     )
 
 
 def test_units_never_grow_on_their_way():
     for units in (0.1, 1 / 3, 2.9999999, 5.0005):
-        ((_, (grant,)),) = [words.unpack(d) for d in words.pack(1, [LeaseGrant(0, 1, 2, units, units, 1, 1)])]
+        ((_, (grant,)),) = [codec.unpack(d) for d in codec.pack(1, [LeaseGrant(0, 1, 2, units, units, 1, 1)])]
         assert units - 0.001 < grant.units <= units
 
 
--- a/zincstile/leases/bound.py
+++ b/zincstile/leases/bound.py
@@ -8,7 +8,7 @@
 from __future__ import annotations
 
 from ..decisions.quota_bounds import Bound, Quota, first_refusal
-from .levels import MOST_FACTOR as MOST_FACTOR
+from .concurrency_budget import MOST_FACTOR as MOST_FACTOR
 from .settings import FAILURES, SECOND, SharedSettings
 
 
--- a/zincstile/leases/words.py
+++ b/zincstile/leases/codec.py
@@ -10,9 +10,9 @@
 import zlib
 from collections.abc import Callable, Iterable
 
-from .judges import Evidence
+from .concurrency_budget import LevelWord
+from .failure_detector import Evidence
 from .lease_messages import UNIT_PARTS, LeaseGrant, LeaseRelease, LeaseRequest
-from .levels import LevelWord
 from .slots import SlotGrant, SlotRelease, SlotRequest
 
 MAGIC, LARGEST = 0xBB, 256
--- a/zincstile/leases/module.py
+++ b/zincstile/leases/module.py
@@ -19,14 +19,14 @@
 from ..decisions.settings import CustomerPlan, Settings
 from ..decisions.state import Attempt, Customer, Live, Server
 from .bound import bounds
-from .judges import EVERY, Judges
+from .codec import AnyWord
+from .concurrency_budget import Levels, LevelWord
+from .failure_detector import EVERY, Judges
+from .lease_manager import LeaseManager
 from .lease_messages import LeaseGrant, LeaseRelease, LeaseRequest
 from .lease_records import QuotaAccount
-from .leases import LeaseManager
-from .levels import Levels, LevelWord
 from .settings import MS, SharedSettings
 from .slots import SlotAccount, SlotGrant, SlotManager, SlotRelease, SlotRequest
-from .words import AnyWord
 
 LOOK, AGAIN = 2**62, 2**62 + 1  # timers' tokens that no request has
 SPREAD_NS = 500 * MS  # how often evidence and levels are told to some others
--- a/zincstile/net/gateway.py
+++ b/zincstile/net/gateway.py
@@ -89,18 +89,18 @@
 
     def _share_state(self) -> None:
         """The words between gateways by which state is shared within stated bounds."""
-        from ..leases import module, words
+        from ..leases import codec, module
 
         def heard(sender: int, data: bytes) -> module.SharedWords | None:
-            found = words.unpack(data)
+            found = codec.unpack(data)
             return None if found is None else module.SharedWords(sender, *found)
 
         def tell(_: int, action: module.SharedTell) -> None:
-            for data in words.pack(action.process, action.words):
+            for data in codec.pack(action.process, action.words):
                 self.peers.send(action.peer, data)
 
         self.dispatcher.carry_out[module.SharedTell] = tell
-        self.peers.others[words.MAGIC] = heard
+        self.peers.others[codec.MAGIC] = heard
 
     def _start_beside(self) -> Any:
         """The start beside other gateways: a list from those that have one, and when this one is ready."""
--- a/zincstile/simulation/mutants_shared.py
+++ b/zincstile/simulation/mutants_shared.py
@@ -11,9 +11,13 @@
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass
 
-from ..leases import judges, levels, loans
-from ..leases.judges import Evidence, Judges
-from ..leases.levels import Levels, LevelWord
+from ..leases import concurrency_budget, failure_detector
+from ..leases.concurrency_budget import Levels, LevelWord
+from ..leases.failure_detector import Evidence, Judges
+from ..leases.lease_manager import LeaseManager
+from ..leases.lease_messages import LeaseRequest
+from ..leases.lease_records import PendingRequest
+from ..leases.running_clock import RunningClock
 from ..leases.settings import MS, SECOND, SharedSettings
 from . import search, shared, shared_trials
 from .mutants import Undo, _swap
@@ -24,19 +28,19 @@
 
 def _both_hold() -> Undo:
     """The lender keeps in its store what it lends."""
-    old = loans.Loans.asked_for
+    old = LeaseManager.asked_for
 
     def asked_for(self, now, sender, process, ask, purse):
         before = purse.own
         old(self, now, sender, process, ask, purse)
         purse.own = max(purse.own, min(before, purse.most))
 
-    return _swap(loans.Loans, "asked_for", asked_for)
+    return _swap(LeaseManager, "asked_for", asked_for)
 
 
 def _wrong_clock() -> Undo:
     """The borrower counts a loan's life from the moment it came, and not from its own ask."""
-    old = loans.Loans.granted
+    old = LeaseManager.granted
 
     def granted(self, now, sender, process, grant):
         purse = self.purses.get(grant.customer)
@@ -45,27 +49,27 @@
             asked.at_ns = now + self.settings.life_ns
         return old(self, now, sender, process, grant)
 
-    return _swap(loans.Loans, "granted", granted)
+    return _swap(LeaseManager, "granted", granted)
 
 
 def _speaks_for_its_past() -> Undo:
     """A process that starts takes the answers to the one before it for its own, and closes its loans."""
-    old = loans.Loans.granted
+    old = LeaseManager.granted
 
     def granted(self, now, sender, process, grant):
         purse = self.purses.get(grant.customer)
         if purse is not None and grant.mark not in purse.asked and grant.process != self.process:
-            ask = loans.Ask(sender, purse.key, purse.plan, 1, 0, grant.mark, grant.units, 0.0, 0)
-            purse.asked[grant.mark] = loans.Asked(ask, now, now)
+            ask = LeaseRequest(sender, purse.key, purse.plan, 1, 0, grant.mark, grant.units, 0.0, 0)
+            purse.asked[grant.mark] = PendingRequest(ask, now, now)
             grant.process = self.process
         return old(self, now, sender, process, grant)
 
-    return _swap(loans.Loans, "granted", granted)
+    return _swap(LeaseManager, "granted", granted)
 
 
 def _counted_twice() -> Undo:
     """An answer that comes twice is two loans."""
-    old = loans.Loans.granted
+    old = LeaseManager.granted
 
     def granted(self, now, sender, process, grant):
         purse = self.purses.get(grant.customer)
@@ -75,7 +79,7 @@
             purse.asked[grant.mark] = asked
         return found
 
-    return _swap(loans.Loans, "granted", granted)
+    return _swap(LeaseManager, "granted", granted)
 
 
 def _closed_twice() -> Undo:
@@ -84,12 +88,12 @@
     def over(self, purse, lent):
         purse.out = max(0.0, purse.out - lent.units)
 
-    return _swap(loans.Loans, "_over", over)
+    return _swap(LeaseManager, "_over", over)
 
 
 def _never_ends() -> Undo:
     """A borrower goes on using a loan after its end."""
-    return _swap(loans.Loans, "_end", lambda self, now, purse: None)
+    return _swap(LeaseManager, "_end", lambda self, now, purse: None)
 
 
 def _no_cap() -> Undo:
@@ -100,7 +104,7 @@
         purse.own += purse.rate * (awake - purse.filled_ns) / SECOND
         purse.filled_ns = awake
 
-    return _swap(loans.Loans, "_fill", fill)
+    return _swap(LeaseManager, "_fill", fill)
 
 
 def _sleep_earns() -> Undo:
@@ -111,7 +115,7 @@
         self.last_ns = max(now, self.last_ns)
         return self.awake_ns
 
-    return _swap(loans.Clock, "look", look)
+    return _swap(RunningClock, "look", look)
 
 
 def _out_forgotten() -> Undo:
@@ -122,12 +126,12 @@
         grown = purse.rate * (awake - purse.filled_ns) / SECOND
         purse.own, purse.filled_ns = min(purse.most, purse.own + 4 * grown), awake
 
-    return _swap(loans.Loans, "_fill", fill)
+    return _swap(LeaseManager, "_fill", fill)
 
 
 def _starts_full() -> Undo:
     """A start that knows no past opens with a full store, and with all of the quota."""
-    old = loans.Loans.purse
+    old = LeaseManager.purse
 
     def purse(self, now, key, plan, quota, row):
         new = key not in self.purses
@@ -136,51 +140,51 @@
             found.own = found.most = quota.burst
         return found
 
-    return _swap(loans.Loans, "purse", purse)
+    return _swap(LeaseManager, "purse", purse)
 
 
 def _no_witness() -> Undo:
     """One zone's word is enough."""
-    return _swap(judges.Judges, "needed", lambda self, now: 1)
+    return _swap(Judges, "needed", lambda self, now: 1)
 
 
 def _words_first() -> Undo:
     """What was told goes before what was seen here."""
-    return _swap(judges.Judges, "lately", lambda self, now, server, group: None)
+    return _swap(Judges, "lately", lambda self, now, server, group: None)
 
 
 def _no_end() -> Undo:
     """Evidence does not age."""
-    old = judges.Judges.merge
+    old = Judges.merge
 
     def merge(self, now, word):
         word.age_ns = 0
         return old(self, now, word)
 
-    return _swap(judges.Judges, "merge", merge)
+    return _swap(Judges, "merge", merge)
 
 
 def _all_ruled_out() -> Undo:
     """Words may rule out every server."""
-    old = judges.Judges.doubts
+    old = Judges.doubts
 
     def doubts(self, now, servers, groups):
         found = old(self, now, servers, groups)
         return {s: {g: max(bad, self.word(now, s, g)) for g, bad in by.items()} for s, by in found.items()}
 
-    return _swap(judges.Judges, "doubts", doubts)
+    return _swap(Judges, "doubts", doubts)
 
 
 def _old_level_speaks() -> Undo:
     """A word of a process that was followed by another counts."""
 
     def merge(self, now, word):
-        self.known[word.origin] = levels.Known(
+        self.known[word.origin] = concurrency_budget.Known(
             word.life, word.number, word.out, word.wants, now - word.age_ns
         )
         return True
 
-    return _swap(levels.Levels, "merge", merge)
+    return _swap(Levels, "merge", merge)
 
 
 def _takes_all() -> Undo:
@@ -190,7 +194,7 @@
         self.factor = self.gateways / self.alive(now)
         return self.factor
 
-    return _swap(levels.Levels, "look", look)
+    return _swap(Levels, "look", look)
 
 
 # ---- checkers
@@ -225,7 +229,7 @@
             judge.hear(now, peer, peer % 3)
         liars = rng.choice((1, 2))
         words = [
-            Evidence(s, judges.EVERY, 1.0, peer, peer % 3, rng.randrange(500) * MS)
+            Evidence(s, failure_detector.EVERY, 1.0, peer, peer % 3, rng.randrange(500) * MS)
             for s in servers
             for peer in range(1, 7)
             if peer % 3 == liars
@@ -237,9 +241,9 @@
             return "judging: one zone alone ruled servers out"
         seen = rng.choice(servers)
         for _ in range(3):
-            judge.sampled(now, seen, judges.EVERY, 0.0, 0.4)
+            judge.sampled(now, seen, failure_detector.EVERY, 0.0, 0.4)
         told = [
-            Evidence(s, judges.EVERY, 1.0, peer, peer % 3, rng.randrange(900) * MS)
+            Evidence(s, failure_detector.EVERY, 1.0, peer, peer % 3, rng.randrange(900) * MS)
             for s in servers
             for peer in range(1, 7)
         ]
@@ -247,18 +251,18 @@
         for word in told:
             judge.merge(now, word)
         found = judge.doubts(now, servers, range(256))
-        out = [s for s, by in found.items() if max(by.values()) >= judges.BAD]
+        out = [s for s, by in found.items() if max(by.values()) >= failure_detector.BAD]
         if seen in out:
             return "judging: words went before own samples"
         if len(out) > (1 - settings.least_good) * len(servers):
             return f"judging: words ruled out {len(out)} of {len(servers)}"
         if not out and len(servers) > 3:
             return "judging: what two zones agree on was not believed"
-        late = Evidence(servers[0], judges.EVERY, 1.0, 3, 0, settings.told_ns)
+        late = Evidence(servers[0], failure_detector.EVERY, 1.0, 3, 0, settings.told_ns)
         judge.merge(now, late)
         now += settings.told_ns
-        judge.merge(now, Evidence(servers[0], judges.EVERY, 1.0, 4, 1, settings.told_ns))
-        judge.merge(now, Evidence(servers[0], judges.EVERY, 1.0, 5, 2, settings.told_ns + MS))
+        judge.merge(now, Evidence(servers[0], failure_detector.EVERY, 1.0, 4, 1, settings.told_ns))
+        judge.merge(now, Evidence(servers[0], failure_detector.EVERY, 1.0, 5, 2, settings.told_ns + MS))
         judge.look(now, servers)
         if judge.doubts(now, servers, range(256)):
             return "judging: words did not end"
--- a/zincstile/simulation/search.py
+++ b/zincstile/simulation/search.py
@@ -17,7 +17,8 @@
 
 from ..decisions.quota_bounds import Quota
 from ..leases.bound import bounds, opening
-from ..leases.loans import Ask, Close, Grant, Loans, Word
+from ..leases.lease_manager import LeaseManager
+from ..leases.lease_messages import LeaseGrant, LeaseMessage, LeaseRelease, LeaseRequest
 from ..leases.settings import MS, SharedSettings
 
 GATEWAYS, CUSTOMERS = 3, 2
@@ -50,7 +51,7 @@
 
     sender: int
     process: int
-    word: Word
+    word: LeaseMessage
 
 
 @dataclass(slots=True)
@@ -58,7 +59,7 @@
     """One moment."""
 
     now: int = 0
-    seats: list[Loans] = field(default_factory=list)
+    seats: list[LeaseManager] = field(default_factory=list)
     clocks: list[int] = field(default_factory=list)  # what each takes for now: a stopped one's stands
     words: list[Sent] = field(default_factory=list)
     levels: list[float] = field(default_factory=list)  # of the store that each quota is
@@ -93,16 +94,16 @@
     return state
 
 
-def _seat(state: State, me: int) -> Loans:
+def _seat(state: State, me: int) -> LeaseManager:
     state.processes += 1
-    made = Loans(SETTINGS, me, state.processes, state.now, Even(1000 * state.processes))  # type: ignore
+    made = LeaseManager(SETTINGS, me, state.processes, state.now, Even(1000 * state.processes))  # type: ignore
     for c in range(CUSTOMERS):
         if me in ROWS[c]:
             _purse(made, state.now, c)
     return made
 
 
-def _purse(loans: Loans, now: int, c: int):
+def _purse(loans: LeaseManager, now: int, c: int):
     return loans.purse(now, c + 1, c, QUOTAS[c], ROWS[c])
 
 
@@ -167,11 +168,11 @@
 def _deliver(state: State, one: Sent) -> None:
     word = one.word
     loans, now = state.seats[word.to], state.clocks[word.to]
-    if isinstance(word, Ask):
+    if isinstance(word, LeaseRequest):
         loans.asked_for(now, one.sender, one.process, word, _purse(loans, now, word.customer - 1))
-    elif isinstance(word, Grant):
+    elif isinstance(word, LeaseGrant):
         loans.granted(now, one.sender, one.process, word)
-    elif isinstance(word, Close):
+    elif isinstance(word, LeaseRelease):
         loans.closed(now, one.sender, one.process, word)
     _flush(state, word.to)
 
