--- a/tests/test_place.py
+++ b/tests/test_zone_failover.py
@@ -1,4 +1,4 @@
-"""Zones and regions: the table of flows, agreement in any order, states with hysteresis, whole gateways."""
+"""Zone failover: routing weights, agreement in any order, states with hysteresis, whole gateways."""
 
 from __future__ import annotations
 
@@ -18,38 +18,45 @@
 from zincstile.simulation import mutants_place, place_search
 from zincstile.simulation.plan import Fault, Plan
 from zincstile.simulation.world import Run
-from zincstile.zone_failover import words
-from zincstile.zone_failover.flows import PARTS, ZoneView, flows, shares
-from zincstile.zone_failover.settings import PlaceSettings, span
-from zincstile.zone_failover.terms import CallWord, Generation, Table, Voice
-from zincstile.zone_failover.view import Report, Sight, View
+from zincstile.zone_failover import codec
+from zincstile.zone_failover.messages import (
+    Generation,
+    RoutingTable,
+    VoteReply,
+    VoteRequest,
+    ZoneObservation,
+    ZoneReport,
+)
+from zincstile.zone_failover.routing_weights import WEIGHT_TOTAL, ZoneLoad, route, to_weights
+from zincstile.zone_failover.settings import ZoneFailoverSettings, parse_duration
+from zincstile.zone_failover.zone_view import ZoneView
 
 NEAR = [[0, 1, 40], [1, 0, 40], [40, 40, 0]]
 
 
-def zone(demand, room, n=3, **more):
-    return ZoneView(demand, room, more.pop("weight", 1.0), reach=more.pop("reach", (True,) * n), **more)
+def zone(demand, capacity, good=1.0, reachable_from=(True, True, True)):
+    return ZoneLoad(demand, capacity, good, reachable_from=reachable_from)
 
 
 def test_near_first_then_the_nearest_with_room_and_the_headroom_stays_free():
-    calm = flows([zone(80, 100), zone(70, 100), zone(60, 100)], NEAR, 0.15)
+    calm = route([zone(80, 100), zone(70, 100), zone(60, 100)], NEAR, 0.15)
     assert calm == [[80, 0, 0], [0, 70, 0], [0, 0, 60]]
-    lost = flows([zone(80, 0, weight=0.0), zone(70, 100), zone(60, 100)], NEAR, 0.15)
+    lost = route([zone(80, 0, good=0.0), zone(70, 100), zone(60, 100)], NEAR, 0.15)
     assert lost[0] == [0, pytest.approx(15), pytest.approx(25)]  # 85 of 100 at most; 40 have no place
-    full = flows([zone(120, 100), zone(100, 100), zone(20, 100)], NEAR, 0.1)
+    full = route([zone(120, 100), zone(100, 100), zone(20, 100)], NEAR, 0.1)
     assert full[0] == [100, 0, pytest.approx(20)] and full[1] == [0, 100, 0]
-    alone = flows(
+    alone = route(
         [
-            zone(50, 100, reach=(True, False, False)),
-            zone(10, 100, reach=(False, True, True)),
-            zone(10, 100, reach=(False, True, True)),
+            zone(50, 100, reachable_from=(True, False, False)),
+            zone(10, 100, reachable_from=(False, True, True)),
+            zone(10, 100, reachable_from=(False, True, True)),
         ],
         NEAR,
         0.1,
     )
     assert alone[0] == [50, 0, 0]  # cut off from the others, and well by itself
-    free = flows(
-        [zone(50, 0, weight=0.0), zone(10, math.inf, weight=3.0), zone(10, math.inf, weight=9.0)],
+    free = route(
+        [zone(50, 0, good=0.0), zone(10, math.inf, good=3.0), zone(10, math.inf, good=9.0)],
         [[0, 1, 1], [1, 0, 1], [1, 1, 0]],
         0.1,
     )
@@ -67,34 +74,42 @@
     rng, n = random.Random(seed), len(rows)
     reach = [tuple(rng.random() < 0.8 for _ in rows) for _ in rows]
     zones = [
-        ZoneView(d, r, 1.0 if alive else 0.0, takes=takes, cap=float(takes), reach=reach[k])
-        for k, (d, r, alive, takes) in enumerate(rows)
+        ZoneLoad(
+            demand,
+            capacity,
+            1.0 if alive else 0.0,
+            accepts=accepts,
+            usable_ratio=float(accepts),
+            reachable_from=reach[k],
+        )
+        for k, (demand, capacity, alive, accepts) in enumerate(rows)
     ]
     distance = [[0 if a == b else 1 + (a + b) % 3 for b in range(n)] for a in range(n)]
-    made = flows(zones, distance, headroom)
-    assert made == flows(zones, distance, headroom)
+    made = route(zones, distance, headroom)
+    assert made == route(zones, distance, headroom)
     for b, view in enumerate(zones):
-        bears = view.room * view.cap if view.weight else 0.0
+        bears = view.capacity * view.usable_ratio if view.good else 0.0
         assert sum(row[b] for row in made) <= bears + 1e-6
         others = sum(made[a][b] for a in range(n) if a != b)
         assert others <= max(0.0, bears * (1 - headroom) - made[b][b]) + 1e-6
         for a in range(n):
-            assert not made[a][b] or zones[b].reach[a]
+            assert not made[a][b] or zones[b].reachable_from[a]
         assert sum(made[b]) <= view.demand + 1e-6
-    parts = shares(made, zones)
-    assert all(sum(row) <= PARTS and min(row) >= 0 for row in parts)
-    before = [[PARTS if a == b else 0 for b in range(n)] for a in range(n)]
-    assert all(sum(row) <= PARTS and min(row) >= 0 for row in shares(made, zones, before, 0.25))
+    parts = to_weights(made, zones)
+    assert all(sum(row) <= WEIGHT_TOTAL and min(row) >= 0 for row in parts)
+    before = [[WEIGHT_TOTAL if a == b else 0 for b in range(n)] for a in range(n)]
+    assert all(sum(row) <= WEIGHT_TOTAL and min(row) >= 0 for row in to_weights(made, zones, before, 0.25))
 
 
 def test_what_is_short_moves_in_steps_and_what_is_lost_at_once():
     well, short = zone(80, 100), zone(80, 20)
     views = [short, well, well]
-    first = shares(flows(views, NEAR, 0.1), views, [[PARTS, 0, 0], [0, PARTS, 0], [0, 0, PARTS]], 0.25)
-    assert first[0][1] + first[0][2] <= PARTS * 0.25 + 1 and first[0][0] > PARTS / 2
-    gone = [zone(80, 0, weight=0.0), zone(10, 200), zone(10, 200)]
-    moved = shares(flows(gone, NEAR, 0.1), gone, [[PARTS, 0, 0], [0, PARTS, 0], [0, 0, PARTS]], 0.25)
-    assert moved[0] == [0, PARTS, 0]
+    local = [[WEIGHT_TOTAL, 0, 0], [0, WEIGHT_TOTAL, 0], [0, 0, WEIGHT_TOTAL]]
+    first = to_weights(route(views, NEAR, 0.1), views, local, 0.25)
+    assert first[0][1] + first[0][2] <= WEIGHT_TOTAL * 0.25 + 1 and first[0][0] > WEIGHT_TOTAL / 2
+    gone = [zone(80, 0, good=0.0), zone(10, 200), zone(10, 200)]
+    moved = to_weights(route(gone, NEAR, 0.1), gone, local, 0.25)
+    assert moved[0] == [0, WEIGHT_TOTAL, 0]
 
 
 @pytest.mark.parametrize("case", place_search.CASES)
@@ -111,34 +126,38 @@
     assert not [said for check in mutants_place.CHECKERS[1:] if (said := check())]
 
 
-def test_words_survive_their_codec_and_nothing_else_is_read():
-    rng, sights = (
-        random.Random(3),
-        tuple(Sight(k, k / 2, -1.0 if k % 3 else 0.5, math.inf if k % 2 else 7.5) for k in range(12)),
+def test_messages_survive_their_codec_and_nothing_else_is_read():
+    rng = random.Random(3)
+    observations = tuple(
+        ZoneObservation(k, k / 2, -1.0 if k % 3 else 0.5, math.inf if k % 2 else 7.5) for k in range(12)
     )
     made = [
-        CallWord(7, 9),
-        Voice(7, 9, True),
-        Report(3, 9, 12, 2, 31.5, sights, 5, 2),
-        Table(Generation(4, 2, 1, 99), tuple((20,) * 12 for _ in range(12)), (0, 3) * 6, 120_000_000),
+        VoteRequest(7, 9),
+        VoteReply(7, 9, True),
+        ZoneReport(3, 9, 12, 2, 31.5, observations, 5, 2),
+        RoutingTable(Generation(4, 2, 1, 99), tuple((20,) * 12 for _ in range(12)), (0, 3) * 6, 120_000_000),
     ]
-    for word in made:
-        data = words.pack(word)
-        assert len(data) <= 256 and words.unpack(data) == word and words.unpack(data[:-1]) is None
+    for message in made:
+        data = codec.pack(message)
+        assert len(data) <= 256 and codec.unpack(data) == message and codec.unpack(data[:-1]) is None
         for _ in range(50):
             spoilt = bytearray(data)
             spoilt[rng.randrange(len(data))] ^= 1 << rng.randrange(8)
-            words.unpack(bytes(spoilt))  # nothing, or a word: no exception
-    assert words.unpack(words.pack(Table(Generation(1, 1, 1, 1), ((200, 200), (0, 250)), (0, 0)))) is None
+            codec.unpack(bytes(spoilt))  # nothing, or a message: no exception
+    overfull = RoutingTable(Generation(1, 1, 1, 1), ((200, 200), (0, 250)), (0, 0))
+    assert codec.unpack(codec.pack(overfull)) is None
 
 
 def test_a_process_that_was_followed_by_another_says_nothing_more():
-    view, sight = View(PlaceSettings(), 3, 1), (Sight(1, 1.0, 0.0, math.inf),)
-    assert view.hear(0, Report(1, 5, 9, 0, 1.0, sight)) and not view.hear(0, Report(1, 5, 8, 0, 2.0, sight))
-    assert view.hear(1, Report(1, 6, 1, 0, 3.0, sight)) and not view.hear(2, Report(1, 5, 99, 0, 4.0, sight))
-    assert not view.hear(2, Report(7, 1, 1, 0, 1.0, sight))
-    assert not view.hear(2, Report(2, 1, 1, 4, 1.0, sight))
-    assert view.known[1].report.demand == 3.0
+    view = ZoneView(ZoneFailoverSettings(), 3, 1)
+    seen = (ZoneObservation(1, 1.0, 0.0, math.inf),)
+    assert view.record(0, ZoneReport(1, 5, 9, 0, 1.0, seen))
+    assert not view.record(0, ZoneReport(1, 5, 8, 0, 2.0, seen))
+    assert view.record(1, ZoneReport(1, 6, 1, 0, 3.0, seen))
+    assert not view.record(2, ZoneReport(1, 5, 99, 0, 4.0, seen))
+    assert not view.record(2, ZoneReport(7, 1, 1, 0, 1.0, seen))
+    assert not view.record(2, ZoneReport(2, 1, 1, 4, 1.0, seen))
+    assert view.reports[1].report.demand == 3.0
 
 
 def test_operators_drain_a_zone_and_see_the_table():
@@ -167,7 +186,7 @@
         features.check_place(str(path), features.place(str(path)), ["a", "b"])
     assert main(["place", "plan", str(path)]) == 2
     assert len(capsys.readouterr().err.strip().splitlines()) == 1
-    assert span("40ms") == 40_000_000 and span("1.5 s") == 1_500_000_000
+    assert parse_duration("40ms") == 40_000_000 and parse_duration("1.5 s") == 1_500_000_000
 
 
 def test_the_dry_run_tells_what_has_no_place(capsys):
@@ -210,7 +229,7 @@
     assert sum(after) <= 0.08 * len(after)
     back = [z == 1 for at, z, home in sent if at > 14.5 and home == 1]
     assert sum(back) >= 0.8 * len(back)
-    tables = {s.gateway.dispatcher.policy.council.table(run.scheduler.now_ns).shares for s in run.seats}
+    tables = {s.gateway.dispatcher.policy.council.table(run.scheduler.now_ns).weights for s in run.seats}
     assert len(tables) == 1
 
 
@@ -240,4 +259,4 @@
         return sum(chosen) / len(chosen)
 
     assert part(0, 3) > 0.2 and part(4.5, 8) == 0.0 and part(12, 15) > 0.2
-    assert {s.gateway.dispatcher.policy.council.states[1].state.name for s in run.seats} == {"WELL"}
+    assert {s.gateway.dispatcher.policy.council.trackers[1].state.name for s in run.seats} == {"WELL"}
--- a/zincstile/cli/place.py
+++ b/zincstile/cli/place.py
@@ -9,8 +9,8 @@
 from ..net import features
 from ..net.features import ZoneRow
 from ..serialization.typed_yaml import FileError
-from ..zone_failover.flows import ZoneView, flows
-from ..zone_failover.settings import PlaceSettings
+from ..zone_failover.routing_weights import ZoneLoad, route
+from ..zone_failover.settings import ZoneFailoverSettings
 from .errors import BadInputError
 
 
@@ -37,17 +37,17 @@
     gone = _zones_of((*lost, *drained), settings, names)
     dead = _zones_of(lost, settings, names)
     views = [
-        ZoneView(
+        ZoneLoad(
             r.demand,
             r.room,
             1.0 if r.name not in dead else 0.0,
-            takes=r.name not in gone,
-            cap=float(r.name not in gone),
-            reach=(r.name not in dead,) * len(rows),
+            accepts=r.name not in gone,
+            usable_ratio=float(r.name not in gone),
+            reachable_from=(r.name not in dead,) * len(rows),
         )
         for r in rows
     ]
-    made = flows(views, settings.matrix(names), settings.headroom)
+    made = route(views, settings.matrix(names), settings.headroom)
     refused = sum(_left(row, sent) for row, sent in zip(rows, made, strict=True))
     total = sum(r.demand for r in rows)
     console = Console()
@@ -59,7 +59,7 @@
     return 1 if refused > 1e-6 else 0
 
 
-def _zones_of(words: tuple[str, ...], settings: PlaceSettings, names: list[str]) -> set[str]:
+def _zones_of(words: tuple[str, ...], settings: ZoneFailoverSettings, names: list[str]) -> set[str]:
     """The zones that these words name, each by itself or by its region."""
     found = {zone for word in words for zone in settings.regions.get(word, (word,))}
     for word in found - set(names):
--- a/zincstile/net/config.py
+++ b/zincstile/net/config.py
@@ -35,7 +35,7 @@
     counter: Address | None = None
     keeper: Any = None  # keeper.settings.KeeperSettings, where quotas are held through the count keeper
     start: Any = None  # start.settings.StartSettings, where gateways start beside each other by a file
-    place: Any = None  # place.settings.PlaceSettings, where zones are chosen in common
+    place: Any = None  # zone_failover.settings.ZoneFailoverSettings, where zones are chosen in common
     subset: Any = None  # subset.settings.SubsetSettings, where a gateway uses a part of the endpoints
     shared: Any = None  # shared.settings.SharedSettings, where state is shared within stated bounds
     socket_fd: int | None = None  # the clients' listening socket, inherited ($RELAY_SOCKET_FD)
--- a/zincstile/net/features.py
+++ b/zincstile/net/features.py
@@ -19,7 +19,7 @@
     from ..leases.settings import SharedSettings
     from ..quota_service.settings import KeeperSettings
     from ..subsetting.settings import SubsetSettings
-    from ..zone_failover.settings import PlaceSettings
+    from ..zone_failover.settings import ZoneFailoverSettings
 
 MS = 1_000_000
 
@@ -115,7 +115,7 @@
 
 
 class PlaceRow(msgspec.Struct, forbid_unknown_fields=True, omit_defaults=True):
-    """`PlaceSettings` in milliseconds; what is left out has its usual value."""
+    """`ZoneFailoverSettings` in milliseconds; what is left out has its usual value."""
 
     regions: dict[str, list[str]] = {}
     distances: list[DistanceRow] = []
@@ -221,15 +221,15 @@
     return _settings(path, load(path, StartFile).start, StartSettings)
 
 
-def place(path: str) -> PlaceSettings:
+def place(path: str) -> ZoneFailoverSettings:
     """FileError where the file can't be used."""
-    from ..zone_failover.settings import PlaceSettings, span
+    from ..zone_failover.settings import ZoneFailoverSettings, parse_duration
 
     row = load(path, PlaceFile).place
     try:
         regions = {name: tuple(zones) for name, zones in row.regions.items()}
-        distances = {d.between: span(d.is_) for d in row.distances}
-        within = span(row.within) if row.within is not None else None
+        distances = {d.between: parse_duration(d.is_) for d in row.distances}
+        within = parse_duration(row.within) if row.within is not None else None
     except ValueError as err:
         raise FileError(f"{path}: distances: {err}") from None
     given = {
@@ -242,7 +242,7 @@
     if within is not None:
         rest["within_ns"] = within
     try:
-        return PlaceSettings(regions, distances, **times, **rest)
+        return ZoneFailoverSettings(regions, distances, **times, **rest)
     except ValueError as err:
         raise FileError(f"{path}: {err}") from None
 
@@ -252,12 +252,12 @@
     return load(path, PlaceFile).zones
 
 
-def check_place(path: str, settings: PlaceSettings, zones: list[str]) -> None:
+def check_place(path: str, settings: ZoneFailoverSettings, zones: list[str]) -> None:
     """FileError where the file doesn't fit the zones that the gateways are told of."""
-    from ..zone_failover.settings import MOST_ZONES
+    from ..zone_failover.settings import MAX_ZONES
 
-    if len(zones) >= MOST_ZONES:
-        raise FileError(f"{path}: {len(zones)} zones: {MOST_ZONES - 1} at most")
+    if len(zones) >= MAX_ZONES:
+        raise FileError(f"{path}: {len(zones)} zones: {MAX_ZONES - 1} at most")
     for region, names in settings.regions.items():
         for name in names:
             if zones and name not in zones:
--- a/zincstile/net/gateway.py
+++ b/zincstile/net/gateway.py
@@ -121,16 +121,16 @@
 
     def _choose_zones(self) -> None:
         """The words between gateways by which zones are chosen in common."""
-        from ..zone_failover import module, words
+        from ..zone_failover import codec, module
 
         def heard(sender: int, data: bytes) -> module.PlaceWord | None:
-            found = words.unpack(data)
+            found = codec.unpack(data)
             return None if found is None else module.PlaceWord(sender, found)
 
         self.dispatcher.carry_out[module.PlaceTell] = lambda _, action: self.peers.send(
-            action.peer, words.pack(action.word)
+            action.peer, codec.pack(action.word)
         )
-        self.peers.others[words.MAGIC] = heard
+        self.peers.others[codec.MAGIC] = heard
 
     def _operate(self) -> None:
         """The operators' door, what they said, and the file by which another process of this gateway hears
--- a/zincstile/scale/capacity_messages.py
+++ b/zincstile/scale/capacity_messages.py
@@ -15,8 +15,8 @@
 from ..decisions.messages import CustomerUsage, ErrorSample, SendGossip
 from ..decisions.state import LEVEL
 from ..simulator import codec
-from ..zone_failover import words as place_words
-from ..zone_failover.view import Report, Sight
+from ..zone_failover import codec as zone_codec
+from ..zone_failover.messages import ZoneObservation, ZoneReport
 
 CLASSES: Final = 3  # request classes in a gateway's settings, as in the sites under deploy/
 WATCH_LINE_BYTES: Final = 1  # discovery's empty line while nothing changes
@@ -88,8 +88,8 @@
 
 def report_bytes(zones: int) -> int:
     """A gateway's report on the zones (features.place)."""
-    sights = tuple(Sight(100, 90.0, 0.1, 40.0) for _ in range(zones))
-    return len(place_words.pack(Report(1, 2**31, 7, 0, 80.0, sights, 0, 0)))
+    sights = tuple(ZoneObservation(100, 90.0, 0.1, 40.0) for _ in range(zones))
+    return len(zone_codec.pack(ZoneReport(1, 2**31, 7, 0, 80.0, sights, 0, 0)))
 
 
 def bucket_lines(entries: int) -> list[list_words.Lines]:
--- a/zincstile/simulation/mutants_place.py
+++ b/zincstile/simulation/mutants_place.py
@@ -8,71 +8,73 @@
 
 from ..cold_start import asking, lists, opening
 from ..cold_start.settings import MS, StartSettings
-from ..zone_failover import states, terms, view
-from ..zone_failover.settings import SECOND, PlaceSettings
-from ..zone_failover.states import State, Zone
+from ..zone_failover import leader_terms, messages, zone_states, zone_view
+from ..zone_failover.settings import SECOND, ZoneFailoverSettings
+from ..zone_failover.zone_states import ZoneState, ZoneTracker
 from . import place_search, start_model
 from .mutants import Undo, _swap
 
 DEPTH = 3
-SETTINGS = PlaceSettings()
+SETTINGS = ZoneFailoverSettings()
 
 
 def _twice() -> Undo:
     """A voice that comes twice is two."""
-    old = terms.Terms._voice
+    old = leader_terms.LeaderTerms._count_vote
 
-    def voice(self, now, sender, word):
-        before = [dict(m.voices) if m else None for m in (self.mine, self.renewing)]
-        old(self, now, sender, word)
-        for mine, was in zip((self.mine, self.renewing), before, strict=True):
-            if mine is not None and was is not None and word.given and sender in was:
-                mine.voices[1000 + len(mine.voices)] = None
-        self._settle()
+    def count(self, sender, reply):
+        before = [dict(one.votes) if one else None for one in (self.candidacy, self.renewal)]
+        old(self, sender, reply)
+        for candidacy, was in zip((self.candidacy, self.renewal), before, strict=True):
+            if candidacy is not None and was is not None and reply.granted and sender in was:
+                candidacy.votes[1000 + len(candidacy.votes)] = None
+        self._complete_renewal()
 
-    return _swap(terms.Terms, "_voice", voice)
+    return _swap(leader_terms.LeaderTerms, "_count_vote", count)
 
 
 def _no_end() -> Undo:
     """A term does not end for who holds it."""
     return _swap(
-        terms.Terms, "holds", lambda self, now: self.mine is not None and len(self.mine.voices) >= self.needed
+        leader_terms.LeaderTerms,
+        "is_leader",
+        lambda self, now: self.candidacy is not None and len(self.candidacy.votes) >= self.majority,
     )
 
 
 def _speaks_at_once() -> Undo:
     """An elector that starts gives its voice, though it may have given it."""
-    old = terms.Terms.__init__
+    old = leader_terms.LeaderTerms.__init__
 
     def init(self, *args):
         old(self, *args)
-        self.mute_ns = 0
+        self.no_vote_before_ns = 0
 
-    return _swap(terms.Terms, "__init__", init)
+    return _swap(leader_terms.LeaderTerms, "__init__", init)
 
 
 def _bound_to_none() -> Undo:
     """An elector gives its voice to whoever calls a later term."""
     return _swap(
-        terms.Terms,
-        "_may_promise",
-        lambda self, now, proposer, process, term: self.promise is None or term > self.promise.term,
+        leader_terms.LeaderTerms,
+        "_may_grant",
+        lambda self, now, proposer, process, term: self.granted is None or term > self.granted.term,
     )
 
 
 def _no_hysteresis() -> Undo:
     """A zone is back as soon as one try says so."""
-    return _swap(Zone, "_lasts", lambda self, now, so, wait: so)
+    return _swap(ZoneTracker, "_contradicted_for", lambda self, now, contradicts, span_ns: contradicts)
 
 
 def _full_return() -> Undo:
     """What returns gets its full part at once."""
-    old = Zone.part
+    old = ZoneTracker.usable_ratio
 
-    def part(self, now):
-        return 1.0 if self.state is State.RETURNING else old(self, now)
+    def ratio(self, now):
+        return 1.0 if self.state is ZoneState.RETURNING else old(self, now)
 
-    return _swap(Zone, "part", part)
+    return _swap(ZoneTracker, "usable_ratio", ratio)
 
 
 def _fixed_give_up() -> Undo:
@@ -119,13 +121,13 @@
 
 def _reach_forgotten() -> Undo:
     """Who is sent elsewhere, and tries no more, counts as one that reaches a zone."""
-    old = view.View._part
+    old = zone_view.ZoneView._update_unreachable
 
-    def part(self, now, tried):
-        self.apart.clear()
-        old(self, now, tried)
+    def update(self, now, tries):
+        self.unreachable.clear()
+        old(self, now, tries)
 
-    return _swap(view.View, "_part", part)
+    return _swap(zone_view.ZoneView, "_update_unreachable", update)
 
 
 # ---- checkers
@@ -145,14 +147,15 @@
 def by_flapping() -> str:
     """A zone whose link fails and heals each 3 s for two minutes goes and comes by hysteresis, and gets a
     tenth when it returns."""
-    zone, first = Zone(SETTINGS), -1
+    zone, first = ZoneTracker(SETTINGS), -1
     for now in range(0, 120 * SECOND, 100 * MS):
         before = zone.state
-        zone.look(now, (now // (3 * SECOND)) % 2 == 0, False, True, False)
-        if zone.state is State.RETURNING and before is not State.RETURNING:
+        reached = (now // (3 * SECOND)) % 2 == 0
+        zone.update(now, reached=reached, short=False, relieved=True, draining=False)
+        if zone.state is ZoneState.RETURNING and before is not ZoneState.RETURNING:
             first = now
-            if zone.part(now) > 2 * states.FIRST:
-                return f"states: a part of {zone.part(now):.2f} at the return"
+            if zone.usable_ratio(now) > 2 * zone_states.FIRST_RATIO:
+                return f"states: a part of {zone.usable_ratio(now):.2f} at the return"
     if first < 0 or zone.changes > 12:
         return f"states: {zone.changes} changes of 40 faults"
     return ""
@@ -161,15 +164,17 @@
 def by_view() -> str:
     """A zone's own gateway finds it dead, then is sent elsewhere and says nothing of it: it is sent back only
     once tries have come up for long enough."""
-    seen = view.View(SETTINGS, 3, 2)
-    zones = [Zone(SETTINGS) for _ in range(2)]
+    seen = zone_view.ZoneView(SETTINGS, 3, 2)
+    zones = [ZoneTracker(SETTINGS) for _ in range(2)]
     for k in range(40):
         now = k * SETTINGS.beat_ns
         dead = 1.0 if k < 2 else -1.0 if k < 20 else 0.0
-        well = view.Sight(4, 4.0, 0.0, 1e9)
-        seen.hear(now, view.Report(0, 1, k + 1, 0, 5.0, (view.Sight(4, 4.0, dead, 1e9), well)))
-        seen.hear(now, view.Report(1, 1, k + 1, 1, 5.0, (well, well)))
-        found = seen.look(now, zones)[0].reach[0]
+        well = messages.ZoneObservation(4, 4.0, 0.0, 1e9)
+        seen.record(
+            now, messages.ZoneReport(0, 1, k + 1, 0, 5.0, (messages.ZoneObservation(4, 4.0, dead, 1e9), well))
+        )
+        seen.record(now, messages.ZoneReport(1, 1, k + 1, 1, 5.0, (well, well)))
+        found = seen.evaluate(now, zones)[0].reachable_from[0]
         if found and 1 < k < 20 + SETTINGS.back_ns // SETTINGS.beat_ns:
             return f"view: a zone counts as reached after {k} beats, without a try that came up for long"
     return "" if found else "view: a zone is never reached again"
--- a/zincstile/simulation/place_model.py
+++ b/zincstile/simulation/place_model.py
@@ -1,6 +1,6 @@
-"""Zones chosen in common by any number of gateways, zones and regions: the pure `place.council` of each on
+"""Zones chosen in common by any number of gateways, zones and regions: `zone_failover.agreement` of each on
 virtual time, with words that are late and lost, and servers that are no more than figures. A zone is lost,
-then comes back. No sockets and no requests; `worlds/places` plays whole gateways.
+then comes back. No sockets and no requests; `simulation/places` plays whole gateways.
 """
 
 from __future__ import annotations
@@ -11,11 +11,11 @@
 from dataclasses import dataclass
 
 from ..virtual.clock import Scheduler
-from ..zone_failover.council import Council
-from ..zone_failover.settings import MS, SECOND, PlaceSettings
-from ..zone_failover.states import State
-from ..zone_failover.view import Sight
-from ..zone_failover.words import Word, pack, unpack
+from ..zone_failover.agreement import Agreement
+from ..zone_failover.codec import pack, unpack
+from ..zone_failover.messages import ZoneMessage, ZoneObservation
+from ..zone_failover.settings import MS, SECOND, ZoneFailoverSettings
+from ..zone_failover.zone_states import ZoneState
 
 NEAR_NS, FAR_NS = 1.9 * MS, 30 * MS
 SERVERS, DEMAND, ROOM = 8, 50.0, 100.0  # of a zone: ready servers; units a second asked, and borne
@@ -48,12 +48,12 @@
         names = [f"z{k}" for k in range(zones)]
         grouped = {f"r{r}": tuple(names[r::regions]) for r in range(regions)}
         far = {(f"r{a}", f"r{b}"): 40 * MS * (b - a) for a in range(regions) for b in range(a + 1, regions)}
-        self.settings = PlaceSettings(grouped, far)
+        self.settings = ZoneFailoverSettings(grouped, far)
         self.scheduler, self.rng, self.loss = Scheduler(), random.Random(f"place model {seed}"), loss
         distance = self.settings.matrix(names)
         self.zones, self.regions = zones, regions
         self.seats = [
-            Council(self.settings, k, gateways, k % zones, distance, 1 + k, random.Random(f"{seed} {k}"))
+            Agreement(self.settings, k, gateways, k % zones, distance, 1 + k, random.Random(f"{seed} {k}"))
             for k in range(gateways)
         ]
         self.dead = False
@@ -72,12 +72,12 @@
         seat = self.seats[k]
         table, sights = seat.table(self.now), []
         for z in range(self.zones):
-            uses = seat.zone == z if table is None else table.shares[seat.zone][z] > 0
-            left = table is not None and (table.states[z] == State.LOST or z == seat.zone)
+            uses = seat.zone == z if table is None else table.weights[seat.zone][z] > 0
+            left = table is not None and (table.states[z] == ZoneState.LOST or z == seat.zone)
             tried = uses or left and self.rng.random() < TRIED
             lost = self.dead and z == 0
             sights.append(
-                Sight(
+                ZoneObservation(
                     SERVERS,
                     0.0 if lost else float(SERVERS),
                     float(lost) if tried else -1.0,
@@ -85,20 +85,20 @@
                 )
             )
         members = sum(s.zone == seat.zone for s in self.seats)
-        held = seat.terms.holds(self.now)
+        held = seat.terms.is_leader(self.now)
         before = time.process_time()
-        seat.beat(self.now, DEMAND / members, sights)
+        seat.observe(self.now, DEMAND / members, sights)
         if held:
             self.cpu_s, self.proposed = self.cpu_s + time.process_time() - before, self.proposed + 1
             table = seat.table(self.now)
-            if table is not None and self.tables.setdefault(table.generation, table.shares) != table.shares:
+            if table is not None and self.tables.setdefault(table.generation, table.weights) != table.weights:
                 self.disagreed += 1
         self._send(k)
         self.scheduler.at(self.now + self.settings.beat_ns, self._beat, k)
 
     def _send(self, k: int) -> None:
-        for to, word in self.seats[k].told():
-            data = pack(word)
+        for to, message in self.seats[k].take_messages():
+            data = pack(message)
             self.sent[k, self.now // SECOND] += 1
             self.bytes += len(data)
             if self.rng.random() >= self.loss:
@@ -106,9 +106,9 @@
                     self.now + int(self.rng.uniform(NEAR_NS, FAR_NS)), self._hear, k, to, unpack(data)
                 )
 
-    def _hear(self, sender: int, to: int, word: Word) -> None:
+    def _hear(self, sender: int, to: int, message: ZoneMessage) -> None:
         self.heard[to, self.now // SECOND] += 1
-        self.seats[to].hear(self.now, sender, word)
+        self.seats[to].receive(self.now, sender, message)
         self._send(to)
 
     def _until(self, end_ns: int, so) -> float:
@@ -122,15 +122,15 @@
 
     def _one(self) -> bool:
         found = [s.table(self.now) for s in self.seats]
-        return None not in found and len({t.shares for t in found}) == 1
+        return None not in found and len({t.weights for t in found}) == 1
 
     def _left(self) -> bool:
         found = [s.table(self.now) for s in self.seats]
-        return all(t is not None and not any(row[0] for row in t.shares) for t in found)
+        return all(t is not None and not any(row[0] for row in t.weights) for t in found)
 
     def _whole(self) -> bool:
         found = [s.table(self.now) for s in self.seats]
-        return all(t is not None and t.shares[0][0] >= 245 for t in found)
+        return all(t is not None and t.weights[0][0] >= 245 for t in found)
 
     def play(self) -> Row:
         for k, seat in enumerate(self.seats):
--- a/zincstile/simulation/place_search.py
+++ b/zincstile/simulation/place_search.py
@@ -15,11 +15,12 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from ..zone_failover.settings import MS, PlaceSettings
-from ..zone_failover.terms import Generation, Terms, Voice
+from ..zone_failover.leader_terms import Candidacy, LeaderTerms
+from ..zone_failover.messages import Generation, VoteReply
+from ..zone_failover.settings import MS, ZoneFailoverSettings
 from .search import Broken, Even
 
-SETTINGS = PlaceSettings(term_ns=400 * MS, beat_ns=100 * MS, hold_ns=800 * MS)
+SETTINGS = ZoneFailoverSettings(term_ns=400 * MS, beat_ns=100 * MS, hold_ns=800 * MS)
 STEP_NS = 200 * MS  # two of them end a term
 FLIGHT = 3
 SETTLED = 30  # ticks in which all has to end in one table
@@ -36,7 +37,7 @@
 @dataclass(slots=True)
 class State:
     now: int = 0
-    seats: list[Terms] = field(default_factory=list)
+    seats: list[LeaderTerms] = field(default_factory=list)
     clocks: list[int] = field(default_factory=list)
     words: list[tuple[int, int, object]] = field(default_factory=list)  # from, to, word
     made: dict[Generation, tuple] = field(default_factory=dict)
@@ -60,7 +61,7 @@
     """All have run for long: they may give their voices."""
     state = State(now=10 * SETTINGS.term_ns)
     for me in range(count):
-        state.seats.append(Terms(SETTINGS, me, count, me + 1, 0, Quiet(me)))  # type: ignore[arg-type]
+        state.seats.append(LeaderTerms(SETTINGS, me, count, me + 1, 0, Quiet(me)))  # type: ignore[arg-type]
         state.clocks.append(state.now)
         state.newest.append(None)
     return state
@@ -71,7 +72,7 @@
     found, seen = [], []
     for g in range(len(state.seats)):
         found += [f"look {g}"]
-        if state.seats[g].holds(state.clocks[g]):
+        if state.seats[g].is_leader(state.clocks[g]):
             found.append(f"propose {g}")
         if state.crashes < 1:
             found.append(f"crash {g}")
@@ -91,13 +92,13 @@
     g = int(args[0]) if args else -1
     state.path = (*state.path, action)
     if what == "look":
-        state.seats[g].look(state.clocks[g], set(range(len(state.seats))))
+        state.seats[g].update(state.clocks[g], set(range(len(state.seats))))
         _flush(state, g)
     elif what == "propose":
         _propose(state, g)
     elif what == "deliver":
         sender, to, word = state.words.pop(g)
-        state.seats[to].hear(state.clocks[to], sender, word)  # type: ignore[arg-type]
+        state.seats[to].receive(state.clocks[to], sender, word)  # type: ignore[arg-type]
         _flush(state, to)
     elif what == "lose":
         state.words.pop(g)
@@ -106,7 +107,7 @@
     elif what == "crash":
         state.crashes += 1
         state.clocks[g] = state.now
-        state.seats[g] = Terms(SETTINGS, g, len(state.seats), 100 + g, state.now, Quiet(g))  # type: ignore
+        state.seats[g] = LeaderTerms(SETTINGS, g, len(state.seats), 100 + g, state.now, Quiet(g))  # type: ignore
         state.newest[g] = None
     else:
         state.now += STEP_NS
@@ -123,8 +124,8 @@
     table = seat.propose(state.clocks[g], (row,), (0,))
     if table is None:
         raise Broken(f"gateway {g} holds a term and may not propose")
-    before = state.made.setdefault(table.generation, table.shares)
-    if before != table.shares:
+    before = state.made.setdefault(table.generation, table.weights)
+    if before != table.weights:
         raise Broken(f"two tables of generation {table.generation}")
     for to in range(len(state.seats)):
         if to != g:
@@ -133,8 +134,8 @@
 
 
 def _flush(state: State, g: int) -> None:
-    for to, word in state.seats[g].told():
-        if isinstance(word, Voice) and word.given:
+    for to, word in state.seats[g].take_messages():
+        if isinstance(word, VoteReply) and word.granted:
             state.given.setdefault((word.term, word.process), {})[g] = None
         _put(state, (g, to, word))
 
@@ -146,21 +147,21 @@
 
 def _check(state: State) -> None:
     holders = [
-        g for g, seat in enumerate(state.seats) if state.clocks[g] == state.now and seat.holds(state.now)
+        g for g, seat in enumerate(state.seats) if state.clocks[g] == state.now and seat.is_leader(state.now)
     ]
     if len(holders) > 1:
         raise Broken(f"gateways {holders} hold a term at once")
     for g in holders:
         seat = state.seats[g]
-        promised = len(state.given.get((seat.mine.term, seat.process), {})) + (g in seat.mine.voices)
-        if promised < seat.needed:
-            raise Broken(f"gateway {g} holds a term by {promised} voices of {seat.needed}")
+        promised = len(state.given.get((seat.candidacy.term, seat.process), {})) + (g in seat.candidacy.votes)
+        if promised < seat.majority:
+            raise Broken(f"gateway {g} holds a term by {promised} voices of {seat.majority}")
     for g, seat in enumerate(state.seats):
         have = seat.table.generation if seat.table is not None else None
         before = state.newest[g]
         if before is not None and (have is None or have < before):
             raise Broken(f"gateway {g} went back from {before} to {have}")
-        if seat.table is not None and state.made.get(have) != seat.table.shares:
+        if seat.table is not None and state.made.get(have) != seat.table.weights:
             raise Broken(f"gateway {g} has a table that nobody made")
         state.newest[g] = have
 
@@ -177,33 +178,41 @@
             do(state, f"look {g}")
             while state.words:
                 do(state, "deliver 0")
-            if state.seats[g].holds(state.now):
+            if state.seats[g].is_leader(state.now):
                 table = state.seats[g].propose(state.now, ((state.seats[g].process, 0),), (0,))
-                state.made.setdefault(table.generation, table.shares)
+                state.made.setdefault(table.generation, table.weights)
                 for to in range(len(state.seats)):
                     if to != g:
-                        state.seats[to].hear(state.now, g, table)
+                        state.seats[to].receive(state.now, g, table)
                 _check(state)
     found = {seat.current(state.now) and seat.current(state.now).generation for seat in state.seats}
     return "" if len(found) == 1 and None not in found else f"it ends in {found}"
 
 
+def _candidacy_key(candidacy: Candidacy | None, now: int) -> tuple | None:
+    if candidacy is None:
+        return None
+    age_ns = max(-SETTINGS.term_ns, candidacy.requested_ns - now)
+    return candidacy.term, age_ns, sorted(candidacy.votes), candidacy.tables
+
+
 def _key(state: State) -> bytes:
     now, seats = state.now, []
     for g, seat in enumerate(state.seats):
-        p, m, r = seat.promise, seat.mine, seat.renewing
+        granted, candidacy, renewal = seat.granted, seat.candidacy, seat.renewal
         seats.append(
             (
                 state.clocks[g] - now,
                 seat.process,
-                seat.latest,
-                max(0, seat.mute_ns - now),
-                p and (p.term, p.proposer, p.process, max(-1, p.until_ns - now)),
-                m and (m.term, max(-SETTINGS.term_ns, m.called_ns - now), sorted(m.voices), m.number),
-                r and (r.term, max(-SETTINGS.term_ns, r.called_ns - now), sorted(r.voices), r.number),
+                seat.latest_term,
+                max(0, seat.no_vote_before_ns - now),
+                granted
+                and (granted.term, granted.candidate, granted.process, max(-1, granted.until_ns - now)),
+                _candidacy_key(candidacy, now),
+                _candidacy_key(renewal, now),
                 seat.table and seat.table.generation,
-                max(-SETTINGS.hold_ns, seat.had_ns - now),
-                max(0, seat.again_ns - now),
+                max(-SETTINGS.hold_ns, seat.table_ns - now),
+                max(0, seat.next_request_ns - now),
             )
         )
     return pickle.dumps((seats, sorted(map(repr, state.words)), sorted(state.made.items()), state.crashes))
@@ -235,7 +244,7 @@
             do(state, action)
         return state
     do(state, f"look {first}")
-    while state.words and not state.seats[first].holds(state.now):
+    while state.words and not state.seats[first].is_leader(state.now):
         do(state, "deliver 0")
     state.words = []
     if opening != "a term is held":
--- a/zincstile/simulation/places.py
+++ b/zincstile/simulation/places.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from ..zone_failover.terms import electors
+from ..zone_failover.leader_terms import electors
 from .plan import Fault, Plan
 from .world import Run
 
--- a/zincstile/simulation/world.py
+++ b/zincstile/simulation/world.py
@@ -34,7 +34,7 @@
 from ..virtual.network_faults import Links
 from ..virtual.process import Process
 from ..virtual.tcp import Endpoint
-from ..zone_failover.settings import PlaceSettings
+from ..zone_failover.settings import ZoneFailoverSettings
 from . import faults, shared, traffic
 from .plan import Plan
 
@@ -126,7 +126,7 @@
         self.keeper = KeeperSettings(skew_ns=1, most_overshoot=0.08) if plan.keeper else None
         self.shared = SharedSettings() if plan.share else None
         self.start = StartSettings(peers=True) if plan.start else None
-        self.place_settings = PlaceSettings() if plan.place else None
+        self.place_settings = ZoneFailoverSettings() if plan.place else None
         self.subset = SubsetSettings(least=2, holders=2) if plan.subset else None
         self.manners = Manners(plan.lists_per_s or 1e6)
         quotas = Quotas(traffic.stated_bounds(plan, self.keeper), LATE_NS) if self.keeper else None
--- a/zincstile/zone_failover/__init__.py
+++ b/zincstile/zone_failover/__init__.py
@@ -1,6 +1,14 @@
-"""Zones and regions: which part of each zone's traffic goes to which zone, decided in common. No I/O, no
-clock; `net/place` carries the words. docs/place.md weighs the ways and derives the bounds.
+"""Zone failover: the gateways agree which part of each zone's traffic goes to which zone.
 
-`settings` what an operator writes, `flows` the table from a view, `states` a zone's state with hysteresis,
-`terms` who may propose, `view` what gateways tell of zones, `module` the decision module with zones' weights.
+No I/O and no clock; `net` sends and receives the datagrams. docs/place.md weighs the alternatives and derives
+the bounds.
+
+- `settings`: what an operator configures
+- `messages`, `codec`: what gateways send each other, and its datagrams
+- `routing_weights`: the weights that follow from what is known of each zone
+- `zone_states`: the state of one zone, with hysteresis
+- `zone_view`: the reports of all gateways, merged
+- `leader_terms`: who may propose a routing table, and which table holds
+- `agreement`: one gateway's part in all of this
+- `module`: the decision module that routes by the agreed weights
 """
--- /dev/null
+++ b/zincstile/zone_failover/agreement.py
@@ -0,0 +1,181 @@
+"""Agreement on zones, as one gateway takes part in it: its reports, the elections and the routing table.
+
+No I/O and no clock. Messages come in by `receive` and go out by `take_messages`. The decision module
+(`module`) and the model of any number of gateways (`simulation/place_model`) build on it.
+"""
+
+from __future__ import annotations
+
+import random
+from typing import Final
+
+from .leader_terms import LeaderTerms
+from .messages import RoutingTable, ZoneMessage, ZoneObservation, ZoneReport
+from .routing_weights import route, to_weights
+from .settings import ZoneFailoverSettings
+from .zone_states import ZoneState, ZoneTracker
+from .zone_view import FAILED_RATIO, ZoneView
+
+REPORT_FAN_OUT: Final = 2  # gateways besides the leader that receive each report, for the next leader
+RENEWAL_NS_PER_GATEWAY: Final = 5_000_000  # a table is renewed to all within this long for each gateway
+
+
+class Agreement:
+    """One process of one gateway in the agreement on zones."""
+
+    def __init__(
+        self,
+        settings: ZoneFailoverSettings,
+        me: int,
+        gateways: int,
+        zone: int,
+        distance: list[list[int]],
+        process: int,
+        rng: random.Random,
+    ) -> None:
+        """Takes the gateway's index, how many there are, and the index of its zone.
+
+        `distance` holds the nanoseconds between zones by their indexes, `process` is a number that differs
+        between processes of a gateway, `rng` spreads over time what gateways send.
+        """
+        self.settings = settings
+        self.me = me
+        self.gateways = gateways
+        self.zone = zone
+        self.distance = distance
+        self.process = process
+        self.rng = rng
+        self.view = ZoneView(settings, gateways, len(distance))
+        self.trackers = [ZoneTracker(settings) for _ in distance]
+        self.terms: LeaderTerms | None = None  # from `start` on
+        self.others = [gateway for gateway in range(gateways) if gateway != me]
+        self.changes = 0  # of the routing weights
+        self._report_number = 0
+        self._reported_ns = 0
+        self._failed = [False] * len(distance)  # by zone, as it was found last
+        self._outbox: list[tuple[int, ZoneMessage]] = []
+
+    def start(self, now: int) -> None:
+        """Begins to take part in elections; the first report follows at a random moment."""
+        self.terms = LeaderTerms(self.settings, self.me, self.gateways, self.process, now, self.rng)
+        self._reported_ns = now - self.rng.randrange(self.view.report_interval_ns)  # else all report in step
+
+    def table(self, now: int) -> RoutingTable | None:
+        """Returns the table that holds for this gateway, if any."""
+        return self.terms.current(now) if self.terms is not None else None
+
+    def observe(self, now: int, demand: float, observations: list[ZoneObservation]) -> None:
+        """Takes what this gateway observes; to be called once each `beat_ns` of the settings.
+
+        `demand` is in units a second, `observations` are by zone index.
+        """
+        self._report_number += 1
+        table = self.table(now)
+        self._hasten_report(now, table, observations)
+        report = ZoneReport(
+            self.me,
+            self.process,
+            self._report_number,
+            self.zone,
+            demand,
+            tuple(observations),
+            self.view.overrides,
+            self.view.override_number,
+        )
+        self.view.record(now, report)
+        self.terms.update(now, self.view.recent_gateways(now))
+        if self.terms.is_leader(now):
+            self._propose(now)
+        if now - self._reported_ns >= self.view.report_interval_ns:
+            self._send_report(now, table, report)
+
+    def _hasten_report(
+        self, now: int, table: RoutingTable | None, observations: list[ZoneObservation]
+    ) -> None:
+        """Makes the next report due soon where a zone fails that the table does not hold for lost.
+
+        Soon is a random moment, apart from the other gateways that observe the same.
+        """
+        failed = [
+            before if one.failed_ratio < 0 else one.failed_ratio >= FAILED_RATIO
+            for one, before in zip(observations, self._failed, strict=True)
+        ]
+        newly_failed = any(
+            fails and not before and (table is None or table.states[zone] != ZoneState.LOST)
+            for zone, (fails, before) in enumerate(zip(failed, self._failed, strict=True))
+        )
+        if newly_failed:
+            interval_ns = self.view.report_interval_ns
+            spread_ns = interval_ns // len(observations)
+            self._reported_ns = now - self.rng.randrange(interval_ns - spread_ns, interval_ns + 1)
+        self._failed = failed
+
+    def _send_report(self, now: int, table: RoutingTable | None, report: ZoneReport) -> None:
+        self._reported_ns = now - self.rng.randrange(self.view.report_interval_ns // 4)
+        receivers = set(self._sample(self.others))
+        if table is None:
+            receivers.update(self._sample(self.terms.electors))
+        elif not self.terms.is_leader(now):
+            receivers.add(table.generation.leader)
+        self._outbox += [(gateway, report) for gateway in receivers if gateway != self.me]
+
+    def _sample(self, gateways: list[int]) -> list[int]:
+        return self.rng.sample(gateways, min(REPORT_FAN_OUT, len(gateways)))
+
+    def _propose(self, now: int) -> None:
+        """Proposes what holds from here on.
+
+        A new table goes to all gateways at once. One that is only renewed goes to some of them each time: the
+        datagrams to all of a fleet at one moment would overflow the path.
+        """
+        zones = self.view.evaluate(now, self.trackers)
+        last = self.terms.table
+        previous = last.weights if last is not None and len(last.weights) == len(zones) else None
+        sent = route(zones, self.distance, self.settings.headroom)
+        weights = to_weights(sent, zones, previous, self.settings.step)
+        states = tuple(int(tracker.state) for tracker in self.trackers)
+        table = self.terms.propose(now, tuple(map(tuple, weights)), states)
+        if table is None:
+            return
+        self.changes += last is None or last.weights != table.weights
+        interval_ns = self.settings.beat_ns
+        round_ns = max(interval_ns, len(self.others) * RENEWAL_NS_PER_GATEWAY)
+        count = max(1, -(-len(self.others) * interval_ns // round_ns))
+        renewed = table is last
+        receivers = self.rng.sample(self.others, min(len(self.others), count)) if renewed else self.others
+        self._outbox += [(gateway, table) for gateway in receivers]
+
+    def receive(self, now: int, sender: int, message: ZoneMessage) -> None:
+        """Handles another gateway's message.
+
+        A table with another number of zones is of another configuration and is ignored.
+        """
+        if not 0 <= sender < self.gateways or sender == self.me or self.terms is None:
+            return
+        if isinstance(message, ZoneReport):
+            if message.origin == sender:
+                self.view.record(now, message)
+        elif isinstance(message, RoutingTable):
+            last = self.terms.table
+            if len(message.weights) == len(self.distance) and self.terms.receive(now, sender, message):
+                self.changes += last is None or last.weights != message.weights
+                self._adopt_states(now, message)
+        else:
+            self.terms.receive(now, sender, message)
+
+    def _adopt_states(self, now: int, table: RoutingTable) -> None:
+        """Keeps the published states, so that the next leader goes on from them."""
+        for tracker, number in zip(self.trackers, table.states, strict=True):
+            if tracker.state != number and number in ZoneState._value2member_map_:
+                tracker.adopt(now, ZoneState(number))
+
+    def override(self, zone: int, *, drained: bool, frozen: bool) -> None:
+        """Takes an operator's override of a zone, which travels with the reports and so holds everywhere."""
+        self.view.override(zone, drained=drained, frozen=frozen)
+        self._reported_ns = 0
+
+    def take_messages(self) -> list[tuple[int, ZoneMessage]]:
+        """Returns the messages to send since the last call, each with the gateway it is for."""
+        messages = self._outbox
+        self._outbox = []
+        return messages + (self.terms.take_messages() if self.terms is not None else [])
--- /dev/null
+++ b/zincstile/zone_failover/codec.py
@@ -0,0 +1,174 @@
+"""Codec of the messages between gateways about zones: one datagram of at most 256 bytes each. No I/O.
+
+A datagram begins with a byte that no other kind of message between gateways begins with, and has a checksum.
+"""
+
+from __future__ import annotations
+
+import math
+import struct
+from collections.abc import Callable
+from enum import IntEnum
+from typing import Final
+
+from ..serialization import datagrams
+from .messages import (
+    Generation,
+    RoutingTable,
+    VoteReply,
+    VoteRequest,
+    ZoneMessage,
+    ZoneObservation,
+    ZoneReport,
+)
+from .routing_weights import WEIGHT_TOTAL
+from .settings import MAX_ZONES
+
+MAGIC: Final = 0xBD  # first byte of these datagrams
+VOTE_REQUEST: Final = struct.Struct("<II")  # term, process
+VOTE_REPLY: Final = struct.Struct("<IIB")  # term, process, granted
+TABLE: Final = struct.Struct("<IIHIHB")  # term, number, leader, process, age in 10 ms, zones
+REPORT: Final = struct.Struct(
+    "<HIIBIHIB"
+)  # origin, process, number, zone, demand, overrides, their number, zones
+OBSERVATION: Final = struct.Struct("<HHBI")  # ready, good, failed ratio, capacity
+AGE_UNIT_NS: Final = 10_000_000
+STEPS_PER_UNIT: Final = 16  # demand, capacity and good endpoints travel in sixteenths
+RATIO_STEPS: Final = 254  # a ratio travels as 0 to 254 ...
+NOT_TRIED: Final = 255  # ... and this says that there is none
+U16_MAX: Final = 2**16 - 1
+U32_MAX: Final = 2**32 - 1
+
+
+class MessageKind(IntEnum):
+    """The second byte of a datagram."""
+
+    VOTE_REQUEST = 1
+    VOTE_REPLY = 2
+    TABLE = 3
+    REPORT = 4
+
+
+def pack(message: ZoneMessage) -> bytes:
+    """Returns the message as one datagram."""
+    if isinstance(message, VoteRequest):
+        kind = MessageKind.VOTE_REQUEST
+        body = VOTE_REQUEST.pack(message.term, message.process)
+    elif isinstance(message, VoteReply):
+        kind = MessageKind.VOTE_REPLY
+        body = VOTE_REPLY.pack(message.term, message.process, message.granted)
+    elif isinstance(message, RoutingTable):
+        kind = MessageKind.TABLE
+        body = _pack_table(message)
+    else:
+        kind = MessageKind.REPORT
+        body = _pack_report(message)
+    return datagrams.framed(MAGIC, kind, body)
+
+
+def unpack(data: bytes) -> ZoneMessage | None:
+    """Returns the message in a datagram; None where it is damaged or of another layout."""
+    return datagrams.unpacked(MAGIC, data, READERS)
+
+
+def _pack_table(table: RoutingTable) -> bytes:
+    generation = table.generation
+    age = min(U16_MAX, -(-max(0, table.age_ns) // AGE_UNIT_NS))  # rounded up: never younger than it is
+    head = TABLE.pack(
+        generation.term,
+        generation.number,
+        generation.leader,
+        generation.process,
+        age,
+        len(table.weights),
+    )
+    return head + bytes(table.states) + b"".join(bytes(row) for row in table.weights)
+
+
+def _pack_report(report: ZoneReport) -> bytes:
+    head = REPORT.pack(
+        report.origin,
+        report.process,
+        report.number % 2**32,
+        report.zone,
+        _to_steps(report.demand, U32_MAX),
+        report.overrides,
+        report.override_number,
+        len(report.observations),
+    )
+    return head + b"".join(_pack_observation(one) for one in report.observations)
+
+
+def _pack_observation(observation: ZoneObservation) -> bytes:
+    failed = NOT_TRIED
+    if observation.failed_ratio >= 0:
+        failed = min(RATIO_STEPS, int(RATIO_STEPS * observation.failed_ratio))
+    return OBSERVATION.pack(
+        min(U16_MAX, observation.ready),
+        _to_steps(observation.good, U16_MAX),
+        failed,
+        _to_steps(observation.capacity, U32_MAX),
+    )
+
+
+def _to_steps(value: float, infinite: int) -> int:
+    """A figure in steps; `infinite` stands for a figure without bound."""
+    if value == math.inf:
+        return infinite
+    return min(infinite - 1, max(0, int(value * STEPS_PER_UNIT)))
+
+
+def _read_vote_request(body: bytes) -> VoteRequest:
+    return VoteRequest(*VOTE_REQUEST.unpack(body))
+
+
+def _read_vote_reply(body: bytes) -> VoteReply:
+    term, process, granted = VOTE_REPLY.unpack(body)
+    return VoteReply(term, process, bool(granted))
+
+
+def _read_table(body: bytes) -> RoutingTable | None:
+    term, number, leader, process, age, zones = TABLE.unpack_from(body)
+    rest = body[TABLE.size :]
+    if not 0 < zones <= MAX_ZONES or len(rest) != zones * (zones + 1):
+        return None
+    rows = [rest[zones * (1 + zone) : zones * (2 + zone)] for zone in range(zones)]
+    if any(sum(row) > WEIGHT_TOTAL for row in rows):
+        return None
+    generation = Generation(term, number, leader, process)
+    weights = tuple(tuple(row) for row in rows)
+    return RoutingTable(generation, weights, tuple(rest[:zones]), age * AGE_UNIT_NS)
+
+
+def _read_report(body: bytes) -> ZoneReport | None:
+    origin, process, number, zone, demand, overrides, override_number, zones = REPORT.unpack_from(body)
+    if not 0 < zones <= MAX_ZONES or len(body) != REPORT.size + zones * OBSERVATION.size or zone >= zones:
+        return None
+    return ZoneReport(
+        origin,
+        process,
+        number,
+        zone,
+        demand / STEPS_PER_UNIT,
+        tuple(_read_observation(body, REPORT.size + k * OBSERVATION.size) for k in range(zones)),
+        overrides,
+        override_number,
+    )
+
+
+def _read_observation(body: bytes, offset: int) -> ZoneObservation:
+    ready, good, failed, capacity = OBSERVATION.unpack_from(body, offset)
+    return ZoneObservation(
+        ready,
+        good / STEPS_PER_UNIT,
+        -1.0 if failed == NOT_TRIED else failed / RATIO_STEPS,
+        math.inf if capacity == U32_MAX else capacity / STEPS_PER_UNIT,
+    )
+
+
+READERS: Final[dict[int, Callable[[bytes], ZoneMessage | None]]] = {
+    MessageKind.VOTE_REQUEST: _read_vote_request,
+    MessageKind.VOTE_REPLY: _read_vote_reply,
+    MessageKind.TABLE: _read_table,
+    MessageKind.REPORT: _read_report,
+}
--- a/zincstile/zone_failover/module.py
+++ b/zincstile/zone_failover/module.py
@@ -18,12 +18,12 @@
 from ..decisions.policy import FAULTY, Policy
 from ..decisions.settings import Idempotency, Settings
 from ..decisions.state import Attempt, Live, Server
-from .council import Council
-from .flows import PARTS
-from .settings import SECOND, PlaceSettings
-from .states import State
-from .view import DEAD, Sight
-from .words import Word
+from .agreement import Agreement
+from .messages import ZoneMessage, ZoneObservation
+from .routing_weights import WEIGHT_TOTAL
+from .settings import SECOND, ZoneFailoverSettings
+from .zone_states import ZoneState
+from .zone_view import FAILED_RATIO
 
 PLACE = 2**62 + 2  # timer's token that no request has
 TRIED_S = 3.0  # a connection that failed, or came up, counts for so long
@@ -37,7 +37,7 @@
     """An action: a word for one peer."""
 
     peer: int
-    word: Word
+    word: ZoneMessage
 
 
 @dataclass(slots=True)
@@ -45,7 +45,7 @@
     """An event: a peer's word."""
 
     sender: int
-    word: Word
+    word: ZoneMessage
 
 
 @dataclass(slots=True)
@@ -106,7 +106,7 @@
 class ZonedPolicy(Policy):
     """The decision module with zones' weights. `placed` puts it before the module whose choice it narrows."""
 
-    place: PlaceSettings
+    place: ZoneFailoverSettings
     zone_names: list[str]  # in the settings' order, and one more for all that are in none of them
     zone_count: int
     distance: list[list[int]]  # between zones, by number
@@ -115,7 +115,7 @@
         super().__init__(settings, seed, *more)
         self.luck = random.Random(f"place {seed}")
         self.home = min(settings.zone, self.zone_count - 1)
-        self.council = Council(
+        self.council = Agreement(
             self.place,
             settings.me,
             settings.gateways,
@@ -156,27 +156,27 @@
         for z in range(self.zone_count):
             part = self.good_in[z] / self.good if self.good else 0.0
             sights.append(
-                Sight(
+                ZoneObservation(
                     self.ready_in[z],
                     self.good_in[z],
                     self.tries[z].dead,
                     budget * part if budget < math.inf else math.inf,
                 )
             )
-        self.council.beat(now, sum(x.arrivals for x in self.leaves), sights)
+        self.council.observe(now, sum(x.arrivals for x in self.leaves), sights)
         self._tell_council()
 
     def _tell_council(self) -> None:
-        told = self.council.told()
+        told = self.council.take_messages()
         if self.set.peers:
             self.acts += [PlaceTell(peer, word) for peer, word in told]
 
     def on_place_word(self, now: int, event: PlaceWord) -> None:
-        self.council.hear(now, event.sender, event.word)
+        self.council.receive(now, event.sender, event.word)
         self._tell_council()
 
     def on_zone_said(self, now: int, event: ZoneSaid) -> None:
-        self.council.said(event.zone, event.drained, event.held)
+        self.council.override(event.zone, drained=event.drained, frozen=event.held)
 
     # ---- what is learnt
 
@@ -227,13 +227,16 @@
 
     def _out(self, zone: int) -> bool:
         """A zone fails here: its connections, or most of its servers by all that is known of them."""
-        return self.tries[zone].dead >= DEAD or self.good_in[zone] < (1 - DEAD) * self.warm_in[zone]
+        return (
+            self.tries[zone].dead >= FAILED_RATIO
+            or self.good_in[zone] < (1 - FAILED_RATIO) * self.warm_in[zone]
+        )
 
     def _weights(self, now: int) -> list[float]:
         """Parts of this gateway's traffic by zone. What fails here is left at once."""
         table = self.council.table(now)
         if table is not None:
-            row = [x / PARTS for x in table.shares[self.home]]
+            row = [x / WEIGHT_TOTAL for x in table.weights[self.home]]
             return [0.0 if self._out(z) else x for z, x in enumerate(row)]
         own = float(self.ready_in[self.home] > 0 and not self._out(self.home))
         return [own if z == self.home else 0.0 for z in range(self.zone_count)]
@@ -242,7 +245,7 @@
         if live.ran is not None and live.tried:  # a repeat: where it may go says its group
             table = self.council.table(now)
             if live.spec.effect is Idempotency.ALWAYS and table is not None:
-                self.barred = [s in (State.LOST, State.DRAINING) for s in table.states]
+                self.barred = [s in (ZoneState.LOST, ZoneState.DRAINING) for s in table.states]
             try:
                 return super()._choose(now, live)
             finally:
@@ -268,12 +271,12 @@
         would ever know that it is back. Drawn, so that a fleet's tries are apart."""
         table = self.council.table(now)
         for zone in range(self.zone_count):
-            state = State.WELL if table is None else table.states[zone]
+            state = ZoneState.WELL if table is None else table.states[zone]
             lost = (
-                state == State.LOST
-                or state != State.DRAINING
+                state == ZoneState.LOST
+                or state != ZoneState.DRAINING
                 and table is not None
-                and (zone == self.home and not table.shares[zone][zone])
+                and (zone == self.home and not table.weights[zone][zone])
             )
             if now < self.try_ns[zone] or not self.ready_in[zone] or not (lost or self._out(zone)):
                 continue
@@ -307,7 +310,7 @@
                 zone == tried
                 or zone in dead
                 or not self.ready_in[zone]
-                or states[zone] in (State.LOST, State.DRAINING)
+                or states[zone] in (ZoneState.LOST, ZoneState.DRAINING)
             ):
                 continue
             rate = self.place.spill * self._room(zone) / self.set.gateways
@@ -359,19 +362,21 @@
             if table is None
             else (
                 f"table {table.generation.term}.{table.generation.number} by gateway "
-                f"{table.generation.proposer}, {(now - self.council.terms.had_ns) // 1_000_000} ms old"
+                f"{table.generation.leader}, {(now - self.council.terms.table_ns) // 1_000_000} ms old"
             )
         )
         lines = [head]
         for z, name in enumerate(self.zone_names):
             if not self.ready_in[z] and z != self.home:
                 continue
-            state = State(table.states[z]).name.lower() if table else "-"
+            state = ZoneState(table.states[z]).name.lower() if table else "-"
             row = (
                 ""
                 if table is None
                 else " ".join(
-                    f"{self.zone_names[b]}:{100 * x / PARTS:.0f}%" for b, x in enumerate(table.shares[z]) if x
+                    f"{self.zone_names[b]}:{100 * x / WEIGHT_TOTAL:.0f}%"
+                    for b, x in enumerate(table.weights[z])
+                    if x
                 )
             )
             lines.append(
@@ -381,7 +386,7 @@
         return "\n".join(lines)
 
 
-def placed(base: type[Policy], place: PlaceSettings, zones: list[str]) -> type[Policy]:
+def placed(base: type[Policy], place: ZoneFailoverSettings, zones: list[str]) -> type[Policy]:
     """`base` that chooses zones by the fleet's table. `zones`: their names, in the settings' order; a server
     whose zone is in none of them is of one more."""
     names = [*zones, "?"]
--- /dev/null
+++ b/zincstile/zone_failover/zone_view.py
@@ -0,0 +1,198 @@
+"""The reports of all gateways on the zones, merged into the view that routing weights are computed from.
+
+The newest report of a gateway's newest process counts, in whatever order and however often reports arrive.
+With many gateways nobody receives all reports: each gateway reports as rarely as the leader's intake needs,
+and a gateway without a recent report is taken to be like the others of its zone.
+"""
+
+from __future__ import annotations
+
+import math
+from dataclasses import dataclass, field
+from typing import Final
+
+from .messages import ZoneReport
+from .routing_weights import ZoneLoad
+from .settings import SECOND, ZoneFailoverSettings
+from .zone_states import UNUSABLE, ZoneState, ZoneTracker
+
+REPORT_LIFETIME: Final = 4  # report intervals for which a report counts: three lost datagrams change nothing
+REPORTS_PER_S: Final = 30  # that all gateways together send to the leader, half of its usual intake
+FAILED_RATIO: Final = 0.5  # of a zone's connections, from which a gateway finds that it can't reach the zone
+UNREACHED_RATIO: Final = 0.5  # of a zone's gateways that find so: the zone then doesn't reach the other
+LOST_RATIO: Final = 0.5  # of all gateways that tried a zone and find so: the zone is lost
+RELIEF_FACTOR: Final = 1.1  # a short zone is well again once its capacity is so many times its demand
+FROZEN_BIT: Final = 16  # in an override: the first bit of frozen zones; drained zones are the bits below
+LEAST_GOOD: Final = 1e-3  # good endpoints of a zone that lists some, so that it counts as having any
+
+
+@dataclass(slots=True)
+class _Tries:
+    """Of the gateways of one zone towards another zone."""
+
+    tried: int = 0  # gateways that tried to connect lately
+    failed: int = 0  # those of them that found the zone unreachable
+
+
+@dataclass(slots=True)
+class ReceivedReport:
+    """The last report of a gateway, and when it arrived."""
+
+    report: ZoneReport
+    at_ns: int
+
+
+@dataclass(slots=True)
+class ZoneView:
+    """What one gateway knows of all zones by the reports of all gateways."""
+
+    settings: ZoneFailoverSettings
+    gateways: int
+    zones: int
+    reports: dict[int, ReceivedReport] = field(default_factory=dict)  # by gateway
+    ended_processes: dict[int, int] = field(default_factory=dict)  # by gateway: the one before its newest
+    home_zones: dict[int, int] = field(default_factory=dict)  # by gateway, of all that ever reported
+    overrides: int = 0  # by an operator, as in `ZoneReport`
+    override_number: int = 0
+    # (zone of gateways, zone they can't reach): since when they reach it again, -1 while they don't
+    unreachable: dict[tuple[int, int], int] = field(default_factory=dict)
+
+    @property
+    def report_lifetime_ns(self) -> int:
+        """Time for which a report counts."""
+        interval_ns = max(self.settings.beat_ns, self.report_interval_ns)
+        return max(SECOND, REPORT_LIFETIME * interval_ns)
+
+    @property
+    def report_interval_ns(self) -> int:
+        """Time between two reports of a gateway, so that all reports fit into the leader's intake."""
+        return max(self.settings.beat_ns, self.gateways * SECOND // REPORTS_PER_S)
+
+    def record(self, now: int, report: ZoneReport) -> bool:
+        """Records a report; returns False where it is outdated or can't be valid."""
+        if (
+            not 0 <= report.origin < self.gateways
+            or not 0 <= report.zone < self.zones
+            or len(report.observations) != self.zones
+        ):
+            return False
+        if report.override_number > self.override_number:
+            self.overrides = report.overrides
+            self.override_number = report.override_number
+        received = self.reports.get(report.origin)
+        if received is not None and not self._is_newer(report, received.report):
+            return False
+        self.reports[report.origin] = ReceivedReport(report, now)
+        self.home_zones[report.origin] = report.zone
+        return True
+
+    def _is_newer(self, report: ZoneReport, last: ZoneReport) -> bool:
+        """Whether a report replaces the last of its gateway; notes that a process was followed by another."""
+        if report.process == last.process:
+            return report.number > last.number
+        if self.ended_processes.get(report.origin) == report.process:
+            return False
+        self.ended_processes[report.origin] = last.process
+        return True
+
+    def override(self, zone: int, *, drained: bool, frozen: bool) -> None:
+        """Replaces an operator's override of a zone; with neither flag it ends."""
+        drained_bit = 1 << zone
+        frozen_bit = 1 << (zone + FROZEN_BIT)
+        self.overrides &= ~(drained_bit | frozen_bit)
+        if drained:
+            self.overrides |= drained_bit
+        if frozen:
+            self.overrides |= frozen_bit
+        self.override_number += 1
+
+    def recent_gateways(self, now: int) -> set[int]:
+        """Returns the gateways whose last report still counts."""
+        lifetime_ns = self.report_lifetime_ns
+        return {origin for origin, last in self.reports.items() if now - last.at_ns < lifetime_ns}
+
+    def evaluate(self, now: int, trackers: list[ZoneTracker]) -> list[ZoneLoad]:
+        """Updates the state of each zone and returns all zones as routing weights need them."""
+        lifetime_ns = self.report_lifetime_ns
+        reports = [last.report for last in self.reports.values() if now - last.at_ns < lifetime_ns]
+        tries = _count_tries(reports, self.zones)
+        self._update_unreachable(now, tries)
+        return [self._evaluate_zone(now, zone, trackers[zone], reports, tries) for zone in range(self.zones)]
+
+    def _evaluate_zone(
+        self,
+        now: int,
+        zone: int,
+        tracker: ZoneTracker,
+        reports: list[ZoneReport],
+        tries: list[list[_Tries]],
+    ) -> ZoneLoad:
+        demand = self._demand(zone, reports)
+        observations = [report.observations[zone] for report in reports]
+        bounds = [one.capacity for one in observations if one.capacity < math.inf]
+        capacity = math.inf
+        if len(bounds) * 2 > len(reports):
+            capacity = sum(bounds) / len(bounds) * self.gateways
+        good = sorted(one.good for one in observations)[len(observations) // 2] if observations else 0.0
+        state = tracker.update(
+            now,
+            reached=self._reached(zone, tries),
+            short=demand > capacity,
+            relieved=demand * RELIEF_FACTOR <= capacity,
+            draining=bool(self.overrides >> zone & 1),
+            frozen=bool(self.overrides >> (zone + FROZEN_BIT) & 1),
+        )
+        if state is ZoneState.RETURNING and capacity == math.inf:
+            # finite, so that a ratio of it can be used
+            capacity = max(demand, sum(report.demand for report in reports) / self.zones)
+        return ZoneLoad(
+            demand,
+            capacity,
+            max(good, LEAST_GOOD) if any(one.ready for one in observations) else 0.0,
+            tracker.usable_ratio(now),
+            state not in UNUSABLE,
+            tuple((origin, zone) not in self.unreachable for origin in range(self.zones)),
+        )
+
+    def _demand(self, zone: int, reports: list[ZoneReport]) -> float:
+        """Of all gateways of a zone, extrapolated from those that reported lately."""
+        local = [report.demand for report in reports if report.zone == zone]
+        members = sum(home == zone for home in self.home_zones.values())
+        return sum(local) * (members / len(local) if local else 0.0)
+
+    def _reached(self, zone: int, tries: list[list[_Tries]]) -> bool | None:
+        """Whether the gateways that tried a zone reach it; None where none tried."""
+        tried = sum(row[zone].tried for row in tries)
+        failed = sum(row[zone].failed for row in tries)
+        return failed < LOST_RATIO * tried if tried else None
+
+    def _update_unreachable(self, now: int, tries: list[list[_Tries]]) -> None:
+        """Updates which zones' gateways reach which zone.
+
+        Guards against a table that alternates: gateways whose traffic goes elsewhere don't try the zone any
+        more, and their silence does not mean that it can be reached. Only connections that came up for `back`
+        mean that.
+        """
+        for origin, row in enumerate(tries):
+            for zone, tries_there in enumerate(row):
+                if not tries_there.tried:
+                    continue
+                if tries_there.failed >= UNREACHED_RATIO * tries_there.tried:
+                    self.unreachable[origin, zone] = -1
+                elif (origin, zone) in self.unreachable:
+                    since = self.unreachable[origin, zone]
+                    self.unreachable[origin, zone] = now if since < 0 else since
+                    if 0 <= since <= now - self.settings.back_ns:
+                        del self.unreachable[origin, zone]
+
+
+def _count_tries(reports: list[ZoneReport], zones: int) -> list[list[_Tries]]:
+    """For the gateways of each zone (row) and each zone that they may try (column)."""
+    counts = [[_Tries() for _ in range(zones)] for _ in range(zones)]
+    for report in reports:
+        row = counts[report.zone]
+        for zone, observation in enumerate(report.observations):
+            if observation.failed_ratio >= 0:
+                row[zone].tried += 1
+                row[zone].failed += observation.failed_ratio >= FAILED_RATIO
+    return counts
