--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -1,4 +1,4 @@
-"""The operators' door without sockets: its HTTP/1.1 parser in pieces and junk, the operator state, and the
+"""The admin endpoint without sockets: its HTTP/1.1 parser in pieces and junk, the operator state, and the
 hand-over file's reading."""
 
 from __future__ import annotations
@@ -9,10 +9,17 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from zincstile.admin import handover as ho
-from zincstile.admin.http import Bounds, Call, CallError, CallParser, answer
-from zincstile.admin.operator import Change, Operator
-from zincstile.admin.timestamp import Moment
+from zincstile.admin.handover import Handover, HandoverError, decode, encode
+from zincstile.admin.http import (
+    Request,
+    RequestError,
+    RequestLimits,
+    RequestParser,
+    Status,
+    encode_response,
+)
+from zincstile.admin.operator_state import OperatorChange, OperatorState
+from zincstile.admin.timestamp import Timestamp
 
 ENTER = b"POST /maintenance/enter HTTP/1.1\r\nHost: g\r\nContent-Length: 10\r\n\r\ns-5be2a07c"
 CALLS = [
@@ -23,8 +30,8 @@
 ]
 
 
-def whole(data: bytes, cuts: list[int]) -> Call | None:
-    parser, at, call = CallParser(), 0, None
+def whole(data: bytes, cuts: list[int]) -> Request | None:
+    parser, at, call = RequestParser(), 0, None
     for cut in sorted(cuts) + [len(data)]:
         call = parser.feed(data[at:cut]) or call
         at = max(at, cut)
@@ -38,19 +45,19 @@
 
 
 def test_a_call_byte_by_byte():
-    parser = CallParser()
+    parser = RequestParser()
     got = [parser.feed(ENTER[k : k + 1]) for k in range(len(ENTER))]
     assert got[:-1] == [None] * (len(ENTER) - 1)
-    assert got[-1] == Call("POST", "/maintenance/enter", b"s-5be2a07c")
+    assert got[-1] == Request("POST", "/maintenance/enter", b"s-5be2a07c")
 
 
 @given(st.binary(max_size=600))
 @settings(max_examples=500, deadline=None)
 def test_junk_is_a_4xx_or_waits_never_anything_else(junk):
-    parser = CallParser(Bounds(line_bytes=256, header_lines=8, body_bytes=64))
+    parser = RequestParser(RequestLimits(line_bytes=256, header_lines=8, body_bytes=64))
     try:
         call = parser.feed(junk)
-    except CallError as err:
+    except RequestError as err:
         assert 400 <= err.status < 600
         return
     assert call is None or call.path.startswith("/")
@@ -71,53 +78,55 @@
     ],
 )
 def test_what_breaks_the_syntax_or_a_bound_gets_its_status(data, status):
-    with pytest.raises(CallError) as err:
-        CallParser().feed(data)
+    with pytest.raises(RequestError) as err:
+        RequestParser().feed(data)
     assert err.value.status == status
 
 
 def test_too_many_header_lines():
-    with pytest.raises(CallError) as err:
-        CallParser(Bounds(header_lines=3)).feed(b"GET /status HTTP/1.1\r\n" + b"A: b\r\n" * 4)
+    with pytest.raises(RequestError) as err:
+        RequestParser(RequestLimits(header_lines=3)).feed(b"GET /status HTTP/1.1\r\n" + b"A: b\r\n" * 4)
     assert err.value.status == 431
 
 
 def test_the_answer_says_its_length_and_closes():
-    text = answer(404, "no such call")
+    text = encode_response(Status.NOT_FOUND, "no such call")
     head, _, body = text.partition(b"\r\n\r\n")
     assert head.startswith(b"HTTP/1.1 404 Not Found") and b"Connection: close" in head
     assert int(head.split(b"Content-Length: ")[1].split(b"\r\n")[0]) == len(body) == len(b"no such call\n")
 
 
-def post(path: str, body: bytes = b"") -> Call:
-    return Call("POST", path, body)
+def post(path: str, body: bytes = b"") -> Request:
+    return Request("POST", path, body)
 
 
 def test_status_is_yes_only_when_ready_and_not_in_standby():
-    o = Operator(listed={"s-a"})
-    assert o.call(Call("GET", "/status", b""), ready=False).status == 503
-    assert o.call(Call("GET", "/status", b""), ready=True).status == 200
-    assert o.call(post("/standby"), True).change is Change.STANDBY
-    assert o.call(Call("GET", "/status", b""), True).status == 503
-    assert o.call(post("/active"), True).change is Change.ACTIVE
-    assert o.call(Call("GET", "/status", b""), True).status == 200
+    state = OperatorState(listed={"s-a"})
+    assert state.handle(Request("GET", "/status", b""), ready=False).status == 503
+    assert state.handle(Request("GET", "/status", b""), ready=True).status == 200
+    assert state.handle(post("/standby"), ready=True).change is OperatorChange.STANDBY
+    assert state.handle(Request("GET", "/status", b""), ready=True).status == 503
+    assert state.handle(post("/active"), ready=True).change is OperatorChange.ACTIVE
+    assert state.handle(Request("GET", "/status", b""), ready=True).status == 200
 
 
 def test_maintenance_out_repeated_is_harmless_and_one_call_back_ends_it():
-    o = Operator(listed={"s-a", "s-b"})
+    state = OperatorState(listed={"s-a", "s-b"})
     for _ in range(3):
-        reply = o.call(post("/maintenance/enter", b"s-a\n"), True)
-        assert (reply.status, reply.change, reply.name) == (200, Change.BAN, "s-a")
-    assert o.banned == {"s-a"} and o.version == 1
-    assert o.call(post("/maintenance/exit", b"s-a"), True).change is Change.UNBAN
-    assert o.banned == set() and o.version == 2
+        reply = state.handle(post("/maintenance/enter", b"s-a\n"), ready=True)
+        assert (reply.status, reply.change, reply.name) == (200, OperatorChange.MAINTENANCE_ENTER, "s-a")
+    assert state.under_maintenance == {"s-a"} and state.version == 1
+    assert (
+        state.handle(post("/maintenance/exit", b"s-a"), ready=True).change is OperatorChange.MAINTENANCE_EXIT
+    )
+    assert state.under_maintenance == set() and state.version == 2
 
 
 @pytest.mark.parametrize("body, status", [(b"s-never", 404), (b"", 400), (b"s-a s-b", 400), (b"\xff", 400)])
 def test_an_id_never_listed_or_no_id_is_a_no(body, status):
-    o = Operator(listed={"s-a", "s-b"})
-    reply = o.call(post("/maintenance/enter", body), True)
-    assert reply.status == status and reply.change is Change.NONE and not o.banned
+    state = OperatorState(listed={"s-a", "s-b"})
+    reply = state.handle(post("/maintenance/enter", body), ready=True)
+    assert reply.status == status and reply.change is OperatorChange.NONE and not state.under_maintenance
 
 
 @pytest.mark.parametrize(
@@ -130,31 +139,31 @@
     ],
 )
 def test_unknown_calls_are_a_no(method, path, status):
-    assert Operator().call(Call(method, path, b""), True).status == status
+    assert OperatorState().handle(Request(method, path, b""), ready=True).status == status
 
 
 def test_a_ban_by_another_process_is_taken_where_it_is_newer():
-    o = Operator(listed={"s-a"})
-    assert o.adopt({"s-a"}, 3) == ({"s-a"}, set())
-    assert o.adopt(set(), 2) == (set(), set())  # older: ignored
-    assert o.adopt(set(), 4) == (set(), {"s-a"})
+    state = OperatorState(listed={"s-a"})
+    assert state.adopt({"s-a"}, 3) == ({"s-a"}, set())
+    assert state.adopt(set(), 2) == (set(), set())  # older: ignored
+    assert state.adopt(set(), 4) == (set(), {"s-a"})
 
 
 BOOT, UNIX_NS, MINUTE = "one run of the machine", 10**18, 60 * 10**9
 
 
-def moment(monotonic_ns: int, unix_ns: int = UNIX_NS, boot: str = BOOT) -> Moment:
-    return Moment(monotonic_ns, unix_ns, boot)
+def timestamp(monotonic_ns: int, unix_ns: int = UNIX_NS, boot: str = BOOT) -> Timestamp:
+    return Timestamp(monotonic_ns, unix_ns, boot)
 
 
 def test_the_handover_file_is_read_back_and_what_cannot_be_trusted_is_told():
-    h = ho.Handover("n3", 7, moment(5), frozenset({"s-a", "s-b"}), "8c1f", {"s-c": 4}, -7)
-    assert ho.unpack(ho.pack(h), "n3", moment(10), MINUTE) == h
-    table = json.loads(ho.pack(h))
+    handover = Handover("n3", 7, timestamp(5), frozenset({"s-a", "s-b"}), "8c1f", {"s-c": 4}, -7)
+    assert decode(encode(handover), "n3", timestamp(10), MINUTE) == handover
+    table = json.loads(encode(handover))
     bad = {
         "not json": b"{",
-        "another gateway": ho.pack(ho.Handover("n4", 1, moment(5), frozenset())),
-        "stale": ho.pack(h),
+        "another gateway": encode(Handover("n4", 1, timestamp(5), frozenset())),
+        "stale": encode(handover),
         "a list of no names": json.dumps(table | {"banned": [1]}).encode(),
         "no version": b'{"form": 1, "gateway": "n3", "written_ns": 1, "banned": []}',
         "a boot of no name": json.dumps(table | {"boot": 1}).encode(),
@@ -164,59 +173,68 @@
         "no difference": json.dumps(table | {"apart_ns": 0.5}).encode(),
     }
     for why, data in bad.items():
-        with pytest.raises(ho.HandoverError):
-            ho.unpack(data, "n3", moment(10 + (10**12 if why == "stale" else 0)), MINUTE)
+        with pytest.raises(HandoverError):
+            decode(data, "n3", timestamp(10 + (10**12 if why == "stale" else 0)), MINUTE)
 
 
 @pytest.mark.parametrize("step_s", [0, 7, -7, 3600, -3600])
 def test_the_age_of_the_handover_is_real_time_whatever_the_wall_clock_does(step_s):
-    h = ho.Handover("n3", 7, moment(5), frozenset({"s-a"}), back_age_ns={"s-c": 4}, apart_ns=-7)
+    handover = Handover(
+        "n3", 7, timestamp(5), frozenset({"s-a"}), returned_age_ns={"s-c": 4}, discovery_offset_ns=-7
+    )
     stepped = UNIX_NS + step_s * 10**9
-    assert ho.unpack(ho.pack(h), "n3", moment(5 + MINUTE, stepped), MINUTE) == h
-    with pytest.raises(ho.HandoverError, match="60 s old"):
-        ho.unpack(ho.pack(h), "n3", moment(6 + MINUTE, stepped), MINUTE)
+    assert decode(encode(handover), "n3", timestamp(5 + MINUTE, stepped), MINUTE) == handover
+    with pytest.raises(HandoverError, match="60 s old"):
+        decode(encode(handover), "n3", timestamp(6 + MINUTE, stepped), MINUTE)
 
 
 def test_a_file_that_its_process_could_only_date_is_as_old_as_its_date():
-    h = ho.Handover("n3", 7, moment(5), frozenset({"s-a"}))
-    now = moment(2 * MINUTE)
-    assert ho.unpack(ho.pack(h), "n3", now, MINUTE, dated_ns=MINUTE) == h
-    for dated_ns in (MINUTE - 1, 4, 2 * MINUTE + 1, UNIX_NS):  # too old, before the writing, no date of ours
-        with pytest.raises(ho.HandoverError, match="stale"):
-            ho.unpack(ho.pack(h), "n3", now, MINUTE, dated_ns)
-    with pytest.raises(ho.HandoverError, match="stale"):
-        ho.unpack(ho.pack(h), "n3", moment(2 * MINUTE, UNIX_NS + 2 * MINUTE, "another"), MINUTE, MINUTE)
+    handover = Handover("n3", 7, timestamp(5), frozenset({"s-a"}))
+    now = timestamp(2 * MINUTE)
+    assert decode(encode(handover), "n3", now, MINUTE, modified_ns=MINUTE) == handover
+    for modified_ns in (
+        MINUTE - 1,
+        4,
+        2 * MINUTE + 1,
+        UNIX_NS,
+    ):  # too old, before the writing, no date of ours
+        with pytest.raises(HandoverError, match="stale"):
+            decode(encode(handover), "n3", now, MINUTE, modified_ns)
+    with pytest.raises(HandoverError, match="stale"):
+        decode(encode(handover), "n3", timestamp(2 * MINUTE, UNIX_NS + 2 * MINUTE, "another"), MINUTE, MINUTE)
 
 
 def test_after_a_new_start_of_the_machine_the_age_goes_by_the_wall_clock():
-    h = ho.Handover("n3", 7, moment(5 * MINUTE), frozenset({"s-a"}), apart_ns=-7)
+    handover = Handover("n3", 7, timestamp(5 * MINUTE), frozenset({"s-a"}), discovery_offset_ns=-7)
     for boot in ("another", ""):
-        found = ho.unpack(ho.pack(h), "n3", moment(1, UNIX_NS + MINUTE, boot), MINUTE)
-        assert found.banned == h.banned and found.apart_ns is None
-        with pytest.raises(ho.HandoverError, match="stale"):
-            ho.unpack(ho.pack(h), "n3", moment(1, UNIX_NS + MINUTE + 1, boot), MINUTE)
+        found = decode(encode(handover), "n3", timestamp(1, UNIX_NS + MINUTE, boot), MINUTE)
+        assert found.under_maintenance == handover.under_maintenance and found.discovery_offset_ns is None
+        with pytest.raises(HandoverError, match="stale"):
+            decode(encode(handover), "n3", timestamp(1, UNIX_NS + MINUTE + 1, boot), MINUTE)
 
 
 def test_a_file_of_a_version_before_is_read_by_the_wall_clock_that_wrote_it():
     older = {"form": 1, "gateway": "n3", "version": 1, "written_ns": UNIX_NS, "banned": ["s-a"]}
     back = {"s-b": UNIX_NS - 9, "s-c": UNIX_NS + 10**12}  # the second by a clock that was stepped since
-    found = ho.unpack(json.dumps(older | {"back": back}).encode(), "n3", moment(1), MINUTE)
-    assert found.banned == {"s-a"} and found.back_age_ns == {"s-b": 9, "s-c": 0}
+    found = decode(json.dumps(older | {"back": back}).encode(), "n3", timestamp(1), MINUTE)
+    assert found.under_maintenance == {"s-a"} and found.returned_age_ns == {"s-b": 9, "s-c": 0}
     for spoilt in ({"s-b": -1}, {"s-b": "1"}, [1]):
-        with pytest.raises(ho.HandoverError, match="back"):
-            ho.unpack(json.dumps(older | {"back": spoilt}).encode(), "n3", moment(1), MINUTE)
+        with pytest.raises(HandoverError, match="back"):
+            decode(json.dumps(older | {"back": spoilt}).encode(), "n3", timestamp(1), MINUTE)
 
 
 def test_a_version_before_reads_what_this_one_writes():
     """Unix times stand beside, as that version reads them: an upgrade may be undone."""
-    table = json.loads(ho.pack(ho.Handover("n3", 7, moment(5), frozenset(), back_age_ns={"s-c": 4})))
+    table = json.loads(encode(Handover("n3", 7, timestamp(5), frozenset(), returned_age_ns={"s-c": 4})))
     assert table["written_ns"] == UNIX_NS and table["back"] == {"s-c": UNIX_NS - 4}
 
 
 def test_the_handover_names_who_said_last_that_it_takes_clients():
-    h = ho.Handover("n3", 1, moment(1), frozenset(), ready_by="8c1f")
-    assert ho.unpack(ho.pack(h), "n3", moment(1), 10**9).ready_by == "8c1f"
+    handover = Handover("n3", 1, timestamp(1), frozenset(), ready_process="8c1f")
+    assert decode(encode(handover), "n3", timestamp(1), 10**9).ready_process == "8c1f"
     older = b'{"form": 1, "gateway": "n3", "version": 1, "written_ns": 1, "banned": []}'
-    assert ho.unpack(older, "n3", moment(1, 1), 10**9).ready_by == ""  # a file of a version before it: nobody
-    with pytest.raises(ho.HandoverError, match="ready_by"):
-        ho.unpack(older[:-1] + b', "ready_by": 5}', "n3", moment(1, 1), 10**9)
+    assert (
+        decode(older, "n3", timestamp(1, 1), 10**9).ready_process == ""
+    )  # a file of a version before it: nobody
+    with pytest.raises(HandoverError, match="ready_by"):
+        decode(older[:-1] + b', "ready_by": 5}', "n3", timestamp(1, 1), 10**9)
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -29,8 +29,8 @@
     until,
 )
 
-from zincstile.admin.handover import pack, unpack
-from zincstile.admin.timestamp import Moment
+from zincstile.admin.handover import decode, encode
+from zincstile.admin.timestamp import Timestamp
 from zincstile.decisions.messages import (
     EndpointEntry,
     EndpointList,
@@ -98,9 +98,9 @@
 
 def test_the_stored_handover_is_read_and_written_as_it_was():
     data, table = (DATA / HANDOVER).read_bytes(), stored(HANDOVER)
-    now = Moment(table["written_monotonic_ns"] + SECOND, table["written_ns"] + SECOND, table["boot"])
-    found = unpack(data, "n0", now, 60 * SECOND)
-    assert pack(found) == data
+    now = Timestamp(table["written_monotonic_ns"] + SECOND, table["written_ns"] + SECOND, table["boot"])
+    found = decode(data, "n0", now, 60 * SECOND)
+    assert encode(found) == data
     assert (table["banned"], table["version"], table["ready_by"]) == (["s-a"], 3, OLD_SEED)
     assert list(table["back_age_ns"]) == list(table["back"]) == ["s-b"]
 
--- a/tests/test_worlds.py
+++ b/tests/test_worlds.py
@@ -219,7 +219,7 @@
 def test_the_gateway_without_words_loads_the_standard_library_only():
     code = (
         "import sys, zincstile.__main__\n"
-        "import zincstile.net.gateway, zincstile.net.control, zincstile.admin.operator\n"
+        "import zincstile.net.gateway, zincstile.net.admin_endpoint, zincstile.admin.operator_state\n"
         "foreign = {m.split('.')[0] for m in sys.modules} - set(sys.stdlib_module_names)\n"
         "own = [m for m in sys.modules if m.startswith(('zincstile.cli', 'zincstile.virtual', "
         "'zincstile.simulation', 'zincstile.emulators', 'zincstile.checkers'))]\n"
--- a/tests/test_zone_failover.py
+++ b/tests/test_zone_failover.py
@@ -10,8 +10,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from zincstile.admin.http import Call
-from zincstile.admin.operator import Change, Operator
+from zincstile.admin.http import Request
+from zincstile.admin.operator_state import OperatorChange, OperatorState
 from zincstile.cli import main
 from zincstile.net import features
 from zincstile.serialization.typed_yaml import FileError
@@ -161,11 +161,11 @@
 
 
 def test_operators_drain_a_zone_and_see_the_table():
-    door = Operator(zones=["a", "b"], table=lambda: "table 1")
-    assert door.call(Call("GET", "/place", b""), True).text == "table 1"
-    assert door.call(Call("POST", "/place/drain", b"b"), True).change is Change.ZONE_DRAIN
-    assert door.call(Call("POST", "/place/hold", b"c"), True).status == 404
-    assert Operator().call(Call("GET", "/place", b""), True).status == 404
+    state = OperatorState(zones=["a", "b"], describe_zones=lambda: "table 1")
+    assert state.handle(Request("GET", "/place", b""), ready=True).text == "table 1"
+    assert state.handle(Request("POST", "/place/drain", b"b"), ready=True).change is OperatorChange.ZONE_DRAIN
+    assert state.handle(Request("POST", "/place/hold", b"c"), ready=True).status == 404
+    assert OperatorState().handle(Request("GET", "/place", b""), ready=True).status == 404
 
 
 @pytest.mark.parametrize(
--- a/zincstile/admin/__init__.py
+++ b/zincstile/admin/__init__.py
@@ -1,1 +1,4 @@
-"""What operators say: the control door's HTTP/1.1 calls, the state they drive, and its hand-over. No I/O."""
+"""Operators' state, pure: the HTTP/1.1 requests of operators, the state they change, and its hand-over file.
+
+No module here does I/O or reads a clock; `net/admin_endpoint` and `net/handover_file` do both.
+"""
--- a/zincstile/net/gateway.py
+++ b/zincstile/net/gateway.py
@@ -15,6 +15,7 @@
 from .clients.listener import ClientListener
 from .config import Config, ConfigError
 from .counters import Counters
+from .deadlines import every
 from .dispatcher import Dispatcher
 from .endpoint_table import EndpointReader, EndpointTable
 from .endpoint_table import number as name_number
@@ -54,7 +55,7 @@
         self.starter = self._start_beside() if config.start else None
         if config.place:
             self._choose_zones()
-        self.operator, self.control, self.handover, self.heritage = None, None, None, None
+        self.operator, self.control, self.handover, self.state_files = None, None, None, None
         if config.control:
             self._operate()
         self.ended = loop.create_future()
@@ -133,36 +134,48 @@
         self.peers.others[codec.MAGIC] = heard
 
     def _operate(self) -> None:
-        """The operators' door, what they said, and the file by which another process of this gateway hears
-        it."""
-        from ..admin.operator import Operator
-        from .control import ControlDoor
+        """The operators' HTTP endpoint, what they asked for, and the files by which another process of this
+        gateway takes it over."""
+        from ..admin.operator_state import OperatorState
+        from .admin_endpoint import AdminEndpoint
         from .handover_file import HandoverFile
-        from .inherit import Heritage
+        from .state_files import StateFiles
 
-        self.operator = Operator(listed=self.table)
+        self.operator = OperatorState(listed=self.table)
         if self.config.place:
             self.operator.zones = self.config.zones
-            self.operator.table = lambda: self.dispatcher.policy.shown(self.dispatcher.now_ns())
-        base = os.path.join(self.host.tmpdir(), f"zincstile-{self.config.name}")
+            self.operator.describe_zones = lambda: self.dispatcher.policy.shown(self.dispatcher.now_ns())
+        base_path = os.path.join(self.host.tmpdir(), f"zincstile-{self.config.name}")
+        process = f"{self.config.seed:x}"
         self.handover = HandoverFile(
-            self.dispatcher, self.operator, self.config.name, f"{base}.handover", self.host, self._adopt
-        )
-        self.handover.me = f"{self.config.seed:x}"
-        self.handover.apart_ns = lambda: self.table.reader.apart_ns
-        self.control = ControlDoor(
             self.dispatcher,
             self.operator,
-            self._apply,
-            lambda: self.listener.ready and not self._stopping,
             self.host,
+            path=f"{base_path}.handover",
+            gateway=self.config.name,
+            process=process,
+            on_maintenance=self._adopt,
+            returned_at_ns=self.table.back,
+            discovery_offset_ns=lambda: self.table.reader.apart_ns,
+        )
+        self.control = AdminEndpoint(
+            self.dispatcher,
+            self.operator,
             self.handover,
+            self.host,
+            apply=self._apply,
+            is_ready=lambda: self.listener.ready and not self._stopping,
+        )
+        self.state_files = StateFiles(
+            self.dispatcher, self.host, base_path=base_path, process=process, set_limits_shared=self._share
         )
-        self.heritage = Heritage(self.dispatcher, self.host, base, self.handover.me, self._share)
-        self.handover.also, self.handover.back = self.heritage.look, self.table.back
+
+    def _poll_files(self) -> None:
+        self.handover.poll()
+        self.state_files.poll()
 
     def _apply(self, reply: Any) -> None:
-        from ..admin.operator import Change
+        from ..admin.operator_state import OperatorChange as Change
 
         if reply.change is Change.STANDBY:
             self.log.line("standby: PING says no; connections are closed once nothing is owed on them")
@@ -170,7 +183,7 @@
         elif reply.change is Change.ACTIVE:
             self.log.line("active: taking clients again")
             self.listener.set_standby(False)
-        elif reply.change in (Change.ZONE_DRAIN, Change.ZONE_HOLD, Change.ZONE_BACK):
+        elif reply.change in (Change.ZONE_DRAIN, Change.ZONE_HOLD, Change.ZONE_RELEASE):
             from ..zone_failover.module import ZoneSaid
 
             self.dispatcher.post(
@@ -181,20 +194,21 @@
                 )
             )
             self.log.line(f"zone {reply.text}")
-        elif reply.change in (Change.BAN, Change.UNBAN):
-            banned = reply.change is Change.BAN
-            self.table.maintain(reply.name, banned)
-            self.log.line(f"maintenance {'enter' if banned else 'exit'} {reply.name}")
-            self.handover.write()
+        elif reply.change in (Change.MAINTENANCE_ENTER, Change.MAINTENANCE_EXIT):
+            entered = reply.change is Change.MAINTENANCE_ENTER
+            self.table.maintain(reply.name, entered)
+            self.log.line(f"maintenance {'enter' if entered else 'exit'} {reply.name}")
+            self.handover.save()
         self.dispatcher.wake()
 
-    def _adopt(self, newly: set[str], back: set[str]) -> None:
-        """What another process of this gateway was told."""
-        for name in newly:
+    def _adopt(self, change: Any) -> None:
+        """What another process of this gateway was asked for."""
+        for name in change.entered:
             self.table.maintain(name, True)
-        for name in back:
+        for name in change.exited:
             self.table.maintain(name, False)
-        self.log.line(f"handover: maintenance enter {sorted(newly)} exit {sorted(back)} by another process")
+        entered, exited = sorted(change.entered), sorted(change.exited)
+        self.log.line(f"handover: maintenance enter {entered} exit {exited} by another process")
 
     def _share(self, shared: bool) -> None:
         """Another process of this gateway serves beside this one, or no more: both have one's descriptors."""
@@ -262,7 +276,7 @@
         await patiently(lambda: self.listener.listen(self.config.listen, self.config.socket_fd))
         if self.control is not None:
             await patiently(lambda: self.control.open(self.config.control))
-            self.handover.watch()
+            every(self.dispatcher, self.config.limits.handover_poll_ns, self._poll_files)
         if self.starter is None and known:
             # discovery may be down: then the known list must do
             self.dispatcher.deadlines.add(
@@ -288,17 +302,19 @@
 
     async def _take_over(self) -> None:
         """What an older process of this gateway has left, before anything of this one is seen outside."""
-        self.log.line(f"handover: {await self.handover.first()}")
-        for name in self.operator.banned:
+        self.log.line(f"handover: {await self.handover.load()}")
+        for name in self.operator.under_maintenance:
             self.table.banned[name_number(name)] = self.dispatcher.now_ns()
         found = self.handover.found
         if found is None:
             return
-        age_ns = self.host.moment().since_ns(found.written)
-        self.table.put_back({name: at + age_ns for name, at in found.back_age_ns.items()})
-        if found.apart_ns is not None:
-            self.table.reader.clock.offer(found.apart_ns)
-        self.log.line(f"memory: {await self.heritage.take()}")  # till then peers are heard by the old process
+        age_ns = self.host.timestamp().elapsed_since_ns(found.written)
+        self.table.put_back({name: at + age_ns for name, at in found.returned_age_ns.items()})
+        if found.discovery_offset_ns is not None:
+            self.table.reader.clock.offer(found.discovery_offset_ns)
+        self.log.line(
+            f"memory: {await self.state_files.inherit()}"
+        )  # till then peers are heard by the old process
 
     def _begin_table(self) -> bool:
         """With the list that the start was given; False where there is none. It is not kept as JSON, which
@@ -312,7 +328,7 @@
             self.dispatcher.trace.note(self.dispatcher.now_ns(), Step.STATE, "ready")
             self.listener.take()
             if self.handover is not None:
-                self.handover.say_ready()
+                self.handover.announce_ready()
             by = "told" if self.table.told else "as known before"
             if self.starter is not None:
                 by = self.starter.readiness.right.value
@@ -362,13 +378,13 @@
             return
         now, limits = self.dispatcher.now_ns(), self.config.limits
         self._stop_ns = self.listener.heard_ns = now
-        if self.listener.inherited and self.handover is not None and self.handover.other_ready:
+        if self.listener.inherited and self.handover is not None and self.handover.successor_ready:
             self._taken_over()
         else:
             if (
                 self.listener.inherited and self.handover is not None
             ):  # a new one may yet say that it is ready
-                self.handover.taken_over = self._taken_over
+                self.handover.on_successor_ready = self._taken_over
             self._shut_if_quiet(None)
         self.dispatcher.deadlines.add(now + limits.drain_most_ns - limits.drain_margin_ns, self._fail_rest)
         self.dispatcher.deadlines.add(now + limits.drain_most_ns, self._end)
@@ -379,7 +395,7 @@
         on, and what is in the queue is left to it. Each connection is closed once nothing is owed on it.
         Guards against a gap where SIGTERM comes before the new one is ready."""
         if self.handover is not None:
-            self.handover.taken_over = None
+            self.handover.on_successor_ready = None
         if self.listener.closing:
             return
         self.listener.shut(take_queued=False)
@@ -417,6 +433,6 @@
     def _end(self, _: object) -> None:
         if not self.ended.done():
             self.dispatcher.guard.may_end(self.dispatcher.now_ns(), len(self.dispatcher.sessions))
-            if self.heritage is not None:
-                self.heritage.end()
+            if self.state_files is not None:
+                self.state_files.leave_totals()
             self.ended.set_result(None)
--- a/zincstile/net/host.py
+++ b/zincstile/net/host.py
@@ -18,8 +18,9 @@
 import struct
 import sys
 import time
+from typing import NamedTuple
 
-from ..admin.timestamp import Moment
+from ..admin.timestamp import Timestamp
 from .config import Address, Config, ConfigError, again
 
 BOOT_PATH = "/proc/sys/kernel/random/boot_id"  # proc(5): names the run of the machine
@@ -29,6 +30,14 @@
 FILE_BYTES = 1 << 20  # of a file in $TMPDIR, at most
 
 
+class FileStat(NamedTuple):
+    """A file as it was last seen; a rename gives a new inode."""
+
+    inode: int
+    modified_ns: int
+    size_bytes: int
+
+
 class Host:
     """The machine that the process runs on."""
 
@@ -109,9 +118,9 @@
     def tmpdir(self) -> str:
         return os.environ.get("TMPDIR") or "/tmp"
 
-    def moment(self) -> Moment:
-        """This instant, for another process of this machine."""
-        return Moment(self.monotonic_ns(), self.unix_ns(), _boot())
+    def timestamp(self) -> Timestamp:
+        """Returns this instant, for another process of this machine."""
+        return Timestamp(self.monotonic_ns(), self.unix_ns(), _boot())
 
     def read_file(self, path: str) -> bytes | None:
         """None where there is no such file. OSError where it can't be read, be it for a moment."""
@@ -152,13 +161,13 @@
                 if start == name and number.isdigit() and not os.path.exists(f"/proc/{number}"):
                     os.unlink(f"{folder}/{found}")
 
-    def stat(self, path: str) -> tuple[int, int, int] | None:
-        """(inode, mtime in ns, size), or None where there is no such file; a rename gives a new inode."""
+    def stat(self, path: str) -> FileStat | None:
+        """Returns what tells one content of a file from another; None where there is no such file."""
         try:
             st = os.stat(path)
         except OSError:
             return None
-        return st.st_ino, st.st_mtime_ns, st.st_size
+        return FileStat(st.st_ino, st.st_mtime_ns, st.st_size)
 
     def log(self, line: str) -> None:
         """A line of the log, whole; OSError where it can't be written."""
--- a/zincstile/scale/capacity_roles.py
+++ b/zincstile/scale/capacity_roles.py
@@ -160,7 +160,7 @@
 
 
 def operators(topology: Topology) -> list[Row]:
-    """Standby, maintenance and zones by the control door; counters and state by the log."""
+    """Standby, maintenance and zones by the admin endpoint; counters and state by the log."""
     gateways, call_s = topology.gateways, Limits().control_call_ns / 1e9
     return [
         Row(
@@ -168,14 +168,14 @@
             "names under maintenance, standby; on each gateway",
             Unit.COUNT,
             exact(gateways),
-            "admin/operator.Operator",
+            "admin/operator_state.OperatorState",
         ),
         Row(
             "one word to each gateway, one after another, at worst",
             f"{gateways:,} calls, each answered within {call_s:g} s",
             Unit.SECONDS,
             exact(gateways * call_s),
-            "net/control.ControlDoor",
+            "net/admin_endpoint.AdminEndpoint",
             topology.budgets.in_force_s,
         ),
         Row(
@@ -183,7 +183,7 @@
             f"{gateways:,} calls of {STATUS_BYTES} bytes",
             Unit.BYTES_PER_S,
             exact(gateways * STATUS_BYTES / 10),
-            "net/control.ControlDoor",
+            "net/admin_endpoint.AdminEndpoint",
         ),
         Row("one word to the whole fleet", "", Unit.SECONDS, None, "", None, NOT_IN_PROGRAM),
     ]
