--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -14,7 +14,8 @@
 from test_scenarios import READY, play
 
 from zincstile.decisions.messages import AttemptOutcome, AttemptResult, ForwardRequest, Request
-from zincstile.net.backend import Backends
+from zincstile.net.backends.attempts import Attempts
+from zincstile.net.backends.pool import ConnectionPool
 from zincstile.net.counters import Counters
 from zincstile.net.dispatcher import Dispatcher
 from zincstile.net.limits import MS, SECOND, Limits
@@ -389,8 +390,9 @@
     the loop that makes its transport."""
     loop, buffer = asyncio.get_running_loop(), memoryview(bytearray(65536))
     dispatcher = Dispatcher(loop, Asked(), Limits(connect_ns=connect_ns), Counters(), Log("n0"))
-    backends = Backends(dispatcher, module_settings(), buffer)
-    backends.update([(backend(1), listening.getsockname())], True)
+    pool = ConnectionPool(dispatcher)
+    attempts = Attempts(dispatcher, module_settings(), pool, buffer)
+    pool.update([(backend(1), listening.getsockname())], True)
     plain = loop.create_connection
 
     async def slow(factory, *where):
@@ -407,7 +409,7 @@
     dispatcher.take(
         Session(1, call, client, now + 9 * SECOND), Request(1, 0, 0, 7, now + 9 * SECOND, 1.0, 1, 0)
     )
-    return dispatcher, backends, client
+    return dispatcher, attempts, client
 
 
 def test_a_dial_that_comes_up_as_its_time_ends_is_kept_by_the_attempt_that_it_carries():
@@ -438,13 +440,13 @@
     in the step of the loop in which the dial's time ends."""
 
     async def play(listening):
-        dispatcher, backends, _ = await dialled(listening, lambda _: time.sleep(0.2))
-        loop, plain = asyncio.get_running_loop(), backends.connected
+        dispatcher, attempts, _ = await dialled(listening, lambda _: time.sleep(0.2))
+        loop, plain = asyncio.get_running_loop(), attempts.connector.connected
 
         def connected(connection):  # given up in the moment before
-            backends.finish(connection.attempt, AttemptResult.CANCELLED)
+            attempts.finish(connection.attempt, AttemptResult.CANCELLED)
             plain(connection)
-            if backends.servers[1].resting:  # taken again in the same step
+            if attempts.pool.backends[1].idle:  # taken again in the same step
                 now = dispatcher.now_ns()
                 session = Session(
                     2,
@@ -454,7 +456,7 @@
                 )
                 dispatcher.take(session, Request(2, 0, 0, 7, now + 9 * SECOND, 1.0, 1, 0))
 
-        backends.connected = connected
+        attempts.connector.connected = connected
         taken, _ = await loop.sock_accept(listening)
         with taken:
             got = await loop.sock_recv(taken, 4096)
@@ -473,7 +475,7 @@
 def test_an_attempt_is_not_written_to_a_connection_that_its_dial_is_about_to_close():
     async def play(listening):
         def given_up(connection):
-            connection.dial = SimpleNamespace(expired=lambda: True)
+            connection.connect_timeout = SimpleNamespace(expired=lambda: True)
 
         dispatcher, _, _ = await dialled(listening, given_up, connect_ns=9 * SECOND)
         while not dispatcher.policy.outcomes:
--- a/tests/test_incremental.py
+++ b/tests/test_incremental.py
@@ -11,7 +11,7 @@
 from types import SimpleNamespace
 
 import pytest
-from conftest import MS, SECOND, Gateway, backend, settings
+from conftest import MS, SECOND, Gateway, backend
 from hypothesis import given
 from hypothesis import settings as effort
 from hypothesis import strategies as st
@@ -20,8 +20,8 @@
 from zincstile.decisions.policy import FADE_S, FAULTY, FLOOR, FORGOTTEN
 from zincstile.decisions.state import SLOWNESS_EPSILON, scatter
 from zincstile.net import config
-from zincstile.net.backend import Backends
-from zincstile.net.backend_connection import BackendConnection
+from zincstile.net.backends.connection import BackendConnection
+from zincstile.net.backends.pool import ConnectionPool
 from zincstile.net.deadlines import Deadlines
 from zincstile.net.endpoint_table import EndpointReader, EndpointTable, number
 from zincstile.net.gateway import Gateway as GatewayProcess
@@ -183,15 +183,14 @@
     )
 
 
-def rested(pools, where):
-    """A connection there that came up and rests; None where none may be opened."""
-    server = pools._ready_server(where)
-    if server is not None:
-        connection = BackendConnection(pools, server, None)
+def open_idle(pool, backend_id):
+    """A connection to a backend that came up and is idle; None where none may be opened."""
+    found = pool.ready_backend(backend_id)
+    if found is not None:
+        connection = BackendConnection(SimpleNamespace(dispatcher=pool.dispatcher), found, None)
         connection.transport = Wire()
-        pools.connections.add(connection)
-        server.connections += 1
-        pools._rest(connection, settled=True)
+        pool.add(connection)
+        pool.add_idle(connection, unused=True)
         return connection
     return None
 
@@ -202,11 +201,11 @@
 
 @effort(max_examples=150, deadline=None, derandomize=True, database=None)
 @given(st.lists(st.tuples(LISTS, st.integers(0, 1), st.sampled_from(IDS)), max_size=15))
-def test_the_pools_lead_where_the_last_word_says_and_forget_the_rest(steps):
-    pools, listed, opened = Backends(stub_turn(), settings(), memoryview(bytearray(64))), {}, []
+def test_the_pool_connects_to_what_was_listed_last_and_forgets_the_rest(steps):
+    pool, listed, opened = ConnectionPool(stub_turn()), {}, []
     for (kind, entries), moved, used in steps:
         whole = kind is EndpointListKind.FULL
-        pools.update([(b, address_of(b, moved)) for b in entries], whole)
+        pool.update([(b, address_of(b, moved)) for b in entries], whole)
         told = {b.id: (b, address_of(b, moved)) for b in entries}
         listed = {
             k: e
@@ -214,23 +213,25 @@
             if e[0].mode is not EndpointState.REMOVED
         }
         ready = {k: e for k, e in listed.items() if e[0].mode is EndpointState.READY}
-        assert pools.listed == listed
+        assert pool.listed == listed
         for connection in [c for c in opened if not c.transport.closed]:
-            server, entry = connection.server, ready.get(connection.server.id)
-            assert entry and (server.address, server.started_ns) == (entry[1], entry[0].started_ns)
+            found, entry = connection.backend, ready.get(connection.backend.id)
+            assert entry and (found.address, found.started_ns) == (entry[1], entry[0].started_ns)
         for connection in [c for c in opened if c.transport.closed]:
-            pools.lost(connection)
+            pool.lost(connection)
         opened = [c for c in opened if not c.transport.closed]
-        assert list(pools.resting) == opened and pools.connections == set(opened)
-        assert pools.servers == {c.server.id: c.server for c in opened}  # no record of what is not connected
-        connection = rested(pools, used)
+        assert list(pool.idle) == opened and pool.connections == set(opened)
+        assert pool.backends == {
+            c.backend.id: c.backend for c in opened
+        }  # no record of what is not connected
+        connection = open_idle(pool, used)
         assert (connection is not None) == (used in ready)
         opened += [connection] if connection else []
-    while pools._make_room():
+    while pool.close_oldest_idle():
         assert [c.transport.closed for c in opened] == sorted(
             (c.transport.closed for c in opened), reverse=True
         )
-    assert all(c.transport.closed for c in opened) and not pools.resting
+    assert all(c.transport.closed for c in opened) and not pool.idle
 
 
 def endpoints(names, status="Ready"):
@@ -316,15 +317,15 @@
 
 def work(size):
     """Of each kind of control work, at a gateway that knows so many backends, six of them in use."""
-    g, pools = Gateway(COLD, backends=0, now=100 * SECOND), Backends(stub_turn(), settings(), memoryview(b""))
-    table = endpoint_table(pools.update)
+    g, pool = Gateway(COLD, backends=0, now=100 * SECOND), ConnectionPool(stub_turn())
+    table = endpoint_table(pool.update)
     names = [f"s-{k}" for k in range(size)]
     tell(table, endpoints(names), EndpointListKind.FULL)
-    known = [b for b, _ in pools.listed.values()]
+    known = [b for b, _ in pool.listed.values()]
     g.list(known)
     for s in known[:6]:
         g.policy.observe(g.policy.servers[s.id], 0, 1.0, 0.5)
-        rested(pools, s.id)
+        open_idle(pool, s.id)
     g.tick()
 
     def change():
@@ -335,8 +336,8 @@
         "tick": steps_of(g.tick),
         "change": steps_of(change),
         "change told": steps_of(lambda: tell(table, endpoints(["s-9"], "Terminating"))),
-        "room": steps_of(pools._make_room),
-        "tending": steps_of(pools._tend),
+        "room": steps_of(pool.close_oldest_idle),
+        "tending": steps_of(pool.close_expired),
     }
 
 
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -11,7 +11,8 @@
 
 from zincstile.decisions.messages import AttemptResult, FailRequest, ForwardRequest, RejectRequest
 from zincstile.decisions.settings import CustomerPlan, DeduplicationScope, RequestClass
-from zincstile.net.backend_connection import Attempt, BackendConnection, BackendServer
+from zincstile.net.backends.attempt import Attempt, Backend
+from zincstile.net.backends.connection import BackendConnection
 from zincstile.net.limits import Limits
 
 LOOK, BOOK, PUT = 0, 1, 2  # safe, unsafe to repeat, keyed: conftest's settings
@@ -163,30 +164,23 @@
 
 
 class Owner:
+    """Keeps the outcomes of the attempts on its one connection."""
+
     def __init__(self):
-        self.dispatcher, self.buffer = (
-            SimpleNamespace(limits=Limits(), now_ns=lambda: 0),
-            memoryview(bytearray(64)),
-        )
+        self.dispatcher = SimpleNamespace(limits=Limits(), now_ns=lambda: 0)
+        self.buffer = memoryview(bytearray(64))
+        self.connector = SimpleNamespace(connected=lambda connection: None)
+        self.pool = SimpleNamespace(lost=lambda connection: None)
         self.results = []
 
-    def encode(self, attempt):
-        return b"*1\r\n$4\r\nPING\r\n"
-
     def finish(self, attempt, result):
         self.results.append(result)
 
-    def lost(self, connection):
-        pass
-
-    def connected(self, connection):
-        pass
-
-    written = begun = lambda self, attempt: None
+    written = answer_begun = lambda self, attempt: None
 
 
 @pytest.mark.parametrize(
-    ("events", "kept", "result"),
+    ("events", "reused", "result"),
     [
         (["pause_writing"], False, AttemptResult.CONNECT_FAILED),
         (["pause_writing"], True, AttemptResult.CONNECT_FAILED),
@@ -197,14 +191,16 @@
         (["half"], True, AttemptResult.RESET),
     ],
 )
-def test_what_breaks_before_its_last_byte_is_written_never_ran(events, kept, result):
-    """And a kept connection that breaks before a byte of its answer was closed beneath it."""
+def test_what_breaks_before_its_last_byte_is_written_never_ran(events, reused, result):
+    """And a connection used before that breaks before a byte of its answer was closed beneath it."""
     owner = Owner()
-    connection = BackendConnection(owner, BackendServer(1, ("", 0), 0, True), None)
+    connection = BackendConnection(owner, Backend(1, ("", 0), 0, True), None)
     connection.connection_made(
         SimpleNamespace(set_write_buffer_limits=lambda high: None, write=lambda data: None)
     )
-    connection.carry(Attempt(None, 0, connection.server, 0, SECOND, SECOND), kept)
+    connection.carry(
+        Attempt(None, 0, connection.backend, 0, SECOND, SECOND), b"*1\r\n$4\r\nPING\r\n", reused=reused
+    )
     for event in events:
         if event == "half":
             owner.buffer[:3] = b"*3\r"
--- a/tests/test_turn.py
+++ b/tests/test_turn.py
@@ -18,7 +18,8 @@
     Started,
     TimerFired,
 )
-from zincstile.net.backend import Backends
+from zincstile.net.backends.attempts import Attempts
+from zincstile.net.backends.pool import ConnectionPool
 from zincstile.net.counters import Counters
 from zincstile.net.deadlines import every
 from zincstile.net.dispatcher import Dispatcher
@@ -143,14 +144,15 @@
             server.close()
             await server.wait_closed()
         dispatcher = Dispatcher(asyncio.get_running_loop(), module, Limits(), Counters(), Log("n0"))
-        backends = Backends(
-            dispatcher, settings(report_fields=["inflight", "queue"]), memoryview(bytearray(65536))
-        )
-        backends.update([(backend(5), address)], True)
+        pool = ConnectionPool(dispatcher)
+        probed = settings(report_fields=["inflight", "queue"])
+        Attempts(dispatcher, probed, pool, memoryview(bytearray(65536)))
+        pool.update([(backend(5), address)], True)
         dispatcher.post(Started())
         while not module.probed:
             await asyncio.sleep(0)
-        backends.shut()
+        while pool.close_oldest_idle():
+            pass
         server.close()
         return asked, module.probed
 
@@ -210,8 +212,9 @@
     async def play():
         module = Leaving()
         dispatcher = Dispatcher(asyncio.get_running_loop(), module, Limits(), Counters(), Log("n0"))
-        backends = Backends(dispatcher, settings(), memoryview(bytearray(65536)))
-        backends.update([(backend(5), ("127.0.0.1", 1))], True)
+        pool = ConnectionPool(dispatcher)
+        attempts = Attempts(dispatcher, settings(), pool, memoryview(bytearray(65536)))
+        pool.update([(backend(5), ("127.0.0.1", 1))], True)
         session = Session(1, Call(True, b"c", b"id", [b"d=1"], 0, None), Client(), 10**18)
         dispatcher.sessions[1] = session
         session.attempts = 1
@@ -219,7 +222,7 @@
         dispatcher.leave(session)
         while len(module.told) < 2:
             await asyncio.sleep(0)
-        assert not backends.attempts and not dispatcher.over
+        assert not attempts.in_flight and not dispatcher.over
         return module
 
     module = asyncio.run(asyncio.wait_for(play(), 20))
--- /dev/null
+++ b/zincstile/net/backends/attempts.py
@@ -0,0 +1,295 @@
+"""Attempts of requests: sent as the decisions say, limited in time, and reported with their one outcome."""
+
+from __future__ import annotations
+
+from typing import Final
+
+from ...decisions.messages import (
+    AttemptOutcome,
+    AttemptResult,
+    CancelAttempt,
+    CheckHealth,
+    CloseIdleConnections,
+    ForwardRequest,
+    HealthCheckResult,
+)
+from ...decisions.settings import Settings
+from .. import resp
+from ..dispatcher import Dispatcher
+from ..reasons import RetryReason
+from ..session import Answer, Kind, Session
+from ..trace import Step
+from .attempt import Attempt
+from .connecting import Connector
+from .connection import BackendConnection
+from .outcomes import RESULT_COUNTERS, RETRY_REASONS, load_figures
+from .pool import ConnectionPool
+from .requests import HEALTH_CHECK, call_command
+from .streaming import AnswerStreams
+
+BUSY: Final = b"BUSY"
+REUSABLE_ERRORS: Final = (BUSY, b"ERR failed")  # error lines after which the connection serves on
+
+
+class Attempts:
+    """The attempts in flight: one session has several, each on a connection of its own.
+
+    It is also the owner of all connections to backends (`connection.ConnectionOwner`): they notify it of
+    what they have written and read.
+    """
+
+    def __init__(
+        self, dispatcher: Dispatcher, settings: Settings, pool: ConnectionPool, buffer: memoryview
+    ) -> None:
+        """Takes over the actions on attempts; `buffer`: all connections read into it."""
+        self.dispatcher = dispatcher
+        self.settings = settings
+        self.pool = pool
+        self.buffer = buffer
+        self.in_flight: dict[tuple[int, int], Attempt] = {}  # by session id and number; no health checks
+        self.connector = Connector(dispatcher, pool, self)
+        self.streams = AnswerStreams(dispatcher, pool, self)
+        pool.on_withdrawn = self._fail_queued
+        dispatcher.carry_out[ForwardRequest] = self.forward
+        dispatcher.carry_out[CancelAttempt] = self.cancel
+        dispatcher.carry_out[CheckHealth] = self._check_health
+        dispatcher.carry_out[CloseIdleConnections] = self._close_idle
+        dispatcher.withdraw = self.withdraw
+
+    # ---- actions of the decisions
+
+    def forward(self, now_ns: int, action: ForwardRequest) -> None:
+        """Makes an attempt of a request."""
+        session = self.dispatcher.sessions.get(action.request) or self.dispatcher.over.get(action.request)
+        if session is None:
+            return
+        number = session.attempts
+        session.attempts = number + 1
+        if session.over or session.frontend.gone():
+            # The client left, or was answered, in the very batch in which this attempt was decided on. It
+            # is reported all the same: the decisions would take it to be in flight for good.
+            self.report(session, number, action.backend, AttemptResult.NOT_SENT, 0)
+            return
+        if number:
+            self.dispatcher.counters.retried(self._retry_reason(session))
+        until_ns = min(action.until_ns, session.give_up_ns)
+        by_ns = min(until_ns, action.by_ns or until_ns)
+        self._launch(now_ns, session, number, action.backend, until_ns, by_ns, fresh=action.fresh)
+
+    def _retry_reason(self, session: Session) -> RetryReason:
+        """Why a session has its latest attempt, which is counted in it already."""
+        before = (session.id, session.attempts - 2)
+        if before in self.in_flight or session.last_result is None:
+            return RetryReason.HEDGE
+        return RETRY_REASONS.get(session.last_result, RetryReason.HEDGE)
+
+    def cancel(self, _: int, action: CancelAttempt) -> None:
+        """Gives an attempt up; one that has ended meanwhile is left as it is."""
+        attempt = self.in_flight.get((action.request, action.attempt))
+        if attempt is not None:
+            self.finish(attempt, AttemptResult.CANCELLED)
+
+    def withdraw(self, session: Session) -> None:
+        """Gives up what of a session that ended is not completely written.
+
+        Also where the settings allow no cancelling: it can not have run, and never will.
+        """
+        for number in range(session.attempts):
+            attempt = self.in_flight.get((session.id, number))
+            if attempt is not None and (attempt.connection is None or not attempt.connection.request_written):
+                self.finish(attempt, AttemptResult.CANCELLED)
+
+    def _check_health(self, now_ns: int, action: CheckHealth) -> None:
+        until_ns = now_ns + self.dispatcher.limits.connect_ns
+        self._launch(now_ns, None, 0, action.backend, until_ns, until_ns)
+
+    def _close_idle(self, _: int, action: CloseIdleConnections) -> None:
+        backend = self.pool.backends.get(action.backend)
+        if backend is not None:
+            self.pool.close_idle_of(backend)
+
+    def _fail_queued(self, attempt: Attempt) -> None:
+        self.finish(attempt, AttemptResult.CONNECT_FAILED)
+
+    # ---- sending
+
+    def _launch(
+        self,
+        now_ns: int,
+        session: Session | None,
+        number: int,
+        backend_id: int,
+        until_ns: int,
+        by_ns: int,
+        *,
+        fresh: bool = False,
+    ) -> None:
+        """Begins an attempt on an idle connection, or on a new one (`fresh`: on a new one always)."""
+        backend = self.pool.ready_backend(backend_id) if by_ns > now_ns else None
+        if backend is None:
+            self.report(session, number, backend_id, AttemptResult.NOT_SENT, 0)
+            return
+        attempt = Attempt(session, number, backend, now_ns, until_ns, by_ns)
+        if session is not None:
+            self.in_flight[session.id, number] = attempt
+        if not fresh:
+            connection = self.pool.take_reusable(backend, now_ns)
+            if connection is not None:
+                self.carry(connection, attempt, reused=True)
+                return
+        elif backend.idle:  # the new one replaces the one idle for longest, so that they don't add up
+            self.pool.close_idle(backend.idle[0])
+        if not self.pool.make_capacity():
+            # Descriptors are scarce. It was never sent, and the backend is not to blame.
+            count = len(self.pool.connections)
+            self.dispatcher.log.often("full", f"{count} backend connections: no more for now")
+            self.finish(attempt, AttemptResult.NOT_SENT)
+            self.pool.release(backend)
+            return
+        self.set_deadline(attempt, min(by_ns, now_ns + self.dispatcher.limits.connect_ns))
+        self.connector.connect(attempt)
+
+    def carry(self, connection: BackendConnection, attempt: Attempt, *, reused: bool = False) -> None:
+        """Writes an attempt's request: the one place at which its first byte leaves."""
+        dispatcher, session = self.dispatcher, attempt.session
+        now_ns = dispatcher.now_ns()
+        if not dispatcher.guard.may_send(now_ns, attempt):
+            self.finish(attempt, AttemptResult.NOT_SENT)
+            self.pool.add_idle(connection, unused=True)
+            return
+        if session is None:
+            request = HEALTH_CHECK
+        else:
+            session.carried.append(attempt)
+            dispatcher.trace.note(now_ns, Step.SENT, session.call.id, attempt.backend.address)
+            dispatcher.counters.attempts += 1
+            request = call_command(session.call, attempt.until_ns - now_ns)
+        connection.carry(attempt, request, reused=reused)
+        self.set_deadline(attempt, attempt.until_ns if connection.request_written else attempt.by_ns)
+
+    # ---- deadlines
+
+    def set_deadline(self, attempt: Attempt, at_ns: int) -> None:
+        """Gives an attempt up at a time, in place of the deadline that it had."""
+        self.dispatcher.deadlines.drop(attempt.deadline)
+        attempt.deadline = self.dispatcher.deadlines.add(at_ns, self._expire, attempt)
+
+    def _expire(self, attempt: Attempt) -> None:
+        """Where its request is not completely written by now it never ran: the rest is never written."""
+        attempt.deadline = None
+        connection = attempt.connection
+        written = attempt.begun and connection is not None and connection.request_written
+        self.finish(attempt, AttemptResult.TIMEOUT if written else AttemptResult.CONNECT_FAILED)
+
+    def written(self, attempt: Attempt) -> None:
+        """The last byte of its request has left, later than the first."""
+        if attempt.by_ns < attempt.until_ns:
+            self.set_deadline(attempt, attempt.until_ns)
+            self.dispatcher.wake()
+
+    def answer_begun(self, attempt: Attempt) -> None:
+        """Part of its answer has come: the rest has to follow within `answer_ns`."""
+        # A length that is more than what comes would else hold the client for all of its time.
+        at_ns = attempt.connection.last_received_ns + self.dispatcher.limits.answer_ns
+        if at_ns < attempt.until_ns:
+            self.dispatcher.deadlines.drop(attempt.deadline)
+            attempt.deadline = self.dispatcher.deadlines.add(at_ns, self._check_answer, attempt)
+            self.dispatcher.wake()
+
+    def _check_answer(self, attempt: Attempt) -> None:
+        attempt.deadline = None
+        answer_ns = self.dispatcher.limits.answer_ns
+        if attempt.connection.last_received_ns + answer_ns > self.dispatcher.now_ns():
+            self.set_deadline(attempt, attempt.until_ns)
+            self.answer_begun(attempt)  # more has come since
+        else:
+            self.malformed(attempt, "it does not go on")
+
+    # ---- answers and outcomes
+
+    def answered(
+        self, connection: BackendConnection, attempt: Attempt, reply: resp.Reply, *, alone: bool
+    ) -> None:
+        """A complete reply has come; `alone`: nothing came behind it."""
+        is_error = isinstance(reply, resp.ErrorLine)
+        if is_error:
+            result = None
+            reusable = reply.startswith(REUSABLE_ERRORS)
+        else:
+            result = resp.answer(reply)
+            reusable = result is not None or attempt.session is None
+        if reusable and alone and connection.request_written:
+            self.pool.add_idle(connection)
+        else:  # what is left to write, or came behind the answer, would confuse the next
+            connection.transport.abort()
+        attempt.connection = None
+        if is_error:
+            self._fail(attempt, reply)
+        elif attempt.session is None:
+            self.finish(attempt, AttemptResult.OK, load_report=reply if type(reply) is bytes else b"")
+        elif result is not None:
+            self.finish(attempt, AttemptResult.OK, *result)
+        else:
+            self.malformed(attempt, f"not of the form agreed on: {str(reply)[:80]}")
+
+    def _fail(self, attempt: Attempt, error: bytes) -> None:
+        """An error line: `BUSY` or `ERR failed`, with the load report behind it."""
+        code, _, details = error.partition(b" ")
+        result = AttemptResult.REJECTED if code == BUSY else AttemptResult.ERROR
+        if result is AttemptResult.ERROR and not details.startswith(b"failed"):
+            self.dispatcher.log.often("backend", f"{attempt.backend.address} says {bytes(error[:80])!r}")
+        self.finish(attempt, result, load_report=details.rpartition(b" ")[2])
+
+    def malformed(self, attempt: Attempt, why: str) -> None:
+        """Its answer can't be read. It ran; the connection is of no further use."""
+        self.dispatcher.log.often("answer", f"of {attempt.backend.address} malformed: {why}")
+        self.finish(attempt, AttemptResult.MALFORMED)
+
+    def finish(
+        self, attempt: Attempt, result: AttemptResult, value: bytes = b"", load_report: bytes = b""
+    ) -> None:
+        """Ends an attempt with its one outcome. A connection that still carries it is closed.
+
+        A request whose attempt came to `OK` is answered with the value. An attempt that has ended before
+        is left as it is.
+        """
+        session = attempt.session
+        if session is not None and self.in_flight.pop((session.id, attempt.number), None) is None:
+            return
+        self.dispatcher.deadlines.drop(attempt.deadline)
+        attempt.deadline = None
+        attempt.backend.queued.pop(attempt, None)
+        if result is AttemptResult.REJECTED:
+            attempt.may_have_run = False
+        connection = attempt.connection
+        attempt.connection = None
+        if connection is not None and connection.attempt is attempt:
+            connection.drop()
+        if session is not None and result is AttemptResult.OK:
+            self.dispatcher.end(session, Answer(Kind.SERVED, value))
+        latency_ns = self.dispatcher.now_ns() - attempt.sent_ns
+        self.report(session, attempt.number, attempt.backend.id, result, latency_ns, load_report)
+
+    def report(
+        self,
+        session: Session | None,
+        number: int,
+        backend_id: int,
+        result: AttemptResult,
+        latency_ns: int,
+        load_report: bytes = b"",
+    ) -> None:
+        """Reports an outcome to the decisions; without a session it is that of a health check."""
+        figures = load_figures(load_report, self.settings.report_fields) if load_report else []
+        if session is None:
+            self.dispatcher.post(HealthCheckResult(backend_id, result, latency_ns, figures))
+            return
+        session.last_result = result
+        self.dispatcher.trace.note(self.dispatcher.now_ns(), Step.OUTCOME, session.call.id, result)
+        counters = self.dispatcher.counters
+        name = RESULT_COUNTERS[result]
+        setattr(counters, name, getattr(counters, name) + 1)
+        outcome = AttemptOutcome(
+            session.id, number, backend_id, result, latency_ns, session.over, 0, 0.0, figures
+        )
+        self.dispatcher.post(outcome)
--- a/zincstile/net/gateway.py
+++ b/zincstile/net/gateway.py
@@ -11,7 +11,8 @@
 from typing import Any
 
 from ..decisions.messages import RequestAbandoned, Started
-from .backend import Backends
+from .backends.attempts import Attempts
+from .backends.pool import ConnectionPool
 from .clients.listener import ClientListener
 from .config import Config, ConfigError
 from .counters import Counters
@@ -39,13 +40,14 @@
         )
         buffer = memoryview(bytearray(config.limits.read_bytes))  # each read is taken out of it at once
         self.listener = ClientListener(self.dispatcher, config.settings, buffer, host)
-        self.backends = Backends(self.dispatcher, config.settings, buffer)
+        self.pool = ConnectionPool(self.dispatcher)
+        self.attempts = Attempts(self.dispatcher, config.settings, self.pool, buffer)
         self.peers = Peers(self.dispatcher, config.peers)
         self.table = EndpointTable(
             self.dispatcher,
             EndpointReader(config.zones, config.kinds, host),
             config.discovery,
-            self.backends.update,
+            self.pool.update,
             self._ready,
             random.Random(config.seed),
         )
@@ -332,12 +334,12 @@
             by = "told" if self.table.told else "as known before"
             if self.starter is not None:
                 by = self.starter.readiness.right.value
-            self.log.line(f"ready with {len(self.backends.listed)} backend servers, {by}")
+            self.log.line(f"ready with {len(self.pool.listed)} backend servers, {by}")
 
     def _may_be_ready(self) -> bool:
         """A list is here: discovery's, peers', or the one known before."""
         return self.dispatcher.guard.may_be_ready(
-            self.dispatcher.now_ns(), len(self.backends.listed), self.table.told or self.starter is not None
+            self.dispatcher.now_ns(), len(self.pool.listed), self.table.told or self.starter is not None
         )
 
     def _count(self) -> None:
--- a/zincstile/net/invariants.py
+++ b/zincstile/net/invariants.py
@@ -48,7 +48,7 @@
             return True
         if (
             session.over
-            or not attempt.server.ready
+            or not attempt.backend.ready
             or attempt.until_ns > session.give_up_ns + DEADLINE_SLACK_NS
         ):
             return self._violated(now, Invariant.SEND, session.call.id, _send_problem(attempt, session))
@@ -87,8 +87,8 @@
 def _send_problem(attempt: Sending, session: Session) -> str:
     if session.over:
         return "its request is over"
-    if not attempt.server.ready:
-        return f"{attempt.server.address} is not to be sent to"
+    if not attempt.backend.ready:
+        return f"{attempt.backend.address} is not to be sent to"
     return "a longer time than its client has left"
 
 
@@ -100,9 +100,9 @@
     if first is None:
         return ""
     if spec.effect is Idempotency.NEVER:
-        return f"it may have run at {first.server.address}"
-    if not _same_group(spec.group, first.server.backend, attempt.server.backend):
-        return f"out of the group of {first.server.address}, where it may have run"
+        return f"it may have run at {first.backend.address}"
+    if not _same_group(spec.group, first.backend.entry, attempt.backend.entry):
+        return f"out of the group of {first.backend.address}, where it may have run"
     if now - first.sent_ns > spec.window_ns:
         return f"{(now - first.sent_ns) / 1e6:.0f} ms after the first that may have run"
     return ""
--- a/zincstile/net/session.py
+++ b/zincstile/net/session.py
@@ -97,14 +97,14 @@
 
     address: tuple[str, int]
     ready: bool  # it may be sent to
-    backend: EndpointEntry | None  # as it is listed
+    entry: EndpointEntry | None  # as it is listed
 
 
 class Sending(Protocol):
-    """An attempt, as far as its session has to know it: `backend_connection.Attempt`."""
+    """An attempt, as far as its session has to know it: `backends.attempt.Attempt`."""
 
     session: Session | None
-    server: SentTo
+    backend: SentTo
     sent_ns: int
     until_ns: int  # what the server is told of its client's time
     may_have_run: bool
--- a/zincstile/scale/capacity_answers.py
+++ b/zincstile/scale/capacity_answers.py
@@ -66,7 +66,7 @@
             Row(f"subsetting, {where}: endpoints of a gateway", how, Unit.COUNT, exact(size), on),
             _kept_row(f"subsetting, {where}", load, size, on),
         ]
-    return [*rows, _kept_row("without", load, topology.backends, "net/backend.Backends")]
+    return [*rows, _kept_row("without", load, topology.backends, "net/backends/pool.ConnectionPool")]
 
 
 def _reaches(topology: Topology) -> list[tuple[str, int]]:
--- a/zincstile/scale/capacity_gateway.py
+++ b/zincstile/scale/capacity_gateway.py
@@ -29,7 +29,7 @@
 WATCH_LINE_S: Final = 2.0  # discovery's empty lines come so often
 TICK_S: Final = policy.TICK_NS / policy.SECOND
 WATCH: Final = "net/endpoint_table.Watch"
-FOLLOW: Final = "decisions/state.Memory.follow_list, net/backend.Backends.update"
+FOLLOW: Final = "decisions/state.Memory.follow_list, net/backends/pool.ConnectionPool.update"
 
 
 def memory(measured: Measured, load: Load) -> list[Row]:
@@ -45,7 +45,7 @@
             (
                 "endpoint table",
                 Dimension.BACKENDS,
-                "decisions/state.Server, net/endpoint_table.EndpointTable, net/backend.Backends",
+                "decisions/state.Server, net/endpoint_table.EndpointTable, net/backends/pool.ConnectionPool",
             ),
             ("peers", Dimension.GATEWAYS, "net/peers.Peers"),
             ("tenants", Dimension.TENANTS, "decisions/state.Customer"),
@@ -79,7 +79,7 @@
             (
                 "at rest, endpoint table",
                 Dimension.BACKENDS,
-                "decisions/policy.Policy._tick, net/backend.Backends",
+                "decisions/policy.Policy._tick, net/backends/pool.ConnectionPool",
             ),
             ("at rest, peers", Dimension.GATEWAYS, "decisions/policy.Policy._flush"),
             ("at rest, tenants", Dimension.TENANTS, "decisions/policy.Policy._idle"),
--- a/zincstile/simulation/mutants.py
+++ b/zincstile/simulation/mutants.py
@@ -16,7 +16,10 @@
 from ..decisions.policy import Policy
 from ..decisions.settings import Idempotency
 from ..decisions.state import Memory
-from ..net import backend, deadlines, dispatcher, endpoint_table, gateway, resp
+from ..net import deadlines, dispatcher, endpoint_table, gateway, resp
+from ..net.backends import attempts
+from ..net.backends.connection import BackendConnection
+from ..net.backends.pool import ConnectionPool
 from ..net.clients import call_reader, connection, listener
 from ..net.invariants import InvariantGuard
 from . import plan
@@ -59,7 +62,7 @@
 
 def _no_withdrawal() -> Undo:
     """What waits for a connection is begun although the box drains by now."""
-    return _swap(backend.Backends, "_withdraw", lambda self, server: None)
+    return _swap(ConnectionPool, "withdraw", lambda self, backend: None)
 
 
 def _drain_unseen() -> Undo:
@@ -150,11 +153,11 @@
 
     def lost(self, err):
         attempt, self.attempt = self.attempt, None
-        self.pools.lost(self)
+        self.owner.pool.lost(self)
         if attempt is not None:
-            self.pools.finish(attempt, AttemptResult.CONNECT_FAILED)
+            self.owner.finish(attempt, AttemptResult.CONNECT_FAILED)
 
-    return _swap(backend.BackendConnection, "connection_lost", lost)
+    return _swap(BackendConnection, "connection_lost", lost)
 
 
 def _copies_all() -> Undo:
@@ -218,7 +221,7 @@
         attempt.deadline = None
 
     return _both(
-        _swap(backend.Backends, "_limit", limit), _swap(Memory, "overdue", lambda self, now, token: [])
+        _swap(attempts.Attempts, "set_deadline", limit), _swap(Memory, "overdue", lambda self, now, token: [])
     )
 
 
@@ -248,24 +251,24 @@
 
 def _reused_dirty() -> Undo:
     """A connection is used again with bytes behind its answer, read or not."""
-    old = backend.Backends.__dict__["answered"]
+    old = attempts.Attempts.__dict__["answered"]
 
-    def answered(self, connection, attempt, reply, alone):
-        old(self, connection, attempt, reply, True)
+    def answered(self, connection, attempt, reply, *, alone):
+        old(self, connection, attempt, reply, alone=True)
 
     def updated(self, size):
         if self.attempt is None:
             return
-        replies = self._parser.feed(bytes(self.pools.buffer[:size]))
+        replies = self._parser.feed(bytes(self.owner.buffer[:size]))
         if replies:
             attempt, self.attempt = self.attempt, None
-            self.pools.answered(self, attempt, replies[0], True)
+            self.owner.answered(self, attempt, replies[0], alone=True)
 
-    quiet = property(lambda self: not self.transport.is_closing())
+    nothing_received = property(lambda self: not self.transport.is_closing())
     return _both(
-        _swap(backend.Backends, "answered", answered),
-        _swap(backend.BackendConnection, "buffer_updated", updated),
-        _swap(backend.BackendConnection, "quiet", quiet),
+        _swap(attempts.Attempts, "answered", answered),
+        _swap(BackendConnection, "buffer_updated", updated),
+        _swap(BackendConnection, "nothing_received", nothing_received),
     )
 
 
@@ -274,9 +277,9 @@
 
     def drop(self):
         self.attempt = None
-        self.pools._rest(self)
+        self.owner.pool.add_idle(self)
 
-    return _swap(backend.BackendConnection, "drop", drop)
+    return _swap(BackendConnection, "drop", drop)
 
 
 def _stop_at_once() -> Undo:
@@ -330,31 +333,29 @@
 
 def _connections_leak() -> Undo:
     """A connection to a box that has ended is still counted."""
-    return _swap(backend.Backends, "lost", lambda self, connection: None)
+    return _swap(ConnectionPool, "lost", lambda self, connection: None)
 
 
 def _attempts_leak() -> Undo:
     """A cancelled attempt is left as it is."""
 
     def cancel(self, _, action):
-        attempt = self.attempts.get((action.request, action.attempt))
+        attempt = self.in_flight.get((action.request, action.attempt))
         if attempt is not None:
             self.dispatcher.deadlines.drop(attempt.deadline)
 
-    return _swap(backend.Backends, "_cancel", cancel)
+    return _swap(attempts.Attempts, "cancel", cancel)
 
 
 def _key_lost() -> Undo:
     """The key is not passed on."""
-    old = backend.Backends.__dict__["encode"]
+    old = attempts.call_command
 
-    def encode(self, attempt):
-        if attempt.session is not None:
-            call = attempt.session.call
-            call.fields = [b"x=1" if f.startswith(b"k=") else f for f in call.fields]
-        return old(self, attempt)
+    def call_command(call, remaining_ns):
+        call.fields = [b"x=1" if field.startswith(b"k=") else field for field in call.fields]
+        return old(call, remaining_ns)
 
-    return _swap(backend.Backends, "encode", encode)
+    return _swap(attempts, "call_command", call_command)
 
 
 def _length_trusted() -> Undo:
@@ -392,7 +393,7 @@
 
 def _sent_on_for_nobody() -> Undo:
     """Whether the client has left is not looked at, and nothing of it is taken back."""
-    old = backend.Backends.__dict__["_send"]
+    old = attempts.Attempts.__dict__["forward"]
 
     def send(self, now, action):
         session = self.dispatcher.sessions.get(action.request) or self.dispatcher.over.get(action.request)
@@ -408,25 +409,21 @@
         session.over = True
 
     return _both(
-        _swap(backend.Backends, "_send", send),
+        _swap(attempts.Attempts, "forward", send),
         _swap(dispatcher.Dispatcher, "leave", leave),
         _swap(connection.ClientConnection, "gone", lambda self: False),
-        _swap(backend.Backends, "_take_back", lambda self, session: None),
+        _swap(attempts.Attempts, "withdraw", lambda self, session: None),
     )
 
 
 def _time_not_counted() -> Undo:
     """A server is told the time that the client had at first, whatever has passed since."""
-    old = backend.Backends.__dict__["encode"]
+    old = attempts.call_command
 
-    def encode(self, attempt):
-        told = attempt.until_ns
-        attempt.until_ns += 400_000_000
-        data = old(self, attempt)
-        attempt.until_ns = told
-        return data
+    def call_command(call, remaining_ns):
+        return old(call, remaining_ns + 400_000_000)
 
-    return _swap(backend.Backends, "encode", encode)
+    return _swap(attempts, "call_command", call_command)
 
 
 def _ready_with_nothing() -> Undo:
--- a/zincstile/simulation/world.py
+++ b/zincstile/simulation/world.py
@@ -453,7 +453,7 @@
             s.process.alive
             and (
                 s.gateway.dispatcher.sessions
-                or s.gateway.backends.attempts
+                or s.gateway.attempts.in_flight
                 or s.gateway.dispatcher.policy.attempts
             )
             for s in self.seats
@@ -468,24 +468,24 @@
             gateway = seat.gateway
             if seat.stopping:
                 continue
-            module, backends, tasks = gateway.dispatcher.policy, gateway.backends, seat.process.loop.tasks
+            module, pool, tasks = gateway.dispatcher.policy, gateway.pool, seat.process.loop.tasks
             self.checker.left_over(
                 seat.name,
                 {
                     "sessions": len(gateway.dispatcher.sessions),
-                    "attempts": len(backends.attempts),
+                    "attempts": len(gateway.attempts.in_flight),
                     "open ids": len(gateway.listener.open),
                     "requests in the module": len(module.live),
                     "attempts in the module": len(module.attempts),
                     "asks": len(module.asked),
                     "held tries": len(getattr(module, "held", ())),
-                    "queued attempts": sum(len(s.queued) for s in backends.servers.values()),
+                    "queued attempts": sum(len(backend.queued) for backend in pool.backends.values()),
                     "clients lost": len(gateway.listener.clients)
                     - sum(c.transport in seat.process.endpoints for c in gateway.listener.clients),
-                    "connections lost": len(backends.connections)
-                    - sum(c.transport in seat.process.endpoints for c in backends.connections),
+                    "connections lost": len(pool.connections)
+                    - sum(c.transport in seat.process.endpoints for c in pool.connections),
                     "connections that nobody knows": sum(
-                        e.remote[1] == 6379 and e not in {c.transport for c in backends.connections}
+                        e.remote[1] == 6379 and e not in {c.transport for c in pool.connections}
                         for e in seat.process.endpoints
                         if e.local[1] != 6379
                     ),
