--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -23,7 +23,8 @@
 from zincstile.leases.module import SharedPolicy
 from zincstile.leases.rendezvous import choose_holders
 from zincstile.leases.settings import FAILURES, MS, SECOND, SharedSettings
-from zincstile.leases.slots import SlotGrant, SlotManager, SlotRelease, SlotRequest
+from zincstile.leases.slot_messages import SlotGrant, SlotRelease, SlotRequest
+from zincstile.leases.slots import SlotManager
 from zincstile.net import config, features
 from zincstile.serialization import typed_yaml
 from zincstile.simulation import mutants_shared, plan, search, shared, shared_trials, traffic
@@ -136,7 +137,7 @@
     found = [codec.unpack(d) for d in codec.pack(5, WORDS * 9)]
     assert all(len(d) <= codec.LARGEST for d in codec.pack(5, WORDS * 9)) and len(found) > 3
     read = [w for process, some in found for w in some]
-    sent = [replace(w, to=-1) if hasattr(w, "to") else w for w in WORDS]
+    sent = [replace(w, recipient=-1) if hasattr(w, "recipient") else w for w in WORDS]
     assert read == sent * 9 and found[0][0] == 5
     data = codec.pack(5, WORDS)[0]
     assert all(codec.unpack(data[:k]) is None for k in range(len(data)))
@@ -186,24 +187,24 @@
         g = rng.choice(row)
         seat = seats[g]
         account = seat.account(9, 0, limit, row)
-        if seat.has_free(now, account, now + longest):
+        if seat.has_free(account, now + longest):
             number += 1
-            seat.take(now, account, number, now + longest)
+            seat.acquire(account, number, now + longest)
             requests[number] = g, now + rng.randint(0, longest)
         else:
-            seat.seek(now, account)
+            seat.request_slot(now, account)
         for one, (at, end) in list(requests.items()):
             if end <= now:
                 seats[at].release(one)
                 del requests[one]
         if rng.random() < 0.001:  # what it had lent is in use until it ends; its own requests end with it
-            spare, until = spare + account.out, now + seat.life_ns
+            spare, until = spare + account.lent_slots, now + seat.lease_ns
             requests = {k: v for k, v in requests.items() if v[0] != g}
             seats[g] = start(g)
         for k, one in enumerate(seats):
             if rng.random() < 0.3:
-                one.look(now)
-            for word in one.told():
+                one.tick(now)
+            for word in one.drain_messages():
                 words += [
                     (now + rng.choice((1, 5, 30, 80, 900, 5000)) * MS, k, one.process, word)
                     for _ in range(rng.choice((0, 1, 1, 1, 1, 2)))
@@ -212,17 +213,17 @@
         words = [w for w in words if w[0] > now]
         rng.shuffle(due)
         for _, sender, by, word in due:
-            to = seats[word.to]
+            to = seats[word.recipient]
             if isinstance(word, SlotRequest):
-                to.asked_for(now, sender, by, word, to.account(9, 0, limit, row))
+                to.on_request(now, sender, by, word, to.account(9, 0, limit, row))
             elif isinstance(word, SlotGrant):
-                to.granted(now, sender, by, word)
+                to.on_grant(now, sender, by, word)
             else:
-                to.closed(sender, by, word)
+                to.on_release(sender, by, word)
         spare = spare if now < until else 0
         most = max(most, len(requests))
         assert len(requests) <= limit + spare
-    assert most >= limit and sum(s.counts["lent"] for s in seats) > 0
+    assert most >= limit and sum(s.granted_slots for s in seats) > 0
 
 
 def test_parts_of_the_silent_are_taken_over_by_steps_and_given_back_at_once():
--- a/zincstile/leases/__init__.py
+++ b/zincstile/leases/__init__.py
@@ -1,16 +1,21 @@
-"""State that gateways share, and that stays within stated bounds while part of them hears nothing.
+"""State that gateways share, and that stays within stated bounds whichever of them can't reach each other.
 
-    settings   times, sizes, and which failures a bound has to cover
-    bound      the most that may go out beyond a quota, for each failure, in units; today's rule beside it
-    lease_manager  each gateway's part of a quota, and units lent between parts
-               (its messages, records and clock: `lease_messages`, `lease_records`, `running_clock`)
-    rendezvous which gateways of a set hold a part
-    slots      the same for the attempts that a plan may have out at once, whole ones
-    failure_detector     judgements on backend servers: evidence with origin and age, and who may be believed
-    concurrency_budget     budgets: what all gateways together may have out at the back end
-    codec      what gateways tell each other of it, packed
-    module     the decision module with its shared state held so
+    settings             times, sizes, and the failures that a bound has to cover
+    bound                the most units that may go out beyond a quota, for each failure
+    lease_manager        the customers' quotas at one gateway; its two sides of leases:
+        lessee             requests units of other gateways' parts
+        lessor             grants units of the own part
+        quota_account      one customer's units, own and leased
+        lease_state        what both sides have in common; records in `lease_records`
+        running_clock      the time for which the process was observed to run
+    rendezvous           which gateways of a set hold a part
+    slots                limits on a customer's requests in flight, by leases of whole slots
+    failure_detector     suspicions of backend servers, by own attempts and by observers in other zones
+    concurrency_budget   the units that all gateways together may have in flight
+    lease_messages,
+    slot_messages, codec the messages between gateways, and their datagrams
+    module               the decisions with their shared state held so
 
-No I/O, no clock: times are handed in, words come back as values. docs/shared.md derives the bounds and
-says which ways were weighed. Switched on by `features.shared: deploy/shared.yaml`.
+No I/O and no clock: times are handed in, messages are returned. docs/shared.md derives the bounds and says
+which ways were weighed. Switched on by `features.shared: deploy/shared.yaml`.
 """
--- a/zincstile/leases/codec.py
+++ b/zincstile/leases/codec.py
@@ -13,7 +13,7 @@
 from .concurrency_budget import LevelWord
 from .failure_detector import Evidence
 from .lease_messages import UNIT_PARTS, LeaseGrant, LeaseRelease, LeaseRequest
-from .slots import SlotGrant, SlotRelease, SlotRequest
+from .slot_messages import SlotGrant, SlotRelease, SlotRequest
 
 MAGIC, LARGEST = 0xBB, 256
 HEAD = struct.Struct("<BIHB")  # magic, process, check, number of words
@@ -45,30 +45,43 @@
 
 def _request(w: LeaseRequest) -> bytes:
     return REQUEST.pack(
-        w.customer, w.plan, w.spread, w.first, w.mark, _units(w.units), _units(w.least), w.heard % 2**32
+        w.customer,
+        w.plan,
+        w.set_size,
+        w.first_gateway,
+        w.request_id,
+        _units(w.units),
+        _units(w.least_units),
+        w.last_answer % 2**32,
     )
 
 
 def _grant(w: LeaseGrant) -> bytes:
     return GRANT.pack(
-        w.customer, w.mark, _units(w.units), _units(w.level), w.number % 2**32, w.process, _units(w.gain)
+        w.customer,
+        w.request_id,
+        _units(w.units),
+        _units(w.available_units),
+        w.answer_number % 2**32,
+        w.process,
+        _units(w.gain_per_s),
     )
 
 
 def _release(w: LeaseRelease) -> bytes:
-    return RELEASE.pack(w.customer, w.mark, _units(w.left), w.process)
+    return RELEASE.pack(w.customer, w.request_id, _units(w.unused_units), w.process)
 
 
 def _slot_request(w: SlotRequest) -> bytes:
-    return SLOT_REQUEST.pack(w.customer, w.plan, w.spread, w.first, w.mark)
+    return SLOT_REQUEST.pack(w.customer, w.plan, w.set_size, w.first_gateway, w.request_id)
 
 
 def _slot_grant(w: SlotGrant) -> bytes:
-    return SLOT_GRANT.pack(w.customer, w.mark, w.given, w.process)
+    return SLOT_GRANT.pack(w.customer, w.request_id, w.granted, w.process)
 
 
 def _slot_release(w: SlotRelease) -> bytes:
-    return SLOT_RELEASE.pack(w.customer, w.mark, w.process)
+    return SLOT_RELEASE.pack(w.customer, w.request_id, w.process)
 
 
 def _evidence(w: Evidence) -> bytes:
--- a/zincstile/leases/lease_messages.py
+++ b/zincstile/leases/lease_messages.py
@@ -1,59 +1,61 @@
-"""Messages between gateways about leases: units of a customer's quota, asked for, granted and released.
+"""Messages between gateways about leases: units of a customer's quota requested, granted and released.
 
-`mark` is the request's number, which its sender uses once; with the sender's process it names the lease.
-A field that names a process says for which one a message is meant: a later one ignores it.
+A lease is named by the process that requested it and a request id, which that process uses once. A field
+`process` names the process that a message is meant for; a later process of that gateway ignores it.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
+from typing import Final
 
-UNIT_PARTS = 1024  # units travel in whole parts of so many
+UNIT_PARTS: Final = 1024  # units travel in whole parts of 1/1024: exact in binary, finer than any request
+NEGLIGIBLE_UNITS: Final = 1 / UNIT_PARTS / 2  # half of a part: less than this is worth no message
 
 
 def rounded_down(units: float) -> float:
-    """Units as they travel: never more than they are."""
+    """Returns units as they travel, in whole parts: never more than was given."""
     return int(units * UNIT_PARTS) / UNIT_PARTS
 
 
 @dataclass(slots=True)
 class LeaseRequest:
-    """Lend me units of this customer's quota."""
+    """A request for units of a customer's quota."""
 
-    to: int
+    recipient: int  # gateway
     customer: int
     plan: int
-    spread: int  # gateways of the customer
-    first: int  # the first of them
-    mark: int
+    set_size: int  # gateways of the customer
+    first_gateway: int  # the first of them; the others follow it in order
+    request_id: int
     units: float
-    least: float  # less is of no use
-    heard: int  # the last answer of the lender that came
+    least_units: float  # fewer are of no use
+    last_answer: int  # number of the lessor's last answer that arrived
 
 
 @dataclass(slots=True)
 class LeaseGrant:
-    """The answer to a request: so many units are lent; nought is a refusal."""
+    """The answer to a request: the units that are leased, 0 for a rejection."""
 
-    to: int
+    recipient: int  # gateway
     customer: int
-    mark: int
+    request_id: int
     units: float
-    level: float  # what the lender could lend besides
-    number: int  # of this answer; the next request tells that it was heard
-    process: int = 0  # of the borrower that asked
-    gain: float = 0.0  # what the lender will have to lend in a second
+    available_units: float  # what the lessor could lease out besides
+    answer_number: int  # the next request says that this answer arrived
+    process: int = 0  # of the lessee that sent the request
+    gain_per_s: float = 0.0  # units that the lessor will have to lease out, each second
 
 
 @dataclass(slots=True)
 class LeaseRelease:
-    """This lease is over before its time, and so many units of it were not used."""
+    """The early end of a lease, with the units of it that were not used."""
 
-    to: int
+    recipient: int  # gateway
     customer: int
-    mark: int
-    left: float
-    process: int = 0  # of the lender
+    request_id: int
+    unused_units: float
+    process: int = 0  # of the lessor
 
 
 LeaseMessage = LeaseRequest | LeaseGrant | LeaseRelease
--- /dev/null
+++ b/zincstile/leases/lease_state.py
@@ -0,0 +1,70 @@
+"""State that the two sides of a gateway's leases, lessee and lessor, have in common."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+
+from .lease_messages import LeaseMessage, LeaseRelease
+from .lease_records import PeerState
+from .quota_account import QuotaAccount
+from .running_clock import RunningClock
+from .settings import SharedSettings
+
+
+@dataclass(slots=True)
+class Outbox:
+    """Messages that wait to be sent. Releases wait for another message to the same gateway, or for a tick."""
+
+    messages: list[LeaseMessage] = field(default_factory=list)
+    releases: list[LeaseRelease] = field(default_factory=list)
+
+    def flush_releases(self) -> None:
+        """Lets the releases wait no longer."""
+        self.messages += self.releases
+        self.releases = []
+
+    def drain(self) -> list[LeaseMessage]:
+        """Returns the messages to send and forgets them."""
+        drained = self.messages
+        self.messages = []
+        if self.releases and drained:
+            recipients = {message.recipient for message in drained}
+            drained += [release for release in self.releases if release.recipient in recipients]
+            self.releases = [release for release in self.releases if release.recipient not in recipients]
+        return drained
+
+
+@dataclass(slots=True)
+class LeaseCounters:
+    """Events since the start of the process, for the log."""
+
+    grants: int = 0
+    requests: int = 0
+    overdue_requests: int = 0
+
+
+@dataclass(slots=True)
+class LeaseState:
+    """The accounts, peers and waiting messages of one gateway's leases."""
+
+    settings: SharedSettings
+    gateway: int  # this one
+    process: int  # a number that no other process of this gateway had
+    clock: RunningClock
+    accounts: dict[int, QuotaAccount] = field(default_factory=dict)  # by customer
+    peers: dict[int, PeerState] = field(default_factory=dict)  # by gateway
+    outbox: Outbox = field(default_factory=Outbox)
+    expiring: dict[int, None] = field(default_factory=dict)  # customers with something that expires, in order
+    counters: LeaseCounters = field(default_factory=LeaseCounters)
+
+    def peer(self, gateway: int) -> PeerState:
+        """Returns what is known of a gateway, made where there is nothing."""
+        return self.peers.setdefault(gateway, PeerState())
+
+    def peer_of_process(self, gateway: int, process: int) -> PeerState:
+        """Returns what is known of a gateway's process; of a new process nothing is known yet."""
+        peer = self.peer(gateway)
+        if peer.process != process:
+            peer = PeerState(process)
+            self.peers[gateway] = peer
+        return peer
--- /dev/null
+++ b/zincstile/leases/lessor.py
@@ -0,0 +1,111 @@
+"""The lessor's side of leases: answers requests of other gateways out of the own part of a quota."""
+
+from __future__ import annotations
+
+from typing import Final
+
+from .lease_messages import NEGLIGIBLE_UNITS, LeaseGrant, LeaseRelease, LeaseRequest, rounded_down
+from .lease_records import GrantedLease, LeaseKey, PeerState, SentGrant
+from .lease_state import LeaseState
+from .quota_account import QuotaAccount
+
+RESERVE_S: Final = 0.15  # own use that is kept back: a request of one's own is about as long on its way
+MIN_GAIN_RATIO: Final = 0.6  # of its part's rate, that a lessor says it gains at least: recent use ends
+REMEMBERED_LEASE_TERMS: Final = (
+    4  # until an ended lease is forgotten: no duplicate of its request comes later
+)
+
+
+class Lessor:
+    """Grants leases to other gateways, takes them back and lets them expire."""
+
+    def __init__(self, state: LeaseState) -> None:
+        """Shares the state with the lessee's side."""
+        self.state = state
+
+    def on_request(
+        self, now: int, sender: int, process: int, request: LeaseRequest, account: QuotaAccount
+    ) -> None:
+        """Answers a request; a duplicate gets the same answer, and nothing is taken twice."""
+        peer = self.state.peer_of_process(sender, process)
+        key = LeaseKey(sender, process, request.request_id)
+        granted = account.granted.get(key)
+        if granted is None:
+            granted = self._decide(now, key, request, account, peer)
+        elif granted.units and not granted.active:
+            return  # a duplicate of the request for a lease that is over
+        self.state.outbox.messages.append(
+            LeaseGrant(
+                recipient=sender,
+                customer=account.customer,
+                request_id=request.request_id,
+                units=granted.units,
+                available_units=granted.available_units,
+                answer_number=granted.answer_number,
+                process=process,
+                gain_per_s=granted.gain_per_s,
+            )
+        )
+
+    def _decide(
+        self, now: int, key: LeaseKey, request: LeaseRequest, account: QuotaAccount, peer: PeerState
+    ) -> GrantedLease:
+        """Grants or rejects a new request, and remembers the answer."""
+        state = self.state
+        account.refill(state.clock.observe(now))
+        use_per_s = account.recent_use_per_s(now)
+        available_units = max(0.0, account.own_units - RESERVE_S * use_per_s)
+        units = self._units_to_lend(now, request, peer, available_units)
+        peer.answers_sent += 1
+        if units:
+            account.lend(units)
+            peer.unconfirmed.append(SentGrant(peer.answers_sent, now))
+            state.counters.grants += 1
+        granted = GrantedLease(
+            units=units,
+            available_units=available_units - units,
+            gain_per_s=max(account.rate_per_s * MIN_GAIN_RATIO, account.rate_per_s - use_per_s),
+            granted_ns=now,
+            answer_number=peer.answers_sent,
+            active=units > 0,
+        )
+        account.granted[key] = granted
+        state.expiring[account.customer] = None
+        return granted
+
+    def _units_to_lend(
+        self, now: int, request: LeaseRequest, peer: PeerState, available_units: float
+    ) -> float:
+        """Returns the units for a request, 0 for a rejection.
+
+        A gateway that messages do not reach is not lent to: while a grant to it should have arrived by now
+        and is not confirmed, its requests are rejected, which costs nothing and tests the path.
+        """
+        peer.unconfirmed = [grant for grant in peer.unconfirmed if grant.answer_number > request.last_answer]
+        if peer.unconfirmed and now - peer.unconfirmed[0].sent_ns >= self.state.settings.held_ns:
+            return 0.0
+        units = rounded_down(min(request.units, available_units))
+        too_few = units + NEGLIGIBLE_UNITS < min(request.least_units, request.units)
+        return 0.0 if too_few or units <= NEGLIGIBLE_UNITS else units
+
+    def on_release(self, now: int, sender: int, process: int, release: LeaseRelease) -> None:
+        """Takes back a lease that its lessee released: only while it is active, and only once."""
+        account = self.state.accounts.get(release.customer)
+        if account is None or release.process != self.state.process:
+            return
+        granted = account.granted.get(LeaseKey(sender, process, release.request_id))
+        if granted is None or not granted.active:
+            return
+        account.refill(self.state.clock.observe(now))
+        account.end_grant(granted)
+        account.credit(min(granted.units, max(0.0, release.unused_units)))
+
+    def expire(self, now: int, account: QuotaAccount) -> None:
+        """Ends granted leases whose time is up, and forgets those of which no duplicate can come any more."""
+        lease_ns = self.state.settings.life_ns
+        for key, granted in list(account.granted.items()):
+            age_ns = now - granted.granted_ns
+            if granted.active and age_ns >= lease_ns:
+                account.end_grant(granted)
+            if age_ns >= REMEMBERED_LEASE_TERMS * lease_ns:
+                del account.granted[key]
--- a/zincstile/leases/module.py
+++ b/zincstile/leases/module.py
@@ -24,9 +24,10 @@
 from .failure_detector import EVERY, Judges
 from .lease_manager import LeaseManager
 from .lease_messages import LeaseGrant, LeaseRelease, LeaseRequest
-from .lease_records import QuotaAccount
+from .quota_account import QuotaAccount
 from .settings import MS, SharedSettings
-from .slots import SlotAccount, SlotGrant, SlotManager, SlotRelease, SlotRequest
+from .slot_messages import SlotGrant, SlotRelease, SlotRequest
+from .slots import SlotAccount, SlotManager
 
 LOOK, AGAIN = 2**62, 2**62 + 1  # timers' tokens that no request has
 SPREAD_NS = 500 * MS  # how often evidence and levels are told to some others
@@ -92,15 +93,14 @@
         elif event.token == AGAIN:
             self.again_ns = -1
             self._carry_on(now)
-            slow, self.leases.slow = list(self.leases.slow), {}
-            self.try_held(now, slow)
+            self.try_held(now, self.leases.lessee.drain_late_customers())
         else:
             super().on_timer_fired(now, event)
 
     def _look(self, now: int) -> None:
         """What goes by time, once a beat."""
-        self.leases.look(now)
-        self.slots.look(now)
+        self.leases.tick(now)
+        self.slots.tick(now)
         self.tier = self.set.gateways / self.levels.look(now)
         names = [s.name for s in self.ready]
         self.judges.look(now, names)
@@ -118,7 +118,7 @@
             )
         if now - self.sweep_ns >= SWEEP_NS:
             self.sweep_ns = now
-            self.leases.sweep(now, IDLE_NS)
+            self.leases.forget_idle(now, IDLE_NS)
         if now - self.spread_ns >= SPREAD_NS:
             self.spread_ns = now + self.draws.randrange(self.shared.beat_ns)
             wants = sum(x.arrivals for x in self.leaves)
@@ -139,16 +139,16 @@
             if isinstance(word, LeaseRequest | SlotRequest):
                 self._asked_for(now, event, word)
             elif isinstance(word, SlotGrant):
-                if self.slots.granted(now, event.sender, event.process, word):
+                if self.slots.on_grant(now, event.sender, event.process, word):
                     again[word.customer] = None
             elif isinstance(word, SlotRelease):
-                self.slots.closed(event.sender, event.process, word)
+                self.slots.on_release(event.sender, event.process, word)
             elif isinstance(word, LeaseGrant):
-                account = self.leases.granted(now, event.sender, event.process, word)
+                account = self.leases.lessee.on_grant(now, event.sender, event.process, word)
                 if account is not None:
-                    again[account.key] = None
+                    again[account.customer] = None
             elif isinstance(word, LeaseRelease):
-                self.leases.closed(now, event.sender, event.process, word)
+                self.leases.lessor.on_release(now, event.sender, event.process, word)
             elif isinstance(word, LevelWord):
                 self.levels.merge(now, word)
             else:
@@ -163,33 +163,37 @@
         if (
             ask.plan >= len(set_.plans)
             or not set_.plans[ask.plan].rate
-            or not 1 <= ask.spread <= set_.gateways
-            or ask.first >= set_.gateways
+            or not 1 <= ask.set_size <= set_.gateways
+            or ask.first_gateway >= set_.gateways
         ):
             self.strange += 1
             return
         if isinstance(ask, SlotRequest):
-            slots = self._slot_account(ask.customer, ask.plan, ask.spread, ask.first)
-            if slots is None or len(slots.row) != ask.spread or slots.row[0] != ask.first:
+            slots = self._slot_account(ask.customer, ask.plan, ask.set_size, ask.first_gateway)
+            if slots is None or len(slots.gateways) != ask.set_size or slots.gateways[0] != ask.first_gateway:
                 self.strange += 1
             else:
-                self.slots.asked_for(now, event.sender, event.process, ask, slots)
+                self.slots.on_request(now, event.sender, event.process, ask, slots)
             return
-        account = self._purse(now, ask.customer, ask.plan, ask.spread, ask.first)
-        if account.plan != ask.plan or len(account.row) != ask.spread or account.row[0] != ask.first:
+        account = self._purse(now, ask.customer, ask.plan, ask.set_size, ask.first_gateway)
+        if (
+            account.plan != ask.plan
+            or len(account.gateways) != ask.set_size
+            or account.gateways[0] != ask.first_gateway
+        ):
             self.strange += 1  # one customer with two sets: the first one holds
             return
-        self.leases.asked_for(now, event.sender, event.process, ask, account)
+        self.leases.lessor.on_request(now, event.sender, event.process, ask, account)
 
     def _carry_on(self, now: int) -> None:
-        if self.leases.resendable:
-            soonest = self.leases.resend(now)
+        if self.leases.lessee.resendable:
+            soonest = self.leases.lessee.resend(now)
             if soonest is not None and not now < self.again_ns <= soonest:
                 self.again_ns = soonest
                 self.timer(soonest, AGAIN)
         by: dict[int, list[AnyWord]] = {}
-        for word in (*self.leases.told(), *self.slots.told()):
-            by.setdefault(word.to, []).append(word)
+        for word in (*self.leases.drain_messages(), *self.slots.drain_messages()):
+            by.setdefault(word.recipient, []).append(word)
         if self.set.peers:
             self.acts += [SharedTell(peer, self.process, words) for peer, words in by.items()]
 
@@ -203,7 +207,7 @@
 
     def _purse(self, now: int, key: int, plan: int, spread: int, first: int) -> QuotaAccount:
         row = tuple((first + k) % self.set.gateways for k in range(spread))
-        return self.leases.purse(now, key, plan, self._quota(plan, spread), row)
+        return self.leases.account(now, key, plan, self._quota(plan, spread), row)
 
     def _slot_account(self, key: int, plan: int, spread: int, first: int) -> SlotAccount | None:
         """None where the plan has no limit on attempts out."""
@@ -220,17 +224,21 @@
         """Units and, where the plan has a limit, a slot; the one is not taken without the other."""
         ask, c = live.ask, live.customer
         slots = self._slot_account(c.key, c.plan, c.spread, ask.first % self.set.gateways)
-        if slots is not None and not self.slots.has_free(now, slots, ask.give_up_ns):
-            return Paid.SOON if self.slots.seek(now, slots) else Paid.NO
+        if slots is not None and not self.slots.has_free(slots, ask.give_up_ns):
+            return Paid.SOON if self.slots.request_slot(now, slots) else Paid.NO
         account = self._purse(now, c.key, c.plan, c.spread, ask.first % self.set.gateways)
-        if self.leases.take(now, account, ask.units):
+        if self.leases.reserve(now, account, ask.units):
             self.paying = account
             if slots is not None:
-                self.slots.take(now, slots, ask.id, ask.give_up_ns)
-            self.leases.borrow_ahead(now, account)
+                self.slots.acquire(slots, ask.id, ask.give_up_ns)
+            self.leases.lessee.request_ahead(now, account)
             return Paid.YES
         refused = live.draw >= self.tree[0][ask.cls][ask.plan].rate  # by the budget: no word could help
-        return Paid.SOON if not refused and self.leases.seek(now, account, ask.units) else Paid.NO
+        return (
+            Paid.SOON
+            if not refused and self.leases.lessee.request_missing(now, account, ask.units)
+            else Paid.NO
+        )
 
     def _settle(self, now: int, live: Live, inside: bool) -> None:
         super()._settle(now, live, inside)
@@ -246,17 +254,17 @@
 
     def _unpay(self, now: int, c: Customer, units: float) -> None:
         if self.paying is not None:  # decided against in the same turn
-            self.leases.take_back(now, self.paying)
+            self.leases.cancel_reservation(now, self.paying)
             self.paying = None
-        elif c.key in self.leases.purses:
-            self.leases.charge(now, self.leases.purses[c.key], -units)
+        elif c.key in self.leases.accounts:
+            self.leases.charge(now, self.leases.accounts[c.key], -units)
 
     def _share(self, c: Customer, want: float = 0.0, mark: int = -1) -> CustomerUsage:
         """The level that is told is what this gateway's own part holds: a hint for those that borrow."""
         found = super()._share(c, want, mark)
-        account = self.leases.purses.get(c.key)
+        account = self.leases.accounts.get(c.key)
         if account is not None:
-            found.level = account.own
+            found.level = account.own_units
         return found
 
     def on_gossip_received(self, now: int, event: GossipReceived) -> None:
@@ -264,9 +272,9 @@
         event.doubts = []  # judgements come with their origin, by `Evidence`
         super().on_gossip_received(now, event)
         for s in event.shares:
-            account = self.leases.purses.get(s.customer)
+            account = self.leases.accounts.get(s.customer)
             if account is not None and event.sender < self.set.gateways:
-                self.leases.note_available(now, account, event.sender, s.level)
+                self.leases.lessee.note_available(now, account, event.sender, s.level)
 
     def _covers(self, plan: CustomerPlan) -> bool:
         """The quota holds what goes out under the ceiling, whatever fails: it is lower by more than what may
--- a/zincstile/leases/running_clock.py
+++ b/zincstile/leases/running_clock.py
@@ -1,4 +1,4 @@
-"""A clock that counts the time for which this process was seen to run."""
+"""A clock that counts the time for which this process was observed to run."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 
 @dataclass(slots=True)
 class RunningClock:
-    """Time awake: a process that was stopped earns nothing while it does not run."""
+    """Counts running time: a process that was stopped gains nothing for the time in which it did not run."""
 
-    gap_ns: int  # a longer gap between two looks counts as this
-    awake_ns: int = 0
-    last_ns: int = -1
+    max_gap_ns: int  # a longer gap between two observations counts as this
+    running_ns: int = 0
+    observed_ns: int = -1  # the last observation, by the machine's clock; -1: none
 
-    def look(self, now: int) -> int:
-        """Nanoseconds awake so far; a longer gap since the last look counts as `gap_ns`."""
-        if self.last_ns >= 0:
-            self.awake_ns += min(self.gap_ns, max(0, now - self.last_ns))
-        self.last_ns = max(now, self.last_ns)
-        return self.awake_ns
+    def observe(self, now: int) -> int:
+        """Returns the running time so far, in nanoseconds, with the time since the last observation."""
+        if self.observed_ns >= 0:
+            self.running_ns += min(self.max_gap_ns, max(0, now - self.observed_ns))
+        self.observed_ns = max(now, self.observed_ns)
+        return self.running_ns
--- a/zincstile/leases/slots.py
+++ b/zincstile/leases/slots.py
@@ -1,235 +1,273 @@
-"""Limits on attempts out at once: whole slots that have one owner each, and are lent for one request.
+"""Limits on a customer's requests in flight: whole slots that have one owner each and are leased to others.
 
-A plan's limit is shared out among a customer's holders in whole slots, so that they sum up to it
-whoever is heard. A request holds a slot from its decision until it is over. Who has none free asks one
-other holder for one; the lease lasts for the longest deadline and `held` from the request, and is used only
-for a request whose client gives up before that. So the lessor, which counts from its answer, has it
-back no sooner than it is free, without a message; a release brings it back earlier. A lease is named by
-the lessee's process and a number that it uses once, as in `leases`.
+A plan's limit is split among a customer's holders in whole slots, so that they sum up to it under any
+partition. A request holds a slot from its decision until it is over. A gateway that has none free requests
+one of another holder. The lease lasts for the longest deadline and `held_ns` from its request, and is used
+only for a request whose client gives up before that. So the lessor, which counts from its answer, may use the
+slot again after that time without a message; a release brings it back earlier.
 
-What may be out beyond a limit: at the restart of a lessor, the slots that it had lent, until these end.
-Nothing else.
+What may be in flight beyond a limit: after the restart of a lessor, the slots that it had leased out, until
+these leases end. Nothing else.
 """
 
 from __future__ import annotations
 
 import random
 from dataclasses import dataclass, field
+from typing import Final, NamedTuple
 
+from .lease_records import LeaseKey
 from .rendezvous import choose_holders
 from .settings import SharedSettings
+from .slot_messages import SlotGrant, SlotMessage, SlotRelease, SlotRequest
 
-REMEMBERED_LIVES = 2  # after which a lease's id is forgotten
-
-
-@dataclass(slots=True)
-class SlotRequest:
-    """Lend me one slot of this customer's."""
-
-    to: int
-    customer: int
-    plan: int
-    spread: int
-    first: int
-    mark: int
-
-
-@dataclass(slots=True)
-class SlotGrant:
-    """The answer: it is yours, or (not given) I have none to lend."""
-
-    to: int
-    customer: int
-    mark: int
-    given: bool
-    process: int = 0  # of the borrower that asked
-
-
-@dataclass(slots=True)
-class SlotRelease:
-    """That slot is free again."""
-
-    to: int
-    customer: int
-    mark: int
-    process: int = 0  # of the lender
-
-
-SlotMessage = SlotRequest | SlotGrant | SlotRelease
+REMEMBERED_LEASE_TERMS: Final = (
+    2  # until an ended lease is forgotten: no duplicate of its request comes later
+)
+UNUSED_ANSWER_WAITS: Final = 2  # that a leased slot may stay unused: the request that needs it waits for one
 
 
 @dataclass(slots=True, eq=False)
 class SlotLease:
     """A slot of another gateway's, as its lessee keeps it."""
 
-    lender: int
-    process: int
-    mark: int
+    lessor: int  # gateway
+    process: int  # of the lessor
+    request_id: int
     end_ns: int
     used: bool = False
 
 
 @dataclass(slots=True)
 class GrantedSlot:
-    """A slot that was lent, as its lessor keeps it; not open: it is free again, or was refused."""
+    """The answer to a request as its lessor keeps it; not active: the slot was rejected or is free again."""
+
+    granted_ns: int
+    active: bool
+
+
+class PendingSlotRequest(NamedTuple):
+    """A request for a slot that is not answered yet."""
 
-    at_ns: int
-    open: bool
+    holder: int  # gateway
+    requested_ns: int
 
 
 @dataclass(slots=True)
 class SlotAccount:
-    """One customer's slots here."""
+    """One customer's slots at this gateway."""
 
-    key: int
+    customer: int
     plan: int
-    row: tuple[int, ...]
-    held_by: tuple[int, ...]
-    mine: int
-    used: int = 0
-    lent: dict[tuple[int, int, int], GrantedSlot] = field(default_factory=dict)
-    borrowed: list[SlotLease] = field(default_factory=list)
-    asked: dict[int, tuple[int, int]] = field(default_factory=dict)  # mark: of whom, when
-    none_ns: dict[int, int] = field(default_factory=dict)  # holder: it has none to lend, until then
+    gateways: tuple[int, ...]  # the customer's gateways
+    holders: tuple[int, ...]  # those that hold slots
+    own_slots: int
+    used_slots: int = 0  # of the own ones
+    granted: dict[LeaseKey, GrantedSlot] = field(default_factory=dict)
+    leases: list[SlotLease] = field(default_factory=list)
+    pending: dict[int, PendingSlotRequest] = field(default_factory=dict)  # by request id
+    empty_until_ns: dict[int, int] = field(default_factory=dict)  # by holder: it has no slot free until then
 
     @property
-    def out(self) -> int:
-        """Slots that are lent at present."""
-        return sum(g.open for g in self.lent.values())
+    def lent_slots(self) -> int:
+        """Own slots that are leased out."""
+        return sum(granted.active for granted in self.granted.values())
 
     @property
-    def free(self) -> int:
-        """Own slots that may be used or lent."""
-        return self.mine - self.used - self.out
+    def free_slots(self) -> int:
+        """Own slots that may be used or leased out."""
+        return self.own_slots - self.used_slots - self.lent_slots
 
     @property
-    def idle(self) -> bool:
-        """It may be forgotten."""
-        return not (self.used or self.lent or self.borrowed or self.asked)
+    def is_idle(self) -> bool:
+        """Whether the account may be forgotten."""
+        return not (self.used_slots or self.granted or self.leases or self.pending)
+
+    def usable_lease(self, until_ns: int) -> SlotLease | None:
+        """Returns a leased slot for a request that is over by then; None where there is none."""
+        for lease in self.leases:
+            if not lease.used and lease.end_ns >= until_ns:
+                return lease
+        return None
+
+
+class HeldSlot(NamedTuple):
+    """The slot of a request in flight."""
+
+    account: SlotAccount
+    lease: SlotLease | None  # None: an own slot
 
 
 class SlotManager:
-    """The slots of one gateway. `longest_ns`: the longest deadline of a request."""
+    """The slots of one gateway."""
 
     def __init__(
-        self, settings: SharedSettings, me: int, process: int, longest_ns: int, rng: random.Random
+        self, settings: SharedSettings, gateway: int, process: int, longest_ns: int, rng: random.Random
     ) -> None:
-        self.settings, self.me, self.process, self.rng = settings, me, process, rng
-        self.life_ns = longest_ns + settings.held_ns
-        self.accounts: dict[int, SlotAccount] = {}
+        """Starts without accounts.
+
+        `process` is a number that no other process of this gateway had; `longest_ns` is the longest deadline
+        of a request.
+        """
+        self.settings = settings
+        self.gateway = gateway
+        self.process = process
+        self.rng = rng
+        self.lease_ns = longest_ns + settings.held_ns
+        self.accounts: dict[int, SlotAccount] = {}  # by customer
         self.outbox: list[SlotMessage] = []
-        self.in_use: dict[int, tuple[SlotAccount, SlotLease | None]] = {}  # by request; None: an own one
-        self.counts = {"asked": 0, "lent": 0}
-        self._marks = rng.getrandbits(31)
-
-    def account(self, key: int, plan: int, limit: int, row: tuple[int, ...]) -> SlotAccount:
-        """A customer's slots, made where there are none."""
-        found = self.accounts.get(key)
-        if found is None:
-            held_by = tuple(choose_holders(key, row, min(limit, len(row))))
-            mine = 0
-            if self.me in held_by:
-                mine = limit // len(held_by) + (held_by.index(self.me) < limit % len(held_by))
-            found = self.accounts[key] = SlotAccount(key, plan, row, held_by, mine)
-        return found
-
-    def has_free(self, now: int, account: SlotAccount, until_ns: int) -> bool:
-        """There is a slot for a request that is over by then."""
-        return account.free > 0 or any(not b.used and b.end_ns >= until_ns for b in account.borrowed)
-
-    def take(self, now: int, account: SlotAccount, request: int, until_ns: int) -> None:
-        """After `has_free`: the request holds it until `release`. A borrowed one goes first, as it ends."""
-        for one in account.borrowed:
-            if not one.used and one.end_ns >= until_ns:
-                one.used = True
-                self.in_use[request] = account, one
-                return
-        account.used += 1
-        self.in_use[request] = account, None
+        self.held_slots: dict[int, HeldSlot] = {}  # by request
+        self.granted_slots = 0  # so far
+        self._last_request_id = rng.getrandbits(31)
 
-    def release(self, request: int) -> None:
-        """The request is over, however it ended; nothing where it held no slot."""
-        account, one = self.in_use.pop(request, (None, None))
+    def account(self, customer: int, plan: int, limit: int, gateways: tuple[int, ...]) -> SlotAccount:
+        """Returns a customer's account, made where there is none; `limit` is the plan's."""
+        account = self.accounts.get(customer)
         if account is None:
+            holders = tuple(choose_holders(customer, gateways, min(limit, len(gateways))))
+            own_slots = 0
+            if self.gateway in holders:
+                own_slots = limit // len(holders)
+                own_slots += holders.index(self.gateway) < limit % len(holders)
+            account = SlotAccount(customer, plan, gateways, holders, own_slots)
+            self.accounts[customer] = account
+        return account
+
+    # ---- requests in flight
+
+    def has_free(self, account: SlotAccount, until_ns: int) -> bool:
+        """Returns whether there is a slot for a request that is over by then."""
+        return account.free_slots > 0 or account.usable_lease(until_ns) is not None
+
+    def acquire(self, account: SlotAccount, request: int, until_ns: int) -> None:
+        """Gives the request a slot until `release`, after `has_free`; a leased one first, as it ends."""
+        lease = account.usable_lease(until_ns)
+        if lease is None:
+            account.used_slots += 1
+        else:
+            lease.used = True
+        self.held_slots[request] = HeldSlot(account, lease)
+
+    def release(self, request: int) -> None:
+        """Takes back the slot of a request that is over; nothing happens where it held none."""
+        held = self.held_slots.pop(request, None)
+        if held is None:
             return
-        if one is None:
-            account.used -= 1
+        if held.lease is None:
+            held.account.used_slots -= 1
         else:
-            self._return(account, one)
+            self._release_lease(held.account, held.lease)
+
+    def _release_lease(self, account: SlotAccount, lease: SlotLease) -> None:
+        """Gives a leased slot back to its lessor."""
+        if lease in account.leases:
+            account.leases.remove(lease)
+            self.outbox.append(SlotRelease(lease.lessor, account.customer, lease.request_id, lease.process))
 
-    def _return(self, account: SlotAccount, one: SlotLease) -> None:
-        """A borrowed slot goes back to its lessor."""
-        if one in account.borrowed:
-            account.borrowed.remove(one)
-            self.outbox.append(SlotRelease(one.lender, account.key, one.mark, one.process))
+    # ---- as a lessee
 
-    def seek(self, now: int, account: SlotAccount) -> bool:
-        """Asks one holder that may have one; True: an answer may bring it."""
-        if any(now - at < self.settings.held_ns for _, at in account.asked.values()):
+    def request_slot(self, now: int, account: SlotAccount) -> bool:
+        """Requests a slot of one holder that may have one; returns whether an answer may bring it."""
+        answer_wait_ns = self.settings.held_ns
+        if any(now - pending.requested_ns < answer_wait_ns for pending in account.pending.values()):
             return True
-        able = [h for h in account.held_by if h != self.me and now >= account.none_ns.get(h, -1)]
-        if not able:
+        candidates = [
+            holder
+            for holder in account.holders
+            if holder != self.gateway and now >= account.empty_until_ns.get(holder, -1)
+        ]
+        if not candidates:
             return False
-        to = self.rng.choice(able)
-        self._marks = (self._marks + 1) % 2**32
-        account.asked[self._marks] = to, now
-        account.none_ns[to] = now + self.settings.held_ns  # unless it answers
-        row = account.row
-        self.outbox.append(SlotRequest(to, account.key, account.plan, len(row), row[0], self._marks))
-        self.counts["asked"] += 1
+        holder = self.rng.choice(candidates)
+        self._last_request_id = (self._last_request_id + 1) % 2**32
+        account.pending[self._last_request_id] = PendingSlotRequest(holder, now)
+        account.empty_until_ns[holder] = now + answer_wait_ns  # unless it answers
+        self.outbox.append(
+            SlotRequest(
+                recipient=holder,
+                customer=account.customer,
+                plan=account.plan,
+                set_size=len(account.gateways),
+                first_gateway=account.gateways[0],
+                request_id=self._last_request_id,
+            )
+        )
         return True
 
-    def asked_for(self, now: int, sender: int, process: int, ask: SlotRequest, account: SlotAccount) -> None:
-        """Answers another gateway's request; a double of one is answered as the first was."""
-        key = sender, process, ask.mark
-        given = account.lent.get(key)
-        if given is None:
-            given = account.lent[key] = GrantedSlot(now, account.free > 0)
-            self.counts["lent"] += given.open
-        elif not given.open:
-            return  # a double of one that is closed, or was refused
-        self.outbox.append(SlotGrant(sender, account.key, ask.mark, given.open, process))
-
-    def granted(self, now: int, sender: int, process: int, message: SlotGrant) -> bool:
-        """True where it brings a slot."""
-        account = self.accounts.get(message.customer)
-        if account is None or message.process != self.process:
+    def on_grant(self, now: int, sender: int, process: int, grant: SlotGrant) -> bool:
+        """Takes the answer to a request of this process; returns whether it brings a slot."""
+        account = self.accounts.get(grant.customer)
+        if account is None or grant.process != self.process:
             return False
-        to, at = account.asked.pop(message.mark, (-1, 0))
-        if to != sender:
+        pending = account.pending.pop(grant.request_id, None)
+        if pending is None or pending.holder != sender:
             return False
-        if not message.given:
-            account.none_ns[sender] = now + self.settings.quiet_ns
+        if not grant.granted:
+            account.empty_until_ns[sender] = now + self.settings.quiet_ns
             return False
-        account.none_ns.pop(sender, None)
-        account.borrowed.append(SlotLease(sender, process, message.mark, at + self.life_ns))
+        account.empty_until_ns.pop(sender, None)
+        end_ns = pending.requested_ns + self.lease_ns
+        account.leases.append(SlotLease(sender, process, grant.request_id, end_ns))
         return True
 
-    def closed(self, sender: int, process: int, message: SlotRelease) -> None:
-        """Takes back a slot whose lessee is done with it."""
-        account = self.accounts.get(message.customer)
-        if account is None or message.process != self.process:
+    # ---- as a lessor
+
+    def on_request(
+        self, now: int, sender: int, process: int, request: SlotRequest, account: SlotAccount
+    ) -> None:
+        """Answers a request; a duplicate gets the same answer, and no slot is granted twice."""
+        key = LeaseKey(sender, process, request.request_id)
+        granted = account.granted.get(key)
+        if granted is None:
+            granted = GrantedSlot(now, account.free_slots > 0)
+            account.granted[key] = granted
+            self.granted_slots += granted.active
+        elif not granted.active:
+            return  # a duplicate of a request that was rejected, or whose lease is over
+        self.outbox.append(SlotGrant(sender, account.customer, request.request_id, granted.active, process))
+
+    def on_release(self, sender: int, process: int, release: SlotRelease) -> None:
+        """Takes back a slot that its lessee released."""
+        account = self.accounts.get(release.customer)
+        if account is None or release.process != self.process:
             return
-        given = account.lent.get((sender, process, message.mark))
-        if given is not None:
-            given.open = False
-
-    def look(self, now: int) -> None:
-        """Once a beat: what has ended, and what was borrowed and is not used, goes back."""
-        for key, account in list(self.accounts.items()):
-            for lent_key, given in list(account.lent.items()):
-                if now - given.at_ns >= self.life_ns:
-                    given.open = False
-                if now - given.at_ns >= REMEMBERED_LIVES * self.life_ns:
-                    del account.lent[lent_key]
-            for one in [b for b in account.borrowed if not b.used]:
-                if now - (one.end_ns - self.life_ns) >= 2 * self.settings.held_ns:
-                    self._return(account, one)
-            account.asked = {m: a for m, a in account.asked.items() if now - a[1] < self.life_ns}
-            if account.idle:
-                del self.accounts[key]
-
-    def told(self) -> list[SlotMessage]:
-        """The messages to send, since the last time this was asked."""
-        made, self.outbox = self.outbox, []
-        return made
+        granted = account.granted.get(LeaseKey(sender, process, release.request_id))
+        if granted is not None:
+            granted.active = False
+
+    # ---- time and messages
+
+    def tick(self, now: int) -> None:
+        """Lets expire what has ended, and gives back leased slots that are not used."""
+        for customer, account in list(self.accounts.items()):
+            self._expire_granted(now, account)
+            self._release_unused(now, account)
+            account.pending = {
+                request_id: pending
+                for request_id, pending in account.pending.items()
+                if now - pending.requested_ns < self.lease_ns
+            }
+            if account.is_idle:
+                del self.accounts[customer]
+
+    def _expire_granted(self, now: int, account: SlotAccount) -> None:
+        """Ends leases to others whose time is up, and forgets those that ended long ago."""
+        for key, granted in list(account.granted.items()):
+            age_ns = now - granted.granted_ns
+            if age_ns >= self.lease_ns:
+                granted.active = False
+            if age_ns >= REMEMBERED_LEASE_TERMS * self.lease_ns:
+                del account.granted[key]
+
+    def _release_unused(self, now: int, account: SlotAccount) -> None:
+        """Gives back leased slots that no request took for some time."""
+        for lease in [lease for lease in account.leases if not lease.used]:
+            requested_ns = lease.end_ns - self.lease_ns
+            if now - requested_ns >= UNUSED_ANSWER_WAITS * self.settings.held_ns:
+                self._release_lease(account, lease)
+
+    def drain_messages(self) -> list[SlotMessage]:
+        """Returns the messages to send, each once."""
+        drained = self.outbox
+        self.outbox = []
+        return drained
--- a/zincstile/simulation/mutants_shared.py
+++ b/zincstile/simulation/mutants_shared.py
@@ -17,6 +17,9 @@
 from ..leases.lease_manager import LeaseManager
 from ..leases.lease_messages import LeaseRequest
 from ..leases.lease_records import PendingRequest
+from ..leases.lessee import Lessee
+from ..leases.lessor import Lessor
+from ..leases.quota_account import QuotaAccount
 from ..leases.running_clock import RunningClock
 from ..leases.settings import MS, SECOND, SharedSettings
 from . import search, shared, shared_trials
@@ -27,120 +30,125 @@
 
 
 def _both_hold() -> Undo:
-    """The lender keeps in its store what it lends."""
-    old = LeaseManager.asked_for
+    """The lessor keeps in its token bucket what it lends."""
+    old = Lessor.on_request
 
-    def asked_for(self, now, sender, process, ask, purse):
-        before = purse.own
-        old(self, now, sender, process, ask, purse)
-        purse.own = max(purse.own, min(before, purse.most))
+    def on_request(self, now, sender, process, request, account):
+        before = account.own_units
+        old(self, now, sender, process, request, account)
+        account.own_units = max(account.own_units, min(before, account.capacity_units))
 
-    return _swap(LeaseManager, "asked_for", asked_for)
+    return _swap(Lessor, "on_request", on_request)
 
 
 def _wrong_clock() -> Undo:
-    """The borrower counts a loan's life from the moment it came, and not from its own ask."""
-    old = LeaseManager.granted
-
-    def granted(self, now, sender, process, grant):
-        purse = self.purses.get(grant.customer)
-        asked = purse.asked.get(grant.mark) if purse else None
-        if asked is not None:
-            asked.at_ns = now + self.settings.life_ns
+    """The lessee counts a lease's time from the moment it came, and not from its own request."""
+    old = Lessee.on_grant
+
+    def on_grant(self, now, sender, process, grant):
+        account = self.state.accounts.get(grant.customer)
+        pending = account.pending.get(grant.request_id) if account else None
+        if pending is not None:
+            pending.requested_ns = now + self.state.settings.life_ns
         return old(self, now, sender, process, grant)
 
-    return _swap(LeaseManager, "granted", granted)
+    return _swap(Lessee, "on_grant", on_grant)
 
 
 def _speaks_for_its_past() -> Undo:
-    """A process that starts takes the answers to the one before it for its own, and closes its loans."""
-    old = LeaseManager.granted
-
-    def granted(self, now, sender, process, grant):
-        purse = self.purses.get(grant.customer)
-        if purse is not None and grant.mark not in purse.asked and grant.process != self.process:
-            ask = LeaseRequest(sender, purse.key, purse.plan, 1, 0, grant.mark, grant.units, 0.0, 0)
-            purse.asked[grant.mark] = PendingRequest(ask, now, now)
-            grant.process = self.process
+    """A process that starts takes the answers to the one before it for its own, and releases its leases."""
+    old = Lessee.on_grant
+
+    def on_grant(self, now, sender, process, grant):
+        account = self.state.accounts.get(grant.customer)
+        if (
+            account is not None
+            and grant.request_id not in account.pending
+            and grant.process != self.state.process
+        ):
+            request = LeaseRequest(
+                sender, account.customer, account.plan, 1, 0, grant.request_id, grant.units, 0.0, 0
+            )
+            account.pending[grant.request_id] = PendingRequest(request, now, now)
+            grant.process = self.state.process
         return old(self, now, sender, process, grant)
 
-    return _swap(LeaseManager, "granted", granted)
+    return _swap(Lessee, "on_grant", on_grant)
 
 
 def _counted_twice() -> Undo:
-    """An answer that comes twice is two loans."""
-    old = LeaseManager.granted
+    """An answer that comes twice is two leases."""
+    old = Lessee.on_grant
 
-    def granted(self, now, sender, process, grant):
-        purse = self.purses.get(grant.customer)
-        asked = purse.asked.get(grant.mark) if purse else None
+    def on_grant(self, now, sender, process, grant):
+        account = self.state.accounts.get(grant.customer)
+        pending = account.pending.get(grant.request_id) if account else None
         found = old(self, now, sender, process, grant)
-        if asked is not None:
-            purse.asked[grant.mark] = asked
+        if pending is not None:
+            account.pending[grant.request_id] = pending
         return found
 
-    return _swap(LeaseManager, "granted", granted)
+    return _swap(Lessee, "on_grant", on_grant)
 
 
 def _closed_twice() -> Undo:
-    """What is given back is taken each time that it comes."""
+    """What is released is taken each time that it comes."""
 
-    def over(self, purse, lent):
-        purse.out = max(0.0, purse.out - lent.units)
+    def end_grant(self, granted):
+        self.lent_units = max(0.0, self.lent_units - granted.units)
 
-    return _swap(LeaseManager, "_over", over)
+    return _swap(QuotaAccount, "end_grant", end_grant)
 
 
 def _never_ends() -> Undo:
-    """A borrower goes on using a loan after its end."""
-    return _swap(LeaseManager, "_end", lambda self, now, purse: None)
+    """A lessee goes on using a lease after its end."""
+    return _swap(QuotaAccount, "drop_expired_leases", lambda self, now: None)
 
 
 def _no_cap() -> Undo:
-    """A store holds more than its part."""
+    """A token bucket holds more than its part."""
 
-    def fill(self, now, purse):
-        awake = self.clock.look(now)
-        purse.own += purse.rate * (awake - purse.filled_ns) / SECOND
-        purse.filled_ns = awake
+    def refill(self, running_ns):
+        self.own_units += self.rate_per_s * (running_ns - self.filled_ns) / SECOND
+        self.filled_ns = running_ns
 
-    return _swap(LeaseManager, "_fill", fill)
+    return _swap(QuotaAccount, "refill", refill)
 
 
 def _sleep_earns() -> Undo:
-    """A store fills by the time that passed, also while its process was stopped."""
+    """A token bucket fills by the time that passed, also while its process was stopped."""
 
-    def look(self, now):
-        self.awake_ns += max(0, now - self.last_ns) if self.last_ns >= 0 else 0
-        self.last_ns = max(now, self.last_ns)
-        return self.awake_ns
+    def observe(self, now):
+        self.running_ns += max(0, now - self.observed_ns) if self.observed_ns >= 0 else 0
+        self.observed_ns = max(now, self.observed_ns)
+        return self.running_ns
 
-    return _swap(RunningClock, "look", look)
+    return _swap(RunningClock, "observe", observe)
 
 
 def _out_forgotten() -> Undo:
-    """The lender's store fills up again while its loan is out."""
+    """The lessor's token bucket fills up again while its lease runs."""
 
-    def fill(self, now, purse):
-        awake = self.clock.look(now)
-        grown = purse.rate * (awake - purse.filled_ns) / SECOND
-        purse.own, purse.filled_ns = min(purse.most, purse.own + 4 * grown), awake
+    def refill(self, running_ns):
+        gained = self.rate_per_s * (running_ns - self.filled_ns) / SECOND
+        self.own_units = min(self.capacity_units, self.own_units + 4 * gained)
+        self.filled_ns = running_ns
 
-    return _swap(LeaseManager, "_fill", fill)
+    return _swap(QuotaAccount, "refill", refill)
 
 
 def _starts_full() -> Undo:
-    """A start that knows no past opens with a full store, and with all of the quota."""
-    old = LeaseManager.purse
+    """A start that knows no past opens with a full token bucket, and with all of the quota."""
+    old = LeaseManager.account
 
-    def purse(self, now, key, plan, quota, row):
-        new = key not in self.purses
-        found = old(self, now, key, plan, quota, row)
+    def account(self, now, customer, plan, quota, gateways):
+        new = customer not in self.accounts
+        found = old(self, now, customer, plan, quota, gateways)
         if new:
-            found.own = found.most = quota.burst
+            found.own_units = found.capacity_units = quota.burst
         return found
 
-    return _swap(LeaseManager, "purse", purse)
+    return _swap(LeaseManager, "account", account)
 
 
 def _no_witness() -> Undo:
--- a/zincstile/simulation/search.py
+++ b/zincstile/simulation/search.py
@@ -19,6 +19,8 @@
 from ..leases.bound import bounds, opening
 from ..leases.lease_manager import LeaseManager
 from ..leases.lease_messages import LeaseGrant, LeaseMessage, LeaseRelease, LeaseRequest
+from ..leases.lease_records import PeerState
+from ..leases.quota_account import QuotaAccount
 from ..leases.settings import MS, SharedSettings
 
 GATEWAYS, CUSTOMERS = 3, 2
@@ -99,12 +101,12 @@
     made = LeaseManager(SETTINGS, me, state.processes, state.now, Even(1000 * state.processes))  # type: ignore
     for c in range(CUSTOMERS):
         if me in ROWS[c]:
-            _purse(made, state.now, c)
+            _account(made, state.now, c)
     return made
 
 
-def _purse(loans: LeaseManager, now: int, c: int):
-    return loans.purse(now, c + 1, c, QUOTAS[c], ROWS[c])
+def _account(leases: LeaseManager, now: int, c: int) -> QuotaAccount:
+    return leases.account(now, c + 1, c, QUOTAS[c], ROWS[c])
 
 
 def actions(state: State) -> list[str]:
@@ -147,34 +149,35 @@
 
 
 def _flush(state: State, g: int) -> None:
-    for word in state.seats[g].told():
+    for word in state.seats[g].drain_messages():
         if len(state.words) < FLIGHT:
-            state.words.append(Sent(g, state.seats[g].process, word))
+            state.words.append(Sent(g, state.seats[g].state.process, word))
 
 
 def _try(state: State, g: int, c: int) -> None:
-    loans, now = state.seats[g], state.clocks[g]
-    units, purse = QUOTAS[c].largest, _purse(loans, now, c)
-    borrowed = sum(x.units for x in purse.loans)
-    if loans.take(now, purse, units):
+    leases, now = state.seats[g], state.clocks[g]
+    units, account = QUOTAS[c].largest, _account(leases, now, c)
+    borrowed = account.leased_units()
+    if leases.reserve(now, account, units):
         state.levels[c] -= units
         if now < state.now:  # stopped between decision and sending: what it borrowed may be lent anew by now
-            state.allowed[c] += max(0.0, borrowed - sum(x.units for x in purse.loans))
+            state.allowed[c] += max(0.0, borrowed - account.leased_units())
     else:
-        loans.seek(now, purse, units)
+        leases.lessee.request_missing(now, account, units)
     _flush(state, g)
 
 
 def _deliver(state: State, one: Sent) -> None:
     word = one.word
-    loans, now = state.seats[word.to], state.clocks[word.to]
+    leases, now = state.seats[word.recipient], state.clocks[word.recipient]
     if isinstance(word, LeaseRequest):
-        loans.asked_for(now, one.sender, one.process, word, _purse(loans, now, word.customer - 1))
+        account = _account(leases, now, word.customer - 1)
+        leases.lessor.on_request(now, one.sender, one.process, word, account)
     elif isinstance(word, LeaseGrant):
-        loans.granted(now, one.sender, one.process, word)
+        leases.lessee.on_grant(now, one.sender, one.process, word)
     elif isinstance(word, LeaseRelease):
-        loans.closed(now, one.sender, one.process, word)
-    _flush(state, word.to)
+        leases.lessor.on_release(now, one.sender, one.process, word)
+    _flush(state, word.recipient)
 
 
 def _tick(state: State, asleep: int, look: bool) -> None:
@@ -183,7 +186,7 @@
     state.now += STEP_NS
     for c, quota in enumerate(QUOTAS):
         state.levels[c] = min(quota.burst, state.levels[c] + quota.rate * STEP_NS / 1e9)
-    for g, loans in enumerate(state.seats):
+    for g, leases in enumerate(state.seats):
         if g == asleep:
             if state.clocks[g] == state.now - STEP_NS:  # its sleep begins
                 for c in range(CUSTOMERS):
@@ -192,7 +195,7 @@
             continue
         state.clocks[g] = state.now
         if look:
-            loans.look(state.now)
+            leases.tick(state.now)
             _flush(state, g)
 
 
@@ -214,10 +217,10 @@
                 f"{state.allowed[c]:.3f} allowed"
             )
         held = 0.0
-        for g, loans in enumerate(state.seats):
-            purse = loans.purses.get(c + 1)
-            if purse is not None:
-                held += loans.have(state.clocks[g], purse)
+        for g, leases in enumerate(state.seats):
+            account = leases.accounts.get(c + 1)
+            if account is not None:
+                held += leases.available_units(state.clocks[g], account)
         if awake and held > state.levels[c] + state.allowed[c] + DIGITS:
             raise Broken(
                 f"customer {c}: stores and loans hold {held:.3f}, the quota {state.levels[c]:.3f}, "
@@ -225,49 +228,54 @@
             )
 
 
+def _account_key(account: QuotaAccount, at: int, now: int) -> tuple[object, ...]:
+    return (
+        account.customer,
+        round(account.own_units, 6),
+        round(account.lent_units, 6),
+        [(x.lessor, x.process, x.request_id, round(x.units, 6), x.end_ns - now) for x in account.leases],
+        [
+            (k, x.request.recipient, x.request.units, x.requested_ns - now, x.sends, x.overdue)
+            for k, x in account.pending.items()
+        ],
+        [
+            (holder, round(x.units, 6), round(x.gain_per_s, 6), max(-(10**9), x.observed_ns - now))
+            for holder, x in account.availability.items()
+        ],
+        [(k, round(x.units, 6), x.granted_ns - now, x.active) for k, x in account.granted.items()],
+        round(account.batch_leased_units, 6) if account.batch_ns == at else 0,
+    )
+
+
+def _peer_key(number: int, peer: PeerState, now: int) -> tuple[object, ...]:
+    return (
+        number,
+        peer.process,
+        peer.last_answer,
+        max(-1, peer.quiet_until_ns - now),
+        peer.backoff_ns,
+        peer.overdue_requests,
+        peer.answers_sent,
+        [(grant.answer_number, grant.sent_ns - now) for grant in peer.unconfirmed],
+    )
+
+
 def _key(state: State) -> bytes:
     """Equal for states from which the same can happen."""
     now = state.now
     seats = []
-    for g, loans in enumerate(state.seats):
+    for g, leases in enumerate(state.seats):
         at = state.clocks[g]
-        purses = [
-            (
-                k,
-                round(p.own, 6),
-                round(p.out, 6),
-                [(x.lender, x.process, x.mark, round(x.units, 6), x.end_ns - now) for x in p.loans],
-                [(m, a.ask.to, a.ask.units, a.at_ns - now, a.sent, a.overdue) for m, a in p.asked.items()],
-                [
-                    (h, round(x.level, 6), round(x.gain, 6), max(-(10**9), x.at_ns - now))
-                    for h, x in p.hints.items()
-                ],
-                [(m, round(x.units, 6), x.at_ns - now, x.open) for m, x in p.lent.items()],
-                round(p.turn_lent, 6) if p.turn_ns == at else 0,
-            )
-            for k, p in loans.purses.items()
-        ]
-        peers = [
-            (
-                n,
-                p.process,
-                p.heard,
-                max(-1, p.quiet_until_ns - now),
-                p.quiet_ns,
-                p.missed,
-                p.told,
-                [(a, b - now) for a, b in p.unheard],
-            )
-            for n, p in loans.peers.items()
-        ]
+        accounts = [_account_key(account, at, now) for account in leases.accounts.values()]
+        peers = [_peer_key(number, peer, now) for number, peer in leases.state.peers.items()]
         seats.append(
             (
-                loans.process,
+                leases.state.process,
                 at - now,
-                purses,
+                accounts,
                 peers,
-                loans._marks,
-                [(c.to, c.mark, c.left) for c in loans.closes],
+                leases.lessee.last_request_id,
+                [(x.recipient, x.request_id, x.unused_units) for x in leases.state.outbox.releases],
             )
         )
     words = sorted(repr((w.sender, w.process, w.word)) for w in state.words)
