--- a/tests/test_asking.py
+++ b/tests/test_asking.py
@@ -7,7 +7,7 @@
 import pytest
 
 from zincstile.cold_start.asking import Asking
-from zincstile.emulators.listservice import Manners
+from zincstile.emulators.list_service import ListServiceBehaviour
 from zincstile.net import http
 from zincstile.net.limits import MS, SECOND, Limits
 from zincstile.simulation.plan import Plan
@@ -68,10 +68,10 @@
 @pytest.mark.parametrize(
     ("wave", "manners"),
     [
-        ("all", Manners(6.0)),
-        ("seven-in-ten", Manners(12.0, slower_after=10)),
-        ("all", Manners(40.0, resets_every=3, halves_every=7)),
-        ("all", Manners(40.0, places=4)),
+        ("all", ListServiceBehaviour(6.0)),
+        ("seven-in-ten", ListServiceBehaviour(12.0, slows_after_calls=10)),
+        ("all", ListServiceBehaviour(40.0, resets_every=3, truncates_every=7)),
+        ("all", ListServiceBehaviour(40.0, queue_capacity=4)),
     ],
     ids=["slow", "slower", "resets and halves", "turned away"],
 )
@@ -80,7 +80,7 @@
     waves = ["all", wave] if wave != "all" else [wave]
     plan = Plan(seed=3, gateways=24, boxes=24, requests=0, asked=True)
     row = start.play(plan, tmp_path, manners, waves, 40.0)[-1]
-    broken = manners.resets_every or manners.places < 100
+    broken = manners.resets_every or manners.queue_capacity < 100
     assert row.ready == row.gateways and row.for_the_left <= (row.gateways if broken else 0)
     assert row.calls_each <= (8 if broken else 1.2), row
     assert row.times < (20 if broken else 2.5), row
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -6,7 +6,7 @@
 
 from zincstile.checkers.cases import ClassRule, Figures, PlanRule
 from zincstile.checkers.checker import Checker
-from zincstile.emulators.witness import Asked
+from zincstile.emulators.observer import ClientRequest
 
 MS, SECOND = 1_000_000, 1_000_000_000
 
@@ -37,14 +37,14 @@
 
     def ask(self, number=b"1", cls="read", plan="basic", units=1.0, wait=1000, line=1, gateway="g0"):
         key = b"k" if cls == "order" else b""
-        self.checker.asked(Asked(number, cls, plan, b"c", units, key, wait, gateway, line))
+        self.checker.request_sent(ClientRequest(number, cls, plan, b"c", units, key, wait, gateway, line))
 
     def send(self, box, number=b"1", gateway="g0"):
         one = self.checker.sent(gateway, box, number, self.now)
         self.checker.whole(number, one)
 
     def arrive(self, box, number=b"1", gateway="g0", work=0):
-        self.checker.arrived(box, number, self.checker.cases[number].key, gateway, work)
+        self.checker.attempt_received(box, number, self.checker.cases[number].key, gateway, work)
 
     @property
     def broken(self):
@@ -58,9 +58,9 @@
 
 def test_an_answer_in_time_is_right_and_one_too_many_is_not(bench):
     bench.ask()
-    bench.at(1057).answered(b"1", "failed", b"")
+    bench.at(1057).request_answered(b"1", "failed", b"")
     assert bench.broken == []
-    bench.at(1058).answered(b"1", "failed", b"")
+    bench.at(1058).request_answered(b"1", "failed", b"")
     assert bench.broken == ["answer"]
 
 
@@ -75,15 +75,15 @@
 def test_what_waits_behind_others_has_their_time_too(bench):
     bench.ask(b"1", wait=1000)
     bench.ask(b"2", wait=10)
-    bench.at(900).answered(b"1", "failed", b"")
-    bench.at(900).answered(b"2", "failed", b"")
+    bench.at(900).request_answered(b"1", "failed", b"")
+    bench.at(900).request_answered(b"2", "failed", b"")
     assert bench.broken == []
 
 
 def test_a_pause_of_the_gateway_is_not_its_fault(bench):
     bench.ask(wait=100)
     bench.at(90).paused("g0", 50 * MS)
-    bench.at(200).answered(b"1", "failed", b"")
+    bench.at(200).request_answered(b"1", "failed", b"")
     assert bench.broken == []
 
 
@@ -91,20 +91,20 @@
     bench.ask(b"1", gateway="g0")
     bench.ask(b"2", gateway="g1", line=2)
     bench.checker.ended("g0")
-    bench.checker.dropped(b"1")
+    bench.checker.request_dropped(b"1")
     assert bench.broken == []
-    bench.checker.dropped(b"2")
+    bench.checker.request_dropped(b"2")
     assert bench.broken == ["answer"]
 
 
 def test_what_crossed_the_end_of_its_connection_is_owed_nothing_and_may_be_asked_anew(bench):
     bench.ask(b"1")
-    bench.at(1).crossed(b"1")
+    bench.at(1).request_unread(b"1")
     bench.ask(b"1", line=2)
     bench.send("b1")
-    bench.at(2).answered(b"1", "failed", b"")
+    bench.at(2).request_answered(b"1", "failed", b"")
     bench.ask(b"2")
-    bench.at(3).crossed(b"2")
+    bench.at(3).request_unread(b"2")
     bench.at(2000)
     assert bench.broken == []
 
@@ -112,26 +112,26 @@
 def test_what_was_sent_on_was_read_whenever_its_connection_ended(bench):
     bench.ask(b"1")
     bench.send("b1", b"1")
-    bench.at(1).crossed(b"1")
+    bench.at(1).request_unread(b"1")
     assert bench.broken == ["answer"]
     bench.ask(b"2")
-    bench.at(2).crossed(b"2")
+    bench.at(2).request_unread(b"2")
     bench.send("b1", b"2")
     assert bench.broken == ["answer"] * 2
     bench.ask(b"3")
     bench.send("b1", b"3")
     bench.checker.ended("g0")
-    bench.at(3).crossed(b"3")
+    bench.at(3).request_unread(b"3")
     assert bench.broken == ["answer"] * 2
 
 
 def test_a_value_has_to_be_made_for_that_request(bench):
     bench.ask(b"1")
     bench.ask(b"2", line=2)
-    bench.checker.made("b1", b"1", b"v1")
-    bench.checker.answered(b"1", "served", b"v1")
+    bench.checker.value_produced("b1", b"1", b"v1")
+    bench.checker.request_answered(b"1", "served", b"v1")
     assert bench.broken == []
-    bench.checker.answered(b"2", "served", b"v1")
+    bench.checker.request_answered(b"2", "served", b"v1")
     assert bench.broken == ["value"]
 
 
@@ -157,7 +157,7 @@
     bench.ask(cls="pin")
     bench.send("b1")
     bench.arrive("b1")
-    bench.checker.turned_away("b1", b"1")
+    bench.checker.attempt_rejected("b1", b"1")
     bench.send("b3")
     assert bench.broken == []
     bench.checker.sent("g0", "b2", b"1", 0)  # begun and never whole
@@ -180,9 +180,9 @@
 )
 def test_nothing_new_goes_to_a_box_that_drains(bench, told, at_ms, rule):
     bench.ask(wait=20_000)
-    bench.checker.changed("b1", "Terminating", 0)
+    bench.checker.endpoint_changed("b1", "Terminating", 0)
     if told:
-        bench.checker.told("g0", "b1", "Terminating", 0)
+        bench.checker.gateway_notified("g0", "b1", "Terminating", 0)
     bench.at(at_ms)
     bench.send("b1")
     assert bench.broken == rule
@@ -190,7 +190,7 @@
 
 def test_a_gateway_that_starts_knows_nothing_of_what_the_last_was_told(bench):
     bench.ask(wait=20_000)
-    bench.checker.told("g0", "b1", "Terminating", 0)
+    bench.checker.gateway_notified("g0", "b1", "Terminating", 0)
     bench.checker.started("g0")
     bench.at(1000)
     bench.send("b1")
@@ -203,7 +203,7 @@
     for number in range(4):
         bench.ask(b"%d" % number, line=number)
     for gateway in ("g0", "g1"):
-        bench.checker.told(gateway, "b1", "Ready", 7)
+        bench.checker.gateway_notified(gateway, "b1", "Ready", 7)
     bench.arrive("b1", b"0", "g0", 700 * MS)  # it bears 2 x 0.25 x 3 s
     bench.arrive("b1", b"1", "g1", 800 * MS)
     assert bench.broken == [] and cold.nearest == pytest.approx(1.0)
@@ -223,7 +223,7 @@
     2 x root of 48 + 2, 63.9. A fall is nobody's fault where a third or more came from who was not told."""
     cold = bench.checker.cold
     cold.began("b1", 7, lambda: 0.25, lambda: False)
-    bench.checker.told("g0", "b1", "Ready", 7)
+    bench.checker.gateway_notified("g0", "b1", "Ready", 7)
     for _ in range(10):
         cold.take(0, "b1", "g1", 125 * MS)
     assert cold.calls.nearest == 0
@@ -233,7 +233,7 @@
     cold.take(3 * SECOND, "b1", "g0", 125 * MS)
     assert cold.calls.nearest == pytest.approx(31 / (12 + 3 * 12**0.5 + 3))
     cold.began("b2", 8, lambda: 1.0, lambda: False)
-    bench.checker.told("g0", "b2", "Ready", 8)
+    bench.checker.gateway_notified("g0", "b2", "Ready", 8)
     for _ in range(96):
         cold.take(10 * SECOND, "b2", "g0", 125 * MS)
     assert cold.calls.nearest == pytest.approx(96 / (48 + 2 * 48**0.5 + 2))
@@ -241,7 +241,7 @@
 
 def test_work_of_long_ago_weighs_no_more(bench):
     bench.checker.cold.began("b1", 7, lambda: 0.25, lambda: False)
-    bench.checker.told("g0", "b1", "Ready", 7)
+    bench.checker.gateway_notified("g0", "b1", "Ready", 7)
     bench.ask(b"1", wait=9000)
     bench.ask(b"2", wait=9000, line=2)
     bench.arrive("b1", b"1", work=1400 * MS)
@@ -279,7 +279,7 @@
 def test_more_calls_at_a_cold_box_than_the_standing_test_bears_are_named(bench):
     """12 calls are allowed, 25.4 with chance: the 26th of those who were told is one too many."""
     bench.checker.cold.began("b1", 7, lambda: 0.25, lambda: False)
-    bench.checker.told("g0", "b1", "Ready", 7)
+    bench.checker.gateway_notified("g0", "b1", "Ready", 7)
     for number in range(25):
         bench.ask(b"%d" % number, wait=9000, line=number)
         bench.arrive("b1", b"%d" % number, work=125 * MS)
--- a/tests/test_net_keeper.py
+++ b/tests/test_net_keeper.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from zincstile.emulators.counter import Counter
+from zincstile.emulators.quota_service import QuotaService
 from zincstile.net.counters import Counters
 from zincstile.net.dispatcher import Dispatcher
 from zincstile.net.keeper import Keeper
@@ -40,7 +40,7 @@
         self.run(5)
 
     def count(self, process, **how):
-        counter = Counter(process.loop, **({"call_s": 0.001} | how))
+        counter = QuotaService(process.loop, **({"call_latency_s": 0.001} | how))
         counter.open = True
         process.loop.create_task(counter.start(process.host, 80))
         return counter
@@ -58,18 +58,18 @@
     world.run(45)
     assert [t for t in world.said if t is not None] == sorted(t for t in world.said if t is not None)
     world.run(1000)
-    assert len(world.said) == 40 and world.counter.counts["added"] <= 40
+    assert len(world.said) == 40 and world.counter.counts.added <= 40
     assert 1 <= len(world.keeper.connections) <= Limits().keeper_connections
 
 
 def test_a_call_is_given_up_after_50_ms_and_its_late_answer_leaves_the_next_in_order():
-    world = World(per_s=10.0, call_s=0.1)
+    world = World(calls_per_s=10.0, call_latency_s=0.1)
     world.call(count=2)
     world.run(60)
     assert world.said == [None, None] and world.counter.total("a") == 0
     world.run(500)
     assert world.counter.total("a") == 2  # both were added, and nobody was told
-    world.counter.call_s = 0.001
+    world.counter.call_latency_s = 0.001
     world.call(amount=0.0)
     world.run(100)
     assert world.said[2:] == [2.0]
@@ -88,11 +88,11 @@
     world.call()
     world.run(60)
     first = list(world.keeper.connections)
-    world.counter.spoils = lambda: True
+    world.counter.is_corrupt = lambda: True
     world.call()
     world.run(60)
     assert world.said == [1.0, None] and first[0] not in world.keeper.connections
-    world.counter.spoils = lambda: False
+    world.counter.is_corrupt = lambda: False
     world.call()
     world.run(60)
     assert world.said == [1.0, None, 3.0]  # the spoilt one was added
@@ -100,7 +100,7 @@
 
 @pytest.mark.parametrize("how", ["kill", "cut"])
 def test_a_keeper_that_goes_leaves_no_call_without_a_word(how):
-    world = World(call_s=0.02)
+    world = World(call_latency_s=0.02)
     world.call(count=5)
     world.run(10)
     if how == "kill":
--- a/tests/test_throng.py
+++ b/tests/test_throng.py
@@ -8,7 +8,7 @@
 from conftest import MS, Gateway, backend
 
 from zincstile.decisions.messages import EndpointListKind, EndpointState
-from zincstile.emulators.listservice import Manners
+from zincstile.emulators.list_service import ListServiceBehaviour
 from zincstile.net.limits import SECOND, Limits
 from zincstile.simulation import plan
 from zincstile.simulation.plan import Plan
@@ -52,6 +52,6 @@
 def test_nine_in_ten_of_thirty_processes_restarted_at_once_are_ready_in_10_s(tmp_path):
     """Killed at one stroke and back with nothing known."""
     drawn = Plan(seed=5, gateways=RESTARTED, boxes=24, requests=0)
-    _, again = start.play(drawn, tmp_path, Manners(1000.0), ["all", "all"], 2 * READY_S)
+    _, again = start.play(drawn, tmp_path, ListServiceBehaviour(1000.0), ["all", "all"], 2 * READY_S)
     assert again.ready == RESTARTED and 0 <= again.most_s <= READY_S  # 99 in 100
     assert again.calls_each <= 1 + again.most_s * SECOND / Limits().table_answer_ns  # one is out at a time
--- a/zincstile/checkers/checker.py
+++ b/zincstile/checkers/checker.py
@@ -70,27 +70,27 @@
 
     # ---- clients
 
-    def asked(self, what) -> None:
+    def request_sent(self, what) -> None:
         _, now = self._clock()
         self.counts["asked"] += 1
-        due = now + what.wait_ms * 1_000_000 + self.figures.answer_grace_ns
+        due = now + what.timeout_ms * 1_000_000 + self.figures.answer_grace_ns
         unread = max(0, self._pauses.get(what.gateway, 0) - now)  # it is read so much later at least
         due += unread
-        due = max(due, self._line_due.get(what.line, 0))  # what waits behind others has their time too
-        self._line_due[what.line] = due
+        due = max(due, self._line_due.get(what.connection, 0))  # what waits behind others has their time too
+        self._line_due[what.connection] = due
         old = self.cases.get(what.id)
         case = Case(
             what.id,
-            what.cls,
+            what.request_class,
             what.plan,
             what.customer,
             what.units,
             what.key,
             what.gateway,
-            what.line,
+            what.connection,
             now,
             due,
-            now + unread + what.wait_ms * 1_000_000,
+            now + unread + what.timeout_ms * 1_000_000,
         )
         if self.quotas is not None and old is None:
             self.quotas.ask(now, what.plan, what.customer, what.units)
@@ -100,11 +100,13 @@
             case.tries_before = len(old.tries)
         self.cases[what.id] = case
         self._note(
-            case, f"asked of {what.gateway}: {what.cls} {what.plan} units={what.units:g} " f"d={what.wait_ms}"
+            case,
+            f"asked of {what.gateway}: {what.request_class} {what.plan} units={what.units:g} "
+            f"d={what.timeout_ms}",
         )
         heapq.heappush(self._due, (due, what.id))
 
-    def answered(self, request: bytes, kind: str, value: bytes) -> None:
+    def request_answered(self, request: bytes, kind: str, value: bytes) -> None:
         case = self.cases[request]
         _, now = self._clock()
         self.counts["answered"] += 1
@@ -118,41 +120,41 @@
         if kind == "served" and value not in self._made.get(request, ()):
             self.breach("value", f"served with what no box made for it: {value[:60]!r}", case)
 
-    def unasked(self, gateway: str, line: int, text: str) -> None:
+    def unexpected_answer(self, gateway: str, line: int, text: str) -> None:
         self.breach("answer", f"{gateway} answered what nobody asked on connection {line}: {text}")
 
-    def dropped(self, request: bytes) -> None:
+    def request_dropped(self, request: bytes) -> None:
         case = self.cases[request]
         if case.gateway in self.dead:
-            self.void(request)
+            self.request_voided(request)
             return
         self._note(case, "its connection ended")
         if case.state == "open":
             case.state = "void"
             self.breach("answer", f"{case.gateway} ended the connection without an answer", case)
 
-    def crossed(self, request: bytes) -> None:
+    def request_unread(self, request: bytes) -> None:
         """The connection was ended before the request was read. One that was sent on was read all the same,
         before the end or after it, and is lost."""
         case = self.cases[request]
         if len(case.tries) > case.tries_before:
-            self.dropped(request)
+            self.request_dropped(request)
             return
         case.crossed = case.gateway not in self.dead
-        self.void(request)
+        self.request_voided(request)
 
-    def void(self, request: bytes) -> None:
+    def request_voided(self, request: bytes) -> None:
         case = self.cases[request]
         if case.state == "open":
             case.state = "void"
             self._note(case, "nothing owed any more")
 
-    def left(self, request: bytes) -> None:
+    def client_disconnected(self, request: bytes) -> None:
         """Its client has closed the connection."""
         case = self.cases[request]
         if case.state == "open":
             _, case.left_ns = self._clock()
-        self.void(request)
+        self.request_voided(request)
 
     def excuse(self, gateway: str) -> None:
         """Its machine took connections while no process of it ran: what was asked meanwhile may have its
@@ -239,7 +241,7 @@
 
     # ---- guide boxes
 
-    def arrived(self, box: str, request: bytes, key: bytes, gateway: str, work_ns: int) -> None:
+    def attempt_received(self, box: str, request: bytes, key: bytes, gateway: str, work_ns: int) -> None:
         case = self.cases.get(request)
         step, now = self._clock()
         self.counts["arrivals"] += 1
@@ -265,7 +267,7 @@
             nearest = self.cold.calls.nearest
             self.breach("cold_calls", f"{box} was sent {nearest:.2f} times the calls that it bears", case)
 
-    def turned_away(self, box: str, request: bytes) -> None:
+    def attempt_rejected(self, box: str, request: bytes) -> None:
         case = self.cases.get(request)
         if case is None:
             return
@@ -275,20 +277,20 @@
                 one.turned_away = True
                 return
 
-    def made(self, box: str, request: bytes, value: bytes) -> None:
+    def value_produced(self, box: str, request: bytes, value: bytes) -> None:
         self._made.setdefault(request, {})[value] = None
 
-    def foreign(self, where: str, gateway: str, why: str) -> None:
+    def protocol_violated(self, where: str, gateway: str, why: str) -> None:
         self.breach("foreign", f"{gateway} sent {where}: {why}")
 
     # ---- discovery and gateways
 
-    def changed(self, box: str, status: str, since_ms: int) -> None:
+    def endpoint_changed(self, box: str, status: str, since_ms: int) -> None:
         _, now = self._clock()
         self.event(f"{box} is {status}")
         self.drains.changed(now, box, status)
 
-    def told(self, gateway: str, box: str, status: str, since_ms: int) -> None:
+    def gateway_notified(self, gateway: str, box: str, status: str, since_ms: int) -> None:
         _, now = self._clock()
         self.counts["told"] += 1
         self.drains.told(now, gateway, box, status)
@@ -332,7 +334,7 @@
             if case.state != "open" or case.due_ns > at:
                 continue
             if case.gateway in self.dead:
-                self.void(request)
+                self.request_voided(request)
             else:
                 case.state = "late"
                 self.breach("answer", "no answer in its time", case)
--- a/zincstile/cli/demo.py
+++ b/zincstile/cli/demo.py
@@ -20,9 +20,9 @@
 from rich.table import Table
 
 from ..checkers.checker import Checker
-from ..emulators.clients import Front
-from ..emulators.discovery import Agent, Entry, Roster
-from ..emulators.guidebox import GuideBox, Model, Rack
+from ..emulators.backend import BackendEmulator, BackendModel, Rack
+from ..emulators.clients import ClientLoadBalancer
+from ..emulators.discovery import DiscoveryAgent, EndpointEntry, EndpointList
 from ..simulation import traffic
 from ..simulation.plan import Plan
 
@@ -41,12 +41,12 @@
     def __getattr__(self, name: str):
         return getattr(self.checker, name)
 
-    def arrived(self, box: str, request: bytes, key: bytes, gateway: str, work_ns: int) -> None:
+    def attempt_received(self, box: str, request: bytes, key: bytes, gateway: str, work_ns: int) -> None:
         """An attempt has come to a backend: it counts as sent and as read whole at that moment."""
         one = self.checker.sent(gateway, box, request, time.monotonic_ns())
         if one is not None:
             self.checker.whole(request, one)
-        self.checker.arrived(box, request, key, gateway, work_ns)
+        self.checker.attempt_received(box, request, key, gateway, work_ns)
 
 
 @click.command("demo")
@@ -93,23 +93,25 @@
         finally:
             self._stop()
 
-    async def _start(self) -> Front | None:
+    async def _start(self) -> ClientLoadBalancer | None:
         loop, plan, rng = asyncio.get_running_loop(), self.plan, random.Random(self.plan.seed)
-        roster = Roster(self.witness)
+        roster = EndpointList(self.witness)
         racks = [Rack(traffic.KEYED_MS / 1000) for _ in range(RACKS)]
         work = {n: ms * 1_000_000 for n, ms in traffic.WORK_MS.items()}
         for k in range(plan.boxes):
             name = f"s-{k:02x}"
-            model = Model(cores=2, speed=rng.uniform(0.8, 1.3), work_ns=work)
-            box = GuideBox(loop, name, model, racks[k % RACKS], random.Random(k), self.witness, cold=False)
+            model = BackendModel(cores=2, speed=rng.uniform(0.8, 1.3), work_ns=work)
+            box = BackendEmulator(
+                loop, name, model, racks[k % RACKS], random.Random(k), self.witness, cold=False
+            )
             port = await box.start(HOST)
             zone = traffic.ZONES[k % len(traffic.ZONES)]
             self.checker.boxes[name] = k % len(traffic.ZONES), k % RACKS
-            roster.put(Entry(name, f"{HOST}:{port}", zone, "std", k % RACKS))
+            roster.put(EndpointEntry(name, f"{HOST}:{port}", zone, "std", k % RACKS))
         listens = free_ports(plan.gateways, socket.SOCK_STREAM)
         peers = [f"{HOST}:{p}" for p in free_ports(plan.gateways, socket.SOCK_DGRAM)]
         for k, port in enumerate(listens):
-            agent = Agent(loop, roster, f"g{k}", self.witness)
+            agent = DiscoveryAgent(loop, roster, f"g{k}", self.witness)
             discovery = await agent.start(HOST)
             self._gateway(
                 traffic.configuration(
@@ -119,15 +121,17 @@
                     f"{HOST}:{discovery}",
                     peers,
                     rng.getrandbits(64),
-                    agent.whole(),
+                    agent.snapshot(),
                 )
             )
-        front = Front(loop, rng, self.witness, {f"g{k}": (HOST, p) for k, p in enumerate(listens)})
-        front.watch()
+        front = ClientLoadBalancer(
+            loop, rng, self.witness, {f"g{k}": (HOST, p) for k, p in enumerate(listens)}
+        )
+        front.watch_gateways()
         until = time.monotonic() + READY_S
-        while not all(front.up.values()):
+        while not all(front.admitted.values()):
             if time.monotonic() > until or any(p.poll() is not None for p in self.programs):
-                down = [n for n, up in front.up.items() if not up]
+                down = [n for n, up in front.admitted.items() if not up]
                 print(f"zincstile: demo: not ready: {', '.join(down)}; their logs say:", file=sys.stderr)
                 for path in sorted(self.folder.glob("*.log")):
                     sys.stderr.write(path.read_text()[-2000:])
@@ -151,25 +155,27 @@
                 )
             )
 
-    async def _load(self, front: Front) -> None:
+    async def _load(self, front: ClientLoadBalancer) -> None:
         loop = asyncio.get_running_loop()
         wants = traffic.wants(self.plan, loop.time() + 0.5)  # the first beats of the gateways pass by then
         for want in wants:
-            loop.call_at(want.at_s, front.want, want)
+            loop.call_at(want.at_s, front.send, want)
         last = wants[-1].at_s + END_S
-        while loop.time() < last and (loop.time() < wants[-1].at_s or front.open or front.coming):
+        while loop.time() < last and (
+            loop.time() < wants[-1].at_s or front.in_flight or front.retries_waiting
+        ):
             await asyncio.sleep(0.05)
             self.checker.watch(time.monotonic_ns())
 
-    def _tell(self, front: Front) -> int:
+    def _tell(self, front: ClientLoadBalancer) -> int:
         kinds = ("served", "denied", "failed", "unreached")
-        table = Table(title=f"{front.asked} tries by {GATEWAYS} gateways to {BOXES} guide boxes")
+        table = Table(title=f"{front.requests_sent} tries by {GATEWAYS} gateways to {BOXES} guide boxes")
         for name in ("plan", *kinds):
             table.add_column(name, justify="left" if name == "plan" else "right")
         for plan in traffic.PLANS:
-            table.add_row(plan, *(str(front.tally.get((plan, kind), 0)) for kind in kinds))
+            table.add_row(plan, *(str(front.outcomes.get((plan, kind), 0)) for kind in kinds))
         self.console.print(table)
-        waits = sorted(front.waits_s)
+        waits = sorted(front.latencies_s)
         if waits:
             half, most = (1000 * waits[int(len(waits) * share)] for share in (0.5, 0.99))
             self.console.print(
@@ -180,9 +186,9 @@
             self.console.print(f"rule {breach.rule} broken: {breach.text}")
             for line in breach.history:
                 self.console.print(f"  {line}")
-        if front.open:
-            self.console.print(f"{front.open} requests were never answered")
-        ok = not self.checker.breaches and not front.open and bool(waits)
+        if front.in_flight:
+            self.console.print(f"{front.in_flight} requests were never answered")
+        ok = not self.checker.breaches and not front.in_flight and bool(waits)
         self.console.print("every rule held" if ok else "not every rule held")
         return 0 if ok else 1
 
--- a/zincstile/cli/field.py
+++ b/zincstile/cli/field.py
@@ -180,11 +180,35 @@
     show_default=True,
     help="Seconds that a wave is waited for.",
 )
-@click.option("--slower-after", type=click.IntRange(0), default=0, help="Half as fast after so many calls.")
+@click.option(
+    "--slower-after",
+    "slows_after_calls",
+    type=click.IntRange(0),
+    default=0,
+    help="Half as fast after so many calls.",
+)
 @click.option("--resets-every", type=click.IntRange(0), default=0, help="Each so-manieth call is reset.")
-@click.option("--halves-every", type=click.IntRange(0), default=0, help="Each so-manieth answer stalls.")
-@click.option("--older-every", type=click.IntRange(0), default=0, help="Each so-manieth list is an older.")
-@click.option("--places", type=click.IntRange(1), default=100_000, help="Callers that wait; more get 503.")
+@click.option(
+    "--halves-every",
+    "truncates_every",
+    type=click.IntRange(0),
+    default=0,
+    help="Each so-manieth answer stalls.",
+)
+@click.option(
+    "--older-every",
+    "stale_every",
+    type=click.IntRange(0),
+    default=0,
+    help="Each so-manieth list is an older.",
+)
+@click.option(
+    "--places",
+    "queue_capacity",
+    type=click.IntRange(1),
+    default=100_000,
+    help="Callers that wait; more get 503.",
+)
 @click.option("--seed", type=click.IntRange(min=0), default=1, show_default=True)
 @click.option("--feature", "features", multiple=True, metavar="NAME=FILE")
 def start(
@@ -198,7 +222,7 @@
     **wrong: int,
 ) -> int:
     """Cold starts of real processes with a list service that has to be asked; exit 1 where one is late."""
-    from ..emulators.listservice import Manners
+    from ..emulators.list_service import ListServiceBehaviour
     from ..testbed import start as starts
     from ..testbed import sweep as sweeps
     from ..testbed.places import PlaceError
@@ -214,7 +238,12 @@
         with tempfile.TemporaryDirectory(prefix="zincstile-start-") as folder:
             names = list(waves or starts.WAVES)
             rows = starts.play(
-                plan, Path(folder), Manners(per_s, **wrong), names, patience, sweeps.features(features)
+                plan,
+                Path(folder),
+                ListServiceBehaviour(per_s, **wrong),
+                names,
+                patience,
+                sweeps.features(features),
             )
     except FileError as err:
         raise BadInputError(f"field: {err}") from None
--- a/zincstile/emulators/__init__.py
+++ b/zincstile/emulators/__init__.py
@@ -1,10 +1,14 @@
-"""Stand-ins for all that a gateway speaks with, by the published protocol and nothing else.
+"""Emulators of everything that a gateway speaks with, written from the published protocol alone.
 
-Guide boxes (`guidebox`), discovery (`discovery`), the count keeper (`counter`) and clients behind their front
-(`clients`), as ordinary asyncio protocols: they run on the virtual network and on real loopback alike, by the
-loop that they are handed. They read and write the wire by themselves (`wire`): the gateway's parsers are not
-used, since a misreading on both sides would hide a fault. What they see is told to a `witness`, which the
-checkers of `rules` stand behind.
+- `backend`: backends, with cores, a queue, a warm-up and corrupt answers
+- `discovery`, `list_service`: the endpoint list, pushed by an agent or polled from one service
+- `quota_service`: the quota service
+- `clients`, `client_connection`: clients behind their load balancer
+- `misbehaving_client`: clients that send what the protocol does not have
+- `codec`: RESP2 and HTTP/1.1, read and written without the gateway's parsers, since the same
+  misreading on both sides would hide a fault
+- `observer`: the interface that is notified of what the emulators see; the checkers implement it
 
-This package touches asyncio's loop and transports, and imports nothing else of zincstile.
+All are ordinary asyncio protocols: they run on the virtual network and on real loopback alike, on the loop
+that is handed to them. The package uses asyncio's loop and transports and imports nothing else of zincstile.
 """
--- /dev/null
+++ b/zincstile/emulators/backend.py
@@ -0,0 +1,337 @@
+"""A backend: cores, a queue, a warm-up, load reports, draining, and everything that goes wrong with answers.
+
+Work is counted in nanoseconds of a warm core of speed 1. A call begins once its last byte has come. The
+backends of one rack drop repeats of a key for some seconds: a repeat gets the answer of the first call.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import random
+from collections import deque
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from typing import Final, NamedTuple
+
+from . import codec
+from .observer import Observer
+
+CORRUPT_ANSWERS: Final = {
+    "noise": b"\x07%garble\r\n",
+    "endless": b"+" + b"x" * 3000,
+    "long": b"*3\r\n$60000\r\nshort",
+    "huge": b"*3\r\n$3000000000\r\nv",
+    "negative": b"*3\r\n$-7\r\n\r\n",
+    "parts": b"*2\r\n$1\r\nv\r\n$-1\r\n",
+    "number": b":17\r\n",
+}
+CALL_FIELDS: Final = ("c", "t", "d", "units", "spread", "first")  # that each call has to bring (PROTOCOL)
+WARM_SINCE_S: Final = -1e9  # start of a backend that has long been warm
+SERVICE_TIME_WEIGHT: Final = 0.2  # of the latest call in the reported service time: a mean of about five
+
+
+class KeyedAnswer(NamedTuple):
+    """What a rack knows of one idempotency key."""
+
+    seen_s: float
+    repeats: list[Call]  # that wait for the answer of the first call
+    value: bytes | None  # None: the first call has no answer yet
+
+
+@dataclass(slots=True)
+class Rack:
+    """The idempotency keys that the backends of one rack have seen within `window_s`."""
+
+    window_s: float
+    answers: dict[bytes, KeyedAnswer] = field(default_factory=dict)
+
+
+@dataclass(slots=True)
+class BackendModel:
+    """What kind of machine a backend is, and what is wrong with it at present. Ratios are from 0 to 1."""
+
+    cores: int = 2
+    speed: float = 1.0
+    queue_capacity: int = 24  # calls that wait; more are rejected
+    max_connections: int = 64
+    work_ns: dict[str, int] = field(default_factory=dict)  # of one unit, by class
+    work_spread: float = 0.5  # a call takes between this much less and more
+    cold_share: float = 1.0  # of its capacity at the start
+    warm_up_s: float = 0.0  # from the start until it is warm
+    drops_on_disconnect: bool = True  # what waits is dropped when its connection ends
+    slowdown: float = 1.0  # calls take so many times as long
+    corrupt_ratio: float = 0.0  # of the answers that arrive corrupt
+    error_ratio: float = 0.0  # of calls answered with an error
+    extra_ratio: float = 0.0  # of good answers with a second copy or noise behind them
+    hangs: bool = False  # begins nothing and answers nothing
+
+
+@dataclass(slots=True, eq=False)
+class Call:
+    """An attempt of a gateway. `over`: it is answered, or its connection has ended."""
+
+    connection: GatewayConnection
+    id: bytes
+    key: bytes
+    work_ns: int
+    over: bool = False
+
+
+@dataclass(slots=True)
+class BackendCounts:
+    """What became of the calls of one backend."""
+
+    calls: int = 0
+    served: int = 0
+    rejected: int = 0
+    failed: int = 0
+    corrupt: int = 0
+    repeats: int = 0
+
+
+class BackendEmulator:
+    """One backend: a server on a loop, with its cores, its queue and its warm-up."""
+
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        name: str,
+        model: BackendModel,
+        rack: Rack,
+        rng: random.Random,
+        observer: Observer,
+        *,
+        cold: bool,
+    ) -> None:
+        """Make a backend that does not listen yet. `cold`: its process has just started, else it is warm."""
+        self.loop = loop
+        self.name = name
+        self.model = model
+        self.rack = rack
+        self.rng = rng
+        self.observer = observer
+        self.started_s = loop.time() if cold else WARM_SINCE_S
+        self.draining = False
+        self.connections: dict[GatewayConnection, None] = {}
+        self.counts = BackendCounts()
+        self.identify_gateway: Callable[[asyncio.BaseTransport], str] = lambda transport: "?"
+        self._queue: deque[Call] = deque()
+        self._busy_cores = 0
+        self._service_time_s = 0.0  # recent time of a call, without waiting
+        self._server: asyncio.AbstractServer | None = None
+        self._values_produced = 0
+
+    async def start(self, host: str, port: int = 0) -> int:
+        """Listen there; the port that it got."""
+        self._server = await self.loop.create_server(lambda: GatewayConnection(self), host, port)
+        return self._server.sockets[0].getsockname()[1]
+
+    def stop_listening(self) -> None:
+        """Take no new connections any more; those that are open go on."""
+        if self._server is not None:
+            self._server.close()
+            self._server = None
+
+    def warmth(self) -> float:
+        """Share of its capacity that it has by now, from 0 to 1."""
+        model = self.model
+        age_s = self.loop.time() - self.started_s
+        if age_s >= model.warm_up_s:
+            return 1.0
+        return model.cold_share + (1 - model.cold_share) * age_s / model.warm_up_s
+
+    def capacity(self) -> float:
+        """Nanoseconds of work that it can do in a nanosecond, as warm as it is."""
+        return self.model.cores * self.model.speed * self.warmth()
+
+    def load_report(self) -> bytes:
+        """Calls in flight, service time and queue, as a backend reports them to gateways."""
+        return b"inflight=%d,latency_ms=%.1f,queue=%d" % (
+            self._busy_cores + len(self._queue),
+            1000 * self._service_time_s,
+            len(self._queue),
+        )
+
+    # ---- calls
+
+    def receive_call(self, connection: GatewayConnection, arguments: list[bytes]) -> None:
+        """Queue a call, answer it as a repeat or reject it; ProtocolError where it is none."""
+        call = self._parse_call(connection, arguments)
+        self.counts.calls += 1
+        self.observer.attempt_received(self.name, call.id, call.key, connection.gateway, call.work_ns)
+        connection.calls.append(call)
+        if self._is_full():
+            self._reject(call)
+            return
+        if call.key and self._is_repeat(call):
+            return
+        self._queue.append(call)
+        self._begin_calls()
+
+    def _parse_call(self, connection: GatewayConnection, arguments: list[bytes]) -> Call:
+        model = self.model
+        fields = codec.parse_call_fields(arguments[3])
+        for name in CALL_FIELDS:
+            if name not in fields:
+                raise codec.ProtocolError(f"a call without {name}")
+        if fields["c"] not in model.work_ns or int(fields["d"]) < 1:
+            raise codec.ProtocolError(f"a call that can't be: {arguments[3][:60]!r}")
+        key = fields.get("k", "").encode()
+        if arguments[0] == b"CALL.GET" and key:
+            raise codec.ProtocolError("a key with a call that needs none")
+        mean_ns = model.work_ns[fields["c"]] * float(fields["units"])
+        work_ns = int(mean_ns * (1 + model.work_spread * (2 * self.rng.random() - 1)))
+        return Call(connection, arguments[2], key, work_ns)
+
+    def _is_full(self) -> bool:
+        model = self.model
+        return (
+            self.draining
+            or len(self._queue) >= model.queue_capacity
+            or len(self.connections) > model.max_connections
+        )
+
+    def _is_repeat(self, call: Call) -> bool:
+        """Whether the rack has seen the key lately: the answer of the first call serves both."""
+        now_s = self.loop.time()
+        first = self.rack.answers.get(call.key)
+        if first is None or now_s - first.seen_s > self.rack.window_s:
+            self.rack.answers[call.key] = KeyedAnswer(now_s, [], None)
+            return False
+        self.counts.repeats += 1
+        if first.value is None:
+            first.repeats.append(call)
+        else:
+            self._answer(call, first.value)
+        return True
+
+    def _begin_calls(self) -> None:
+        model = self.model
+        while self._queue and self._busy_cores < model.cores and not model.hangs:
+            call = self._queue.popleft()
+            if call.over:
+                continue
+            self._busy_cores += 1
+            service_time_s = call.work_ns / 1e9 * model.slowdown / (model.speed * self.warmth())
+            self.loop.call_later(service_time_s, self._finish, call, service_time_s)
+
+    def resume(self) -> None:
+        """Begin what waits, after the backend hung."""
+        self._begin_calls()
+
+    def _finish(self, call: Call, service_time_s: float) -> None:
+        self._busy_cores -= 1
+        self._service_time_s += SERVICE_TIME_WEIGHT * (service_time_s - self._service_time_s)
+        if self.rng.random() < self.model.error_ratio:
+            self._fail(call)
+        else:
+            self._serve(call)
+        self._begin_calls()
+
+    def _fail(self, call: Call) -> None:
+        if call.key:
+            self.rack.answers.pop(call.key, None)
+        self.counts.failed += 1
+        call.connection.write(call, b"-ERR failed\r\n")
+
+    def _serve(self, call: Call) -> None:
+        """Answer a call, and the repeats of its key that waited for it."""
+        self._values_produced += 1
+        value = b"%b:%b:%d" % (self.name.encode(), call.id, self._values_produced)
+        repeats: list[Call] = []
+        if call.key:
+            found = self.rack.answers.get(call.key) or KeyedAnswer(self.loop.time(), [], None)
+            repeats = found.repeats
+            self.rack.answers[call.key] = KeyedAnswer(found.seen_s, [], value)
+        for one in (call, *repeats):
+            self._answer(one, value)
+
+    def _answer(self, call: Call, value: bytes) -> None:
+        model, rng = self.model, self.rng
+        self.observer.value_produced(self.name, call.id, value)
+        if model.corrupt_ratio and rng.random() < model.corrupt_ratio:
+            self.counts.corrupt += 1
+            call.connection.write_corrupt(call, CORRUPT_ANSWERS[rng.choice(list(CORRUPT_ANSWERS))])
+            return
+        self.counts.served += 1
+        report = self.load_report()
+        data = b"*3\r\n$%d\r\n%b\r\n$-1\r\n$%d\r\n%b\r\n" % (len(value), value, len(report), report)
+        if model.extra_ratio and rng.random() < model.extra_ratio:
+            data += data if rng.random() < 0.5 else CORRUPT_ANSWERS["noise"]
+        call.connection.write(call, data)
+
+    def _reject(self, call: Call) -> None:
+        self.counts.rejected += 1
+        self.observer.attempt_rejected(self.name, call.id)
+        call.connection.write(call, b"-BUSY\r\n")
+
+    def connection_closed(self, connection: GatewayConnection) -> None:
+        """Forget a connection that has ended. What runs goes on; what waits may be dropped."""
+        self.connections.pop(connection, None)
+        if self.model.drops_on_disconnect:
+            for call in connection.calls:
+                call.over = True
+                if call.key and call in self._queue:  # it never ran: a repeat has to
+                    self.rack.answers.pop(call.key, None)
+
+
+class GatewayConnection(asyncio.Protocol):
+    """One connection of a gateway to a backend. Answers go out in the order of the calls."""
+
+    def __init__(self, backend: BackendEmulator) -> None:
+        """Make the protocol of a connection to that backend."""
+        self.backend = backend
+        self.gateway = "?"
+        self.transport: asyncio.Transport | None = None
+        self.calls: deque[Call] = deque()
+        self._commands = codec.CommandParser()
+        self._answers: dict[Call, bytes] = {}  # that wait for those ahead of them
+        self._unusable = False  # nothing more is sent here
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Register with the backend."""
+        self.transport = transport  # type: ignore[assignment]
+        self.gateway = self.backend.identify_gateway(transport)
+        self.backend.connections[self] = None
+
+    def connection_lost(self, exc: Exception | None) -> None:
+        """Leave the backend."""
+        self._unusable = True
+        self.backend.connection_closed(self)
+
+    def data_received(self, data: bytes) -> None:
+        """Handle the commands that the data completes; close on what the protocol does not have."""
+        try:
+            for arguments in self._commands.feed(data):
+                self._handle(arguments)
+        except (codec.ProtocolError, ValueError, IndexError) as err:
+            self.backend.observer.protocol_violated(self.backend.name, self.gateway, str(err))
+            self.transport.write(b"-SYNTAX\r\n")
+            self.transport.close()
+
+    def _handle(self, arguments: list[bytes]) -> None:
+        if arguments[0] in (b"CALL.GET", b"CALL.POST"):
+            if not 4 <= len(arguments) <= (4 if arguments[0] == b"CALL.GET" else 5):
+                raise codec.ProtocolError(f"{len(arguments)} arguments in a call")
+            self.backend.receive_call(self, arguments)
+        elif arguments == [b"PING"]:
+            self.transport.write(b"+PONG\r\n")
+        elif arguments == [b"INFO", b"load"]:
+            report = self.backend.load_report()
+            self.transport.write(b"$%d\r\n%b\r\n" % (len(report), report))
+        else:
+            raise codec.ProtocolError(f"no such command: {arguments[0][:20]!r}")
+
+    def write(self, call: Call, data: bytes) -> None:
+        """Answer a call; the answer waits for those ahead of it."""
+        call.over = True
+        self._answers[call] = data
+        while self.calls and self.calls[0] in self._answers:
+            first = self._answers.pop(self.calls.popleft())
+            if not self._unusable:
+                self.transport.write(first)
+
+    def write_corrupt(self, call: Call, data: bytes) -> None:
+        """Answer a call with bytes that make everything after them unreadable: nothing more is sent here."""
+        self.write(call, data)
+        self._unusable = True
--- /dev/null
+++ b/zincstile/emulators/quota_service.py
@@ -0,0 +1,212 @@
+"""The quota service: totals by name, over HTTP/1.1, one call after another.
+
+It serves calls in turn, rejects them when its queue is full, answers however late it gets to them, holds 32
+connections, closes idle ones, and rejects every call until it is opened.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from collections import deque
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Final, NamedTuple
+
+from . import codec
+
+MAX_TTL_S: Final = 60.0  # a total is forgotten after this much, whatever a call asks for (PROTOCOL)
+MAX_AMOUNT: Final = 1e9  # of one call, either way (PROTOCOL)
+MAX_NAME_LENGTH: Final = 64  # characters (PROTOCOL)
+PATH_PREFIX: Final = "/v1/count/"
+REASONS: Final = {200: b"OK", 400: b"Bad Request", 503: b"Service Unavailable"}
+
+
+class Total(NamedTuple):
+    """What has been added under one name, and when it is forgotten."""
+
+    amount: float
+    until_s: float
+
+
+class Addition(NamedTuple):
+    """A call: add an amount to the total of a name, which lives for `ttl_s` if it is new."""
+
+    name: str
+    amount: float
+    ttl_s: float
+
+
+@dataclass(slots=True)
+class QuotaServiceCounts:
+    """What became of the calls and connections of one service."""
+
+    added: int = 0
+    rejected: int = 0
+    malformed: int = 0
+    reset: int = 0
+    corrupt: int = 0
+
+
+class QuotaService:
+    """The totals, the queue of calls and how fast they are served."""
+
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        calls_per_s: float = 1500.0,
+        call_latency_s: float = 0.001,
+        queue_capacity: int = 64,
+        max_connections: int = 32,
+        idle_timeout_s: float = 10.0,
+    ) -> None:
+        """Serve the first call of a queue after `call_latency_s`, and the next ones at `calls_per_s`."""
+        self.loop = loop
+        self.calls_per_s = calls_per_s
+        self.call_latency_s = call_latency_s
+        self.queue_capacity = queue_capacity
+        self.max_connections = max_connections
+        self.idle_timeout_s = idle_timeout_s
+        self.open = False  # the run has begun
+        self.is_corrupt: Callable[[], bool] = lambda: False  # the next answer brings no number
+        self.connections: dict[QuotaConnection, None] = {}
+        self.counts = QuotaServiceCounts()
+        self._totals: dict[str, Total] = {}
+        self._queue: deque[tuple[QuotaConnection, Addition]] = deque()
+        self._busy = False
+        self._server: asyncio.AbstractServer | None = None
+
+    async def start(self, host: str, port: int = 0) -> int:
+        """Listen there; the port that it got."""
+        self._server = await self.loop.create_server(lambda: QuotaConnection(self), host, port)
+        return self._server.sockets[0].getsockname()[1]
+
+    def close(self) -> None:
+        """Take no new connections any more."""
+        if self._server is not None:
+            self._server.close()
+
+    def total(self, name: str) -> float:
+        """The total under a name; 0 where there is none, or it is forgotten."""
+        total = self._totals.get(name)
+        return total.amount if total is not None and self.loop.time() < total.until_s else 0.0
+
+    def add(self, addition: Addition) -> float:
+        """Add to a total, and return it."""
+        now_s = self.loop.time()
+        total = self._totals.get(addition.name)
+        if total is None or now_s >= total.until_s:
+            total = Total(0.0, now_s + min(MAX_TTL_S, addition.ttl_s))
+        self._totals[addition.name] = Total(total.amount + addition.amount, total.until_s)
+        self.counts.added += 1
+        return total.amount + addition.amount
+
+    def receive_call(self, connection: QuotaConnection, addition: Addition) -> bool:
+        """Queue a call; False where it is rejected and nothing is added."""
+        if not self.open or len(self._queue) >= self.queue_capacity:
+            self.counts.rejected += 1
+            return False
+        self._queue.append((connection, addition))
+        if not self._busy:
+            self._busy = True
+            self.loop.call_later(self.call_latency_s, self._serve)
+        return True
+
+    def _serve(self) -> None:
+        connection, addition = self._queue.popleft()
+        total = self.add(addition)
+        if self.is_corrupt():
+            self.counts.corrupt += 1
+            connection.answer(200, b"?")
+        else:
+            connection.answer(200, b"%.7g" % total)
+        self._busy = bool(self._queue)
+        if self._busy:
+            self.loop.call_later(1 / self.calls_per_s, self._serve)
+
+
+class QuotaConnection(asyncio.Protocol):
+    """One connection; calls may be written one behind another, and are answered in that order."""
+
+    def __init__(self, service: QuotaService) -> None:
+        """Make the protocol of a connection to that service."""
+        self.service = service
+        self.transport: asyncio.Transport | None = None
+        self._buffer = b""
+        self._answers: deque[list[bytes]] = deque()  # one place a call, filled or not
+        self._queued: deque[list[bytes]] = deque()  # places of those that the service has queued
+        self._idle_timer: asyncio.TimerHandle | None = None
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Register with the service; reset where it holds as many connections as it may."""
+        self.transport = transport  # type: ignore[assignment]
+        if len(self.service.connections) >= self.service.max_connections:
+            self.service.counts.reset += 1
+            transport.abort()  # type: ignore[attr-defined]
+            return
+        self.service.connections[self] = None
+        self._restart_idle_timer()
+
+    def connection_lost(self, exc: Exception | None) -> None:
+        """Leave the service."""
+        self.service.connections.pop(self, None)
+        if self._idle_timer is not None:
+            self._idle_timer.cancel()
+
+    def _restart_idle_timer(self) -> None:
+        if self._idle_timer is not None:
+            self._idle_timer.cancel()
+        self._idle_timer = self.service.loop.call_later(self.service.idle_timeout_s, self.transport.close)
+
+    def data_received(self, data: bytes) -> None:
+        """Handle the calls that the data completes."""
+        self._buffer += data
+        self._restart_idle_timer()
+        while True:
+            head, end, rest = self._buffer.partition(b"\r\n\r\n")
+            if not end:
+                return
+            self._buffer = rest
+            self._handle(head)
+
+    def _handle(self, head: bytes) -> None:
+        place: list[bytes] = []
+        self._answers.append(place)
+        try:
+            addition = _parse_addition(head)
+        except ValueError:
+            self.service.counts.malformed += 1
+            place.append(_http_response(400, b""))
+            self._flush()
+            return
+        if self.service.receive_call(self, addition):
+            self._queued.append(place)
+        else:
+            place.append(_http_response(503, b""))
+            self._flush()
+
+    def answer(self, status: int, body: bytes) -> None:
+        """Answer the call of this connection that was queued first."""
+        self._queued.popleft().append(_http_response(status, body))
+        self._flush()
+
+    def _flush(self) -> None:
+        while self._answers and self._answers[0]:
+            data = self._answers.popleft()[0]
+            if not self.transport.is_closing():
+                self.transport.write(data)
+
+
+def _parse_addition(head: bytes) -> Addition:
+    """The call in a request's head; ValueError where it is none."""
+    method, path, query = codec.parse_request_head(head)
+    name = path.removeprefix(PATH_PREFIX)
+    if method != "POST" or name == path or not 1 <= len(name) <= MAX_NAME_LENGTH:
+        raise codec.ProtocolError("no such call")
+    amount, ttl_ms = float(query.get("add", "")), int(query.get("ttl_ms", ""))
+    if not abs(amount) <= MAX_AMOUNT or ttl_ms < 1:
+        raise codec.ProtocolError("out of range")
+    return Addition(name, amount, ttl_ms / 1000)
+
+
+def _http_response(status: int, body: bytes) -> bytes:
+    return b"HTTP/1.1 %d %b\r\nContent-Length: %d\r\n\r\n%b" % (status, REASONS[status], len(body), body)
--- a/zincstile/scale/day.py
+++ b/zincstile/scale/day.py
@@ -21,6 +21,7 @@
 
 from ..checkers.checker import Checker
 from ..checkers.quotas import Quotas
+from ..emulators.clients import ClientLoadBalancer
 from ..net import features as feature_files
 from ..simulation import shared, traffic
 from ..simulation.plan import Fault, Plan
@@ -123,12 +124,12 @@
         self.discovery.asked = self._asked
         self._make_gateways()
         addresses = {m.name: m.listen for m in self.members}
-        self.front = day_load.DayFront(
-            self.loop, random.Random(f"front {plan.seed}"), ears, addresses, dead_s=(0.3, 1.5)
+        self.front = ClientLoadBalancer(
+            self.loop, random.Random(f"front {plan.seed}"), ears, addresses, failure_detection_s=(0.3, 1.5)
         )
-        self.front.loaded = [m.name for m in self.members if m.loaded]
-        loaded = frozenset(self.front.loaded)
-        self.front.weigh = lambda want, names: [float(name in loaded) for name in names]
+        self.loaded_names = [m.name for m in self.members if m.loaded]
+        loaded = frozenset(self.loaded_names)
+        self.front.weigh_gateways = lambda want, names: [float(name in loaded) for name in names]
         self.happenings = Happenings(
             self.discovery, self.backends, self.processes, self._stop, self._begin, plan.seed
         )
@@ -190,7 +191,7 @@
                 one = ended or next(p for p in self.processes if not all(m.ready for m in p.members))
                 tail = (one.log.read_text(errors="replace").strip().splitlines() or [""])[-1]
                 raise NotReadyError(f"{one.members[0].name} ({one.kind.value}) did not start: {tail[:200]}")
-        self.front.watch()
+        self.front.watch_gateways(self.loaded_names)
         await asyncio.sleep(SETTLE_S)
 
     # ---- the day
@@ -314,10 +315,10 @@
     async def _finish(self) -> None:
         """No more is asked: all that was is answered, and every gateway says once more what it acts by."""
         until_s = self.loop.time() + ANSWERED_S
-        while (self.front.open or self.front.coming) and self.loop.time() < until_s:
+        while (self.front.in_flight or self.front.retries_waiting) and self.loop.time() < until_s:
             await asyncio.sleep(STEP_S)
-        if self.front.open:
-            self.checker.breach("answer", f"{self.front.open} requests were never answered")
+        if self.front.in_flight:
+            self.checker.breach("answer", f"{self.front.in_flight} requests were never answered")
         asked_s = time.time() - LOG_ROUNDING_S
         for process in self.processes:
             process.ask_counters()
@@ -371,7 +372,7 @@
 
     def _written(self, gateway: int, entry) -> None:
         if self.members[gateway].loaded:
-            self.ears.told(name_of(gateway), entry.name, entry.status, entry.since_ms)
+            self.ears.gateway_notified(name_of(gateway), entry.name, entry.status, entry.since_ms)
 
     def _asked(self, gateway: int, place: int) -> None:
         """A watch begins: the gateway has been told the whole list, or what it lacked of it."""
@@ -424,7 +425,7 @@
             BreachRow(b.rule, round(b.at_ns / 1e9 - self._began_monotonic_s, 3), b.request, b.text, b.history)
             for b in self.checker.breaches[:BREACHES]
         ]
-        for (_, kind), count in self.front.tally.items():
+        for (_, kind), count in self.front.outcomes.items():
             result.requests[kind] = result.requests.get(kind, 0) + count
 
     def _end_all(self) -> None:
--- a/zincstile/scale/day_load.py
+++ b/zincstile/scale/day_load.py
@@ -7,7 +7,8 @@
 from collections.abc import Iterator
 from typing import Final, NamedTuple
 
-from ..emulators.clients import Front, Want
+from ..emulators.client_requests import PlannedRequest
+from ..emulators.clients import ClientLoadBalancer
 from ..simulation import traffic
 from .plan import DayPlan
 from .topology import Topology
@@ -41,25 +42,7 @@
     return found
 
 
-class DayFront(Front):
-    """Clients that know all gateways by number and come to the loaded ones only."""
-
-    loaded: list[str]
-
-    def watch(self) -> None:
-        for name in self.loaded:
-            self._start(self._admit(name, 0.0))
-
-    def close(self) -> None:
-        """Ends all connections and attempts to connect."""
-        for task in list(self._tasks):
-            task.cancel()
-        for clients in self.lines.values():
-            for client in list(clients):
-                client.transport.abort()
-
-
-def wants(fleet: Topology, plan: DayPlan) -> Iterator[Want]:
+def wants(fleet: Topology, plan: DayPlan) -> Iterator[PlannedRequest]:
     """Endless requests of one unit each, whose cost in a backend is the same for all classes."""
     rng = random.Random(f"wants {plan.seed}")
     rows = customers(fleet, plan)
@@ -69,23 +52,23 @@
         row = rng.choices(rows, weights)[0]
         cls = rng.choices(names, shares)[0]
         _, deadline_ms, effect, _, _, _ = traffic.CLASSES[cls]
-        yield Want(
+        yield PlannedRequest(
             at_s=0.0,
-            cls=cls,
+            request_class=cls,
             plan=row.plan,
             customer=row.key,
             units=1.0,
-            spread=row.spread,
-            first=row.first,
-            wait_ms=int(deadline_ms * rng.uniform(0.5, 1.0)),
-            repeats=effect == "free",
+            gateway_count=row.spread,
+            first_gateway=row.first,
+            timeout_ms=int(deadline_ms * rng.uniform(0.5, 1.0)),
+            idempotent=effect == "free",
             key=b"%016x" % rng.getrandbits(64) if effect == "guarded" else b"",
-            tries=1,
-            again_s=0.2,
+            retries=1,
+            retry_delay_s=0.2,
         )
 
 
-async def ask(front: DayFront, fleet: Topology, plan: DayPlan) -> None:
+async def ask(front: ClientLoadBalancer, fleet: Topology, plan: DayPlan) -> None:
     """Requests at the rate of the loaded gateways in such a fleet, for ever. What this process is too late
     for is left out, so that its own lag makes no burst."""
     loop = asyncio.get_running_loop()
@@ -96,5 +79,5 @@
         due = int((loop.time() - began_s) * per_s)
         asked = max(asked, due - max(1, int(CAUGHT_UP_S * per_s)))
         while asked < due:
-            front.want(next(drawn))
+            front.send(next(drawn))
             asked += 1
--- a/zincstile/scale/emulators.py
+++ b/zincstile/scale/emulators.py
@@ -19,8 +19,8 @@
 from typing import Any, Final
 
 from ..decisions.messages import CustomerUsage, SendGossip
-from ..emulators import wire as emulated_wire
-from ..emulators.discovery import BEAT_S, Entry
+from ..emulators import codec as emulated_codec
+from ..emulators.discovery import HEARTBEAT_S, EndpointEntry
 from ..simulator import codec
 from ..testbed.datagrams import INFO, PKTINFO
 from ..testbed.places import on_loopback
@@ -64,7 +64,7 @@
     def __init__(self, fleet: Topology, port: int) -> None:
         self.zones, self.port = fleet.zones, port
         self.racks = fleet.racks_per_zone
-        self.entries: dict[str, Entry] = {}
+        self.entries: dict[str, EndpointEntry] = {}
         self.index = 1
         self._made = 0
         self._free: list[int] = []  # numbers of addresses of those that are gone
@@ -74,11 +74,11 @@
                 self._add(service, 0)
         self._churn = self._replacements()
 
-    def _add(self, service: int, since_ms: int) -> Entry:
+    def _add(self, service: int, since_ms: int) -> EndpointEntry:
         number = self._free.pop() if self._free else self._made
         name = f"s{service:03d}-{self._made:06x}"
         zone = self._made % len(self.zones)
-        entry = Entry(
+        entry = EndpointEntry(
             name,
             f"{address(BACKENDS_NETWORK, number)}:{self.port}",
             self.zones[zone],
@@ -90,13 +90,13 @@
         self.entries[name] = entry
         return entry
 
-    def next_change(self) -> Entry:
+    def next_change(self) -> EndpointEntry:
         """One change of the list, already made here. Backends are replaced one after the other: each drains,
         goes, and comes back under another name at its old address."""
         self.index += 1
         return next(self._churn)
 
-    def _replacements(self) -> Iterator[Entry]:
+    def _replacements(self) -> Iterator[EndpointEntry]:
         while True:
             name, entry = next(iter(self.entries.items()))
             del self.entries[name]
@@ -123,11 +123,11 @@
         """The whole list as one line of a watch."""
         return self._line(True, list(self.entries.values()))
 
-    def delta(self, entry: Entry) -> bytes:
+    def delta(self, entry: EndpointEntry) -> bytes:
         """One change as a line of a watch."""
         return self._line(False, [entry])
 
-    def _line(self, snapshot: bool, entries: list[Entry]) -> bytes:
+    def _line(self, snapshot: bool, entries: list[EndpointEntry]) -> bytes:
         table = {"index": self.index, "snapshot": snapshot, "endpoints": [asdict(e) for e in entries]}
         return json.dumps(table, separators=(",", ":")).encode() + b"\n"
 
@@ -216,7 +216,7 @@
             return
         traffic = self.discovery.traffic[self.gateway]
         traffic.bytes_out += len(self._head)
-        _, _, query = emulated_wire.request_line(self._head)
+        _, _, query = emulated_codec.parse_request_head(self._head)
         self._head = b""
         self.transport.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         lines = self.discovery.since(int(query.get("index", "0")))
@@ -240,9 +240,9 @@
         if self.transport.is_closing():
             return
         now = self.discovery.loop.time()
-        if now - self._told_s >= BEAT_S:
+        if now - self._told_s >= HEARTBEAT_S:
             self.tell(b"\n")
-        self.discovery.loop.call_at(self._told_s + BEAT_S, self._heartbeat)
+        self.discovery.loop.call_at(self._told_s + HEARTBEAT_S, self._heartbeat)
 
 
 class FakeBackends:
@@ -265,7 +265,7 @@
     def __init__(self, backends: FakeBackends) -> None:
         self.backends = backends
         self.transport: asyncio.Transport | None = None
-        self._commands = emulated_wire.Commands()
+        self._commands = emulated_codec.CommandParser()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = transport  # type: ignore[assignment]
--- a/zincstile/scale/load.py
+++ b/zincstile/scale/load.py
@@ -6,7 +6,7 @@
 import random
 from collections import deque
 
-from ..emulators import wire
+from ..emulators import codec
 from .configuration import CLASS, PLAN
 from .emulators import Tenant
 from .topology import Topology
@@ -42,7 +42,7 @@
         self.transport: asyncio.Transport | None = None
         self.pending: deque[asyncio.Future[object]] = deque()
         self.shut = False
-        self._replies = wire.Replies()
+        self._replies = codec.ReplyParser()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = transport  # type: ignore[assignment]
@@ -87,7 +87,7 @@
     async def command(self, *words: bytes) -> object:
         """One command on a connection that is free. OSError where there is none, or it ends."""
         connection = await self._connection()
-        reply = await connection.ask(wire.command(*words))
+        reply = await connection.ask(codec.encode_command(*words))
         self._resting.append(connection)
         return reply
 
--- a/zincstile/scale/moments.py
+++ b/zincstile/scale/moments.py
@@ -9,7 +9,7 @@
 from dataclasses import replace
 from typing import Final
 
-from ..emulators.discovery import Entry
+from ..emulators.discovery import EndpointEntry
 from .crowd import GatewayProcess
 from .plan import GatewaysRestarted, Moment, Rollout, ZoneLost
 from .surroundings import DayBackends, DayDiscovery
@@ -54,10 +54,10 @@
                 if entries:
                     tasks.create_task(self._replace(self._rng.choice(entries), CHURN_DRAIN_S))
 
-    def _entries(self) -> list[Entry]:
+    def _entries(self) -> list[EndpointEntry]:
         return list(self.discovery.table.entries.values())
 
-    def _free(self, entry: Entry) -> bool:
+    def _free(self, entry: EndpointEntry) -> bool:
         return entry.name not in self._leaving and entry.zone not in self._lost
 
     def _gateways(self, zone: str) -> list[GatewayProcess]:
@@ -65,7 +65,7 @@
 
     # ---- backends
 
-    async def _replace(self, entry: Entry, drain_s: float) -> None:
+    async def _replace(self, entry: EndpointEntry, drain_s: float) -> None:
         """One backend drains and goes; another starts in its place, cold."""
         self._leaving[entry.name] = None
         self.discovery.put(replace(entry, status="Terminating"))
@@ -109,7 +109,7 @@
         await self._put_all(back, moment.over_s)
         del self._lost[moment.zone]
 
-    async def _put_all(self, entries: list[Entry], over_s: float) -> None:
+    async def _put_all(self, entries: list[EndpointEntry], over_s: float) -> None:
         """One change after the other, evenly over that time."""
         loop = asyncio.get_running_loop()
         began_s = loop.time()
--- a/zincstile/scale/surroundings.py
+++ b/zincstile/scale/surroundings.py
@@ -14,9 +14,9 @@
 from dataclasses import replace
 from typing import Any, Final
 
-from ..emulators.discovery import Entry
-from ..emulators.guidebox import GuideBox, Model, Rack
-from ..emulators.guidebox import Line as BackendLine
+from ..emulators.backend import BackendEmulator, BackendModel, Rack
+from ..emulators.backend import GatewayConnection as BackendGatewayConnection
+from ..emulators.discovery import EndpointEntry
 from ..simulation import traffic
 from ..testbed.places import on_loopback
 from ..testbed.probe import CommandTap, Probe
@@ -41,7 +41,7 @@
 class DayTable(EndpointTable):
     """Discovery's list, changed entry by entry as the run says."""
 
-    def put(self, entry: Entry) -> None:
+    def put(self, entry: EndpointEntry) -> None:
         """An entry is new or has changed; `Gone` takes it off the list."""
         self.index += 1
         if entry.status == "Gone":
@@ -49,7 +49,7 @@
         else:
             self.entries[entry.name] = entry
 
-    def replacement(self, old: Entry, since_ms: int) -> Entry:
+    def replacement(self, old: EndpointEntry, since_ms: int) -> EndpointEntry:
         """The entry that takes over from one that goes: its zone and rack, a new name and address."""
         number = self._made
         self._made += 1
@@ -92,14 +92,14 @@
         self.told: list[list[int]] = [[] for _ in range(gateways)]  # the index that each line led to
         self.asks = [0] * gateways  # watches asked for
         self.cut: set[int] = set()  # gateways whose watches are told nothing any more
-        self.written: Callable[[int, Entry], None] = lambda gateway, entry: None
+        self.written: Callable[[int, EndpointEntry], None] = lambda gateway, entry: None
 
     async def start(self) -> None:
         sock = on_loopback(socket.SOCK_STREAM)
         self.port = sock.getsockname()[1]
         await self.loop.create_server(lambda: DayWatch(self), sock=sock, backlog=1024)
 
-    def put(self, entry: Entry) -> None:
+    def put(self, entry: EndpointEntry) -> None:
         """Makes one change and tells all watches of it."""
         self.table.put(entry)
         line = self.table.delta(entry)
@@ -148,9 +148,9 @@
         super().__init__(*words)
         self.cold, self._clock = cold, clock
 
-    def arrived(self, box: str, request: bytes, key: bytes, gateway: str, work_ns: int) -> None:
+    def attempt_received(self, box: str, request: bytes, key: bytes, gateway: str, work_ns: int) -> None:
         self.cold.take(box, self._clock())
-        super().arrived(box, request, key, gateway, work_ns)
+        super().attempt_received(box, request, key, gateway, work_ns)
 
 
 class DayBackends:
@@ -166,7 +166,7 @@
     ) -> None:
         self.loop, self.fleet, self.ears, self._clock = loop, fleet, ears, clock
         self.port = 0
-        self.by_address: dict[str, GuideBox] = {}
+        self.by_address: dict[str, BackendEmulator] = {}
         self.connections = 0
         self._rng = random.Random(f"backends {seed}")
         self._racks: dict[int, Rack] = {}
@@ -178,17 +178,17 @@
         self.port = sock.getsockname()[1]
         await self.loop.create_server(lambda: BackendConnection(self), sock=sock, backlog=1024)
 
-    def add(self, entry: Entry, cold: bool) -> None:
+    def add(self, entry: EndpointEntry, cold: bool) -> None:
         """A backend starts."""
-        model = Model(
+        model = BackendModel(
             cores=CORES,
-            places=QUEUE,
+            queue_capacity=QUEUE,
             work_ns=dict.fromkeys(traffic.CLASSES, int(CALL_S * 1e9)),
             cold_share=self._settings["start_capacity"],
-            warm_s=self._settings["warm_up_ns"] / 1e9,
+            warm_up_s=self._settings["warm_up_ns"] / 1e9,
         )
         rack = self._racks.setdefault(entry.group, Rack(traffic.KEYED_MS / 1000))
-        box = GuideBox(self.loop, entry.name, model, rack, self._rng, self.ears, cold)
+        box = BackendEmulator(self.loop, entry.name, model, rack, self._rng, self.ears, cold=cold)
         self.by_address[_host(entry)] = box
         checker = self.ears.checker
         checker.boxes[entry.name] = self.fleet.zones.index(entry.zone), entry.group
@@ -216,14 +216,14 @@
         """Over which the budget of a cold backend holds."""
         return self._settings["fall_ns"] / 1e9
 
-    def kill(self, entry: Entry) -> None:
+    def kill(self, entry: EndpointEntry) -> None:
         """A backend ends: its connections break, and it takes no new ones."""
         box = self.by_address.pop(_host(entry), None)
-        for line in list(box.lines) if box is not None else ():
+        for line in list(box.connections) if box is not None else ():
             line.transport.abort()
 
 
-def _host(entry: Entry) -> str:
+def _host(entry: EndpointEntry) -> str:
     return entry.address.rpartition(":")[0]
 
 
@@ -232,7 +232,7 @@
 
     def __init__(self, backends: DayBackends) -> None:
         self.backends = backends
-        self._line: BackendLine | None = None
+        self._line: BackendGatewayConnection | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         box = self.backends.by_address.get(transport.get_extra_info("sockname")[0])
@@ -240,7 +240,7 @@
             transport.abort()  # type: ignore[attr-defined]
             return
         self.backends.connections += 1
-        self._line = BackendLine(box)
+        self._line = BackendGatewayConnection(box)
         self._tap = CommandTap(self.backends.ears, "?", box.name)
         self._line.connection_made(transport)
 
--- a/zincstile/simulation/faults.py
+++ b/zincstile/simulation/faults.py
@@ -10,8 +10,8 @@
 from collections.abc import Callable
 from dataclasses import replace
 
-from ..emulators.clients import Rude, rude_pieces
-from ..emulators.counter import Counter
+from ..emulators.misbehaving_client import MisbehavingClient, draw_malformed_input
+from ..emulators.quota_service import QuotaService
 from ..virtual.network_faults import Trouble, between
 from . import machine_faults
 from .plan import Fault
@@ -176,7 +176,7 @@
 def _refuse(run: Stage, fault: Fault) -> None:
     """New connections are refused; those that are open go on."""
     for place in _places(run, fault):
-        place.box.refuse()
+        place.box.stop_listening()
         run.after(fault.for_ms, run.accept_box, place)
 
 
@@ -203,8 +203,8 @@
 def _full(run: Stage, fault: Fault) -> None:
     """They turn everything away."""
     for place in _places(run, fault):
-        places, place.model.places = place.model.places, 0
-        run.after(fault.for_ms, setattr, place.model, "places", places)
+        places, place.model.queue_capacity = place.model.queue_capacity, 0
+        run.after(fault.for_ms, setattr, place.model, "queue_capacity", places)
 
 
 # ---- what gateways hear
@@ -267,20 +267,20 @@
 
 def _discovery_late(run: Stage, fault: Fault) -> None:
     for seat in _seats(run, fault):
-        seat.agent.late_s = fault.amount
-        run.after(fault.for_ms, setattr, seat.agent, "late_s", 0.0)
+        seat.agent.delay_s = fault.amount
+        run.after(fault.for_ms, setattr, seat.agent, "delay_s", 0.0)
 
 
 def _discovery_silent(run: Stage, fault: Fault) -> None:
     for seat in _seats(run, fault):
-        seat.agent.hush(True)
-        run.after(fault.for_ms, seat.agent.hush, False)
+        seat.agent.set_silent(True)
+        run.after(fault.for_ms, seat.agent.set_silent, False)
 
 
 def _watch_lost(run: Stage, fault: Fault) -> None:
     """The watches that are open stay open and say nothing more; new ones are served."""
     for seat in _seats(run, fault):
-        seat.agent.forget_watches()
+        seat.agent.abandon_connections()
 
 
 def _discovery_moved(run: Stage, fault: Fault) -> None:
@@ -292,7 +292,7 @@
 
 
 def _moved(run: Stage, seat: Seat) -> None:
-    seat.agent.retire(MOVED_S)
+    seat.agent.retire_oldest_address(MOVED_S)
     if run.running(seat) and not seat.stopping:
         run.checker.event(f"{seat.name} gets SIGHUP")
         run.reload(seat)
@@ -318,12 +318,12 @@
 def _keeper_slow(run: Stage, fault: Fault) -> None:
     if run.plan.keeper:
         counter = run.counter(0)
-        counter.call_s, counter.per_s = 0.03, 1 / (0.001 + 0.001 * fault.amount)
+        counter.call_latency_s, counter.calls_per_s = 0.03, 1 / (0.001 + 0.001 * fault.amount)
         run.after(fault.for_ms, _keeper_quick, counter)
 
 
-def _keeper_quick(counter: Counter) -> None:
-    counter.call_s, counter.per_s = 0.001, 1500.0
+def _keeper_quick(counter: QuotaService) -> None:
+    counter.call_latency_s, counter.calls_per_s = 0.001, 1500.0
 
 
 def _keeper_split(run: Stage, fault: Fault) -> None:
@@ -357,7 +357,9 @@
 
 def _one_rude(run: Stage, seat: Seat) -> None:
     loop, rng = run.front.loop, run.rng
-    run.rude(seat, Rude(loop, rude_pieces(rng), rng.uniform(0, 0.05), rng.uniform(0.1, 3.5)))
+    run.rude(
+        seat, MisbehavingClient(loop, draw_malformed_input(rng), rng.uniform(0, 0.05), rng.uniform(0.1, 3.5))
+    )
 
 
 def _move(run: Stage, fault: Fault) -> None:
@@ -386,9 +388,9 @@
     "deploy": _deploy,
     "drain": _drain,
     "box_crash": _box_crash,
-    "slow": _with_models("slow", 1.0),
-    "spoil": _with_models("spoils", 0.0),
-    "err": _with_models("errs", 0.0),
+    "slow": _with_models("slowdown", 1.0),
+    "spoil": _with_models("corrupt_ratio", 0.0),
+    "err": _with_models("error_ratio", 0.0),
     "hang": _hang,
     "refuse": _refuse,
     "reset": _reset,
@@ -404,7 +406,7 @@
     "surge": _in_traffic,
     "leave": _in_traffic,
     "lag": _lag,
-    "extra": _with_models("extra", 0.0),
+    "extra": _with_models("extra_ratio", 0.0),
     "watch_lost": _watch_lost,
     "keeper_gone": _keeper_gone,
     "keeper_swapped": _keeper_swapped,
--- a/zincstile/simulation/places.py
+++ b/zincstile/simulation/places.py
@@ -110,7 +110,7 @@
         self.run = run
         self.sent: list[tuple[float, int, int]] = []  # seconds, zone, the gateway's own
         self.served: list[float] = []
-        sent, answered = run.checker.sent, run.checker.answered
+        sent, answered = run.checker.sent, run.checker.request_answered
 
         def went(gateway: str, box: str, request: bytes, first_ns: int):
             self.sent.append((self.now_s(), run.checker.boxes[box][0], int(gateway[1:]) % ZONES))
@@ -121,7 +121,7 @@
                 self.served.append(self.now_s())
             answered(request, kind, value)
 
-        run.checker.sent, run.checker.answered = went, heard  # type: ignore[method-assign]
+        run.checker.sent, run.checker.request_answered = went, heard  # type: ignore[method-assign]
 
     def now_s(self) -> float:
         return (self.run.scheduler.now_ns - self.run.began_ns) / 1e9
--- a/zincstile/simulation/shared_trials.py
+++ b/zincstile/simulation/shared_trials.py
@@ -45,7 +45,7 @@
     def __init__(self, run: Run) -> None:
         self.run, self.out, self.open = run, 0.0, 0.0
         self.served: list[tuple[float, str]] = []  # seconds since the first request, gateway
-        answered = run.checker.answered
+        answered = run.checker.request_answered
 
         def heard(request: bytes, kind: str, value: bytes) -> None:
             if kind == "served":
@@ -53,7 +53,7 @@
                 self.served.append((at, run.checker.cases[request].gateway))
             answered(request, kind, value)
 
-        run.checker.answered = heard  # type: ignore[method-assign]
+        run.checker.request_answered = heard  # type: ignore[method-assign]
         run.scheduler.at(run.began_ns, self._look)
 
     def _look(self) -> None:
--- a/zincstile/simulation/stage.py
+++ b/zincstile/simulation/stage.py
@@ -11,10 +11,11 @@
 from typing import TYPE_CHECKING, Any, Protocol
 
 from ..checkers.checker import Checker
-from ..emulators.clients import Front, Rude
-from ..emulators.counter import Counter
-from ..emulators.discovery import Agent, Entry, Roster
-from ..emulators.guidebox import GuideBox, Model
+from ..emulators.backend import BackendEmulator, BackendModel
+from ..emulators.clients import ClientLoadBalancer
+from ..emulators.discovery import DiscoveryAgent, EndpointEntry, EndpointList
+from ..emulators.misbehaving_client import MisbehavingClient
+from ..emulators.quota_service import QuotaService
 from ..virtual.network_faults import Links
 
 if TYPE_CHECKING:
@@ -26,7 +27,7 @@
 
     number: int
     name: str
-    agent: Agent
+    agent: DiscoveryAgent
     skew_ns: int  # of its Unix clock, from the next start on
     starts: int
     moves: int  # of its discovery
@@ -37,10 +38,10 @@
 class Place(Protocol):
     """A guide box, and its line in the list."""
 
-    entry: Entry
-    box: GuideBox
+    entry: EndpointEntry
+    box: BackendEmulator
     zone: int
-    model: Model
+    model: BackendModel
 
 
 class Stage(Protocol):
@@ -53,8 +54,8 @@
     seats: list[Any]
     places: dict[str, Any]
     boxes: list[str]  # names in the plan's order; a deploy puts the new one in its place
-    roster: Roster
-    front: Front
+    roster: EndpointList
+    front: ClientLoadBalancer
     shares: dict[tuple[int, str], float]  # how unevenly a customer comes in
     weights: random.Random
     drawn_to: list[dict[str, None]]  # gateways to which all are drawn at present
@@ -86,7 +87,7 @@
     def move_discovery(self, seat: Any) -> None:
         """Its agent listens at a new address too, which the file names from now on."""
 
-    def rude(self, seat: Any, client: Rude) -> None: ...
+    def rude(self, seat: Any, client: MisbehavingClient) -> None: ...
 
     # guide boxes
 
@@ -114,7 +115,7 @@
 
     # the count keeper
 
-    def counter(self, number: int) -> Counter: ...
+    def counter(self, number: int) -> QuotaService: ...
 
     def start_counter(self, number: int) -> None: ...
 
--- a/zincstile/simulation/starts.py
+++ b/zincstile/simulation/starts.py
@@ -108,7 +108,7 @@
         self.sent: list[tuple[float, float]] = []
         self.opened: list[float] = []
         self.served: list[float] = []
-        log, sent, answered = run._log, run.checker.sent, run.checker.answered
+        log, sent, answered = run._log, run.checker.sent, run.checker.request_answered
         connected = run._connected
 
         def hear(seat, line: str) -> None:
@@ -133,7 +133,7 @@
             connected(opener, taker)
 
         run._log = hear  # type: ignore[method-assign]
-        run.checker.sent, run.checker.answered = went, heard  # type: ignore[method-assign]
+        run.checker.sent, run.checker.request_answered = went, heard  # type: ignore[method-assign]
         run.network.on_connected = opened
 
     def now_s(self) -> float:
@@ -184,8 +184,8 @@
         seed,
         f"{result.breach.rule}: {result.breach.text}" if result.breach else "",
         ready,
-        max(0, counts["calls"] - plan.gateways) / len(killed),
-        max(0, counts["whole"] - before) / len(killed),
+        max(0, counts.calls - plan.gateways) / len(killed),
+        max(0, counts.snapshots - before) / len(killed),
         most_in(watch.sent, back, back + 2) / boxes,
         int(opened / boxes * 100) / 100,  # type: ignore[arg-type]
         run.checker.cold.nearest,
--- a/zincstile/simulation/traffic.py
+++ b/zincstile/simulation/traffic.py
@@ -14,7 +14,7 @@
 
 from ..checkers.cases import ClassRule, Figures, PlanRule
 from ..decisions.quota_bounds import Quota
-from ..emulators.clients import Want
+from ..emulators.client_requests import PlannedRequest
 from ..quota_service.bound import bounds
 from ..quota_service.settings import KeeperSettings
 from .plan import Plan
@@ -187,7 +187,7 @@
                 self.weights.append(rate * heavy)
 
 
-def wants(plan: Plan, start_s: float) -> list[Want]:
+def wants(plan: Plan, start_s: float) -> list[PlannedRequest]:
     """All first tries, in order of time. More of them fall on the instants of faults, and more deadlines."""
     customers = Customers(plan)
     instants = {a for f in plan.faults for a in (f.at_ms, f.at_ms + f.for_ms)}
@@ -197,7 +197,9 @@
     return sorted(made, key=lambda w: (w.at_s, w.customer))
 
 
-def _want(plan: Plan, number: int, customers: Customers, anchors: list[int], start_s: float) -> Want:
+def _want(
+    plan: Plan, number: int, customers: Customers, anchors: list[int], start_s: float
+) -> PlannedRequest:
     rng = random.Random(f"want {plan.seed} {number}")
     surges = [f for f in plan.faults if f.kind == "surge"]
     leaving = [f for f in plan.faults if f.kind == "leave"]
@@ -220,26 +222,26 @@
     for fault in leaving:
         if 0 <= at_ms - fault.at_ms <= fault.for_ms and rng.random() < fault.amount:
             leaves = rng.uniform(0.0005, 0.2)
-    return Want(
+    return PlannedRequest(
         at_s=start_s + max(0.0, at_ms) / 1000,
-        cls=cls,
+        request_class=cls,
         plan=name,
         customer=key,
         units=rng.choices((1.0, 2.0, 3.0, 6.0), (0.5, 0.3, 0.15, 0.05))[0],
-        spread=spread,
-        first=first,
-        wait_ms=wait_ms,
-        repeats=effect == "free",
+        gateway_count=spread,
+        first_gateway=first,
+        timeout_ms=wait_ms,
+        idempotent=effect == "free",
         key=b"%016x" % rng.getrandbits(64) if effect == "guarded" else b"",
-        tries=rng.choice((0, 1, 2)),
-        again_s=rng.choice((0.0, 0.05, 0.2)),
-        leaves_s=leaves,
-        behind=rng.random() < 0.1,
-        heeds=rng.random() < 0.5,
+        retries=rng.choice((0, 1, 2)),
+        retry_delay_s=rng.choice((0.0, 0.05, 0.2)),
+        disconnect_after_s=leaves,
+        pipelined=rng.random() < 0.1,
+        heeds_retry_after=rng.random() < 0.5,
     )
 
 
-def weigh(run: Stage, want: Want, names: list[str]) -> list[float]:
+def weigh(run: Stage, want: PlannedRequest, names: list[str]) -> list[float]:
     """How unevenly a customer's requests come in; `shift` draws it anew, `move` draws all to some."""
     for drawn in run.drawn_to[-1:]:
         if any(n in drawn for n in names):
--- a/zincstile/simulation/world.py
+++ b/zincstile/simulation/world.py
@@ -17,12 +17,15 @@
 from ..checkers.checker import Checker
 from ..checkers.quotas import Quotas
 from ..cold_start.settings import StartSettings
-from ..emulators import wire
-from ..emulators.clients import Client, Front, Request, Rude, Want
-from ..emulators.counter import Counter
-from ..emulators.discovery import Agent, Entry, Roster
-from ..emulators.guidebox import GuideBox, Model, Rack
-from ..emulators.listservice import ListService, Manners
+from ..emulators import codec
+from ..emulators.backend import BackendEmulator, BackendModel, Rack
+from ..emulators.client_connection import ClientConnection
+from ..emulators.client_requests import PlannedRequest, Request
+from ..emulators.clients import ClientLoadBalancer
+from ..emulators.discovery import DiscoveryAgent, EndpointEntry, EndpointList
+from ..emulators.list_service import ListService, ListServiceBehaviour
+from ..emulators.misbehaving_client import MisbehavingClient
+from ..emulators.quota_service import QuotaService
 from ..leases.settings import SharedSettings
 from ..net import config
 from ..net.gateway import Gateway
@@ -78,7 +81,7 @@
     number: int
     name: str
     host: str
-    agent: Agent
+    agent: DiscoveryAgent
     discovery: tuple[str, int]
     skew_ns: int = 0
     starts: int = 0
@@ -94,13 +97,13 @@
 class Place:
     """A guide box's process, and its line in the list."""
 
-    entry: Entry
+    entry: EndpointEntry
     process: Process
-    box: GuideBox
+    box: BackendEmulator
     host: str
     port: int
     zone: int
-    model: Model
+    model: BackendModel
 
 
 class Run:
@@ -128,7 +131,7 @@
         self.start = StartSettings(peers=True) if plan.start else None
         self.place_settings = ZoneFailoverSettings() if plan.place else None
         self.subset = SubsetSettings(least=2, holders=2) if plan.subset else None
-        self.manners = Manners(plan.lists_per_s or 1e6)
+        self.manners = ListServiceBehaviour(plan.lists_per_s or 1e6)
         quotas = Quotas(traffic.stated_bounds(plan, self.keeper), LATE_NS) if self.keeper else None
         if self.shared:
             stated, opening = shared.stated(plan, self.shared)
@@ -136,14 +139,14 @@
         self.checker = Checker(
             traffic.figures(), lambda: (self.scheduler.steps, self.scheduler.now_ns), rules, quotas
         )
-        self.roster = Roster(self.checker)
+        self.roster = EndpointList(self.checker)
         self.racks = [Rack(traffic.KEYED_MS / 1000) for _ in range(RACKS)]
         self.places: dict[str, Place] = {}  # by the box's name
         self.boxes: list[str] = []  # names, in the plan's order; a deploy puts the new one in its place
         self.hosts: dict[str, str] = {}
         self.seats: list[Seat] = []
         self.logs: list[str] = []
-        self.counters: dict[int, tuple[Process, Counter]] = {}
+        self.counters: dict[int, tuple[Process, QuotaService]] = {}
         self.began_ns = START_NS + LEAD_NS
         self.service: ListService | None = None
         self.drawn_to: list[dict[str, None]] = []
@@ -161,9 +164,9 @@
         for k in range(plan.gateways):
             host = f"10.0.0.{k + 1}"
             process = Process(self.network, f"agent{k}", host, k % len(traffic.ZONES))
-            agent = Agent(process.loop, self.roster, f"g{k}", self.checker)
+            agent = DiscoveryAgent(process.loop, self.roster, f"g{k}", self.checker)
             if plan.asked:
-                agent.asked = service.ask
+                agent.on_request = service.receive_call
             self.do(process, agent.start(host, 8500))
             self.seats.append(Seat(k, f"g{k}", host, agent, (host, 8500)))
         if plan.keeper:
@@ -172,25 +175,25 @@
         for seat in self.seats:
             self.start_gateway(seat)
         self.clients = Process(self.network, "clients", "10.9.0.1", 0)
-        self.front = Front(
+        self.front = ClientLoadBalancer(
             self.clients.loop,
             random.Random(f"front {plan.seed}"),
             self.checker,
             {s.name: (s.host, 6379) for s in self.seats},
-            dead_s=(0.3, 1.5),
+            failure_detection_s=(0.3, 1.5),
         )
         self.front.was_read = _was_read
         weights = random.Random(f"weights {plan.seed}")
         self.shares: dict[tuple[int, str], float] = {}
         self.weights = weights
-        self.front.weigh = self._weigh
-        self.clients.loop.call_soon(self.front.watch)
+        self.front.weigh_gateways = self._weigh
+        self.clients.loop.call_soon(self.front.watch_gateways)
         start = self.began_ns / 1e9
         wants = traffic.wants(plan, start)
         if plan.crossing and wants:
             self.network.on_end = Crossings(plan, self.clients, self.front, wants).ended
         for want in wants:
-            self.clients.loop.call_at(want.at_s, self.front.want, want)
+            self.clients.loop.call_at(want.at_s, self.front.send, want)
         for fault in plan.faults:
             at = self.began_ns + fault.at_ms * MS
             self.scheduler.at(at, faults.begin, self, fault)
@@ -206,44 +209,46 @@
         host, port = (at.host, at.port) if at else (f"10.1.{number // 200}.{number % 200 + 1}", 6379)
         rng = random.Random(f"box {self.plan.seed} {number}")
         cell = number % RACKS if cell is None else cell
-        model = Model(
+        model = BackendModel(
             cores=1 + (number % 3 == 0),
             speed=rng.uniform(1 / FACTOR, FACTOR),
-            places=rng.randint(8, 24),
+            queue_capacity=rng.randint(8, 24),
             work_ns={n: ms * MS for n, ms in traffic.WORK_MS.items()},
             cold_share=0.25,
-            warm_s=traffic.WARM_MS / 1000,
-            drops_left=self.plan.drops_left,
+            warm_up_s=traffic.WARM_MS / 1000,
+            drops_on_disconnect=self.plan.drops_left,
         )
         return self.place(name, host, port, zone, cell, model, cold)
 
-    def place(self, name: str, host: str, port: int, zone: int, cell: int, model: Model, cold: bool) -> Place:
+    def place(
+        self, name: str, host: str, port: int, zone: int, cell: int, model: BackendModel, cold: bool
+    ) -> Place:
         process = Process(self.network, name, host, zone)
-        box = GuideBox(
+        box = BackendEmulator(
             process.loop,
             name,
             model,
             self.racks[cell],
             random.Random(f"{name} {self.plan.seed} " f"{self.scheduler.now_ns}"),
             self.checker,
-            cold,
+            cold=cold,
         )
-        box.gateway_of = _other
+        box.identify_gateway = _other
         self.do(process, box.start(host, port))
         since = (self.scheduler.now_ns + UNIX_NS) // MS if cold else 0
-        entry = Entry(name, f"{host}:{port}", traffic.ZONES[zone], "std", cell, "Ready", 1.0, since)
+        entry = EndpointEntry(name, f"{host}:{port}", traffic.ZONES[zone], "std", cell, "Ready", 1.0, since)
         self.checker.boxes[name] = zone, cell
         self.checker.cold.began(name, since, box.capacity, lambda: box.warmth() >= 1)
         self.places[name] = Place(entry, process, box, host, port, zone, model)
         return self.places[name]
 
-    def _weigh(self, want: Want, names: list[str]) -> list[float]:
+    def _weigh(self, want: PlannedRequest, names: list[str]) -> list[float]:
         return traffic.weigh(self, want, names)
 
     def start_counter(self, number: int) -> None:
         """A count keeper that knows nothing yet."""
         process = Process(self.network, f"counter{number}", f"10.2.0.{number + 1}", 0)
-        counter = Counter(process.loop)
+        counter = QuotaService(process.loop)
         counter.open = True
         self.do(process, counter.start(process.host, 6400))
         self.counters[number] = process, counter
@@ -270,7 +275,7 @@
             "{}:{}".format(*seat.discovery),
             [f"{s.host}:7946" for s in self.seats],
             seed,
-            seat.agent.whole() if self.plan.known else {},
+            seat.agent.snapshot() if self.plan.known else {},
         )
 
     def start_gateway(self, seat: Seat) -> None:
@@ -331,7 +336,7 @@
         seat.discovery = seat.host, 8500 + seat.moves
         seat.agent.loop.create_task(seat.agent.start(*seat.discovery))
 
-    def rude(self, seat: Seat, client: Rude) -> None:
+    def rude(self, seat: Seat, client: MisbehavingClient) -> None:
         self.do(self.clients, _connect_rude(self.clients.loop, seat.host, client))
 
     def upgrade(self, seat: Seat) -> None:
@@ -368,7 +373,7 @@
     def part(self, seat: Seat, place: Place, apart: bool) -> None:
         (self.network.cut if apart else self.network.mend)(seat.host, place.host)
 
-    def counter(self, number: int) -> Counter:
+    def counter(self, number: int) -> QuotaService:
         return self.counters[number][1]
 
     def kill_counter(self, number: int) -> None:
@@ -426,7 +431,7 @@
                 gc.enable()
         breach = self.checker.breaches[0] if self.checker.breaches else None
         counts, tally = self.checker.counts, {}
-        for (_, kind), n in self.front.tally.items():
+        for (_, kind), n in self.front.outcomes.items():
             tally[kind] = tally.get(kind, 0) + n
         return Result(
             plan.seed,
@@ -447,7 +452,11 @@
 
     def _calm(self) -> bool:
         """Nothing is asked, answered, or on its way to an end any more."""
-        if self.front.open or self.front.coming or any(s.stopping and s.process.alive for s in self.seats):
+        if (
+            self.front.in_flight
+            or self.front.retries_waiting
+            or any(s.stopping and s.process.alive for s in self.seats)
+        ):
             return False
         return not any(
             s.process.alive
@@ -496,7 +505,7 @@
             )
 
 
-async def _connect_rude(loop: Any, host: str, client: Rude) -> None:
+async def _connect_rude(loop: Any, host: str, client: MisbehavingClient) -> None:
     try:
         await loop.create_connection(lambda: client, host, 6379)
     except OSError:
@@ -516,16 +525,18 @@
 class Crossings:
     """Clients that ask in the very moment in which a gateway ends the connection that they ask on."""
 
-    def __init__(self, plan: Plan, clients: Process, front: Front, wants: list[Want]) -> None:
+    def __init__(
+        self, plan: Plan, clients: Process, front: ClientLoadBalancer, wants: list[PlannedRequest]
+    ) -> None:
         self._share, self._clients, self._front = plan.crossing, clients, front
-        self._wants = [replace(want, tries=0, leaves_s=0.0) for want in wants]
+        self._wants = [replace(want, retries=0, disconnect_after_s=0.0) for want in wants]
         self._rng = random.Random(f"crossings {plan.seed}")
 
     def ended(self, endpoint: Endpoint) -> None:
         peer = endpoint.peer
         client = peer.protocol if peer is not None and peer.process is self._clients else None
-        if isinstance(client, Client) and self._rng.random() < self._share:
-            self._clients.loop.call_soon(self._front.ask_on, client, self._rng.choice(self._wants))
+        if isinstance(client, ClientConnection) and self._rng.random() < self._share:
+            self._clients.loop.call_soon(self._front.send_on, client, self._rng.choice(self._wants))
 
 
 class Tap:
@@ -535,7 +546,7 @@
 
     def __init__(self, checker: Checker, gateway: str, box: str, scheduler: Scheduler) -> None:
         self.checker, self.gateway, self.box, self.scheduler = checker, gateway, box, scheduler
-        self._commands = wire.Commands()
+        self._commands = codec.CommandParser()
         self._first_ns = 0
         self._try = None
 
@@ -545,13 +556,13 @@
             self._first_ns = self.scheduler.now_ns
         try:
             whole = self._commands.feed(data)
-        except wire.ForeignError as err:
-            self.checker.foreign(self.box, self.gateway, str(err))
+        except codec.ProtocolError as err:
+            self.checker.protocol_violated(self.box, self.gateway, str(err))
             return
-        words = whole[0] if whole else self._commands.words
+        words = whole[0] if whole else self._commands.arguments
         if self._try is None and len(words) > 2:
             self._try = self.checker.sent(self.gateway, self.box, words[2], self._first_ns)
         if whole:
             if self._try is not None:
-                self.checker.whole(words[2], self._try, wire.told_ms(words))
+                self.checker.whole(words[2], self._try, codec.forwarded_timeout_ms(words))
             self._try = None
--- a/zincstile/testbed/emulated.py
+++ b/zincstile/testbed/emulated.py
@@ -7,9 +7,9 @@
 from dataclasses import replace
 from typing import Any
 
-from ..emulators.counter import Counter
-from ..emulators.discovery import Entry
-from ..emulators.guidebox import GuideBox, Model
+from ..emulators.backend import BackendEmulator, BackendModel
+from ..emulators.discovery import EndpointEntry
+from ..emulators.quota_service import QuotaService
 from ..simulation import traffic
 from ..virtual.network_faults import Trouble, between
 from . import places
@@ -38,7 +38,7 @@
 
     # ---- backends and their list
 
-    def _entry_for(self, entry: Entry, gateway: int) -> Entry:
+    def _entry_for(self, entry: EndpointEntry, gateway: int) -> EndpointEntry:
         """With the address by which that gateway finds it, on its clock."""
         place = self.places.get(entry.name)
         seer = places.ALL if self.plan.one_address else gateway
@@ -50,19 +50,19 @@
         number, name = self._backends_made, f"s-{self._backends_made:02x}"
         rng = random.Random(f"box {self.plan.seed} {number}")
         cell = number % RACKS if cell is None else cell
-        model = Model(
+        model = BackendModel(
             cores=1 + (number % 3 == 0),
             speed=rng.uniform(1 / MOST_SPEED_FACTOR, MOST_SPEED_FACTOR),
-            places=rng.randint(8, 24),
+            queue_capacity=rng.randint(8, 24),
             work_ns={n: ms * MS for n, ms in traffic.WORK_MS.items()},
             cold_share=0.25,
-            warm_s=traffic.WARM_MS / 1000,
-            drops_left=self.plan.drops_left,
+            warm_up_s=traffic.WARM_MS / 1000,
+            drops_on_disconnect=self.plan.drops_left,
         )
         return self._start_backend(name, zone, cell, model, cold, at)
 
     def _start_backend(
-        self, name: str, zone: int, cell: int, model: Model, cold: bool, at: Place | None
+        self, name: str, zone: int, cell: int, model: BackendModel, cold: bool, at: Place | None
     ) -> Place:
         """A backend begins to listen, and its invariants begin to be watched."""
         number = at.number if at else (self._backends_made - 1) % places.MOST
@@ -71,11 +71,11 @@
         if at is not None:
             proxy.port = at.proxy.port
         rng = random.Random(f"{name} {self.plan.seed} {self._backends_made}")
-        box = GuideBox(proxy, name, model, self.racks[cell], rng, self.probe, cold)  # type: ignore[arg-type]
-        box.gateway_of = lambda connection: connection.gateway  # type: ignore[attr-defined]
+        box = BackendEmulator(proxy, name, model, self.racks[cell], rng, self.probe, cold=cold)  # type: ignore[arg-type]
+        box.identify_gateway = lambda connection: connection.gateway  # type: ignore[attr-defined]
         self._spawn(box.start(""))
         since = int(time.time() * 1000) if cold else 0
-        entry = Entry(name, "", traffic.ZONES[zone], "std", cell, "Ready", 1.0, since)
+        entry = EndpointEntry(name, "", traffic.ZONES[zone], "std", cell, "Ready", 1.0, since)
         self.checker.boxes[name] = zone, cell
         self.checker.cold.began(name, since, box.capacity, lambda: box.warmth() >= 1)
         self.places[name] = Place(entry, box, proxy, zone, model, number)
@@ -120,7 +120,7 @@
 
     # ---- quota services
 
-    def counter(self, number: int) -> Counter:
+    def counter(self, number: int) -> QuotaService:
         """The quota service of that number."""
         return self.counters[number][0]
 
@@ -130,7 +130,7 @@
         proxy.keeps_port = True
         if number in self.counters:
             proxy.port = self.counters[number][1].port
-        counter = Counter(proxy)  # type: ignore[arg-type]
+        counter = QuotaService(proxy)  # type: ignore[arg-type]
         counter.open = True
         self.counters[number] = counter, proxy
         self._spawn(counter.start(""))
--- a/zincstile/testbed/gateways.py
+++ b/zincstile/testbed/gateways.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import Any
 
-from ..emulators.clients import Rude
+from ..emulators.misbehaving_client import MisbehavingClient
 from ..simulation import traffic
 from . import places
 from .members import Seat
@@ -62,7 +62,7 @@
 
     def _known_list(self, seat: Seat) -> dict[str, Any]:
         """The list that a gateway starts with."""
-        return seat.agent.whole() if self.plan.known else {}
+        return seat.agent.snapshot() if self.plan.known else {}
 
     # ---- processes
 
@@ -184,11 +184,11 @@
         self._read_log(seat)
         seat.older = None
 
-    def rude(self, seat: Seat, client: Rude) -> None:
+    def rude(self, seat: Seat, client: MisbehavingClient) -> None:
         """A client that keeps to no protocol connects."""
         self._spawn(self._connect_rude(seat, client))
 
-    async def _connect_rude(self, seat: Seat, client: Rude) -> None:
+    async def _connect_rude(self, seat: Seat, client: MisbehavingClient) -> None:
         host, port = seat.listen.split(":")
         with contextlib.suppress(OSError):
             await self.loop.create_connection(lambda: client, host, int(port))
--- a/zincstile/testbed/members.py
+++ b/zincstile/testbed/members.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from ..emulators.discovery import Agent, Entry
-from ..emulators.guidebox import GuideBox, Model
+from ..emulators.backend import BackendEmulator, BackendModel
+from ..emulators.discovery import DiscoveryAgent, EndpointEntry
 from ..simulation import traffic
 from .fault_proxy import FaultProxy
 from .programs import Program
@@ -20,7 +20,7 @@
 
     number: int
     name: str
-    agent: Agent
+    agent: DiscoveryAgent
     proxy: FaultProxy
     listen: str
     folder: Path
@@ -52,10 +52,10 @@
 class Place:
     """A fake backend, with its entry in discovery's list."""
 
-    entry: Entry
-    box: GuideBox
+    entry: EndpointEntry
+    box: BackendEmulator
     proxy: FaultProxy
     zone: int
-    model: Model
+    model: BackendModel
     number: int
     alive: bool = True
--- a/zincstile/testbed/probe.py
+++ b/zincstile/testbed/probe.py
@@ -14,8 +14,8 @@
 from typing import Any
 
 from ..checkers.checker import Checker
-from ..emulators import wire
-from ..emulators.witness import Witness
+from ..emulators import codec
+from ..emulators.observer import Observer
 
 TICK_NS = 5_000_000
 CATCH_UP_NS = 1_000_000_000  # behind a delay, what is read may be of its time
@@ -65,7 +65,7 @@
         return made
 
 
-class Probe(Witness):
+class Probe(Observer):
     """Hands all on to the checker, and counts by second for the charts."""
 
     def __init__(self, checker: Checker, series: TimeSeries, began_s: Callable[[], float]) -> None:
@@ -97,19 +97,19 @@
     def _second(self) -> int:
         return int(time.monotonic() - self._began_s())
 
-    def asked(self, what: Any) -> None:
+    def request_sent(self, what: Any) -> None:
         """Counts what one all-seeing store would let in of it."""
         quotas = self.checker.quotas
         before = quotas.best if quotas else 0.0
-        self.checker.asked(what)
+        self.checker.request_sent(what)
         if quotas:
             second = self._second()
             self.series.best[second] = self.series.best.get(second, 0.0) + quotas.best - before
 
-    def answered(self, request: bytes, kind: str, value: bytes) -> None:
+    def request_answered(self, request: bytes, kind: str, value: bytes) -> None:
         """Counts the answer by its kind."""
         self.series.answer(self._second(), self.checker.cases[request].gateway, kind)
-        self.checker.answered(request, kind, value)
+        self.checker.request_answered(request, kind, value)
 
     def let_out(self, gateway: str, box: str, request: bytes, first_ns: int) -> Any:
         """The head of an attempt has come."""
@@ -122,15 +122,15 @@
 
     # what needs no more than the checker
 
-    def unasked(self, gateway: str, line: int, text: str) -> None:
-        self.checker.unasked(gateway, line, text)
+    def unexpected_answer(self, gateway: str, line: int, text: str) -> None:
+        self.checker.unexpected_answer(gateway, line, text)
 
-    def dropped(self, request: bytes) -> None:
+    def request_dropped(self, request: bytes) -> None:
         """Its connection was ended after it was read, without an answer."""
         if self.died_as_planned(self.checker.cases[request].gateway):
-            self.checker.void(request)
+            self.checker.request_voided(request)
             return
-        self.checker.dropped(request)
+        self.checker.request_dropped(request)
 
     def was_sent_on(self, request: bytes) -> bool:
         """It has been sent on since it was asked: the gateway had read it, and owes its answer on the very
@@ -138,34 +138,34 @@
         case = self.checker.cases[request]
         return len(case.tries) > case.tries_before
 
-    def crossed(self, request: bytes) -> None:
+    def request_unread(self, request: bytes) -> None:
         """Its connection was ended before it was read."""
-        self.checker.void(request)
+        self.checker.request_voided(request)
 
-    def left(self, request: bytes) -> None:
-        self.checker.left(request)
+    def client_disconnected(self, request: bytes) -> None:
+        self.checker.client_disconnected(request)
 
-    def void(self, request: bytes) -> None:
-        self.checker.void(request)
+    def request_voided(self, request: bytes) -> None:
+        self.checker.request_voided(request)
 
-    def arrived(self, box: str, request: bytes, key: bytes, gateway: str, work_ns: int) -> None:
+    def attempt_received(self, box: str, request: bytes, key: bytes, gateway: str, work_ns: int) -> None:
         self.came.append((time.monotonic(), box, work_ns))
-        self.checker.arrived(box, request, key, self._whose(gateway, request), work_ns)
+        self.checker.attempt_received(box, request, key, self._whose(gateway, request), work_ns)
 
-    def turned_away(self, box: str, request: bytes) -> None:
-        self.checker.turned_away(box, request)
+    def attempt_rejected(self, box: str, request: bytes) -> None:
+        self.checker.attempt_rejected(box, request)
 
-    def made(self, box: str, request: bytes, value: bytes) -> None:
-        self.checker.made(box, request, value)
+    def value_produced(self, box: str, request: bytes, value: bytes) -> None:
+        self.checker.value_produced(box, request, value)
 
-    def foreign(self, where: str, gateway: str, why: str) -> None:
-        self.checker.foreign(where, gateway, why)
+    def protocol_violated(self, where: str, gateway: str, why: str) -> None:
+        self.checker.protocol_violated(where, gateway, why)
 
-    def changed(self, box: str, status: str, since_ms: int) -> None:
-        self.checker.changed(box, status, since_ms)
+    def endpoint_changed(self, box: str, status: str, since_ms: int) -> None:
+        self.checker.endpoint_changed(box, status, since_ms)
 
-    def told(self, gateway: str, box: str, status: str, since_ms: int) -> None:
-        self.checker.told(gateway, box, status, since_ms)
+    def gateway_notified(self, gateway: str, box: str, status: str, since_ms: int) -> None:
+        self.checker.gateway_notified(gateway, box, status, since_ms)
 
 
 class CommandTap:
@@ -175,7 +175,7 @@
 
     def __init__(self, probe: Probe, gateway: str, box: str) -> None:
         self.probe, self.gateway, self.box = probe, gateway, box
-        self._commands = wire.Commands()
+        self._commands = codec.CommandParser()
         self._first_ns = 0
         self._try: Any = None
         self._foreign = False  # the box tells of it
@@ -188,12 +188,12 @@
             self._first_ns = time.monotonic_ns() - self.probe.delay_ns()
         try:
             whole = self._commands.feed(data)
-        except wire.ForeignError:
+        except codec.ProtocolError:
             self._foreign = True
             return
-        for words in whole or [self._commands.words]:
+        for words in whole or [self._commands.arguments]:
             if self._try is None and len(words) > 2:
                 self._try = self.probe.let_out(self.gateway, self.box, words[2], self._first_ns)
             if whole and self._try is not None:
-                self.probe.checker.whole(words[2], self._try, wire.told_ms(words))
+                self.probe.checker.whole(words[2], self._try, codec.forwarded_timeout_ms(words))
                 self._try = None
--- a/zincstile/testbed/run.py
+++ b/zincstile/testbed/run.py
@@ -15,8 +15,8 @@
 from typing import Any
 
 from ..checkers.quotas import Quotas
-from ..emulators.clients import Front
-from ..emulators.discovery import Agent
+from ..emulators.clients import ClientLoadBalancer
+from ..emulators.discovery import DiscoveryAgent
 from ..simulation import faults, traffic
 from ..simulation.plan import Plan
 from ..virtual.network_faults import between
@@ -94,8 +94,8 @@
     async def _make_seat(self, number: int, name: str) -> Seat:
         """A gateway's place: its discovery, its folder and, for upgrades, its listening socket."""
         proxy = FaultProxy(self.loop, self.links, "discovery", places.DISCOVERY, 0, self.names)
-        agent = Agent(proxy, self.roster, name, self.probe)  # type: ignore[arg-type]
-        agent.seen = lambda entry: self._entry_for(entry, number)
+        agent = DiscoveryAgent(proxy, self.roster, name, self.probe)  # type: ignore[arg-type]
+        agent.view = lambda entry: self._entry_for(entry, number)
         await agent.start("")
         folder = self.folder / name
         (folder / "tmp").mkdir(parents=True, exist_ok=True)
@@ -114,33 +114,33 @@
             seat.socket = self._listening_socket(seat)
         return seat
 
-    def _make_clients(self) -> Front:
+    def _make_clients(self) -> ClientLoadBalancer:
         """The clients, who know every gateway."""
-        front = Front(
+        front = ClientLoadBalancer(
             self.loop,
             random.Random(f"front {self.plan.seed}"),
             self.probe,
             {s.name: (places.gateway(self.block, s.number), places.CLIENTS_PORT) for s in self.seats},
-            dead_s=(0.3, 1.5),
+            failure_detection_s=(0.3, 1.5),
         )
-        front.weigh = self._weigh_gateways
-        front.was_read = lambda transport, request: self.probe.was_sent_on(request.asked.id)
+        front.weigh_gateways = self._weigh_gateways
+        front.was_read = lambda transport, request: self.probe.was_sent_on(request.sent.id)
         return front
 
     async def _wait_until_ready(self) -> None:
         """Until every gateway answers PING; NotReadyError where one does not in time."""
-        self.front.watch()
+        self.front.watch_gateways()
         await self._wait_for(
-            lambda: all(self.front.up.values()) or not all(s.program.alive for s in self.seats), READY_S
+            lambda: all(self.front.admitted.values()) or not all(s.program.alive for s in self.seats), READY_S
         )
-        down = [n for n, up in self.front.up.items() if not up]
+        down = [n for n, up in self.front.admitted.items() if not up]
         if down:
             tail = [f"{n}: {(self.folder / n / 'log').read_text()[-400:].strip()}" for n in down[:3]]
             raise NotReadyError(
                 f"{len(down)} of {len(self.names)} gateways did not start; " + " | ".join(tail)
             )
         for seat in self.seats:
-            seat.ready_s = self.front.ready_s[seat.name] - self._first_start_s
+            seat.ready_s = self.front.first_admitted_s[seat.name] - self._first_start_s
         await asyncio.sleep(SETTLE_S)  # the first beats pass
 
     async def _play_load(self) -> None:
@@ -149,7 +149,7 @@
         self.probe.watch_own_delay(self.loop)
         self.began_s = start = self.loop.time() + 0.1
         for want in traffic.wants(plan, start):
-            self.loop.call_at(want.at_s, self.front.want, want)
+            self.loop.call_at(want.at_s, self.front.send, want)
         for fault in plan.faults:
             self.loop.call_at(start + fault.at_ms / 1000, self._begin_fault, fault)
         last = max([plan.last_ms, *(f.at_ms + f.for_ms for f in plan.faults)]) / 1000
@@ -170,7 +170,9 @@
     def _all_answered(self) -> bool:
         """No request is open or on its way, and no older version still serves."""
         return (
-            not self.front.open and not self.front.coming and all(seat.older is None for seat in self.seats)
+            not self.front.in_flight
+            and not self.front.retries_waiting
+            and all(seat.older is None for seat in self.seats)
         )
 
     def _begin_fault(self, fault: Any) -> None:
@@ -189,7 +191,7 @@
 
     async def _end_gateways(self) -> None:
         """All is answered: every process is told to end, and has to, with nothing left open."""
-        left = self.front.open
+        left = self.front.in_flight
         await self._check_ready()
         self.ending = True
         for seat in self.seats:
@@ -212,7 +214,7 @@
 
     def _not_ready(self) -> list[str]:
         running = [s for s in self.seats if self.running(s) and not s.stopping]
-        return [s.name for s in running if not self.front.up[s.name]]
+        return [s.name for s in running if not self.front.admitted[s.name]]
 
     def _check_end(self, seat: Seat, program: Program) -> None:
         """The process ended in time, as it was told to, and counted no fault."""
@@ -235,7 +237,7 @@
         if hasattr(self, "datagrams"):
             self.datagrams.close()
         if hasattr(self, "front"):
-            self._clean_up_clients()
+            self.front.close()
         for task in list(self._tasks):
             task.cancel()
 
@@ -250,13 +252,6 @@
             seat.socket.close()
         seat.shim.close()
 
-    def _clean_up_clients(self) -> None:
-        for clients in self.front.lines.values():
-            for client in list(clients):
-                client.transport.abort()
-        for task in list(self.front._tasks):
-            task.cancel()
-
 
 def play(plan: Plan, folder: Path, **told_besides: Any) -> FieldResult:
     """One run, from its start to its end."""
--- a/zincstile/testbed/start.py
+++ b/zincstile/testbed/start.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from ..emulators.listservice import ListService, Manners
+from ..emulators.list_service import ListService, ListServiceBehaviour
 from ..simulation.plan import Plan
 from . import places
 from .run import NotReadyError, Run, Seat
@@ -78,7 +78,7 @@
         self,
         plan: Plan,
         folder: Path,
-        manners: Manners,
+        manners: ListServiceBehaviour,
         patience_s: float = 60.0,
         features: dict[str, str] | None = None,
     ) -> None:
@@ -106,7 +106,7 @@
         self.service = ListService(self.loop, self.manners)
         await self._build(start=False)
         for seat in self.seats:
-            seat.agent.asked = self.service.ask
+            seat.agent.on_request = self.service.receive_call
 
     def _known_list(self, seat: Seat) -> dict:
         return {}
@@ -124,11 +124,7 @@
 
     def _begin(self) -> None:
         self.wave = Wave(time.time())
-        service = self.service
-        service.calls_s.clear()
-        service.by.clear()
-        for key in service.counts:
-            service.counts[key] = 0
+        self.service.reset_records()
 
     def _one(self, seat: Seat) -> None:
         self.wave.marks[seat.name] = Mark(time.time())
@@ -154,7 +150,7 @@
     async def _outage(self, name: str) -> None:
         """The service falls silent in the middle of the start."""
         self._kill(self.seats)
-        middle_s = max(1.0, len(self.seats) / self.manners.per_s / 2)
+        middle_s = max(1.0, len(self.seats) / self.manners.snapshots_per_s / 2)
         self.after(1000 * middle_s, self._silent, True)
         self.after(1000 * (middle_s + OUTAGE_S), self._silent, False)
         await self._start(self.seats, name)
@@ -179,7 +175,7 @@
     def _silent(self, silent: bool) -> None:
         self.manners.silent = silent
         if not silent:
-            self.service.wake()
+            self.service.resume()
 
     # ---- the measure
 
@@ -212,25 +208,25 @@
         ready = sorted(m.ready_s for m in marks if m.ready_s >= 0)
         up = max((m.up_s for m in marks), default=0.0)
         service, count = self.service, len(seats)
-        work = count / self.manners.per_s + (OUTAGE_S if name in ("outage", "down") else 0.0)
+        work = count / self.manners.snapshots_per_s + (OUTAGE_S if name in ("outage", "down") else 0.0)
         memory = [s.program.memory_kb() / 1024 for s in seats]
         self.rows.append(
             StartRow(
                 name,
                 count,
                 len(self.roster.entries),
-                self.manners.per_s,
+                self.manners.snapshots_per_s,
                 round(up, 2),
                 round(_at(ready, count, 0.5), 2),
                 round(_at(ready, count, 0.99), 2),
                 round(_at(ready, count, 1.0), 2),
                 len(ready),
                 round(work + up, 2),
-                round(service.counts["calls"] / count, 3),
-                max(service.by.values(), default=0),
-                service.most_in(ANY_S),
-                service.counts["for the left"],
-                round(service.counts["bytes"] / 1e6, 2),
+                round(service.counts.calls / count, 3),
+                max(service.calls_by_gateway.values(), default=0),
+                service.max_calls_within(ANY_S),
+                service.counts.for_disconnected,
+                round(service.counts.bytes / 1e6, 2),
                 round(sorted(memory)[count // 2], 1),
                 round(sorted(m.cpu_ms for m in marks)[count // 2]),
             )
@@ -246,7 +242,7 @@
 def play(
     plan: Plan,
     folder: Path,
-    manners: Manners,
+    manners: ListServiceBehaviour,
     names: list[str],
     patience_s: float,
     features: dict[str, str] | None = None,
--- a/zincstile/testbed/summary.py
+++ b/zincstile/testbed/summary.py
@@ -33,7 +33,7 @@
         },
         rows=[_gateway(run, seat) for seat in run.seats],
         breaches=breaches,
-        latency_ms=latencies(run.front.waits_s),
+        latency_ms=latencies(run.front.latencies_s),
         links=dict(run.links.counts),
         series=run.series.rows(run.names),
         events=run.events,
@@ -58,7 +58,7 @@
 def _tally(run: Testbed) -> dict[str, int]:
     """Requests by what became of them."""
     tally: dict[str, int] = {}
-    for (_, kind), count in run.front.tally.items():
+    for (_, kind), count in run.front.outcomes.items():
         tally[kind] = tally.get(kind, 0) + count
     return tally
 
--- a/zincstile/testbed/testbed.py
+++ b/zincstile/testbed/testbed.py
@@ -15,10 +15,11 @@
 from typing import Any
 
 from ..checkers.checker import Checker
-from ..emulators.clients import Front, Want
-from ..emulators.counter import Counter
-from ..emulators.discovery import Roster
-from ..emulators.guidebox import Rack
+from ..emulators.backend import Rack
+from ..emulators.client_requests import PlannedRequest
+from ..emulators.clients import ClientLoadBalancer
+from ..emulators.discovery import EndpointList
+from ..emulators.quota_service import QuotaService
 from ..simulation import traffic
 from ..simulation.plan import SHIM, Plan
 from ..virtual.network_faults import Links, Trouble
@@ -41,7 +42,7 @@
     loop: asyncio.AbstractEventLoop
     block: int  # of loopback addresses, this run's own
     datagrams: Datagrams
-    front: Front
+    front: ClientLoadBalancer
     lasted_s: float
 
     def __init__(
@@ -73,7 +74,7 @@
         self.series = TimeSeries()
         self.began_s = time.monotonic()
         self.probe = Probe(self.checker, self.series, lambda: self.began_s)
-        self.roster = Roster(self.probe)
+        self.roster = EndpointList(self.probe)
         self.racks = [Rack(traffic.KEYED_MS / 1000) for _ in range(RACKS)]
         self.places: dict[str, Place] = {}
         self.boxes: list[str] = []
@@ -81,7 +82,7 @@
         self.shares: dict[tuple[int, str], float] = {}
         self.weights = random.Random(f"weights {plan.seed}")
         self.drawn_to: list[dict[str, None]] = []
-        self.counters: dict[int, tuple[Counter, FaultProxy]] = {}
+        self.counters: dict[int, tuple[QuotaService, FaultProxy]] = {}
         self.events: list[tuple[float, str]] = []
         self.names = [f"g{k}" for k in range(plan.gateways)]
         self._backends_made = 0
@@ -129,5 +130,5 @@
     def note(self, what: str, where: str) -> None:
         """Nothing is recorded step by step: real processes have no steps that are ours."""
 
-    def _weigh_gateways(self, want: Want, names: list[str]) -> list[float]:
+    def _weigh_gateways(self, want: PlannedRequest, names: list[str]) -> list[float]:
         return traffic.weigh(self, want, names)  # type: ignore[arg-type]
