--- a/tests/test_incremental.py
+++ b/tests/test_incremental.py
@@ -24,8 +24,8 @@
 from zincstile.net.backends.pool import ConnectionPool
 from zincstile.net.deadlines import Deadlines
 from zincstile.net.endpoint_table import EndpointReader, EndpointTable, number
-from zincstile.net.gateway import Gateway as GatewayProcess
 from zincstile.net.json_objects import JsonObjects
+from zincstile.net.lifecycle import begin_list
 from zincstile.net.limits import Limits
 from zincstile.net.trace import Trace
 from zincstile.simulation import traffic
@@ -289,8 +289,7 @@
     started, again = (read({"RELAY_CONFIG": str(path)}) for read in (config.load, config.again))
     assert again.known == {"index": 1, "endpoints": [None, None]}
     assert replace(again, known=started.known) == started
-    gateway = SimpleNamespace(config=started, starter=None, table=SimpleNamespace(begin=told.append))
-    assert GatewayProcess._begin_table(gateway) and not started.known
+    assert begin_list(started, SimpleNamespace(begin=told.append)) and not started.known
     assert [known["endpoints"] for known in told] == [endpoints(["s-a", "s-b"])]
 
 
--- /dev/null
+++ b/zincstile/net/bound_report.py
@@ -0,0 +1,38 @@
+"""The log's lines on how far quotas can be passed at most, stated before anything fails.
+
+Written at the start where quotas are held by leases or by the quota service.
+"""
+
+from __future__ import annotations
+
+from ..decisions.quota_bounds import of_plan
+from ..leases import bound as lease_bounds
+from ..quota_service import bound as quota_service_bounds
+from .config import Config
+from .log import Log
+
+
+def log_quota_bounds(config: Config, log: Log) -> None:
+    """Logs a line for each plan that has a quota: the worst of the failures that the settings endure."""
+    settings = config.settings
+    holder = config.shared or config.keeper
+    for plan in settings.plans:
+        if not plan.rate:
+            continue
+        quota = of_plan(plan, settings.gateways, settings.largest_units)
+        if config.shared:
+            bounds = lease_bounds.bounds(quota, config.shared)
+        else:
+            bounds = quota_service_bounds.bounds(quota, config.keeper)
+        endured = [bound for bound in bounds if bound.failure in holder.endured]
+        worst = max(endured, key=lambda bound: bound.units)
+        log.line(
+            f"bound plan {plan.name}: {worst.units:.2f} units at most beyond a quota, "
+            f"{100 * worst.share:.1f}% of a minute, by {worst.failure}"
+        )
+    if config.shared:
+        log.line(
+            f"bound budget: {config.shared.most_out:g} units out for each ready server by all "
+            f"gateways, times {lease_bounds.MOST_FACTOR:g} at most where parts of silent ones are "
+            "taken over"
+        )
--- /dev/null
+++ b/zincstile/net/feature_messages.py
@@ -0,0 +1,80 @@
+"""Connects features to the network: their actions to datagrams and calls, and what arrives to their events.
+
+Each function belongs to one feature, and imports its modules only where it is called: a gateway loads what
+its configuration switches on.
+"""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from .config import Config
+from .dispatcher import Dispatcher
+from .peers import Peers
+
+if TYPE_CHECKING:
+    from .keeper import Keeper
+
+
+def connect_quota_service(
+    config: Config, dispatcher: Dispatcher, peers: Peers, read_buffer: memoryview
+) -> Keeper:
+    """Connects the quota service: calls to its server, and gossip on how its leases are used.
+
+    Returns the client of that server.
+    """
+    from ..quota_service import module, words
+    from .keeper import Keeper
+
+    client = Keeper(dispatcher, config.counter, read_buffer)
+
+    def call(_: int, action: module.KeeperCall) -> None:
+        client.call(
+            action.name,
+            action.amount,
+            action.ttl_ms,
+            lambda _, total: dispatcher.post(module.KeeperAnswer(action.number, total)),
+        )
+
+    def send(_: int, action: module.KeeperTell) -> None:
+        peers.send(action.peer, words.pack(action.word))
+
+    def receive(sender: int, data: bytes) -> module.KeeperWord | None:
+        message = words.unpack(sender, data)
+        return None if message is None else module.KeeperWord(message)
+
+    dispatcher.carry_out[module.KeeperCall] = call
+    dispatcher.carry_out[module.KeeperTell] = send
+    peers.others[words.MAGIC] = receive
+    return client
+
+
+def connect_leases(dispatcher: Dispatcher, peers: Peers) -> None:
+    """Connects the leases by which gateways share state within stated bounds."""
+    from ..leases import codec, module
+
+    def send(_: int, action: module.SharedTell) -> None:
+        for data in codec.pack(action.process, action.words):
+            peers.send(action.peer, data)
+
+    def receive(sender: int, data: bytes) -> module.SharedWords | None:
+        found = codec.unpack(data)
+        return None if found is None else module.SharedWords(sender, *found)
+
+    dispatcher.carry_out[module.SharedTell] = send
+    peers.others[codec.MAGIC] = receive
+
+
+def connect_zone_failover(dispatcher: Dispatcher, peers: Peers) -> None:
+    """Connects the messages by which gateways choose zones in common."""
+    from ..zone_failover import codec, module
+
+    def send(_: int, action: module.PlaceTell) -> None:
+        peers.send(action.peer, codec.pack(action.word))
+
+    def receive(sender: int, data: bytes) -> module.PlaceWord | None:
+        found = codec.unpack(data)
+        return None if found is None else module.PlaceWord(sender, found)
+
+    dispatcher.carry_out[module.PlaceTell] = send
+    peers.others[codec.MAGIC] = receive
--- a/zincstile/scale/capacity_gateway.py
+++ b/zincstile/scale/capacity_gateway.py
@@ -118,7 +118,7 @@
             f"{config:.4f} reloads a second, each with the whole list read again",
             Unit.CORE,
             lambda: reload_cost(measured, topology).times(config),
-            "net/gateway.Gateway.reload",
+            "net/lifecycle.Lifecycle.reload",
         ),
         row(
             "messages between gateways",
@@ -211,7 +211,7 @@
         for name, dimension, carried in (
             ("a table change", Dimension.BACKENDS, WATCH),
             ("a table change", Dimension.TABLE_CHANGES_PER_S, WATCH),
-            ("a configuration change", Dimension.CONFIG_CHANGES_PER_S, "net/gateway.Gateway.reload"),
+            ("a configuration change", Dimension.CONFIG_CHANGES_PER_S, "net/lifecycle.Lifecycle.reload"),
         )
         for word, figure in (("99 in 100", Figure.IN_FORCE_P99_S), ("last", Figure.IN_FORCE_LAST_S))
     ]
--- a/zincstile/scale/hollow_process.py
+++ b/zincstile/scale/hollow_process.py
@@ -70,7 +70,7 @@
             gateways.append((gateway, loop))
             say(gateway.config.name, "thread", tid=threading.get_native_id())
             started.set()
-            await gateway.run()
+            await gateway.lifecycle.run()
 
         loop.run_until_complete(run())
 
@@ -85,7 +85,8 @@
         if number in (signal.SIGTERM, signal.SIGINT):
             return 0
         for gateway, loop in gateways:
-            loop.call_soon_threadsafe(gateway.reload if number == signal.SIGHUP else gateway._count)
+            lifecycle = gateway.lifecycle
+            loop.call_soon_threadsafe(lifecycle.reload if number == signal.SIGHUP else lifecycle.log_counters)
 
 
 if __name__ == "__main__":
--- a/zincstile/serve.py
+++ b/zincstile/serve.py
@@ -29,7 +29,7 @@
     async def run(config: Config) -> None:
         gateway = Gateway(config, asyncio.get_running_loop())
         gc.freeze()  # what stands by now stays
-        await gateway.run(early)
+        await gateway.lifecycle.run(early)
 
     def make_loop() -> asyncio.AbstractEventLoop:
         """Descriptors may be lacking for a moment."""
--- a/zincstile/simulation/mutants.py
+++ b/zincstile/simulation/mutants.py
@@ -16,7 +16,7 @@
 from ..decisions.policy import Policy
 from ..decisions.settings import Idempotency
 from ..decisions.state import Memory
-from ..net import deadlines, dispatcher, endpoint_table, gateway, resp
+from ..net import deadlines, dispatcher, endpoint_table, lifecycle, resp, shutdown
 from ..net.backends import attempts
 from ..net.backends.connection import BackendConnection
 from ..net.backends.pool import ConnectionPool
@@ -284,7 +284,7 @@
 
 def _stop_at_once() -> Undo:
     """SIGTERM ends the gateway where it stands."""
-    return _swap(gateway.Gateway, "stop", lambda self: self._end(None))
+    return _swap(shutdown.GracefulShutdown, "begin", lambda self: self._end(None))
 
 
 def _stop_forgets() -> Undo:
@@ -430,10 +430,10 @@
     """The list of the start is thrown away, and the gateway says that it is ready all the same."""
 
     def begin(self):
-        self.dispatcher.post(EndpointList(EndpointListKind.CACHED, 0, []))
+        self._dispatcher.post(EndpointList(EndpointListKind.CACHED, 0, []))
         return True
 
-    return _swap(gateway.Gateway, "_begin_table", begin)
+    return _swap(lifecycle.Lifecycle, "_begin_list", begin)
 
 
 def _closed_beneath() -> Undo:
@@ -445,12 +445,12 @@
         return True
 
     def shut_at_once(self, _):
-        self.listener.shut()
+        self._listener.shut()
         self._end_if_empty(None)
 
     return _both(
         _swap(connection.ClientConnection, "close_if_idle", close_if_idle),
-        _swap(gateway.Gateway, "_shut_if_quiet", shut_at_once),
+        _swap(shutdown.GracefulShutdown, "_shut_if_quiet", shut_at_once),
     )
 
 
--- a/zincstile/simulation/world.py
+++ b/zincstile/simulation/world.py
@@ -299,7 +299,9 @@
             seat.name, f"{which.value} {text}"
         )
         seat.process, seat.gateway, seat.machine = process, gateway, machine
-        process.loop.create_task(gateway.run()).add_done_callback(lambda task: self._ended(seat, process))
+        process.loop.create_task(gateway.lifecycle.run()).add_done_callback(
+            lambda task: self._ended(seat, process)
+        )
 
     def _log(self, seat: Seat, line: str) -> None:
         self.logs.append(line)
