--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -150,7 +150,7 @@
 
 def test_nothing_begins_0_1_s_after_the_client_left(bench):
     bench.ask(wait=3000)
-    bench.at(500).left(b"1")
+    bench.at(500).client_disconnected(b"1")
     bench.at(600)
     bench.send("b1")
     assert bench.broken == []
@@ -206,8 +206,8 @@
     bench.ask(wait=100)
     bench.ask(b"2", wait=100, line=2, gateway="g1")
     bench.checker.excuse("g0")
-    bench.at(100).answered(b"2", "failed", b"")
-    bench.at(500).answered(b"1", "failed", b"")
+    bench.at(100).request_answered(b"2", "failed", b"")
+    bench.at(500).request_answered(b"1", "failed", b"")
     bench.ask(b"3", wait=100, line=3)
     bench.at(700)
     assert bench.broken == ["answer"]
