--- a/zincstile/cli/bound.py
+++ b/zincstile/cli/bound.py
@@ -9,7 +9,7 @@
 from ..decisions.quota_bounds import Bound, Quota
 from ..leases import bound as by_loans
 from ..net import features
-from ..quota_service import bound as by_keeper
+from ..quota_service.overshoot_bound import max_carry_units, max_lease_units, overshoot_bounds
 from ..serialization.typed_yaml import FileError
 from .errors import BadInputError
 
@@ -44,6 +44,7 @@
     try:
         if features.kind(file) == "shared":
             settings, quotas = features.shared(file)
+            most_overshoot = settings.most_overshoot
             for quota in quotas:
                 more = (
                     f"{by_loans.holders(quota, settings)} hold a part, a start opens with "
@@ -62,18 +63,17 @@
             )
             features.check_shared(file, settings, quotas)
         else:
-            settings, quotas = features.keeper(file)
+            settings, quotas = features.quota_service(file)
+            most_overshoot = settings.max_overshoot_ratio
             for quota in quotas:
-                carry, hand = by_keeper.carry_most(quota, settings), by_keeper.lease_most(quota, settings)
+                carry, lease = max_carry_units(quota, settings), max_lease_units(quota, settings)
                 _shown(
                     console,
-                    _title(quota, f"hands on {carry:.2f}, leases {hand:.2f} at most"),
-                    by_keeper.bounds(quota, settings),
+                    _title(quota, f"carries over {carry:.2f}, leases {lease:.2f} at most"),
+                    overshoot_bounds(quota, settings),
                 )
-            features.check(file, settings, quotas)
+            features.check_quota_service(file, settings, quotas)
     except FileError as err:
         raise BadInputError(str(err)) from None
-    console.print(
-        f"every bound to be endured is under {100 * settings.most_overshoot:g}% of a quota's " "minute"
-    )
+    console.print(f"every bound to be endured is under {100 * most_overshoot:g}% of a quota's " "minute")
     return 0
--- a/zincstile/net/bound_report.py
+++ b/zincstile/net/bound_report.py
@@ -7,25 +7,25 @@
 
 from ..decisions.quota_bounds import of_plan
 from ..leases import bound as lease_bounds
-from ..quota_service import bound as quota_service_bounds
+from ..quota_service.overshoot_bound import overshoot_bounds
 from .config import Config
 from .log import Log
 
 
 def log_quota_bounds(config: Config, log: Log) -> None:
-    """Logs a line for each plan that has a quota: the worst of the failures that the settings endure."""
+    """Logs a line for each plan that has a quota: the worst of the failures that the settings tolerate."""
     settings = config.settings
-    holder = config.shared or config.keeper
     for plan in settings.plans:
         if not plan.rate:
             continue
         quota = of_plan(plan, settings.gateways, settings.largest_units)
         if config.shared:
             bounds = lease_bounds.bounds(quota, config.shared)
+            tolerated = config.shared.endured
         else:
-            bounds = quota_service_bounds.bounds(quota, config.keeper)
-        endured = [bound for bound in bounds if bound.failure in holder.endured]
-        worst = max(endured, key=lambda bound: bound.units)
+            bounds = overshoot_bounds(quota, config.quota_service)
+            tolerated = config.quota_service.tolerated_failures
+        worst = max((b for b in bounds if b.failure in tolerated), key=lambda bound: bound.units)
         log.line(
             f"bound plan {plan.name}: {worst.units:.2f} units at most beyond a quota, "
             f"{100 * worst.share:.1f}% of a minute, by {worst.failure}"
--- a/zincstile/net/config.py
+++ b/zincstile/net/config.py
@@ -32,8 +32,8 @@
     known: dict[str, Any]
     peer_listen: Address | None
     peers: list[Address]
-    counter: Address | None = None
-    keeper: Any = None  # keeper.settings.KeeperSettings, where quotas are held through the count keeper
+    quota_service_address: Address | None = None
+    quota_service: Any = None  # quota_service.settings.QuotaServiceSettings, where quotas are held so
     start: Any = None  # start.settings.StartSettings, where gateways start beside each other by a file
     place: Any = None  # zone_failover.settings.ZoneFailoverSettings, where zones are chosen in common
     subset: Any = None  # subset.settings.SubsetSettings, where a gateway uses a part of the endpoints
@@ -120,8 +120,8 @@
         known=t.get("known") or {},
         peer_listen=address(t["peer_listen"]) if t.get("peer_listen") else None,
         peers=peers,
-        counter=address(t["counter"]) if _feature(t, "keeper") and t.get("counter") else None,
-        keeper=_keeper(t, decoded),
+        quota_service_address=address(t["counter"]) if _feature(t, "keeper") and t.get("counter") else None,
+        quota_service=_quota_service(t, decoded),
         shared=_shared(t, decoded),
         start=_start(t, decoded),
         place=_place(t, decoded),
@@ -236,7 +236,7 @@
     return found
 
 
-def _keeper(t: dict[str, Any], settings: Settings) -> Any:
+def _quota_service(t: dict[str, Any], settings: Settings) -> Any:
     """Off unless `features.keeper` names a file. ConfigError where that can't be used, or a plan not held."""
     path = _feature(t, "keeper")
     if not path:
@@ -246,8 +246,8 @@
     from . import features
 
     try:
-        found, _ = features.keeper(str(path))
-        features.check(str(path), found, _quotas(settings))
+        found, _ = features.quota_service(str(path))
+        features.check_quota_service(str(path), found, _quotas(settings))
     except features.FileError as err:
         raise ConfigError(str(err)) from None
     return found
--- a/zincstile/net/counters.py
+++ b/zincstile/net/counters.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import json
+from typing import Final
 
 from .host import HOST, Host
 from .reasons import CloseReason, RefusalReason, RetryReason
@@ -10,6 +11,12 @@
 CLOSED = {reason: f"close_{reason.value}" for reason in CloseReason}
 REFUSED = {reason: f"refuse_{reason.value}" for reason in RefusalReason}
 RETRIED = {reason: f"retry_{reason.value}" for reason in RetryReason}
+# Printed under their names of before, by which the testbed's stored results hold them.
+PRINTED_NAMES: Final = {
+    "quota_service_calls": "keeper_calls",
+    "quota_service_unanswered": "keeper_unanswered",
+    "quota_service_overflow": "keeper_full",
+}
 
 
 class Counters:
@@ -44,9 +51,9 @@
         "faults",
         "turns",
         "reloads",
-        "keeper_calls",
-        "keeper_unanswered",
-        "keeper_full",
+        "quota_service_calls",
+        "quota_service_unanswered",
+        "quota_service_overflow",
         "control_calls",
         "control_no",
         "control_bad",
@@ -85,5 +92,5 @@
 
     def line(self, host: Host = HOST) -> str:
         """All of them, and what the process used, as a line of the log."""
-        counts = {name: getattr(self, name) for name in self.__slots__}
+        counts = {PRINTED_NAMES.get(name, name): getattr(self, name) for name in self.__slots__}
         return "counters " + json.dumps(counts | host.usage())
--- a/zincstile/net/feature_messages.py
+++ b/zincstile/net/feature_messages.py
@@ -13,20 +13,20 @@
 from .peers import Peers
 
 if TYPE_CHECKING:
-    from .keeper import Keeper
+    from .quota_service import QuotaServiceClient
 
 
 def connect_quota_service(
     config: Config, dispatcher: Dispatcher, peers: Peers, read_buffer: memoryview
-) -> Keeper:
-    """Connects the quota service: calls to its server, and gossip on how its leases are used.
+) -> QuotaServiceClient:
+    """Connects the quota service: calls to it, and the heartbeats between the gateways that use it.
 
-    Returns the client of that server.
+    Returns its client.
     """
-    from ..quota_service import module, words
-    from .keeper import Keeper
+    from ..quota_service import codec, module
+    from .quota_service import QuotaServiceClient
 
-    client = Keeper(dispatcher, config.counter, read_buffer)
+    client = QuotaServiceClient(dispatcher, config.quota_service_address, read_buffer)
 
     def call(_: int, action: module.KeeperCall) -> None:
         client.call(
@@ -37,15 +37,15 @@
         )
 
     def send(_: int, action: module.KeeperTell) -> None:
-        peers.send(action.peer, words.pack(action.word))
+        peers.send(action.peer, codec.pack(action.word))
 
     def receive(sender: int, data: bytes) -> module.KeeperWord | None:
-        message = words.unpack(sender, data)
+        message = codec.unpack(sender, data)
         return None if message is None else module.KeeperWord(message)
 
     dispatcher.carry_out[module.KeeperCall] = call
     dispatcher.carry_out[module.KeeperTell] = send
-    peers.others[words.MAGIC] = receive
+    peers.others[codec.FIRST_BYTE] = receive
     return client
 
 
--- a/zincstile/net/features.py
+++ b/zincstile/net/features.py
@@ -5,6 +5,7 @@
 
 from __future__ import annotations
 
+import re
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any, Literal
 
@@ -17,7 +18,7 @@
     from ..decisions.quota_bounds import Quota
     from ..decisions.settings import Settings
     from ..leases.settings import SharedSettings
-    from ..quota_service.settings import KeeperSettings
+    from ..quota_service.settings import QuotaServiceSettings
     from ..subsetting.settings import SubsetSettings
     from ..zone_failover.settings import ZoneFailoverSettings
 
@@ -34,22 +35,22 @@
     largest: float = 1.0
 
 
-class KeeperRow(msgspec.Struct, forbid_unknown_fields=True, omit_defaults=True):
-    """`KeeperSettings` in milliseconds; what is left out has its usual value."""
+class QuotaServiceRow(msgspec.Struct, forbid_unknown_fields=True, omit_defaults=True):
+    """`QuotaServiceSettings` in milliseconds, under the operators' keys; what is left out has its default."""
 
     epoch_ms: int | None = None
-    lease_ms: int | None = None
-    lease_most_ms: int | None = None
-    beat_ms: int | None = None
-    heard_ms: int | None = None
-    late_ms: int | None = None
-    call_ms: int | None = None
-    skew_ms: int | None = None
-    period_ms: int | None = None
-    missed: int | None = None
-    ways: int | None = None
-    endured: list[str] | None = None
-    most_overshoot: float | None = None
+    lease_cover_ms: int | None = msgspec.field(name="lease_ms", default=None)
+    max_lease_ms: int | None = msgspec.field(name="lease_most_ms", default=None)
+    heartbeat_interval_ms: int | None = msgspec.field(name="beat_ms", default=None)
+    peer_timeout_ms: int | None = msgspec.field(name="heard_ms", default=None)
+    max_message_delay_ms: int | None = msgspec.field(name="late_ms", default=None)
+    call_timeout_ms: int | None = msgspec.field(name="call_ms", default=None)
+    clock_skew_ms: int | None = msgspec.field(name="skew_ms", default=None)
+    heartbeat_counter_ms: int | None = msgspec.field(name="period_ms", default=None)
+    max_missed_heartbeats: int | None = msgspec.field(name="missed", default=None)
+    split_parts: int | None = msgspec.field(name="ways", default=None)
+    tolerated_failures: list[str] | None = msgspec.field(name="endured", default=None)
+    max_overshoot_ratio: float | None = msgspec.field(name="most_overshoot", default=None)
 
 
 class SharedRow(msgspec.Struct, forbid_unknown_fields=True, omit_defaults=True):
@@ -159,11 +160,11 @@
     subset: SubsetRow
 
 
-class KeeperFile(msgspec.Struct, forbid_unknown_fields=True):
+class QuotaServiceFile(msgspec.Struct, forbid_unknown_fields=True):
     """deploy/keeper.yaml. A gateway takes the quotas of its own settings; `plans` are for `bound`."""
 
     plans: list[PlanRow] = []
-    keeper: KeeperRow = msgspec.field(default_factory=KeeperRow)
+    quota_service: QuotaServiceRow = msgspec.field(name="keeper", default_factory=QuotaServiceRow)
 
 
 class SharedFile(msgspec.Struct, forbid_unknown_fields=True):
@@ -180,7 +181,16 @@
     try:
         return kind(**times, **rest)
     except ValueError as err:
-        raise FileError(f"{path}: {err}") from None
+        raise FileError(f"{path}: {_by_keys(row, str(err))}") from None
+
+
+def _by_keys(row: msgspec.Struct, text: str) -> str:
+    """An error's text with the operators' keys in place of the names of fields."""
+    for field in msgspec.structs.fields(row):
+        if field.encode_name != field.name:
+            name, key = (re.sub("_ms$", "_ns", word) for word in (field.name, field.encode_name))
+            text = re.sub(rf"\b{name}\b", key, text)
+    return text
 
 
 def _plans(path: str, rows: list[PlanRow]) -> list[Quota]:
@@ -198,12 +208,12 @@
     return "shared" if "shared" in table else "keeper"
 
 
-def keeper(path: str) -> tuple[KeeperSettings, list[Quota]]:
-    """FileError where the file can't be used."""
-    from ..quota_service.settings import KeeperSettings
+def quota_service(path: str) -> tuple[QuotaServiceSettings, list[Quota]]:
+    """Reads deploy/keeper.yaml. FileError where the file can't be used."""
+    from ..quota_service.settings import QuotaServiceSettings
 
-    table = load(path, KeeperFile)
-    return _settings(path, table.keeper, KeeperSettings), _plans(path, table.plans)
+    table = load(path, QuotaServiceFile)
+    return _settings(path, table.quota_service, QuotaServiceSettings), _plans(path, table.plans)
 
 
 def shared(path: str) -> tuple[SharedSettings, list[Quota]]:
@@ -311,11 +321,11 @@
             raise FileError(f"{path}: {why}")
 
 
-def check(path: str, settings: KeeperSettings, quotas: list[Quota]) -> None:
+def check_quota_service(path: str, settings: QuotaServiceSettings, quotas: list[Quota]) -> None:
     """FileError where a quota can't be held as the settings ask."""
-    from ..quota_service.bound import refused
+    from ..quota_service.overshoot_bound import refusal_reason
 
-    _check(path, settings, quotas, refused)
+    _check(path, settings, quotas, refusal_reason)
 
 
 def check_shared(path: str, settings: SharedSettings, quotas: list[Quota]) -> None:
--- a/zincstile/net/gateway.py
+++ b/zincstile/net/gateway.py
@@ -22,7 +22,7 @@
 
 if TYPE_CHECKING:
     from .administration import Administration
-    from .keeper import Keeper
+    from .quota_service import QuotaServiceClient
     from .start import Starter
 
 
@@ -71,11 +71,11 @@
     def _become_ready(self, _: object = None) -> None:
         self.lifecycle.become_ready()
 
-    def _connect_features(self, read_buffer: memoryview) -> tuple[Keeper | None, Starter | None]:
+    def _connect_features(self, read_buffer: memoryview) -> tuple[QuotaServiceClient | None, Starter | None]:
         """Connects what the configuration's `features` switch on; returns what the lifecycle needs of it."""
         config = self.config
         quota_client, starter = None, None
-        if config.keeper:
+        if config.quota_service:
             from .feature_messages import connect_quota_service
 
             quota_client = connect_quota_service(config, self.dispatcher, self.peers, read_buffer)
--- a/zincstile/net/lifecycle.py
+++ b/zincstile/net/lifecycle.py
@@ -23,7 +23,7 @@
 
 if TYPE_CHECKING:
     from .administration import Administration
-    from .keeper import Keeper
+    from .quota_service import QuotaServiceClient
     from .start import Starter
 
 # SIGHUP comes once: a file that the machine can't open for now is tried again, for 3 s in all.
@@ -40,7 +40,7 @@
     pool: ConnectionPool
     peers: Peers
     table: EndpointTable
-    quota_client: Keeper | None
+    quota_client: QuotaServiceClient | None
     starter: Starter | None
     administration: Administration | None
 
@@ -116,7 +116,7 @@
             # Discovery may be down: then the known list must do.
             dispatcher.deadlines.add(dispatcher.now_ns() + config.limits.table_first_ns, self.become_ready)
         dispatcher.wake()
-        if config.keeper or config.shared:
+        if config.quota_service or config.shared:
             from .bound_report import log_quota_bounds
 
             log_quota_bounds(config, self._log)
@@ -184,8 +184,8 @@
         self._dispatcher.counters.reloads += 1
         self._config.discovery = config.discovery
         self._parts.table.move(config.discovery)
-        if self._parts.quota_client is not None and config.counter:
-            self._parts.quota_client.move(config.counter)
+        if self._parts.quota_client is not None and config.quota_service_address:
+            self._parts.quota_client.move(config.quota_service_address)
         self._log.line("reload discovery at {}:{}".format(*config.discovery))
 
 
--- a/zincstile/net/limits.py
+++ b/zincstile/net/limits.py
@@ -32,13 +32,13 @@
     written_bytes: int = 262144  # unread answers on one connection before it is read no further
     backlog: int = 512
     accepts: int = 64  # connections taken in one turn
-    keeper_connections: int = 4  # to a count keeper; it resets what is over 32
-    keeper_pipelined: int = 32  # calls on one of these that have no answer yet
-    keeper_waiting: int = 512  # calls that wait for a connection; more are not made
+    quota_service_connections: int = 4  # it resets what is over 32
+    quota_service_pipelined: int = 32  # calls on one of these that have no answer yet
+    quota_service_waiting: int = 512  # calls that wait for a connection; more are not made
     # times
-    keeper_call_ns: int = 50 * MS  # a call to the count keeper is given up after this
-    keeper_stuck_ns: int = SECOND  # a connection to it whose next answer is late by this is of no use
-    keeper_rest_ns: int = 8 * SECOND  # one that rested this long is closed: the keeper does it at 10 s
+    quota_service_call_ns: int = 50 * MS  # a call to it is given up after this
+    quota_service_stuck_ns: int = SECOND  # a connection to it whose next answer is late by this is of no use
+    quota_service_idle_ns: int = 8 * SECOND  # an idle one is closed after this: the service does it at 10 s
     connect_ns: int = 250 * MS
     command_ns: int = 10 * SECOND  # a command that is begun has to be whole by then
     command_stall_ns: int = 2200 * MS  # and has to go on within this
--- a/zincstile/net/policy_assembly.py
+++ b/zincstile/net/policy_assembly.py
@@ -44,9 +44,9 @@
         from ..leases.module import SharedPolicy
 
         return SharedPolicy, (config.shared,)
-    if config.keeper:
+    if config.quota_service:
         from ..quota_service.module import KeptPolicy
 
         unix_offset_ns = host.unix_ns() - host.monotonic_ns()
-        return KeptPolicy, (config.keeper, unix_offset_ns)
+        return KeptPolicy, (config.quota_service, unix_offset_ns)
     return Policy, ()
--- a/zincstile/quota_service/__init__.py
+++ b/zincstile/quota_service/__init__.py
@@ -1,14 +1,18 @@
-"""Quotas through a count keeper, with an error that is stated beforehand. No I/O, no clock.
+"""Quotas held through a quota service, with an error bound that is stated beforehand. No I/O, no clock.
 
-    settings   times, sizes, and which failures a bound has to cover
-    bound      the most that all gateways together can send beyond a quota, for each failure, in units
-    view       what a gateway believes of its keeper and of whom else that keeper counts
-    accounts   leases of allowance, taken from the keeper ahead of need; the even part where there is none
-    module     the decision module with its quotas held so, and the events and actions that it needs besides
-    words      what gateways tell each other of their keeper, packed
+    settings          intervals, timeouts, and which failures a bound has to cover
+    overshoot_bound   the most that all gateways together can send beyond a quota, for each failure, in units
+    messages          a call to one of the service's counters; the heartbeat that gateways send each other
+    codec             that heartbeat as a datagram
+    failure_detector  whether a gateway trusts its quota service
+    peers             which peers use the same service
+    account           what a gateway knows of one customer
+    accounts          leases of units, taken from the service ahead of need; the even part where there is none
+    opening_level     the units with which an epoch opens, from the totals of the epochs before
+    module            the decision module with its quotas held so, and its further events and actions
 
-The keeper is the counter of PROTOCOL: it adds an amount to a named number and tells the total. It may
-answer late, never, or with no number; it may vanish, be split in two that both answer, or be replaced by
-an empty one. docs/keeper.md derives the bound. This package touches nothing: times are handed in, calls
-come back as values.
+The quota service is the counter of PROTOCOL: it adds an amount to a named counter and returns the total. It
+may answer late, never, or with no number; it may vanish, be split in two that both answer, or be replaced by
+an empty one. docs/keeper.md derives the bound. This package does no I/O: times are handed in, calls are
+returned as values.
 """
--- a/zincstile/quota_service/accounts.py
+++ b/zincstile/quota_service/accounts.py
@@ -1,325 +1,254 @@
-"""Leases of allowance: what a gateway may send for each customer, taken from the keeper ahead of need.
-
-For each customer and epoch the keeper holds one number, the units leased in it. What may be leased by a
-time `s` into an epoch is `part x (open + rate x s)`, where `open` is what the epoch before left, `carry`
-at most. An answer tells the total after the call; what of the call lies within the allowance is granted,
-and the rest is taken off again. The total is never less than what was granted: a call that is not answered
-grants nothing, and what is taken off again is taken off once. So the grants of all gateways never add up
-to more than the allowance.
+"""Leases of units: what a gateway may send for each customer, taken from the quota service ahead of need.
+
+For each customer and epoch the service holds one counter, the units leased in it. What may be leased by a
+time `s` into an epoch is `part x (opening + rate x s)`. An answer gives the total after the call; what of the
+call lies within the allowance is granted, and the rest is taken off again. The total is never less than what
+was granted: a call that is not answered grants nothing, and what is taken off again is taken off once. So the
+grants of all gateways never add up to more than the allowance.
 """
 
 from __future__ import annotations
 
-import math
-from collections.abc import Callable
-from dataclasses import dataclass, field
+from dataclasses import dataclass
+from typing import Final
 
 from ..decisions.quota_bounds import Quota
-from .bound import carry_most, lease_most
-from .settings import SECOND, KeeperSettings
-from .view import View
+from .account import NEGLIGIBLE_UNITS, Account, Epoch
+from .failure_detector import FailureDetector
+from .messages import CounterCall
+from .opening_level import TOTAL_PRECISION_RATIO, OpeningLevels, service_forgot
+from .overshoot_bound import max_carry_units, max_lease_units
+from .settings import SECOND_NS, QuotaServiceSettings
 
-KEPT = 1e-9
-DIGITS = 1e-6  # a total is told to seven digits
-BACK = 8  # epochs that are read at most, to find what they left
-USE_S = 1.0  # memory of a customer's use
-TTL_MS = 60_000
+MIN_EXHAUSTED_S: Final = 0.02  # a spent epoch is not asked again sooner: calls are few
+MAX_EXHAUSTED_S: Final = 1.0  # nor later: the part, or the opening, may have grown meanwhile
 
 
 @dataclass(slots=True)
-class Call:
-    """To be made: an amount for a name. `answered(now, total)` takes what comes of it, None for no answer."""
+class LeaseCounts:
+    """What a gateway's accounts have done since the start."""
 
-    name: str
-    amount: float
-    answered: Callable[[int, float | None], None]
-    ttl_ms: int = TTL_MS
+    calls: int = 0
+    unanswered_leases: int = 0
+    forgotten: int = 0  # times that the service had forgotten totals
+    granted_units: float = 0.0
+    returned_units: float = 0.0  # taken off a counter again
+    fallback_units: float = 0.0  # sent out of the even part
+    reported_units: float = 0.0  # sent without a service, and added to its counter later
 
 
 @dataclass(slots=True)
-class Epoch:
-    """What is known of one of a customer's epochs."""
-
-    open: float = 0.0  # units that the one before left
-    part: float = 1.0  # the least part that this gateway had in it
-    mine: float = 0.0  # what this gateway's answered calls added
-    seen: float = 0.0  # the latest total
-    shut: bool = False  # nothing more is leased of it
-    full_ns: int = 0  # no further call before then: the last found it spent
-    late: list[float] = field(default_factory=list)  # sent without a keeper, to be told to it
+class LeaseRequest:
+    """A call on its way that asks for `amount` units of a customer's epoch."""
 
-
-@dataclass(slots=True)
-class Account:
-    """One customer here."""
-
-    key: int
-    quota: Quota
-    row: list[int]  # the gateways of its set
-    carry: float
-    hand_most: float
-    hand: float = 0.0  # leased and not sent
-    asked: float = 0.0  # in calls on their way
-    use: float = 0.0  # units a second lately
-    used_ns: int = 0
-    even: float = 0.0  # store of the even part
-    even_ns: int = -1  # when it was filled last; -1: not in use
-    epochs: dict[int, Epoch] = field(default_factory=dict)
-    closed: dict[int, float] = field(default_factory=dict)  # totals of epochs that are over
-    read: int = -1  # the epoch whose predecessors were read, or are being read
-    reading: int = 0  # calls on their way for that
-
-
-def _less(total: float, added: float) -> bool:
-    """A total is less than what was added to it, beyond what its digits leave open."""
-    return total + DIGITS * max(1.0, abs(total), abs(added)) < added
+    account: Account
+    epoch_number: int
+    amount: float
+    requested_ns: int
 
 
 class Accounts:
-    """Of one gateway. It returns calls; whoever carries them out hands their answers back."""
-
-    def __init__(self, settings: KeeperSettings, view: View, me: int) -> None:
-        self.settings, self.view, self.me = settings, view, me
-        self.accounts: dict[int, Account] = {}
-        self.counts = {
-            "calls": 0,
-            "granted": 0.0,
-            "given back": 0.0,
-            "unanswered": 0,
-            "even": 0.0,
-            "shrunk": 0,
-            "told late": 0.0,
-        }
-        self._calls: list[Call] = []
+    """The accounts of one gateway. Whoever carries out its `calls` hands their answers back."""
+
+    def __init__(self, settings: QuotaServiceSettings, detector: FailureDetector) -> None:
+        """Starts without accounts; `detector` is the gateway's own."""
+        self.settings = settings
+        self.detector = detector
+        self.accounts: dict[int, Account] = {}  # by the customer's key
+        self.counts = LeaseCounts()
+        self._opening_levels = OpeningLevels(settings, detector, self._make_call, self._service_forgot)
+        self._calls: list[CounterCall] = []
         self._granted: dict[int, int] = {}  # customers that got a lease since the last calls, and its epoch
-        self._plans: dict[Quota, tuple[float, float]] = {}
+        self._limits: dict[Quota, tuple[float, float]] = {}  # most carried over and most in hand
 
-    def account(self, key: int, quota: Quota, row: list[int], now: int) -> Account:
+    def account(self, key: int, quota: Quota, gateways: list[int], now: int) -> Account:
         """A customer's account, made where there is none."""
         found = self.accounts.get(key)
         if found is None:
-            if quota not in self._plans:
-                self._plans[quota] = carry_most(quota, self.settings), lease_most(quota, self.settings)
-            carry, hand = self._plans[quota]
-            found = self.accounts[key] = Account(key, quota, row, carry, hand, used_ns=now)
+            max_carry, max_in_hand = self._limits_of(quota)
+            found = Account(key, quota, gateways, max_carry, max_in_hand, used_at_ns=now)
+            self.accounts[key] = found
         return found
 
-    def calls(self) -> list[Call]:
-        """Those to make, since the last time this was asked: after what waited for an answer was tried again.
-        What was leased for a single try and is still in hand is given back."""
+    def calls(self) -> list[CounterCall]:
+        """The calls to make since the last time; attempts that waited for an answer are retried before.
+
+        What was leased for a single attempt and is still in hand is returned.
+        """
         granted, self._granted = self._granted, {}
         for key, number in granted.items():
             account = self.accounts.get(key)
-            if account is None:
-                continue
-            rest = account.hand - account.hand_most
-            if rest > KEPT:
-                account.hand -= rest
-                # to the epoch that it is of: another one's total would fall below what was added there, which
-                # is the mark of a keeper that forgot
-                if number in account.epochs:
-                    account.epochs[number].mine -= rest
-                self.counts["given back"] += rest
-                self._call(self._name(account, number), -rest, lambda at, told: None)
+            if account is not None:
+                self._return_excess(account, number)
         made, self._calls = self._calls, []
-        self.counts["calls"] += len(made)
+        self.counts.calls += len(made)
         return made
 
-    # ---- sending
+    # ---- attempts
+
+    def take(self, now: int, account: Account, units: float, *, waited: bool = False) -> bool:
+        """Takes the units of an attempt: True where they are in hand. Asks for more ahead of need.
 
-    def take(self, now: int, account: Account, units: float, again: bool = False) -> bool:
-        """A try is to be sent on: True where its units are in hand, and taken. Asks for more ahead of
-        need."""
-        if not again:  # else it has been asked for before, and waited
-            self._use(now, account, units)
-        if account.hand + KEPT >= units:
-            account.hand -= units
-            self._ahead(now, account, 0.0)
+        `waited`: it has asked before, and its use is counted.
+        """
+        if not waited:
+            account.note_use(now, units)
+        if account.in_hand + NEGLIGIBLE_UNITS >= units:
+            account.in_hand -= units
+            self._lease_ahead(now, account, 0.0)
             return True
-        if self._even(now, account, units):
+        if self._take_fallback(now, account, units):
             return True
-        self._ahead(now, account, units)
+        self._lease_ahead(now, account, units)
         return False
 
-    def waits(self, now: int, account: Account) -> bool:
-        """A call is on its way that may bring what was lacking: the try may be held for its answer."""
-        return account.asked > KEPT or account.reading > 0
+    def waits_for_answer(self, account: Account) -> bool:
+        """Whether a call is on its way that may bring what is lacking: the attempt may be deferred."""
+        return account.requested > NEGLIGIBLE_UNITS or account.pending_reads > 0
 
     def give_back(self, account: Account, units: float) -> None:
-        """It was taken and never sent."""
-        account.hand += units
-
-    def _use(self, now: int, account: Account, units: float) -> None:
-        keep = math.exp(-(now - account.used_ns) / SECOND / USE_S)
-        account.use, account.used_ns = account.use * keep + units / USE_S, now
-
-    def _even(self, now: int, account: Account, units: float) -> bool:
-        """The even part, where no keeper is trusted and none of the peers counts this gateway any more."""
-        if self.view.trusts or now < self.view.even_from_ns():
-            account.even_ns = -1
+        """Puts units back in hand that were taken and never sent."""
+        account.in_hand += units
+
+    def _take_fallback(self, now: int, account: Account, units: float) -> bool:
+        """Takes from the even part, where no service is trusted and no peer counts on this gateway."""
+        detector, quota = self.detector, account.quota
+        if detector.trusts_service or now < detector.fallback_from_ns():
+            account.fallback_filled_ns = -1
             return False
-        rate, most = account.quota.rate / len(account.row), account.quota.burst / len(account.row)
-        if account.even_ns < 0:  # empty at first: what was leased before has been sent
-            account.even, account.even_ns = 0.0, self.view.even_from_ns()
-        account.even = min(
-            max(most, account.quota.largest if most else 0.0),
-            account.even + rate * (now - account.even_ns) / SECOND,
+        rate = quota.rate / len(account.gateways)
+        burst = quota.burst / len(account.gateways)
+        if account.fallback_filled_ns < 0:  # empty at first: what was leased before has been sent
+            account.fallback = 0.0
+            account.fallback_filled_ns = detector.fallback_from_ns()
+        account.fallback = min(
+            max(burst, quota.largest if burst else 0.0),
+            account.fallback + rate * (now - account.fallback_filled_ns) / SECOND_NS,
         )
-        account.even_ns = now
-        if account.even + KEPT < units:
+        account.fallback_filled_ns = now
+        if account.fallback + NEGLIGIBLE_UNITS < units:
             return False
-        account.even -= units
-        self.counts["even"] += units
-        epoch = self._epoch(now, account)
-        epoch.late.append(units)
+        account.fallback -= units
+        self.counts.fallback_units += units
+        account.epoch(self._epoch_number(now)).unreported.append(units)
         return True
 
-    # ---- leasing
+    # ---- leases
 
-    def _epoch(self, now: int, account: Account) -> Epoch:
-        number = now // self.settings.epoch_ns
-        if number not in account.epochs:
-            account.epochs[number] = Epoch()
-            for old in [n for n in account.epochs if n < number - 1]:
-                del account.epochs[old]
-        return account.epochs[number]
-
-    def _name(self, account: Account, number: int) -> str:
-        return f"zs.q.{account.key:x}.{number}"
-
-    def _ahead(self, now: int, account: Account, lack: float) -> None:
-        """Leases what recent use will need, and what a try lacks."""
-        view = self.view
-        if not view.may_lease(now) or account.asked > KEPT:
+    def _lease_ahead(self, now: int, account: Account, shortfall: float) -> None:
+        """Leases what recent use will need, and the units that an attempt lacks."""
+        detector = self.detector
+        if not detector.may_lease(now) or account.requested > NEGLIGIBLE_UNITS:
             return
         number = now // self.settings.epoch_ns
-        epoch = self._epoch(now, account)
-        if epoch.late:
-            self._tell_late(account, number, epoch)
+        epoch = account.epoch(number)
+        if epoch.unreported:
+            self._report(account, number, epoch)
             return
-        if epoch.shut or now < epoch.full_ns:
+        if epoch.closed or now < epoch.exhausted_until_ns:
             return
-        settled = number * self.settings.epoch_ns + self.settings.call_ns + self.settings.skew_ns
-        if account.read != number and now >= settled:
-            self._read(now, account, number)
-        if account.reading:
+        if account.opening_epoch != number:
+            self._opening_levels.prepare(now, account, number)
+        if account.pending_reads:
             return
-        epoch.part = min(epoch.part, view.part(now, account.row))
-        wanted = min(account.use * self.settings.lease_ns / SECOND, account.hand_most)
-        amount = max(lack, wanted) - account.hand
-        if amount <= KEPT or account.hand > wanted / 2 and not lack:
+        epoch.service_part = min(epoch.service_part, detector.service_part(now, account.gateways))
+        wanted = min(account.use_per_s * self.settings.lease_cover_ns / SECOND_NS, account.max_in_hand)
+        amount = max(shortfall, wanted) - account.in_hand
+        if amount <= NEGLIGIBLE_UNITS or account.in_hand > wanted / 2 and not shortfall:
             return
-        account.asked = amount
-        self._call(
-            self._name(account, number),
-            amount,
-            lambda at, total: self._leased(at, account, number, amount, now, total),
+        self._request(LeaseRequest(account, number, amount, now))
+
+    def _request(self, request: LeaseRequest) -> None:
+        request.account.requested = request.amount
+        name = request.account.counter_name(request.epoch_number)
+        self._make_call(
+            CounterCall(name, request.amount, lambda now, total: self._lease_answered(now, request, total))
         )
 
-    def _call(self, name: str, amount: float, answered: Callable[[int, float | None], None]) -> None:
-        self._calls.append(Call(name, amount, answered))
-
-    def _back(self, account: Account) -> int:
-        """Epochs that it takes to fill a store from nothing."""
-        given = account.quota.rate * self.settings.epoch_ns / SECOND
-        return min(BACK, math.ceil(account.carry / given))
-
-    def _read(self, now: int, account: Account, number: int) -> None:
-        """What the epochs before left. Their totals stand by now: whatever call of them is on its way yet has
-        been given up. What is known is not read."""
-        wanted = [n for n in range(number - self._back(account), number) if n not in account.closed]
-        account.read = number
-        if not wanted:
-            self._open(now, account, number)
-            return
-        account.reading = len(wanted)
-        for one in wanted:
-            self._call(
-                self._name(account, one),
-                0.0,
-                lambda at, total, one=one: self._told(at, account, number, one, total),
-            )
-
-    def _told(self, now: int, account: Account, number: int, one: int, total: float | None) -> None:
-        account.reading -= 1
-        epoch = account.epochs.get(one)
-        if total is not None and epoch is not None and _less(total, epoch.mine):
-            self._shrunk(now, account)
-        elif total is not None:
-            account.closed[one] = total
-        if not account.reading and account.read == number:
-            self._open(now, account, number)
-
-    def _open(self, now: int, account: Account, number: int) -> None:
-        """The level at this epoch's start: nothing before the first that is known, then what each one gave
-        less what was leased in it, and never more than may be handed on."""
-        length, level, back = self.settings.epoch_ns, 0.0, self._back(account)
-        for one in range(number - back, number):
-            part = self.view.part_since(now, account.row, one * length)
-            if one not in account.closed or part <= 0:
-                level = 0.0
-                continue
-            level = max(0.0, level + part * account.quota.rate * length / SECOND - account.closed[one])
-            level = min(part * account.carry, level)
-        account.closed = {n: total for n, total in account.closed.items() if n >= number - back}
-        if number in account.epochs:
-            account.epochs[number].open = level
-
-    def _leased(
-        self, now: int, account: Account, number: int, amount: float, asked_ns: int, total: float | None
-    ) -> None:
-        account.asked = 0.0
-        epoch = account.epochs.get(number)
+    def _lease_answered(self, now: int, request: LeaseRequest, total: float | None) -> None:
+        account, number, amount = request.account, request.epoch_number, request.amount
+        account.requested = 0.0
         if total is None:
-            self.counts["unanswered"] += 1  # it may have been added: then it is lost, and nobody sends it
+            # The amount may have been added: then it is lost, and no gateway sends it.
+            self.counts.unanswered_leases += 1
             return
+        epoch = account.epochs.get(number)
         if epoch is None:
-            epoch = Epoch(shut=True)  # too long ago
-        epoch.mine += amount
-        epoch.seen = total
-        if _less(total, epoch.mine):  # less than this gateway alone has added
-            self._shrunk(now, account)
+            epoch = Epoch(closed=True)  # too long ago
+        epoch.added += amount
+        if service_forgot(total, epoch.added):
+            self._service_forgot(now)
             return
-        if epoch.shut or not self.view.may_lease(now):
-            granted = 0.0
-        else:
-            epoch.part = min(epoch.part, self.view.part(now, account.row))
-            start = number * self.settings.epoch_ns
-            into = min(self.settings.epoch_ns, max(0, asked_ns - start))
-            allowed = epoch.part * (epoch.open + account.quota.rate * into / SECOND)
-            granted = min(amount, max(0.0, amount - (total * (1 + DIGITS) - allowed)))
-        account.hand += granted
+        granted = self._granted_units(now, request, epoch, total)
+        account.in_hand += granted
         self._granted[account.key] = number
-        self.counts["granted"] += granted
-        rest = amount - granted
-        if rest > KEPT:
-            rate = max(KEPT, epoch.part * account.quota.rate)
-            epoch.full_ns = now + int(min(1.0, max(rest / rate, 0.02)) * SECOND)
-            epoch.mine -= rest
-            self.counts["given back"] += rest
-            self._call(self._name(account, number), -rest, lambda at, told: None)
-
-    def _shrunk(self, now: int, account: Account) -> None:
-        """The keeper has forgotten what was leased: nothing more of this epoch, by any customer."""
-        self.counts["shrunk"] += 1
-        self.view.shrunk(now)
-        for one in self.accounts.values():
-            self._epoch(now, one).shut = True
-            one.closed.clear()
-
-    def _tell_late(self, account: Account, number: int, epoch: Epoch) -> None:
-        """What was sent without a keeper in this epoch is brought to it, once, before anything is leased."""
-        amount = sum(epoch.late)
-        account.asked = KEPT * 2
-
-        def told(now: int, total: float | None) -> None:
-            account.asked = 0.0
+        self.counts.granted_units += granted
+        refused = amount - granted
+        if refused > NEGLIGIBLE_UNITS:
+            rate = max(NEGLIGIBLE_UNITS, epoch.service_part * account.quota.rate)
+            exhausted_s = min(MAX_EXHAUSTED_S, max(refused / rate, MIN_EXHAUSTED_S))
+            epoch.exhausted_until_ns = now + int(exhausted_s * SECOND_NS)
+            self._return(account, number, epoch, refused)
+
+    def _granted_units(self, now: int, request: LeaseRequest, epoch: Epoch, total: float) -> float:
+        """What of an answered amount lies within the allowance at the time of the request."""
+        if epoch.closed or not self.detector.may_lease(now):
+            return 0.0
+        account, epoch_ns = request.account, self.settings.epoch_ns
+        part = self.detector.service_part(now, account.gateways)
+        epoch.service_part = min(epoch.service_part, part)
+        into_epoch_ns = min(epoch_ns, max(0, request.requested_ns - request.epoch_number * epoch_ns))
+        allowed = epoch.service_part * (epoch.opening + account.quota.rate * into_epoch_ns / SECOND_NS)
+        beyond = total * (1 + TOTAL_PRECISION_RATIO) - allowed
+        return min(request.amount, max(0.0, request.amount - beyond))
+
+    def _return_excess(self, account: Account, number: int) -> None:
+        """Returns what is in hand beyond the most that may be."""
+        excess = account.in_hand - account.max_in_hand
+        if excess > NEGLIGIBLE_UNITS:
+            account.in_hand -= excess
+            # To the counter of the epoch that it was leased in: the total of another one would fall below
+            # what was added there, which is the sign of a service that forgot.
+            self._return(account, number, account.epochs.get(number), excess)
+
+    def _return(self, account: Account, number: int, epoch: Epoch | None, units: float) -> None:
+        """Takes units off an epoch's counter again, once, whether that is answered or not."""
+        if epoch is not None:
+            epoch.added -= units
+        self.counts.returned_units += units
+        self._make_call(CounterCall(account.counter_name(number), -units, lambda now, total: None))
+
+    def _report(self, account: Account, number: int, epoch: Epoch) -> None:
+        """Adds what was sent without a service in this epoch, once, before anything is leased of it."""
+        amount = sum(epoch.unreported)
+        account.requested = NEGLIGIBLE_UNITS * 2  # holds leases back until the answer
+
+        def answered(now: int, total: float | None) -> None:
+            account.requested = 0.0
+            epoch.unreported.clear()
             if total is None:
-                epoch.shut = True  # it may have been added or not: this epoch gives nothing more
-                epoch.late.clear()
+                epoch.closed = True  # it may have been added or not
                 return
-            epoch.late.clear()
-            epoch.mine += amount
-            self.counts["told late"] += amount
+            epoch.added += amount
+            self.counts.reported_units += amount
+
+        self._make_call(CounterCall(account.counter_name(number), amount, answered))
+
+    def _service_forgot(self, now: int) -> None:
+        """The service has forgotten leases: nothing more of this epoch is leased, for any customer."""
+        self.counts.forgotten += 1
+        self.detector.service_forgot(now)
+        for account in self.accounts.values():
+            account.epoch(self._epoch_number(now)).closed = True
+            account.past_totals.clear()
+
+    def _epoch_number(self, now: int) -> int:
+        return now // self.settings.epoch_ns
+
+    def _make_call(self, call: CounterCall) -> None:
+        self._calls.append(call)
 
-        self._call(self._name(account, number), amount, told)
+    def _limits_of(self, quota: Quota) -> tuple[float, float]:
+        if quota not in self._limits:
+            self._limits[quota] = max_carry_units(quota, self.settings), max_lease_units(quota, self.settings)
+        return self._limits[quota]
--- a/zincstile/quota_service/module.py
+++ b/zincstile/quota_service/module.py
@@ -16,9 +16,11 @@
 from ..decisions.quota_bounds import Quota
 from ..decisions.settings import Settings
 from ..decisions.state import Customer, Live
-from .accounts import Account, Accounts
-from .settings import KeeperSettings
-from .view import State, View, Word
+from .account import Account
+from .accounts import Accounts
+from .failure_detector import FailureDetector, ServiceState
+from .messages import PeerHeartbeat
+from .settings import COUNTER_LIFETIME_MS, QuotaServiceSettings
 
 HELD_NS = SECOND // 12  # a try waits so long for a lease
 BEAT = 2**62  # a timer's token that no request has
@@ -47,14 +49,14 @@
     """An action: a word for one peer."""
 
     peer: int
-    word: Word
+    word: PeerHeartbeat
 
 
 @dataclass(slots=True)
 class KeeperWord:
     """An event: a peer's word."""
 
-    word: Word
+    word: PeerHeartbeat
 
 
 class KeptPolicy(HeldPolicy):
@@ -62,20 +64,20 @@
 
     held_ns = HELD_NS
 
-    def __init__(self, settings: Settings, seed: int, keeper: KeeperSettings, apart_ns: int) -> None:
+    def __init__(self, settings: Settings, seed: int, keeper: QuotaServiceSettings, apart_ns: int) -> None:
         super().__init__(settings, seed)
         self.keeper, self.apart_ns = keeper, apart_ns
-        self.view: View | None = None
+        self.view: FailureDetector | None = None
         self.accounts: Accounts | None = None
         self.calls: dict[int, object] = {}
-        self.said: State | None = None
+        self.said: ServiceState | None = None
         self._numbers = 0
 
     def on_started(self, now: int, event: Started) -> None:
         """Builds the view and the accounts, and begins to beat."""
         super().on_started(now, event)
-        self.view = View(self.keeper, self.set.me, now + self.apart_ns)
-        self.accounts = Accounts(self.keeper, self.view, self.set.me)
+        self.view = FailureDetector(self.keeper, self.set.me, now + self.apart_ns)
+        self.accounts = Accounts(self.keeper, self.view)
         self._beat(now)
 
     def on_timer_fired(self, now: int, event: TimerFired) -> None:
@@ -88,17 +90,17 @@
     # ---- the keeper
 
     def _beat(self, now: int) -> None:
-        name, period = self.view.beat(now + self.apart_ns)
+        heartbeat = self.view.heartbeat_call(now + self.apart_ns)
 
-        def beaten(at: int, total: float | None) -> None:
-            self.view.beaten(at, period, total)
+        def answered(at: int, total: float | None) -> None:
+            self.view.heartbeat_answered(at, heartbeat.counter_number, total)
 
-        self._call(name, 1.0, 60_000, beaten)
+        self._call(heartbeat.name, 1.0, COUNTER_LIFETIME_MS, answered)
         self._tell_peers(now)
-        self.timer(now + self.keeper.beat_ns, BEAT)
+        self.timer(now + self.keeper.heartbeat_interval_ns, BEAT)
 
     def _tell_peers(self, now: int) -> None:
-        word = self.view.word(now + self.apart_ns)
+        word = self.view.peer_heartbeat(now + self.apart_ns)
         self.acts += [KeeperTell(peer, word) for peer in range(self.set.gateways) if peer != self.set.me]
 
     def _call(self, name: str, amount: float, ttl_ms: int, answered) -> None:
@@ -108,7 +110,7 @@
 
     def _carry_on(self, now: int) -> None:
         for call in self.accounts.calls():
-            self._call(call.name, call.amount, call.ttl_ms, call.answered)
+            self._call(call.name, call.amount, call.ttl_ms, call.on_answer)
 
     def on_keeper_answer(self, now: int, event: KeeperAnswer) -> None:
         """The answer to one call, which may let requests go that wait for it."""
@@ -120,13 +122,13 @@
         self._carry_on(now)
         if self.view.state is not self.said:
             self.said = self.view.state
-            self.acts.append(LogMessage(self.view.line(now + self.apart_ns)))
+            self.acts.append(LogMessage(self.view.log_line(now + self.apart_ns)))
             self._tell_peers(now)  # at once, where trust ends
 
     def on_keeper_word(self, now: int, event: KeeperWord) -> None:
         """A peer's view of its quota service."""
         if 0 <= event.word.sender < self.set.gateways:
-            self.view.hear(now + self.apart_ns, event.word)
+            self.view.peers.receive(now + self.apart_ns, event.word)
 
     # ---- quotas
 
@@ -142,9 +144,9 @@
 
     def _pay(self, now: int, live: Live, again: bool) -> Paid:
         account, common = self._account(now, live.customer, live.ask), now + self.apart_ns
-        if self.accounts.take(common, account, live.ask.units, again=again):
+        if self.accounts.take(common, account, live.ask.units, waited=again):
             return Paid.YES
-        return Paid.SOON if self.accounts.waits(common, account) else Paid.NO
+        return Paid.SOON if self.accounts.waits_for_answer(account) else Paid.NO
 
     def _unpay(self, now: int, c: Customer, units: float) -> None:
         account = self.accounts.accounts.get(c.key)
--- a/zincstile/simulation/traffic.py
+++ b/zincstile/simulation/traffic.py
@@ -15,8 +15,8 @@
 from ..checkers.cases import ClassRule, Figures, PlanRule
 from ..decisions.quota_bounds import Quota
 from ..emulators.client_requests import PlannedRequest
-from ..quota_service.bound import bounds
-from ..quota_service.settings import KeeperSettings
+from ..quota_service.overshoot_bound import overshoot_bounds
+from ..quota_service.settings import QuotaServiceSettings
 from .plan import Plan
 from .stage import Stage
 
@@ -142,13 +142,18 @@
     }
 
 
-def stated_bounds(plan: Plan, keeper: KeeperSettings) -> dict[str, tuple[float, float, float]]:
+def stated_bounds(plan: Plan, settings: QuotaServiceSettings) -> dict[str, tuple[float, float, float]]:
     """Rate, burst and the largest bound of each plan, as the gateways state them."""
     return {
         n: (
             p[1],
             p[1] * p[2],
-            max(b.units for b in bounds(Quota(n, p[1], p[1] * p[2], plan.gateways, MOST_UNITS), keeper)),
+            max(
+                bound.units
+                for bound in overshoot_bounds(
+                    Quota(n, p[1], p[1] * p[2], plan.gateways, MOST_UNITS), settings
+                )
+            ),
         )
         for n, p in PLANS.items()
     }
--- a/zincstile/simulation/trial.py
+++ b/zincstile/simulation/trial.py
@@ -13,11 +13,13 @@
 from dataclasses import dataclass, field
 
 from ..decisions.quota_bounds import Quota
-from ..quota_service.accounts import Account, Accounts, Call
-from ..quota_service.bound import bounds
-from ..quota_service.settings import FAILURES, MS, SECOND, KeeperSettings
-from ..quota_service.view import View, Word
-from ..virtual.clock import Scheduler
+from ..quota_service.account import Account
+from ..quota_service.accounts import Accounts
+from ..quota_service.failure_detector import FailureDetector
+from ..quota_service.messages import CounterCall, PeerHeartbeat
+from ..quota_service.overshoot_bound import overshoot_bounds
+from ..quota_service.settings import FAILURES, QuotaServiceSettings
+from ..virtual.clock import MS, SECOND, Scheduler
 
 START_NS = 1000 * SECOND
 CALM_NS, FAIL_NS, AFTER_NS = 6 * SECOND, 12 * SECOND, 12 * SECOND
@@ -82,16 +84,18 @@
 
     def __init__(self, trial: Trial, number: int) -> None:
         self.trial, self.number = trial, number
-        self.skew_ns = int(trial.rng.uniform(-0.5, 0.5) * trial.settings.skew_ns)
+        self.skew_ns = int(trial.rng.uniform(-0.5, 0.5) * trial.settings.clock_skew_ns)
         self.start()
 
     def start(self) -> None:
         now = self.now()
-        self.view = View(self.trial.settings, self.number, now)
-        self.accounts = Accounts(self.trial.settings, self.view, self.number)
+        self.detector = FailureDetector(self.trial.settings, self.number, now)
+        self.accounts = Accounts(self.trial.settings, self.detector)
         self.life = self.life + 1 if hasattr(self, "life") else 0
         self.held: list[tuple[int, Account, float, Ideal]] = []
-        self.trial.after(self.trial.rng.randrange(self.trial.settings.beat_ns), self.beat, self.life)
+        self.trial.after(
+            self.trial.rng.randrange(self.trial.settings.heartbeat_interval_ns), self.beat, self.life
+        )
 
     def now(self) -> int:
         return self.trial.scheduler.now_ns + self.skew_ns
@@ -99,14 +103,18 @@
     def beat(self, life: int) -> None:
         if life != self.life:
             return
-        trial, view = self.trial, self.view
-        name, period = view.beat(self.now())
-        trial.call(self, Call(name, 1.0, lambda at, total: view.beaten(at, period, total)))
-        word = view.word(self.now())
+        trial, detector = self.trial, self.detector
+        due = detector.heartbeat_call(self.now())
+
+        def answered(at: int, total: float | None) -> None:
+            detector.heartbeat_answered(at, due.counter_number, total)
+
+        trial.call(self, CounterCall(due.name, 1.0, answered))
+        message = detector.peer_heartbeat(self.now())
         for other in trial.seats:
             if other is not self:
-                trial.tell(self, other, word)
-        trial.after(trial.settings.beat_ns, self.beat, life)
+                trial.send(self, other, message)
+        trial.after(trial.settings.heartbeat_interval_ns, self.beat, life)
 
     def ask(self, key: int, units: float) -> None:
         quota, row, ideal = self.trial.customers[key]
@@ -114,7 +122,7 @@
         ideal.ask(self.trial.scheduler.now_ns, units)
         if self.accounts.take(self.now(), account, units):
             ideal.take(self.trial.scheduler.now_ns, units)
-        elif self.accounts.waits(self.now(), account):
+        elif self.accounts.waits_for_answer(account):
             self.held.append((self.now() + HELD_NS, account, units, ideal))
         self.flush()
 
@@ -128,9 +136,9 @@
         self.held = []
         for until, account, units, ideal in held:
             if now < until:
-                if self.accounts.take(now, account, units, again=True):
+                if self.accounts.take(now, account, units, waited=True):
                     ideal.take(self.trial.scheduler.now_ns, units)
-                elif self.accounts.waits(now, account):
+                elif self.accounts.waits_for_answer(account):
                     self.held.append((until, account, units, ideal))
         self.flush()
 
@@ -143,12 +151,14 @@
         failure: str,
         seed: int,
         gateways: int = 3,
-        settings: KeeperSettings | None = None,
+        settings: QuotaServiceSettings | None = None,
         quotas: list[Quota] | None = None,
     ) -> None:
         self.rng = random.Random(f"keeper {failure} {seed}")
         self.failure, self.seed = failure, seed
-        self.settings = settings or KeeperSettings(most_overshoot=self.rng.choice((0.05, 0.05, 0.25)))
+        self.settings = settings or QuotaServiceSettings(
+            max_overshoot_ratio=self.rng.choice((0.05, 0.05, 0.25))
+        )
         self.scheduler = Scheduler(START_NS + self.rng.randrange(30 * SECOND))
         self.began_ns = self.scheduler.now_ns
         self.keepers = [Keeper()]
@@ -177,7 +187,7 @@
 
     # ---- what travels
 
-    def call(self, seat: Seat, call: Call) -> None:
+    def call(self, seat: Seat, call: CounterCall) -> None:
         """One call: there and back, or not."""
         self.calls += 1
         rng, life = self.rng, seat.life
@@ -190,7 +200,7 @@
             if not done[0]:
                 done[0] = True
                 if seat.life == life:
-                    call.answered(seat.now(), total)
+                    call.on_answer(seat.now(), total)
                     seat.answered()
 
         def arrive() -> None:
@@ -201,12 +211,14 @@
                 self.after(int(back), end, total)
 
         self.after(int(there), arrive)
-        self.after(self.settings.call_ns, end, None)
+        self.after(self.settings.call_timeout_ns, end, None)
 
-    def tell(self, source: Seat, target: Seat, word: Word) -> None:
+    def send(self, source: Seat, target: Seat, message: PeerHeartbeat) -> None:
         if (source.number, target.number) in self.deaf or self.rng.random() < self.loss:
             return
-        self.after(int(self.rng.uniform(1.9, 30) * MS), lambda: target.view.hear(target.now(), word))
+        self.after(
+            int(self.rng.uniform(1.9, 30) * MS), lambda: target.detector.peers.receive(target.now(), message)
+        )
 
     # ---- failures
 
@@ -260,7 +272,7 @@
         self.scheduler.run(self.began_ns + CALM_NS + FAIL_NS + AFTER_NS + SECOND)
         worst, outcome = -1.0, None
         for quota, _, ideal in self.customers.values():
-            bound = next(b for b in bounds(quota, self.settings) if b.failure == self.failure)
+            bound = next(b for b in overshoot_bounds(quota, self.settings) if b.failure == self.failure)
             over = max(0.0, -ideal.lowest)
             near = over / max(bound.units, 1e-9) if over > 1e-6 else 0.0
             if near > worst:
@@ -273,7 +285,7 @@
                     over / bound.minute,
                     0.0,
                     self.calls / max(1, self.tries),
-                    sum(len(s.view.changes) for s in self.seats),
+                    sum(len(s.detector.state_changes) for s in self.seats),
                 )
         ideals = [ideal for _, _, ideal in self.customers.values()]
         outcome.served = sum(i.sent for i in ideals) / max(1e-9, sum(i.best for i in ideals))
--- a/zincstile/simulation/world.py
+++ b/zincstile/simulation/world.py
@@ -29,7 +29,7 @@
 from ..leases.settings import SharedSettings
 from ..net import config
 from ..net.gateway import Gateway
-from ..quota_service.settings import KeeperSettings
+from ..quota_service.settings import QuotaServiceSettings
 from ..subsetting.settings import SubsetSettings
 from ..virtual.clock import MS, SECOND, Scheduler, StuckError
 from ..virtual.host import VirtualHost
@@ -126,13 +126,17 @@
         self.network.links = self.links
         if keep_trace:
             self.network.trace = []
-        self.keeper = KeeperSettings(skew_ns=1, most_overshoot=0.08) if plan.keeper else None
+        self.quota_service = (
+            QuotaServiceSettings(clock_skew_ns=1, max_overshoot_ratio=0.08) if plan.keeper else None
+        )
         self.shared = SharedSettings() if plan.share else None
         self.start = StartSettings(peers=True) if plan.start else None
         self.place_settings = ZoneFailoverSettings() if plan.place else None
         self.subset = SubsetSettings(least=2, holders=2) if plan.subset else None
         self.manners = ListServiceBehaviour(plan.lists_per_s or 1e6)
-        quotas = Quotas(traffic.stated_bounds(plan, self.keeper), LATE_NS) if self.keeper else None
+        quotas = None
+        if self.quota_service:
+            quotas = Quotas(traffic.stated_bounds(plan, self.quota_service), LATE_NS)
         if self.shared:
             stated, opening = shared.stated(plan, self.shared)
             quotas = Quotas(stated, 0, opening, START_NS)
@@ -256,13 +260,13 @@
     # ---- gateways
 
     def config(self, seat: Seat) -> config.Config:
-        """What the gateway reads of its file. The keeper's settings are put in, as its own file would be
-        read."""
+        """What the gateway reads of its file, with the features' settings put in as their files would be."""
         found = config.read(self.table(seat), {})
         found.shared, found.start, found.place = self.shared, self.start, self.place_settings
         found.subset = self.subset
-        if self.keeper is not None:
-            found.keeper, found.counter = self.keeper, (f"10.2.0.{seat.counter + 1}", 6400)
+        if self.quota_service is not None:
+            found.quota_service = self.quota_service
+            found.quota_service_address = (f"10.2.0.{seat.counter + 1}", 6400)
         return found
 
     def table(self, seat: Seat) -> dict[str, Any]:
