--- /dev/null
+++ b/tests/endpoint_lists.py
@@ -0,0 +1,59 @@
+"""Discovery's side of a gateway without sockets: endpoints as JSON, a table, and a watcher on a stub."""
+
+from __future__ import annotations
+
+import random
+from types import SimpleNamespace
+
+from zincstile.net.deadlines import Deadlines
+from zincstile.net.discovery.reader import EndpointReader
+from zincstile.net.discovery.table import EndpointTable
+from zincstile.net.discovery.watcher import EndpointWatcher
+from zincstile.net.limits import Limits
+from zincstile.net.trace import Trace
+
+DISCOVERY = ("10.2.0.1", 8500)
+
+
+def endpoint(name, status="Ready", since_ms=0):
+    """One endpoint, as discovery's JSON has it."""
+    return {"name": name, "address": "10.1.0.1:6379", "status": status, "since_ms": since_ms}
+
+
+def full_list(index, *endpoints):
+    """A complete list, as discovery's JSON has it."""
+    return {"index": index, "snapshot": True, "endpoints": list(endpoints)}
+
+
+def change(index, *endpoints):
+    """A change of the list, as discovery's JSON has it."""
+    return {"index": index, "snapshot": False, "endpoints": list(endpoints)}
+
+
+def stub_dispatcher(now_ns=lambda: 0, post=lambda event: None, limits=None):
+    """A dispatcher without a loop."""
+    return SimpleNamespace(
+        limits=limits or Limits(),
+        deadlines=Deadlines(),
+        carry_out={},
+        trace=Trace(),
+        now_ns=now_ns,
+        wake=lambda: None,
+        post=post,
+        log=SimpleNamespace(often=lambda kind, text: None),
+        counters=SimpleNamespace(tables=0, watches=0),
+    )
+
+
+def endpoint_table(dispatcher, update=lambda endpoints, complete: None, wall_ns=lambda: 0):
+    """A table that reads lists by the dispatcher's clock and a wall clock."""
+    clocks = SimpleNamespace(monotonic_ns=dispatcher.now_ns, unix_ns=wall_ns)
+    return EndpointTable(dispatcher, EndpointReader([], [], clocks), update)
+
+
+def endpoint_watcher(dispatcher, table, seed=1):
+    """A watcher that opens no watch, but notes in `opened_at` the addresses at which it would."""
+    watcher = EndpointWatcher(dispatcher, table, DISCOVERY, lambda: None, random.Random(seed))
+    watcher.opened_at = []
+    watcher.open = lambda address=None: watcher.opened_at.append(address)
+    return watcher
--- a/tests/test_incremental.py
+++ b/tests/test_incremental.py
@@ -5,13 +5,13 @@
 
 import json
 import math
-import random
 import sys
 from dataclasses import replace
 from types import SimpleNamespace
 
 import pytest
 from conftest import MS, SECOND, Gateway, backend
+from endpoint_lists import change, endpoint, full_list, stub_dispatcher
 from hypothesis import given
 from hypothesis import settings as effort
 from hypothesis import strategies as st
@@ -22,12 +22,11 @@
 from zincstile.net import config
 from zincstile.net.backends.connection import BackendConnection
 from zincstile.net.backends.pool import ConnectionPool
-from zincstile.net.deadlines import Deadlines
-from zincstile.net.endpoint_table import EndpointReader, EndpointTable, number
+from zincstile.net.discovery.messages import ListedEndpoint, endpoint_id
+from zincstile.net.discovery.reader import EndpointReader
+from zincstile.net.discovery.table import EndpointTable
 from zincstile.net.json_objects import JsonObjects
 from zincstile.net.lifecycle import begin_list
-from zincstile.net.limits import Limits
-from zincstile.net.trace import Trace
 from zincstile.simulation import traffic
 from zincstile.simulation.plan import Plan
 
@@ -170,17 +169,8 @@
         return self.closed
 
 
-def stub_turn():
-    return SimpleNamespace(
-        limits=Limits(),
-        deadlines=Deadlines(),
-        carry_out={},
-        trace=Trace(),
-        now_ns=lambda: 100 * SECOND,
-        wake=lambda: None,
-        post=lambda event: None,
-        counters=SimpleNamespace(tables=0),
-    )
+def dispatcher_at_100_s():
+    return stub_dispatcher(now_ns=lambda: 100 * SECOND)
 
 
 def open_idle(pool, backend_id):
@@ -202,10 +192,10 @@
 @effort(max_examples=150, deadline=None, derandomize=True, database=None)
 @given(st.lists(st.tuples(LISTS, st.integers(0, 1), st.sampled_from(IDS)), max_size=15))
 def test_the_pool_connects_to_what_was_listed_last_and_forgets_the_rest(steps):
-    pool, listed, opened = ConnectionPool(stub_turn()), {}, []
+    pool, listed, opened = ConnectionPool(dispatcher_at_100_s()), {}, []
     for (kind, entries), moved, used in steps:
         whole = kind is EndpointListKind.FULL
-        pool.update([(b, address_of(b, moved)) for b in entries], whole)
+        pool.update([ListedEndpoint(b, address_of(b, moved)) for b in entries], whole)
         told = {b.id: (b, address_of(b, moved)) for b in entries}
         listed = {
             k: e
@@ -235,48 +225,50 @@
 
 
 def endpoints(names, status="Ready"):
-    return [{"name": n, "address": "10.1.0.1:6379", "status": status, "since_ms": 1} for n in names]
+    return [endpoint(name, status, since_ms=1) for name in names]
 
 
-def endpoint_table(update=lambda entries, whole: None):
-    clock = SimpleNamespace(unix_ns=lambda: 0, monotonic_ns=lambda: 0)
-    where, first = ("10.2.0.1", 8500), lambda: None
-    return EndpointTable(stub_turn(), EndpointReader([], [], clock), where, update, first, random.Random(1))
+def table_at_0_s(update=lambda endpoints, complete: None):
+    """A table whose reader's clocks stand at nought."""
+    dispatcher = dispatcher_at_100_s()
+    clocks = SimpleNamespace(unix_ns=lambda: 0, monotonic_ns=lambda: 0)
+    return EndpointTable(dispatcher, EndpointReader([], [], clocks), update)
 
 
-def tell(table, endpoints_, kind=EndpointListKind.DELTA):
-    table._take({"index": 1, "snapshot": False, "endpoints": endpoints_}, kind, table.where)
+def send(table, endpoints_, kind=EndpointListKind.DELTA):
+    table.take(change(1, *endpoints_), kind)
 
 
 def test_a_year_of_replaced_backends_leaves_no_trace_and_one_just_gone_may_still_be_banned():
-    table = endpoint_table()
+    table = table_at_0_s()
     for k in range(5000):
-        tell(table, endpoints([f"s-{k}"]) + endpoints([f"s-{k - 10}"], "Gone"))
-    tell(table, endpoints(["s-4999"]), EndpointListKind.FULL)  # leaves out the rest
-    assert list(table.endpoints) == [number("s-4999")] and len(table.gone) == 1024
-    assert table.maintain("s-4990", True) and not table.maintain("s-17", True)  # long gone
-    tell(table, endpoints(["s-4990"]))
-    assert table._masked(table.endpoints[number("s-4990")])[0].mode is EndpointState.DRAINING
+        send(table, endpoints([f"s-{k}"]) + endpoints([f"s-{k - 10}"], "Gone"))
+    send(table, endpoints(["s-4999"]), EndpointListKind.FULL)  # leaves out the rest
+    assert list(table.endpoints) == [endpoint_id("s-4999")] and len(table.removed) == 1024
+    assert table.maintain("s-4990", enter=True) and not table.maintain("s-17", enter=True)  # long gone
+    send(table, endpoints(["s-4990"]))
+    listed = table.endpoints[endpoint_id("s-4990")]
+    assert table.maintenance.apply(listed).entry.mode is EndpointState.DRAINING
 
 
 def test_an_endpoint_is_read_with_its_own_text_and_one_that_is_known_is_kept():
     """Whatever else stands in an object is left alone, and a wrong endpoint is told as ever."""
-    table, where = endpoint_table(), ("10.2.0.1", 8500)
-    tell(table, endpoints(["s-a", "s-b"]), EndpointListKind.FULL)
+    table = table_at_0_s()
+    send(table, endpoints(["s-a", "s-b"]), EndpointListKind.FULL)
     kept = dict(table.endpoints)
     odd = {"note": {"name": "s-z", "status": "no such"}}
-    whole = {"index": 7, "snapshot": True, "endpoints": endpoints(["s-a", "s-c"])}
+    whole = full_list(7, *endpoints(["s-a", "s-c"]))
     whole["endpoints"][0] |= odd
     objects = JsonObjects(1 << 20, table.read_early)
     (read,) = objects.feed(json.dumps(whole).encode())
-    assert read["endpoints"][0] is kept[number("s-a")]
-    table._take(read, EndpointListKind.FULL, where)
-    assert table.endpoints.keys() == {number("s-a"), number("s-c")}
-    assert table.endpoints[number("s-c")] == table.reader.entry(whole["endpoints"][1])
-    (read,) = objects.feed(json.dumps({"index": 8, "snapshot": False, "endpoints": [odd["note"]]}).encode())
+    assert read["endpoints"][0] is kept[endpoint_id("s-a")]
+    table.take(read, EndpointListKind.FULL)
+    assert table.endpoints.keys() == {endpoint_id("s-a"), endpoint_id("s-c")}
+    assert table.endpoints[endpoint_id("s-c")] == table.reader.read_endpoint(whole["endpoints"][1])
+    (read,) = objects.feed(json.dumps(change(8, odd["note"])).encode())
     with pytest.raises(KeyError):
-        table._take(read, EndpointListKind.DELTA, where)
-    assert table.endpoints.keys() == {number("s-a"), number("s-c")}
+        table.take(read, EndpointListKind.DELTA)
+    assert table.endpoints.keys() == {endpoint_id("s-a"), endpoint_id("s-c")}
 
 
 def test_the_list_in_the_file_is_told_once_by_a_start_and_read_by_no_reload(tmp_path):
@@ -316,10 +308,10 @@
 
 def work(size):
     """Of each kind of control work, at a gateway that knows so many backends, six of them in use."""
-    g, pool = Gateway(COLD, backends=0, now=100 * SECOND), ConnectionPool(stub_turn())
-    table = endpoint_table(pool.update)
+    g, pool = Gateway(COLD, backends=0, now=100 * SECOND), ConnectionPool(dispatcher_at_100_s())
+    table = table_at_0_s(pool.update)
     names = [f"s-{k}" for k in range(size)]
-    tell(table, endpoints(names), EndpointListKind.FULL)
+    send(table, endpoints(names), EndpointListKind.FULL)
     known = [b for b, _ in pool.listed.values()]
     g.list(known)
     for s in known[:6]:
@@ -334,7 +326,7 @@
     return {
         "tick": steps_of(g.tick),
         "change": steps_of(change),
-        "change told": steps_of(lambda: tell(table, endpoints(["s-9"], "Terminating"))),
+        "change told": steps_of(lambda: send(table, endpoints(["s-9"], "Terminating"))),
         "room": steps_of(pool.close_oldest_idle),
         "tending": steps_of(pool.close_expired),
     }
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -13,8 +13,10 @@
 from test_scenarios import READY, play
 
 from zincstile.net.counters import Counters
+from zincstile.net.discovery.reader import EndpointReader
+from zincstile.net.discovery.table import EndpointTable
+from zincstile.net.discovery.watcher import EndpointWatcher
 from zincstile.net.dispatcher import Dispatcher
-from zincstile.net.endpoint_table import EndpointReader, EndpointTable
 from zincstile.net.host import HOST
 from zincstile.net.limits import MS, Limits
 from zincstile.net.log import Log
@@ -155,19 +157,14 @@
         dispatcher = Dispatcher(
             loop, SimpleNamespace(handle=lambda now, event: []), limits, Counters(), Log("n0"), clock
         )
-        table = EndpointTable(
-            dispatcher,
-            EndpointReader(["z"], ["k"], clock),
-            listening.getsockname(),
-            lambda entries, whole: None,
-            lambda: None,
-            random.Random(1),
-        )
-        table.open(None)
+        reader = EndpointReader(["z"], ["k"], clock)
+        table = EndpointTable(dispatcher, reader, lambda endpoints, complete: None)
+        watcher = EndpointWatcher(dispatcher, table, listening.getsockname(), lambda: None, random.Random(1))
+        watcher.open()
         first, _ = await loop.sock_accept(listening)
         ready = {"name": "s-a", "address": "127.0.0.1:1", "status": "Ready"}
         await told(first, [ready], 1)
-        while not table.told:
+        while not watcher.has_received:
             await asyncio.sleep(0)
         clock.at += limits.table_silence_ns
         dispatcher.wake()
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -28,7 +28,8 @@
 from zincstile.decisions.settings import DeduplicationScope, Idempotency, RequestClass
 from zincstile.decisions.slow_start import COLD_USE
 from zincstile.net import config, features
-from zincstile.net.endpoint_table import EndpointReader, number
+from zincstile.net.discovery.messages import endpoint_id
+from zincstile.net.discovery.reader import EndpointReader
 from zincstile.net.host import HOST
 from zincstile.serialization.typed_yaml import FileError
 from zincstile.simulation import traffic
@@ -459,7 +460,9 @@
         _, _, entries = EndpointReader(["a"], named, HOST).read(
             {"index": 1, "snapshot": True, "endpoints": listed}
         )
-        policy = subsetting(Policy, SubsetSettings(ServiceBy.TYPE), ["a"], [number(t) for t in named])
+        policy = subsetting(
+            Policy, SubsetSettings(ServiceBy.TYPE), ["a"], [endpoint_id(name) for name in named]
+        )
         found.append([policy(settings(), 1).service_of(b) for b, _ in entries])
     assert found[0] == found[1] and len(set(found[0])) == 3 and found[0][0] == found[0][3]
 
--- a/zincstile/net/administration.py
+++ b/zincstile/net/administration.py
@@ -13,9 +13,8 @@
 from .clients.listener import ClientListener
 from .config import Address, Config
 from .deadlines import every
+from .discovery.table import EndpointTable
 from .dispatcher import Dispatcher
-from .endpoint_table import EndpointTable
-from .endpoint_table import number as name_number
 from .handover_file import HandoverFile
 from .host import Host
 from .state_files import StateFiles
@@ -55,8 +54,8 @@
             gateway=config.name,
             process=process,
             on_maintenance=self._adopt_maintenance,
-            returned_at_ns=table.back,
-            discovery_offset_ns=lambda: table.reader.apart_ns,
+            returned_at_ns=table.returned_at_ns,
+            discovery_offset_ns=lambda: table.reader.clock.offset_ns,
         )
         self.endpoint = AdminEndpoint(
             dispatcher, self.state, self.handover, host, apply=self._apply, is_ready=self._is_ready
@@ -72,12 +71,14 @@
         log = self._dispatcher.log
         log.line(f"handover: {await self.handover.load()}")
         for name in self.state.under_maintenance:
-            self._table.banned[name_number(name)] = self._dispatcher.now_ns()
+            self._table.maintenance.enter(name, self._dispatcher.now_ns())
         found = self.handover.found
         if found is None:
             return
         elapsed_ns = self._host.timestamp().elapsed_since_ns(found.written)
-        self._table.put_back({name: age_ns + elapsed_ns for name, age_ns in found.returned_age_ns.items()})
+        self._table.restore_returned(
+            {name: age_ns + elapsed_ns for name, age_ns in found.returned_age_ns.items()}
+        )
         if found.discovery_offset_ns is not None:
             self._table.reader.clock.offer(found.discovery_offset_ns)
         # Until the memory is here, the old process is the one that receives what peers send.
@@ -126,7 +127,7 @@
         self._listener.set_standby(standby)
 
     def _set_maintenance(self, name: str, *, enter: bool) -> None:
-        self._table.maintain(name, enter)
+        self._table.maintain(name, enter=enter)
         self._dispatcher.log.line(f"maintenance {'enter' if enter else 'exit'} {name}")
         self.handover.save()
 
@@ -142,9 +143,9 @@
     def _adopt_maintenance(self, change: MaintenanceChange) -> None:
         """Carries out what another process of this gateway was asked for."""
         for name in change.entered:
-            self._table.maintain(name, True)
+            self._table.maintain(name, enter=True)
         for name in change.exited:
-            self._table.maintain(name, False)
+            self._table.maintain(name, enter=False)
         entered, exited = sorted(change.entered), sorted(change.exited)
         text = f"handover: maintenance enter {entered} exit {exited} by another process"
         self._dispatcher.log.line(text)
--- a/zincstile/net/backends/pool.py
+++ b/zincstile/net/backends/pool.py
@@ -4,9 +4,9 @@
 
 from collections.abc import Callable
 
-from ...decisions.messages import EndpointEntry, EndpointState
-from ..config import Address
+from ...decisions.messages import EndpointState
 from ..deadlines import every
+from ..discovery.messages import ListedEndpoint
 from ..dispatcher import Dispatcher
 from .attempt import Attempt, Backend
 from .connection import BackendConnection
@@ -26,7 +26,7 @@
     def __init__(self, dispatcher: Dispatcher) -> None:
         """An empty pool; idle connections are looked at from here on."""
         self.dispatcher = dispatcher
-        self.listed: dict[int, tuple[EndpointEntry, Address]] = {}  # by id, as discovery last sent them
+        self.listed: dict[int, ListedEndpoint] = {}  # by id, as discovery last sent them
         self.backends: dict[int, Backend] = {}  # of those listed, the ones with a record
         self.connections: set[BackendConnection] = set()  # those that are not up yet included
         self.idle: dict[BackendConnection, None] = {}  # of these, in the order in which they became idle
@@ -37,13 +37,13 @@
 
     # ---- listed backends
 
-    def update(self, entries: list[tuple[EndpointEntry, Address]], complete: bool) -> None:
-        """Takes over an endpoint list (`complete`), or a change of it, each entry with its address."""
+    def update(self, endpoints: list[ListedEndpoint], complete: bool) -> None:
+        """Takes over an endpoint list (`complete`), or a change of it."""
         if complete:
-            received = {entry.id for entry, _ in entries}
+            received = {entry.id for entry, _ in endpoints}
             for backend_id in [known for known in self.listed if known not in received]:
                 self._remove(backend_id)
-        for listed in entries:
+        for listed in endpoints:
             entry, address = listed
             if entry.mode is EndpointState.REMOVED:
                 self._remove(entry.id)
@@ -84,7 +84,7 @@
         backend = self.backends.get(backend_id)
         if backend is None:
             listed = self.listed.get(backend_id)
-            if listed is None or listed[0].mode is not EndpointState.READY:
+            if listed is None or listed.entry.mode is not EndpointState.READY:
                 return None
             entry, address = listed
             backend = Backend(backend_id, address, entry.started_ns, ready=True, entry=entry)
--- a/zincstile/net/gateway.py
+++ b/zincstile/net/gateway.py
@@ -11,8 +11,10 @@
 from .clients.listener import ClientListener
 from .config import Config
 from .counters import Counters
+from .discovery.reader import EndpointReader
+from .discovery.table import EndpointTable
+from .discovery.watcher import EndpointWatcher
 from .dispatcher import Dispatcher
-from .endpoint_table import EndpointReader, EndpointTable
 from .host import HOST, Host
 from .lifecycle import Lifecycle, Parts
 from .log import Log
@@ -43,13 +45,10 @@
         self.pool = ConnectionPool(self.dispatcher)
         self.attempts = Attempts(self.dispatcher, config.settings, self.pool, read_buffer)
         self.peers = Peers(self.dispatcher, config.peers)
-        self.table = EndpointTable(
-            self.dispatcher,
-            EndpointReader(config.zones, config.kinds, host),
-            config.discovery,
-            self.pool.update,
-            self._become_ready,
-            random.Random(config.seed),
+        reader = EndpointReader(config.zones, config.kinds, host)
+        self.table = EndpointTable(self.dispatcher, reader, self.pool.update)
+        self.watcher = EndpointWatcher(
+            self.dispatcher, self.table, config.discovery, self._become_ready, random.Random(config.seed)
         )
         quota_client, starter = self._connect_features(read_buffer)
         administration = self._build_administration() if config.control else None
@@ -61,7 +60,7 @@
             listener=self.listener,
             pool=self.pool,
             peers=self.peers,
-            table=self.table,
+            watcher=self.watcher,
             quota_client=quota_client,
             starter=starter,
             administration=administration,
@@ -99,7 +98,7 @@
         return Starter(
             self.dispatcher,
             self.peers,
-            self.table,
+            self.watcher,
             config.start,
             config.settings.me,
             config.settings.gateways,
--- a/zincstile/net/lifecycle.py
+++ b/zincstile/net/lifecycle.py
@@ -13,8 +13,8 @@
 from .backends.pool import ConnectionPool
 from .clients.listener import ClientListener
 from .config import Config, ConfigError
+from .discovery.watcher import EndpointWatcher
 from .dispatcher import Dispatcher
-from .endpoint_table import EndpointTable
 from .host import Host
 from .peers import Peers
 from .shutdown import GracefulShutdown
@@ -39,7 +39,7 @@
     listener: ClientListener
     pool: ConnectionPool
     peers: Peers
-    table: EndpointTable
+    watcher: EndpointWatcher
     quota_client: QuotaServiceClient | None
     starter: Starter | None
     administration: Administration | None
@@ -125,7 +125,7 @@
     def _begin_list(self) -> bool:
         """Begins with the endpoint list that the start was given; False where there is none."""
         starter = self._parts.starter
-        return begin_list(self._config, self._parts.table if starter is None else starter)
+        return begin_list(self._config, self._parts.watcher if starter is None else starter)
 
     def _log_addresses(self) -> None:
         listener, administration = self._parts.listener, self._parts.administration
@@ -145,7 +145,7 @@
         parts.listener.take()
         if parts.administration is not None:
             parts.administration.handover.announce_ready()
-        source = "told" if parts.table.told else "as known before"
+        source = "told" if parts.watcher.has_received else "as known before"
         if parts.starter is not None:
             source = parts.starter.readiness.right.value
         self._log.line(f"ready with {len(parts.pool.listed)} backend servers, {source}")
@@ -155,7 +155,7 @@
         return self._dispatcher.guard.may_be_ready(
             self._dispatcher.now_ns(),
             len(self._parts.pool.listed),
-            self._parts.table.told or self._parts.starter is not None,
+            self._parts.watcher.has_received or self._parts.starter is not None,
         )
 
     # ---- while it serves
@@ -183,13 +183,13 @@
             return
         self._dispatcher.counters.reloads += 1
         self._config.discovery = config.discovery
-        self._parts.table.move(config.discovery)
+        self._parts.watcher.move(config.discovery)
         if self._parts.quota_client is not None and config.quota_service_address:
             self._parts.quota_client.move(config.quota_service_address)
         self._log.line("reload discovery at {}:{}".format(*config.discovery))
 
 
-def begin_list(config: Config, source: EndpointTable | Starter) -> bool:
+def begin_list(config: Config, source: EndpointWatcher | Starter) -> bool:
     """Hands the endpoint list that the start was given to who begins with it; False where there is none.
 
     It is taken out of the configuration: as JSON it takes more memory than all that is made of it.
--- a/zincstile/net/policy_assembly.py
+++ b/zincstile/net/policy_assembly.py
@@ -11,7 +11,7 @@
 
 from ..decisions.policy import Policy
 from .config import Config
-from .endpoint_table import number as name_number
+from .discovery.messages import endpoint_id
 from .host import Host
 
 
@@ -33,7 +33,7 @@
     if config.subset:
         from ..subsetting.module import subsetting
 
-        kinds = [name_number(name) for name in config.kinds]
+        kinds = [endpoint_id(name) for name in config.kinds]
         kind = subsetting(kind, config.subset, config.zones, kinds)
     return kind(config.settings, config.seed, *more)
 
--- a/zincstile/net/start.py
+++ b/zincstile/net/start.py
@@ -13,8 +13,8 @@
 from ..cold_start.policy import Running
 from ..cold_start.ready import Readiness, Right
 from ..cold_start.settings import StartSettings
+from .discovery.watcher import EndpointWatcher
 from .dispatcher import Dispatcher
-from .endpoint_table import EndpointTable
 from .peers import HEARD, Peers
 
 LOOK_NS, REST_NS = 30_000_000, 1_000_000_000  # how often it is looked at what is sought; once it is found
@@ -27,7 +27,7 @@
         self,
         dispatcher: Dispatcher,
         peers: Peers,
-        table: EndpointTable,
+        watcher: EndpointWatcher,
         settings: StartSettings,
         me: int,
         gateways: int,
@@ -35,10 +35,10 @@
         seed: int,
         ready: Callable[[], None],
     ) -> None:
-        self.dispatcher, self.peers, self.table, self.settings, self._ready = (
+        self.dispatcher, self.peers, self.watcher, self.settings, self._ready = (
             dispatcher,
             peers,
-            table,
+            watcher,
             settings,
             ready,
         )
@@ -48,14 +48,14 @@
         self.readiness: Readiness | None = None
         self._opened = False
         self._open_ns = 0
-        table.listener = self
+        watcher.listener = self
         peers.others[words.MAGIC] = self._heard
 
     def begin(self, known: dict[str, Any]) -> None:
         """With the list of before the start, or none."""
         now = self.dispatcher.now_ns()
         self.readiness = Readiness(self.settings, now)
-        self.table.begin(known, hold=True)
+        self.watcher.begin(known, hold=True)
         has = bool(known.get("endpoints"))
         if has:
             self.lists.known(now, int(known["index"]), list(known["endpoints"]))
@@ -71,19 +71,20 @@
         if not self._opened:
             self._opened = True
             if soon:
-                self.table.open_soon()
+                self.watcher.open_soon()
             else:
-                self.table.open(None)
+                self.watcher.open()
 
-    def told(self, version: int, entries: list[dict[str, Any]], whole: bool) -> None:
-        """Discovery's own word."""
+    def list_received(self, version: int, endpoints: list[dict[str, Any]], *, complete: bool) -> None:
+        """Discovery's own list, or a change of it."""
         now = self.dispatcher.now_ns()
-        self.lists.told_by_discovery(now, version, entries, whole)
+        self.lists.told_by_discovery(now, version, endpoints, complete)
         self.readiness.has(Right.TOLD)
         self._say()
         self._send()
 
-    def alive(self) -> None:
+    def watch_alive(self) -> None:
+        """Discovery has sent something, be it that nothing has changed."""
         self.lists.alive(self.dispatcher.now_ns())
 
     def _heard(self, sender: int, data: bytes) -> object | None:
@@ -101,12 +102,12 @@
     def _take(self) -> None:
         """A list of peers' that is whole. Only where it is younger than the one that is here."""
         found = self.lists.take_found()
-        if found is None or self.table.told:
+        if found is None or self.watcher.has_received:
             return
         if self.lists.book.rank == KNOWN and found.version < self.lists.book.version:
             return
         sure = found.right is Right.AGREED
-        if self.table.take_told(found.version, found.entries, sure):
+        if self.watcher.take_peers_list(found.version, found.entries, agreed=sure):
             self.dispatcher.log.line(
                 f"list of {len(found.entries)} backend servers, version {found.version}, "
                 f"{found.right.value}, confirmed {found.age_ns // 1_000_000} ms ago"
--- a/zincstile/scale/capacity_answers.py
+++ b/zincstile/scale/capacity_answers.py
@@ -138,7 +138,7 @@
             f"{changes:.3f} a second × {change} bytes",
             Unit.BYTES_PER_S,
             exact(changes * change),
-            "net/endpoint_table.Watch",
+            "net/discovery/watch.Watch",
             topology.budgets.control_bytes_per_s,
         ),
         missing(
--- a/zincstile/scale/capacity_gateway.py
+++ b/zincstile/scale/capacity_gateway.py
@@ -28,7 +28,7 @@
 MINUTE_S: Final = 60
 WATCH_LINE_S: Final = 2.0  # discovery's empty lines come so often
 TICK_S: Final = policy.TICK_NS / policy.SECOND
-WATCH: Final = "net/endpoint_table.Watch"
+WATCH: Final = "net/discovery/watch.Watch"
 FOLLOW: Final = "decisions/state.Memory.follow_list, net/backends/pool.ConnectionPool.update"
 
 
@@ -45,7 +45,7 @@
             (
                 "endpoint table",
                 Dimension.BACKENDS,
-                "decisions/state.Server, net/endpoint_table.EndpointTable, net/backends/pool.ConnectionPool",
+                "decisions/state.Server, net/discovery/table.EndpointTable, net/backends/pool.ConnectionPool",
             ),
             ("peers", Dimension.GATEWAYS, "net/peers.Peers"),
             ("tenants", Dimension.TENANTS, "decisions/state.Customer"),
@@ -149,14 +149,14 @@
             "configuration changes, a whole list each",
             reloads,
             whole,
-            "net/endpoint_table.EndpointTable.move",
+            "net/discovery/watcher.EndpointWatcher.move",
         ),
         _flow_row("empty lines of the watch", 1 / WATCH_LINE_S, capacity_messages.WATCH_LINE_BYTES, WATCH),
     ]
     budget = topology.budgets.control_bytes_per_s
     return [
         *parts,
-        summed("**in all**", "", parts, "net/peers.Peers, net/endpoint_table.Watch", budget),
+        summed("**in all**", "", parts, "net/peers.Peers, net/discovery/watch.Watch", budget),
         Row(
             "all words that a gateway takes",
             f"{capacity_load.PEER_IN_PER_S:g} × {Limits().datagram_bytes} bytes, in alone",
--- a/zincstile/scale/capacity_moments.py
+++ b/zincstile/scale/capacity_moments.py
@@ -178,7 +178,7 @@
             f"{started:,} × {whole:,} bytes within {READY_S:g} s",
             Unit.BYTES_PER_S,
             exact(started * whole / READY_S),
-            "net/endpoint_table.EndpointTable",
+            "net/discovery/table.EndpointTable",
         ),
         Row(
             "one list from peers",
--- a/zincstile/simulation/mutants.py
+++ b/zincstile/simulation/mutants.py
@@ -16,11 +16,13 @@
 from ..decisions.policy import Policy
 from ..decisions.settings import Idempotency
 from ..decisions.state import Memory
-from ..net import deadlines, dispatcher, endpoint_table, lifecycle, resp, shutdown
+from ..net import deadlines, dispatcher, lifecycle, resp, shutdown
 from ..net.backends import attempts
 from ..net.backends.connection import BackendConnection
 from ..net.backends.pool import ConnectionPool
 from ..net.clients import call_reader, connection, listener
+from ..net.discovery.reader import ENDPOINT_STATES
+from ..net.discovery.watch import Watch
 from ..net.invariants import InvariantGuard
 from . import plan
 from .world import Run
@@ -67,14 +69,14 @@
 
 def _drain_unseen() -> Undo:
     """A box that drains is taken for one that is ready."""
-    old = endpoint_table.MODES["Terminating"]
-    endpoint_table.MODES["Terminating"] = EndpointState.READY
-    return lambda: endpoint_table.MODES.__setitem__("Terminating", old)
+    old = ENDPOINT_STATES["Terminating"]
+    ENDPOINT_STATES["Terminating"] = EndpointState.READY
+    return lambda: ENDPOINT_STATES.__setitem__("Terminating", old)
 
 
 def _watch_trusted() -> Undo:
     """A watch that fell silent is never opened anew."""
-    return _swap(endpoint_table.Watch, "_await", lambda self, _: None)
+    return _swap(Watch, "_check_silence", lambda self, _: None)
 
 
 def _two_answers() -> Undo:
--- a/zincstile/simulation/world.py
+++ b/zincstile/simulation/world.py
@@ -504,7 +504,7 @@
                         for e in seat.process.endpoints
                         if e.local[1] != 6379
                     ),
-                    "tasks": max(0, len(tasks) - 1 - (gateway.table._watch is None)),
+                    "tasks": max(0, len(tasks) - 1 - (gateway.watcher.current is None)),
                     "beats missed": int(self.scheduler.now_ns - module.tick_ns > BEAT_NS),
                     "deadlines": max(0, len(gateway.dispatcher.deadlines) - 40),
                 },
