--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -16,9 +16,16 @@
 
 from zincstile.decisions.quota_bounds import Quota
 from zincstile.leases import codec
-from zincstile.leases.bound import bounds, gossip, holders, opening, refused, turn_most
-from zincstile.leases.concurrency_budget import Levels, LevelWord
-from zincstile.leases.failure_detector import EVERY, Evidence, Judges
+from zincstile.leases.bound import (
+    batch_limit_units,
+    bounds,
+    gossip_bound,
+    holder_count,
+    initial_fill_ratio,
+    violation,
+)
+from zincstile.leases.concurrency_budget import ConcurrencyBudget, ConcurrencyReport
+from zincstile.leases.failure_detector import ALL_CLASSES, FailureDetector, Suspicion
 from zincstile.leases.lease_messages import LeaseGrant, LeaseRelease, LeaseRequest
 from zincstile.leases.module import SharedPolicy
 from zincstile.leases.rendezvous import choose_holders
@@ -81,22 +88,24 @@
 def test_each_deliberate_fault_is_named_and_nothing_where_there_is_none():
     found = dict(mutants_shared.try_all(tuple(mutants_shared.MUTANTS), 8))
     assert not [name for name, said in found.items() if not said]
-    assert mutants_shared.by_judging(7) == mutants_shared.by_levels(7) == ""
+    assert mutants_shared.by_suspicions(7) == mutants_shared.by_concurrency_budget(7) == ""
 
 
 @pytest.mark.parametrize("quota", BRIEF, ids=lambda q: f"{q.name}-{q.rate:g}-{q.burst:g}-{q.spread}")
 def test_every_plan_of_the_brief_is_held_within_five_percent_of_a_minute(quota):
     found = {b.failure: b for b in bounds(quota, SET)}
-    assert refused(quota, SET) is None and set(found) == set(FAILURES)
+    assert violation(quota, SET) is None and set(found) == set(FAILURES)
     assert found["cut"].units == found["none"].units == pytest.approx(quota.rate * 0.2)
     assert all(found[f].share <= 0.05 + 1e-9 for f in SET.endured)
-    assert turn_most(quota, SET) + quota.burst / holders(quota, SET) >= 5.0  # nearly the largest request
-    assert 0.3 < opening(quota, SET) <= 1.0 and gossip(quota, 2, 10.0).share > 0.08
+    assert (
+        batch_limit_units(quota, SET) + quota.burst / holder_count(quota, SET) >= 5.0
+    )  # nearly the largest request
+    assert 0.3 < initial_fill_ratio(quota, SET) <= 1.0 and gossip_bound(quota, 2, 10.0).share > 0.08
 
 
 def test_a_file_that_asks_for_too_much_is_refused_with_the_term_that_dominates():
     tight = SharedSettings(flight_ns=5 * SECOND)
-    assert "most of it by flight" in refused(BRIEF[0], tight)
+    assert "most of it by flight" in violation(BRIEF[0], tight)
     for name, value in (
         ("gap_ns", MS),
         ("life_ns", MS),
@@ -128,14 +137,14 @@
     SlotRequest(1, 2**40, 2, 3, 1, 5),
     SlotGrant(1, 7, 8, True, 9),
     SlotRelease(1, 7, 8, 9),
-    Evidence(65535, EVERY, 1.0, 199, 4, 30 * MS),
-    LevelWord(9, 5, 6, 2.5, 8.0, 0),
+    Suspicion(65535, ALL_CLASSES, 1.0, 199, 4, 30 * MS),
+    ConcurrencyReport(9, 5, 6, 2.5, 8.0, 0),
 ]
 
 
 def test_words_survive_the_way_and_damage_does_not():
     found = [codec.unpack(d) for d in codec.pack(5, WORDS * 9)]
-    assert all(len(d) <= codec.LARGEST for d in codec.pack(5, WORDS * 9)) and len(found) > 3
+    assert all(len(d) <= codec.MAX_DATAGRAM_BYTES for d in codec.pack(5, WORDS * 9)) and len(found) > 3
     read = [w for process, some in found for w in some]
     sent = [replace(w, recipient=-1) if hasattr(w, "recipient") else w for w in WORDS]
     assert read == sent * 9 and found[0][0] == 5
@@ -153,21 +162,21 @@
 
 
 def test_a_gateway_that_is_cut_off_from_the_back_end_knows_it_and_accuses_nobody():
-    judge, now = Judges(SET, 0, 0), 10 * SECOND
+    detector, now = FailureDetector(SET, 0, 0), 10 * SECOND
     for server in range(1, 7):
         for _ in range(3):
-            judge.sampled(now, server, EVERY, 1.0, 0.8, dead=True)
-    judge.look(now, range(1, 7))
-    assert not judge.trouble and judge.tell(now)  # with nobody else heard, who knows
-    judge.hear(now, 3, 1)
-    judge.look(now, range(1, 7))
-    assert judge.trouble and not judge.tell(now)
+            detector.record_attempt(now, server, ALL_CLASSES, 1.0, 0.8, unreachable=True)
+    detector.tick(now, range(1, 7))
+    assert not detector.isolated and detector.suspicions_to_send(now)  # with nobody else heard, who knows
+    detector.record_observer(now, 3, 1)
+    detector.tick(now, range(1, 7))
+    assert detector.isolated and not detector.suspicions_to_send(now)
     for peer, zone in ((3, 1), (4, 2)):  # others in two zones see it as well: it is no trouble of its own
         for server in range(1, 7):
-            judge.merge(now, Evidence(server, EVERY, 1.0, peer, zone, 0))
-            judge.hear(now, peer, zone)
-    judge.look(now, range(1, 7))
-    assert not judge.trouble
+            detector.merge(now, Suspicion(server, ALL_CLASSES, 1.0, peer, zone, 0))
+            detector.record_observer(now, peer, zone)
+    detector.tick(now, range(1, 7))
+    assert not detector.isolated
 
 
 @pytest.mark.parametrize("seed", range(12))
@@ -227,17 +236,17 @@
 
 
 def test_parts_of_the_silent_are_taken_over_by_steps_and_given_back_at_once():
-    one, now = Levels(0, 10, 1, 40.0), SECOND
+    one, now = ConcurrencyBudget(0, 10, 1, 40.0), SECOND
     factors = {}
     for step in range(120):
         now += 100 * MS
         heard = range(1, 10) if step < 30 or step >= 90 else range(1, 3)
         for k in heard:
-            one.merge(now, LevelWord(k, 5, step, 1.0, 1.0, 0))
-        factors[step] = one.look(now)
+            one.merge(now, ConcurrencyReport(k, 5, step, 1.0, 1.0, 0))
+        factors[step] = one.tick(now)
     assert factors[29] == 1.0 and factors[45] == 1.0  # not before its silence is over
     assert factors[60] == pytest.approx(10 / 3) and factors[90] == 1.0
-    assert one.look(now + 3 * SECOND) == 1.0  # who was asleep begins with its own part
+    assert one.tick(now + 3 * SECOND) == 1.0  # who was asleep begins with its own part
 
 
 def test_the_module_begins_with_its_bound_stated_and_loads_by_a_file(tmp_path):
--- a/zincstile/cli/bound.py
+++ b/zincstile/cli/bound.py
@@ -7,7 +7,8 @@
 from rich.table import Table
 
 from ..decisions.quota_bounds import Bound, Quota
-from ..leases import bound as by_loans
+from ..leases import bound as by_leases
+from ..leases.concurrency_budget import MAX_FACTOR
 from ..net import features
 from ..quota_service.overshoot_bound import max_carry_units, max_lease_units, overshoot_bounds
 from ..serialization.typed_yaml import FileError
@@ -47,18 +48,18 @@
             most_overshoot = settings.most_overshoot
             for quota in quotas:
                 more = (
-                    f"{by_loans.holders(quota, settings)} hold a part, a start opens with "
-                    f"{100 * by_loans.opening(quota, settings):.0f}% of it, "
-                    f"{by_loans.turn_most(quota, settings):.1f} borrowed units a turn"
+                    f"{by_leases.holder_count(quota, settings)} hold a part, a start opens with "
+                    f"{100 * by_leases.initial_fill_ratio(quota, settings):.0f}% of it, "
+                    f"{by_leases.batch_limit_units(quota, settings):.1f} borrowed units a turn"
                 )
                 _shown(
                     console,
                     _title(quota, more),
-                    [*by_loans.bounds(quota, settings), by_loans.gossip(quota, WAYS, CUT_S)],
+                    [*by_leases.bounds(quota, settings), by_leases.gossip_bound(quota, WAYS, CUT_S)],
                 )
             console.print(
                 f"budget: {settings.most_out:g} units out for each ready server by all gateways "
-                f"together, {by_loans.MOST_FACTOR * settings.most_out:g} at most while parts of "
+                f"together, {MAX_FACTOR * settings.most_out:g} at most while parts of "
                 "silent ones are taken over"
             )
             features.check_shared(file, settings, quotas)
--- a/zincstile/leases/bound.py
+++ b/zincstile/leases/bound.py
@@ -1,97 +1,114 @@
-"""How far all gateways together can pass a quota, whatever one failure does: derived in docs/shared.md.
+"""How far all gateways together can exceed a quota under each failure: derived in docs/shared.md.
 
-Every part of a quota has one owner at any time, and what is lent leaves the lender's store before the
-borrower has it: the stores and the leases in hand never hold more than the burst together, whoever hears
-whom. What remains is not who may send, but when it is sent, and what a start can't know.
+Every part of a quota has one owner at any time, and what is lent leaves the lessor's token bucket before the
+lessee has it: token buckets and leases never hold more than the burst together, under any partition. What
+remains is not who may send, but when it is sent, and what a process that starts can't know.
 """
 
 from __future__ import annotations
 
+from typing import Final
+
 from ..decisions.quota_bounds import Bound, Quota, first_refusal
-from .concurrency_budget import MOST_FACTOR as MOST_FACTOR
 from .settings import FAILURES, SECOND, SharedSettings
 
 
-def holders(quota: Quota, settings: SharedSettings) -> int:
-    """Gateways of a set that hold a part of the quota. A part too small for one request helps nobody, so that
-    a wide set has fewer; the others borrow."""
-    fits = int(quota.burst / quota.largest)
-    return max(1, min(quota.spread, max(settings.holders, fits)))
+def holder_count(quota: Quota, settings: SharedSettings) -> int:
+    """Returns how many gateways of a customer's set hold a part of the quota; the others lease units.
+
+    A part too small for one request is of no use, so that a wide set has fewer holders than gateways.
+    """
+    max_parts = int(quota.burst / quota.largest)
+    return max(1, min(quota.spread, max(settings.holders, max_parts)))
 
 
-def _steady(quota: Quota, settings: SharedSettings) -> dict[str, float]:
-    """Terms of any loss, delay, double or cut, none included: what is decided leaves a little later."""
-    return {"flight": quota.rate * settings.flight_ns / SECOND}
+def _steady_terms(quota: Quota, settings: SharedSettings) -> dict[str, float]:
+    """Returns the terms of any loss, delay, duplication or partition, none included, in units."""
+    return {"flight": quota.rate * settings.flight_ns / SECOND}  # what is decided is sent a little later
 
 
-def _allowed(quota: Quota, settings: SharedSettings) -> float:
-    """Units beyond the steady terms that most_overshoot leaves, and the ceiling where there is one."""
-    most = min(settings.most_overshoot * quota.minute, quota.most)
-    return max(0.0, most - sum(_steady(quota, settings).values()))
+def _allowed_units(quota: Quota, settings: SharedSettings) -> float:
+    """Returns the units beyond the steady terms that `most_overshoot` and the ceiling leave."""
+    allowed_units = min(settings.most_overshoot * quota.minute, quota.most)
+    return max(0.0, allowed_units - sum(_steady_terms(quota, settings).values()))
 
 
-def opening(quota: Quota, settings: SharedSettings) -> float:
-    """Part of the burst that a gateway which starts and knows no past finds in its store: as much as a
-    restart of all may cost."""
+def initial_fill_ratio(quota: Quota, settings: SharedSettings) -> float:
+    """Returns the part of the burst with which a gateway starts that knows no past.
+
+    It is as much as a restart of all gateways may cost.
+    """
     if not quota.burst:
         return 0.0
-    return min(settings.opening, _allowed(quota, settings) / quota.burst)
+    return min(settings.opening, _allowed_units(quota, settings) / quota.burst)
 
 
-def asleep(quota: Quota, settings: SharedSettings) -> float:
-    """Units that stores fill by while their processes don't run, as long as that goes unnoticed."""
+def unnoticed_pause_units(quota: Quota, settings: SharedSettings) -> float:
+    """Returns the units by which token buckets fill while a pause of their processes goes unnoticed."""
     return quota.rate * settings.gap_ns / SECOND
 
 
-def turn_most(quota: Quota, settings: SharedSettings) -> float:
-    """Borrowed units that one gateway may decide on in one turn: if it is stopped before they are sent, their
-    lenders fill up again meanwhile."""
+def batch_limit_units(quota: Quota, settings: SharedSettings) -> float:
+    """Returns the leased units that one gateway may spend in one batch.
+
+    If it is paused before they are sent, their lessors fill up again meanwhile.
+    """
     if not settings.paused:
         return quota.burst
-    rest = _allowed(quota, settings) - asleep(quota, settings)
-    return max(0.0, min(quota.burst, rest / settings.paused))
+    rest_units = _allowed_units(quota, settings) - unnoticed_pause_units(quota, settings)
+    return max(0.0, min(quota.burst, rest_units / settings.paused))
 
 
 def bounds(quota: Quota, settings: SharedSettings) -> list[Bound]:
-    """One for each failure. `cut`: any words lost, late, doubled or in another order, in one direction or
-    both, for any time. `restart`: every gateway starts once within the time that a store takes to fill.
-    `all`: these one over the other."""
-    steady = _steady(quota, settings)
-    restart = {"restart": opening(quota, settings) * quota.burst}
-    lent = turn_most(quota, settings) if quota.spread > 1 else 0.0
-    paused = {"asleep": asleep(quota, settings), "in a turn": settings.paused * lent}
-    found = {
+    """Returns the bound under each failure, in the order of `FAILURES`.
+
+    `cut`: any messages lost, late, duplicated or out of order, in one direction or both, for any time.
+    `restart`: every gateway starts once within the time that a token bucket takes to fill. `paused`: gateways
+    are stopped and run on, as many at once as the settings say. `all`: these one over the other.
+    """
+    steady = _steady_terms(quota, settings)
+    restart = {"restart": initial_fill_ratio(quota, settings) * quota.burst}
+    leased_units = batch_limit_units(quota, settings) if quota.spread > 1 else 0.0
+    paused = {
+        "asleep": unnoticed_pause_units(quota, settings),
+        "in a turn": settings.paused * leased_units,
+    }
+    terms = {
         "none": steady,
         "cut": steady,
         "restart": steady | restart,
         "paused": steady | paused,
         "all": steady | restart | paused,
     }
-    return [Bound(name, found[name], quota.minute) for name in FAILURES]
+    return [Bound(failure, terms[failure], quota.minute) for failure in FAILURES]
 
 
-def refused(quota: Quota, settings: SharedSettings) -> str | None:
-    """Why this quota can't be held as the settings ask; None where it can."""
+def violation(quota: Quota, settings: SharedSettings) -> str | None:
+    """Returns why this quota can't be held as the settings ask; None where it can."""
     return first_refusal(quota, bounds(quota, settings), settings.endured, settings.most_overshoot)
 
 
-# ---- the ordinary path's rule, beside it
+# ---- for comparison: quotas by gossip, the ordinary way
+
+GOSSIP_SILENCE_S: Final = 3.0  # without a message for so long, a peer counts as silent, as in the decisions
+GOSSIP_AGE_S: Final = 0.25  # of a message of use, at most, when no message is lost
+GOSSIP_INTERVAL_S: Final = 1.0  # between two messages of use
 
-SILENCE_S, LAG_S, BEAT_S = 3.0, 0.25, 1.0  # `policy`: unheard, age of words, beat
 
+def gossip_bound(quota: Quota, sides: int, cut_s: float) -> Bound:
+    """Returns how far quotas by gossip are exceeded while a set is cut into so many sides for so long.
 
-def gossip(quota: Quota, ways: int, cut_s: float) -> Bound:
-    """What the companion rule lets out beyond a quota while a set is cut into so many parts for so long. Each
-    part in which one peer is still heard goes on at the whole rate, so that there is no end to it; with
-    nobody heard, the even part holds after SILENCE_S."""
-    ways = min(ways, quota.spread)
-    pairs = min(ways, quota.spread // 2)  # sides with two gateways that hear each other: each the whole rate
-    parts = pairs + (min(ways, quota.spread - pairs) - pairs) / quota.spread  # and an even part each alone
-    alone = min(cut_s, SILENCE_S)
+    Each side in which one peer is still heard from goes on at the whole rate, so that there is no end to it;
+    a gateway alone keeps to its even part after GOSSIP_SILENCE_S.
+    """
+    sides = min(sides, quota.spread)
+    pairs = min(sides, quota.spread // 2)  # sides with two gateways, which each use the whole rate
+    used_rates = pairs + (min(sides, quota.spread - pairs) - pairs) / quota.spread  # the others an even part
+    unnoticed_s = min(cut_s, GOSSIP_SILENCE_S)
     terms = {
-        "lag": quota.rate * (LAG_S + BEAT_S),
-        "stores": (ways - 1) * quota.burst,
-        "unnoticed": (ways - 1) * quota.rate * alone,
-        "parted": max(0.0, parts - 1) * quota.rate * max(0.0, cut_s - alone),
+        "lag": quota.rate * (GOSSIP_AGE_S + GOSSIP_INTERVAL_S),
+        "stores": (sides - 1) * quota.burst,
+        "unnoticed": (sides - 1) * quota.rate * unnoticed_s,
+        "parted": max(0.0, used_rates - 1) * quota.rate * max(0.0, cut_s - unnoticed_s),
     }
-    return Bound(f"gossip, {ways} parts for {cut_s:g} s", terms, quota.minute)
+    return Bound(f"gossip, {sides} parts for {cut_s:g} s", terms, quota.minute)
--- a/zincstile/leases/codec.py
+++ b/zincstile/leases/codec.py
@@ -1,7 +1,8 @@
-"""How gateways tell each other of what they share: datagrams of 256 bytes at most. A codec, no I/O.
+"""The datagrams by which gateways share state: packs and unpacks messages, 256 bytes at most. No I/O.
 
-Each begins with a byte that no other message between gateways begins with, names the sender's process,
-and has a check. Units travel in whole parts of `lease_messages.UNIT_PARTS`.
+A datagram has a header (little endian: magic byte, sender's process, checksum, number of messages) and then
+the messages, each behind a byte for its kind. No other datagram between gateways begins with the magic byte.
+Units travel in whole parts, rounded down; ages in steps of 10 ms, rounded up.
 """
 
 from __future__ import annotations
@@ -9,185 +10,268 @@
 import struct
 import zlib
 from collections.abc import Callable, Iterable
+from typing import Any, Final, NamedTuple
 
-from .concurrency_budget import LevelWord
-from .failure_detector import Evidence
+from .concurrency_budget import ConcurrencyReport
+from .failure_detector import Suspicion
 from .lease_messages import UNIT_PARTS, LeaseGrant, LeaseRelease, LeaseRequest
 from .slot_messages import SlotGrant, SlotRelease, SlotRequest
 
-MAGIC, LARGEST = 0xBB, 256
-HEAD = struct.Struct("<BIHB")  # magic, process, check, number of words
-KIND = struct.Struct("<B")
-REQUEST = struct.Struct("<QBHHIIII")  # customer, plan, spread, first, mark, units, least, heard
-GRANT = struct.Struct("<QIIIIII")  # customer, mark, units, level, number, the borrower's process, gain
-RELEASE = struct.Struct("<QIII")  # customer, mark, left, the lender's process
-SLOT_REQUEST = struct.Struct("<QBHHI")  # customer, plan, spread, first, mark
-SLOT_GRANT = struct.Struct("<QIBI")  # customer, mark, given, the borrower's process
-SLOT_RELEASE = struct.Struct("<QII")  # customer, mark, the lender's process
-JUDGED = struct.Struct("<HBBBHH")  # server, group, how bad, zone, age in 10 ms, origin
-LEVEL = struct.Struct("<HIIIHH")  # origin, its life, number, units out in 1/16, age in 10 ms, wants in 1/16
-AGE_NS = 10_000_000
-MOST = 2**32 - 1
-
-AnyWord = (
-    LeaseRequest | LeaseGrant | LeaseRelease | SlotRequest | SlotGrant | SlotRelease | Evidence | LevelWord
+MAGIC: Final = 0xBB  # unlike that of any other datagram between gateways
+MAX_DATAGRAM_BYTES: Final = 256  # as for all datagrams between gateways
+MAX_MESSAGES: Final = 255  # in one datagram: the header counts them in a byte
+HEADER: Final = struct.Struct("<BIHB")  # magic, process, checksum, number of messages
+KIND: Final = struct.Struct("<B")
+AGE_STEP_NS: Final = 10_000_000  # 16 bits of it hold 655 s: longer than any age that matters
+MAX_AGE_STEPS: Final = 2**16 - 1
+MAX_UINT32: Final = 2**32 - 1
+MAX_UINT16: Final = 2**16 - 1
+ERROR_SCORE_PARTS: Final = 255  # an error score travels in a byte
+BUDGET_UNIT_PARTS: Final = 16  # units in flight travel in whole parts of 1/16: they only inform
+UNKNOWN_GATEWAY: Final = -1  # recipient of an unpacked message: a datagram does not name it
+
+SharedMessage = (
+    LeaseRequest
+    | LeaseGrant
+    | LeaseRelease
+    | SlotRequest
+    | SlotGrant
+    | SlotRelease
+    | Suspicion
+    | ConcurrencyReport
 )
 
 
-def _units(units: float) -> int:
-    return min(MOST, max(0, int(units * UNIT_PARTS)))
+class Datagram(NamedTuple):
+    """An unpacked datagram."""
 
+    process: int  # of the sender
+    messages: list[SharedMessage]
 
-def _aged(age_ns: int) -> int:
-    """Rounded up: an age is never told less than it is."""
-    return min(65535, -(-max(0, age_ns) // AGE_NS))
 
+class MessageFormat(NamedTuple):
+    """How one kind of message travels: its fields as numbers of a struct."""
 
-def _request(w: LeaseRequest) -> bytes:
-    return REQUEST.pack(
-        w.customer,
-        w.plan,
-        w.set_size,
-        w.first_gateway,
-        w.request_id,
-        _units(w.units),
-        _units(w.least_units),
-        w.last_answer % 2**32,
+    kind: int
+    layout: struct.Struct
+    to_numbers: Callable[[Any], tuple[int, ...]]  # of a message of this kind
+    from_numbers: Callable[..., SharedMessage]
+
+
+def _unit_parts(units: float) -> int:
+    return min(MAX_UINT32, max(0, int(units * UNIT_PARTS)))
+
+
+def _age_steps(age_ns: int) -> int:
+    """Returns an age rounded up: it is never said to be less than it is."""
+    return min(MAX_AGE_STEPS, -(-max(0, age_ns) // AGE_STEP_NS))
+
+
+# ---- one pair of functions for each kind of message
+
+
+def _lease_request_numbers(message: LeaseRequest) -> tuple[int, ...]:
+    return (
+        message.customer,
+        message.plan,
+        message.set_size,
+        message.first_gateway,
+        message.request_id,
+        _unit_parts(message.units),
+        _unit_parts(message.least_units),
+        message.last_answer % 2**32,
     )
 
 
-def _grant(w: LeaseGrant) -> bytes:
-    return GRANT.pack(
-        w.customer,
-        w.request_id,
-        _units(w.units),
-        _units(w.available_units),
-        w.answer_number % 2**32,
-        w.process,
-        _units(w.gain_per_s),
+def _lease_request(
+    customer: int,
+    plan: int,
+    set_size: int,
+    first_gateway: int,
+    request_id: int,
+    unit_parts: int,
+    least_unit_parts: int,
+    last_answer: int,
+) -> LeaseRequest:
+    return LeaseRequest(
+        UNKNOWN_GATEWAY,
+        customer,
+        plan,
+        set_size,
+        first_gateway,
+        request_id,
+        unit_parts / UNIT_PARTS,
+        least_unit_parts / UNIT_PARTS,
+        last_answer,
     )
 
 
-def _release(w: LeaseRelease) -> bytes:
-    return RELEASE.pack(w.customer, w.request_id, _units(w.unused_units), w.process)
+def _lease_grant_numbers(message: LeaseGrant) -> tuple[int, ...]:
+    return (
+        message.customer,
+        message.request_id,
+        _unit_parts(message.units),
+        _unit_parts(message.available_units),
+        message.answer_number % 2**32,
+        message.process,
+        _unit_parts(message.gain_per_s),
+    )
 
 
-def _slot_request(w: SlotRequest) -> bytes:
-    return SLOT_REQUEST.pack(w.customer, w.plan, w.set_size, w.first_gateway, w.request_id)
+def _lease_grant(
+    customer: int,
+    request_id: int,
+    unit_parts: int,
+    available_unit_parts: int,
+    answer_number: int,
+    process: int,
+    gain_parts: int,
+) -> LeaseGrant:
+    return LeaseGrant(
+        UNKNOWN_GATEWAY,
+        customer,
+        request_id,
+        unit_parts / UNIT_PARTS,
+        available_unit_parts / UNIT_PARTS,
+        answer_number,
+        process,
+        gain_parts / UNIT_PARTS,
+    )
 
 
-def _slot_grant(w: SlotGrant) -> bytes:
-    return SLOT_GRANT.pack(w.customer, w.request_id, w.granted, w.process)
+def _lease_release_numbers(message: LeaseRelease) -> tuple[int, ...]:
+    return message.customer, message.request_id, _unit_parts(message.unused_units), message.process
 
 
-def _slot_release(w: SlotRelease) -> bytes:
-    return SLOT_RELEASE.pack(w.customer, w.request_id, w.process)
+def _lease_release(customer: int, request_id: int, unused_unit_parts: int, process: int) -> LeaseRelease:
+    return LeaseRelease(UNKNOWN_GATEWAY, customer, request_id, unused_unit_parts / UNIT_PARTS, process)
 
 
-def _evidence(w: Evidence) -> bytes:
-    return JUDGED.pack(
-        w.server, w.group, int(255 * min(1.0, max(0.0, w.bad))), w.zone, _aged(w.age_ns), w.origin
+def _suspicion_numbers(message: Suspicion) -> tuple[int, ...]:
+    return (
+        message.endpoint,
+        message.group,
+        int(ERROR_SCORE_PARTS * min(1.0, max(0.0, message.error_score))),
+        message.zone,
+        _age_steps(message.age_ns),
+        message.origin,
     )
 
 
-def _level(w: LevelWord) -> bytes:
-    return LEVEL.pack(
-        w.origin,
-        w.life % 2**32,
-        w.number,
-        min(MOST, int(16 * w.out)),
-        _aged(w.age_ns),
-        min(65535, int(16 * w.wants)),
+def _suspicion(
+    endpoint: int, group: int, error_score_parts: int, zone: int, age_steps: int, origin: int
+) -> Suspicion:
+    error_score = error_score_parts / ERROR_SCORE_PARTS
+    return Suspicion(endpoint, group, error_score, origin, zone, age_steps * AGE_STEP_NS)
+
+
+def _report_numbers(message: ConcurrencyReport) -> tuple[int, ...]:
+    return (
+        message.origin,
+        message.incarnation % 2**32,
+        message.sequence,
+        min(MAX_UINT32, int(BUDGET_UNIT_PARTS * message.units_in_flight)),
+        _age_steps(message.age_ns),
+        min(MAX_UINT16, int(BUDGET_UNIT_PARTS * message.wanted_units)),
     )
 
 
-def _of(form: struct.Struct, make: Callable[..., AnyWord]) -> tuple[struct.Struct, Callable[..., AnyWord]]:
-    return form, make
+def _report(
+    origin: int, incarnation: int, sequence: int, in_flight_parts: int, age_steps: int, wanted_parts: int
+) -> ConcurrencyReport:
+    return ConcurrencyReport(
+        origin,
+        incarnation,
+        sequence,
+        in_flight_parts / BUDGET_UNIT_PARTS,
+        wanted_parts / BUDGET_UNIT_PARTS,
+        age_steps * AGE_STEP_NS,
+    )
 
 
-PACKED: dict[type, tuple[int, Callable[..., bytes]]] = {
-    LeaseRequest: (1, _request),
-    LeaseGrant: (2, _grant),
-    LeaseRelease: (3, _release),
-    Evidence: (4, _evidence),
-    LevelWord: (5, _level),
-    SlotRequest: (6, _slot_request),
-    SlotGrant: (7, _slot_grant),
-    SlotRelease: (8, _slot_release),
-}
-READ: dict[int, tuple[struct.Struct, Callable[..., AnyWord]]] = {
-    1: _of(
-        REQUEST,
-        lambda customer, plan, spread, first, mark, units, least, heard: LeaseRequest(
-            -1, customer, plan, spread, first, mark, units / UNIT_PARTS, least / UNIT_PARTS, heard
-        ),
-    ),
-    2: _of(
-        GRANT,
-        lambda customer, mark, units, level, number, process, gain: LeaseGrant(
-            -1, customer, mark, units / UNIT_PARTS, level / UNIT_PARTS, number, process, gain / UNIT_PARTS
-        ),
-    ),
-    3: _of(
-        RELEASE,
-        lambda customer, mark, left, process: LeaseRelease(-1, customer, mark, left / UNIT_PARTS, process),
-    ),
-    4: _of(
-        JUDGED,
-        lambda server, group, bad, zone, age, origin: Evidence(
-            server, group, bad / 255, origin, zone, age * AGE_NS
-        ),
-    ),
-    5: _of(
-        LEVEL,
-        lambda origin, life, number, out, age, wants: LevelWord(
-            origin, life, number, out / 16, wants / 16, age * AGE_NS
-        ),
-    ),
-    6: _of(
-        SLOT_REQUEST,
-        lambda customer, plan, spread, first, mark: SlotRequest(-1, customer, plan, spread, first, mark),
-    ),
-    7: _of(
-        SLOT_GRANT, lambda customer, mark, given, process: SlotGrant(-1, customer, mark, bool(given), process)
-    ),
-    8: _of(SLOT_RELEASE, lambda customer, mark, process: SlotRelease(-1, customer, mark, process)),
-}
+def _slot_request_numbers(message: SlotRequest) -> tuple[int, ...]:
+    return message.customer, message.plan, message.set_size, message.first_gateway, message.request_id
 
 
-def pack(process: int, words: Iterable[AnyWord]) -> list[bytes]:
-    """Datagrams that hold all of the words, in their order."""
-    made, body, count = [], b"", 0
-    for word in words:
-        kind, form = PACKED[type(word)]
-        data = KIND.pack(kind) + form(word)
-        if HEAD.size + len(body) + len(data) > LARGEST or count == 255:
-            made.append(_datagram(process, body, count))
-            body, count = b"", 0
-        body, count = body + data, count + 1
+def _slot_request(
+    customer: int, plan: int, set_size: int, first_gateway: int, request_id: int
+) -> SlotRequest:
+    return SlotRequest(UNKNOWN_GATEWAY, customer, plan, set_size, first_gateway, request_id)
+
+
+def _slot_grant_numbers(message: SlotGrant) -> tuple[int, ...]:
+    return message.customer, message.request_id, message.granted, message.process
+
+
+def _slot_grant(customer: int, request_id: int, granted: int, process: int) -> SlotGrant:
+    return SlotGrant(UNKNOWN_GATEWAY, customer, request_id, bool(granted), process)
+
+
+def _slot_release_numbers(message: SlotRelease) -> tuple[int, ...]:
+    return message.customer, message.request_id, message.process
+
+
+def _slot_release(customer: int, request_id: int, process: int) -> SlotRelease:
+    return SlotRelease(UNKNOWN_GATEWAY, customer, request_id, process)
+
+
+FORMATS: Final[dict[type, MessageFormat]] = {
+    LeaseRequest: MessageFormat(1, struct.Struct("<QBHHIIII"), _lease_request_numbers, _lease_request),
+    LeaseGrant: MessageFormat(2, struct.Struct("<QIIIIII"), _lease_grant_numbers, _lease_grant),
+    LeaseRelease: MessageFormat(3, struct.Struct("<QIII"), _lease_release_numbers, _lease_release),
+    Suspicion: MessageFormat(4, struct.Struct("<HBBBHH"), _suspicion_numbers, _suspicion),
+    ConcurrencyReport: MessageFormat(5, struct.Struct("<HIIIHH"), _report_numbers, _report),
+    SlotRequest: MessageFormat(6, struct.Struct("<QBHHI"), _slot_request_numbers, _slot_request),
+    SlotGrant: MessageFormat(7, struct.Struct("<QIBI"), _slot_grant_numbers, _slot_grant),
+    SlotRelease: MessageFormat(8, struct.Struct("<QII"), _slot_release_numbers, _slot_release),
+}
+FORMATS_BY_KIND: Final = {known.kind: known for known in FORMATS.values()}
+
+
+# ---- datagrams
+
+
+def pack(process: int, messages: Iterable[SharedMessage]) -> list[bytes]:
+    """Returns datagrams that hold all of the messages, in their order; `process` is the sender's."""
+    datagrams: list[bytes] = []
+    body = b""
+    count = 0
+    for message in messages:
+        known = FORMATS[type(message)]
+        data = KIND.pack(known.kind) + known.layout.pack(*known.to_numbers(message))
+        if HEADER.size + len(body) + len(data) > MAX_DATAGRAM_BYTES or count == MAX_MESSAGES:
+            datagrams.append(_datagram(process, body, count))
+            body = b""
+            count = 0
+        body += data
+        count += 1
     if count:
-        made.append(_datagram(process, body, count))
-    return made
+        datagrams.append(_datagram(process, body, count))
+    return datagrams
 
 
 def _datagram(process: int, body: bytes, count: int) -> bytes:
-    return HEAD.pack(MAGIC, process, zlib.crc32(body, process) & 0xFFFF, count) + body
+    return HEADER.pack(MAGIC, process, _checksum(process, body), count) + body
 
 
-def unpack(data: bytes) -> tuple[int, list[AnyWord]] | None:
-    """The sender's process and its words; None for what is damaged, or of another layout."""
-    if len(data) < HEAD.size or len(data) > LARGEST:
+def _checksum(process: int, body: bytes) -> int:
+    return zlib.crc32(body, process) & MAX_UINT16
+
+
+def unpack(data: bytes) -> Datagram | None:
+    """Returns the process and the messages; None for a datagram that is damaged or of another form."""
+    if not HEADER.size <= len(data) <= MAX_DATAGRAM_BYTES:
         return None
-    magic, process, check, count = HEAD.unpack_from(data)
-    body, at, words = data[HEAD.size :], 0, []
-    if magic != MAGIC or check != zlib.crc32(body, process) & 0xFFFF:
+    magic, process, checksum, count = HEADER.unpack_from(data)
+    body = data[HEADER.size :]
+    if magic != MAGIC or checksum != _checksum(process, body):
         return None
+    messages: list[SharedMessage] = []
+    position = 0
     for _ in range(count):
-        if at >= len(body) or body[at] not in READ:
-            return None
-        form, make = READ[body[at]]
-        if at + 1 + form.size > len(body):
+        known = FORMATS_BY_KIND.get(body[position]) if position < len(body) else None
+        if known is None or position + KIND.size + known.layout.size > len(body):
             return None
-        words.append(make(*form.unpack_from(body, at + 1)))
-        at += 1 + form.size
-    return (process, words) if at == len(body) else None
+        messages.append(known.from_numbers(*known.layout.unpack_from(body, position + KIND.size)))
+        position += KIND.size + known.layout.size
+    return Datagram(process, messages) if position == len(body) else None
--- a/zincstile/leases/concurrency_budget.py
+++ b/zincstile/leases/concurrency_budget.py
@@ -1,132 +1,156 @@
-"""Budgets: what all gateways together have out at the back end, with a stated most.
-
-Each gateway's part of the most is even. Where others are silent, those that are heard may take over
-their parts, up to a factor: the sum over any sides of a partition is then at most the factor times the
-most, since a side of `k` out of `n` gateways holds `k / n` of it, times at most the factor. So nobody
-has to know whether the silent ones are dead or cut off.
-
-Who is there is told by words that travel through all (each gateway tells some others what it knows),
-with origin, process and number: of one origin the newest number of its newest process holds, in any
-order and however often it comes. A part is taken over only once its owner is unheard for `silence`, by
-steps; it is given back at once. Who was asleep knows nothing of the others, and begins with its own
-part.
+"""Concurrency budget: a limit on the units that all gateways together have in flight at the back end.
+
+Each gateway's part of the limit is even. Where others are silent, the rest may take over their parts, up to a
+factor. The sum over all sides of a partition is then at most the factor times the limit: a side of `k` out of
+`n` gateways holds `k / n` of it, times at most the factor. So nobody has to know whether the silent gateways
+are dead or cut off.
+
+Which gateways are there is known by reports that are relayed: each gateway sends some others what it knows,
+with origin, incarnation and sequence number. Of one origin the last report of its last incarnation holds, in
+any order and however often it comes. A part is taken over only once there was no report of its owner for
+`silence_ns`, by steps; it is given back at once. A gateway that was suspended knows nothing of the others,
+and begins with its own part.
 """
 
 from __future__ import annotations
 
 import random
 from dataclasses import dataclass, field
+from typing import Final
 
 from .settings import MS, SECOND
 
-SILENCE_NS = 2 * SECOND  # unheard for so long: its part may be taken over
-SLOW_NS = 30 * MS  # and for so long for each gateway: words need the longer to come round
-STEP_S = 0.5  # in which the factor doubles at most
-ASLEEP_NS = 500 * MS  # a gap of this process from which it knows nothing of the others
-FAN = 3  # others that are told in one beat
-TOLD = 10  # gateways of which one message tells
-MOST_FACTOR = 3.4  # of parts that are taken over: three in ten gateways carry all
-FORGET_NS = 60 * SECOND
+MIN_SILENCE_NS: Final = 2 * SECOND  # without a report for so long, a part may be taken over: four rounds
+SILENCE_PER_GATEWAY_NS: Final = 30 * MS  # and for so long for each gateway: reports take longer to come round
+FACTOR_DOUBLING_S: Final = 0.5  # in which the factor doubles at most: the back end's latency shows meanwhile
+MAX_FACTOR: Final = 3.4  # on the own part: three in ten gateways carry all
+SUSPENDED_NS: Final = 500 * MS  # between two ticks, from which this process counts as suspended: five ticks
+FORGET_NS: Final = 60 * SECOND  # after which a report is dropped: its origin is long silent
+RECIPIENTS: Final = 3  # gateways that get a message in one round: all hear of it within a few rounds
+MAX_RELAYED_REPORTS: Final = 10  # in one message: they fit into one datagram with the own one
+AGE_STEPS: Final = 8  # of `silence_ns`, by which reports are ordered by age; within one the order is drawn
 
 
 @dataclass(slots=True)
-class LevelWord:
-    """A word: what a gateway has out and would have, in units, and how old that is."""
-
-    origin: int
-    life: int
-    number: int
-    out: float
-    wants: float
+class ConcurrencyReport:
+    """A message: the units that a gateway has in flight and would have, and how old that is."""
+
+    origin: int  # gateway
+    incarnation: int  # of its process
+    sequence: int
+    units_in_flight: float
+    wanted_units: float
     age_ns: int
 
 
 @dataclass(slots=True)
-class Known:
-    """Of another gateway."""
+class KnownReport:
+    """The last report of another gateway."""
 
-    life: int
-    number: int
-    out: float
-    wants: float
-    made_ns: int
+    incarnation: int
+    sequence: int
+    units_in_flight: float
+    wanted_units: float
+    made_ns: int  # by this gateway's clock
 
 
 @dataclass(slots=True)
-class Levels:
-    """Of one gateway among `gateways`; `most` is what all may have out for each ready server, in units."""
-
-    me: int
-    gateways: int
-    life: int  # of this process: a number that grows with each start, and past any that is still told of
-    most: float
-    known: dict[int, Known] = field(default_factory=dict)
-    factor: float = 1.0
-    number: int = 0
-    last_ns: int = -1
-    began_ns: int = -1
-    awake_ns: int = -1  # since when this process runs without a gap
+class ConcurrencyBudget:
+    """The part of one gateway among `gateway_count`."""
+
+    gateway: int  # this one
+    gateway_count: int
+    incarnation: int  # grows with each start of the process, and past any that is still reported
+    units_per_endpoint: float  # limit for all gateways together, for each ready endpoint
+    known: dict[int, KnownReport] = field(default_factory=dict)  # by gateway
+    factor: float = 1.0  # on the own part
+    sequence: int = 0  # of the last own report
+    last_tick_ns: int = -1
+    running_since_ns: int = -1  # without being suspended
 
     @property
     def silence_ns(self) -> int:
-        """A gateway that was not heard of for so long counts as silent."""
-        return max(SILENCE_NS, self.gateways * SLOW_NS)
-
-    def merge(self, now: int, word: LevelWord) -> bool:
-        """False where it says nothing new. A process that was followed by another never counts again, however
-        late its words come: lives only grow. Who hears of a later life of its own than the one it has (its
-        machine's clock began anew) goes past that."""
-        if not 0 <= word.origin < self.gateways or word.age_ns > FORGET_NS:
+        """A gateway without a report for so long counts as silent."""
+        return max(MIN_SILENCE_NS, self.gateway_count * SILENCE_PER_GATEWAY_NS)
+
+    def merge(self, now: int, report: ConcurrencyReport) -> bool:
+        """Takes a report; returns whether it is news.
+
+        A process that was followed by another never counts again, however late its reports come, as
+        incarnations only grow. A gateway that gets a report of a later incarnation of its own (its machine's
+        clock began anew) goes past that one.
+        """
+        if not 0 <= report.origin < self.gateway_count or report.age_ns > FORGET_NS:
             return False
-        if word.origin == self.me:
-            if (word.life, word.number) > (self.life, self.number):
-                self.life = word.life + 1
+        if report.origin == self.gateway:
+            if (report.incarnation, report.sequence) > (self.incarnation, self.sequence):
+                self.incarnation = report.incarnation + 1
             return False
-        known = self.known.get(word.origin)
-        if known is not None and (word.life, word.number) <= (known.life, known.number):
+        known = self.known.get(report.origin)
+        if known is not None and (report.incarnation, report.sequence) <= (known.incarnation, known.sequence):
             return False
-        self.known[word.origin] = Known(word.life, word.number, word.out, word.wants, now - word.age_ns)
+        self.known[report.origin] = KnownReport(
+            report.incarnation,
+            report.sequence,
+            report.units_in_flight,
+            report.wanted_units,
+            now - report.age_ns,
+        )
         return True
 
-    def alive(self, now: int) -> int:
-        """Gateways that were heard of lately, this one among them."""
-        return 1 + sum(now - k.made_ns < self.silence_ns for k in self.known.values())
-
-    def look(self, now: int) -> float:
-        """Once a beat: the factor on this gateway's part. It falls at once and rises by steps."""
-        if self.last_ns < 0 or now - self.last_ns > ASLEEP_NS:
-            self.awake_ns, self.factor = now, 1.0
-        span, self.last_ns = (now - self.last_ns) / SECOND if self.last_ns >= 0 else 0.0, now
-        for origin in [o for o, k in self.known.items() if now - k.made_ns > FORGET_NS]:
+    def live_gateways(self, now: int) -> int:
+        """Returns the number of gateways that are not silent, this one among them."""
+        return 1 + sum(now - report.made_ns < self.silence_ns for report in self.known.values())
+
+    def tick(self, now: int) -> float:
+        """Updates and returns the factor on this gateway's part; it falls at once and rises by steps."""
+        if self.last_tick_ns < 0 or now - self.last_tick_ns > SUSPENDED_NS:
+            self.running_since_ns = now
+            self.factor = 1.0
+        elapsed_s = (now - self.last_tick_ns) / SECOND if self.last_tick_ns >= 0 else 0.0
+        self.last_tick_ns = now
+        for origin in [key for key, report in self.known.items() if now - report.made_ns > FORGET_NS]:
             del self.known[origin]
-        wanted = min(MOST_FACTOR, self.gateways / self.alive(now))
-        if now - self.awake_ns < self.silence_ns:
-            wanted = 1.0
-        self.factor = min(wanted, self.factor * 2 ** (span / STEP_S))
+        wanted_factor = min(MAX_FACTOR, self.gateway_count / self.live_gateways(now))
+        if now - self.running_since_ns < self.silence_ns:
+            wanted_factor = 1.0
+        self.factor = min(wanted_factor, self.factor * 2 ** (elapsed_s / FACTOR_DOUBLING_S))
         return self.factor
 
-    def part(self, ready: float) -> float:
-        """Units that this gateway may have out, at most."""
-        return self.most * ready * self.factor / self.gateways
-
-    def stated(self, ready: float) -> float:
-        """Units that all gateways together have out at most, under any partition."""
-        return self.most * ready * min(MOST_FACTOR, self.gateways)
-
-    def tell(self, now: int, out: float, wants: float, rng: random.Random) -> list[LevelWord]:
-        """Of itself, and of some others, the youngest first."""
-        self.number += 1
-        own = LevelWord(self.me, self.life, self.number, out, wants, 0)
-        young = [
-            LevelWord(o, k.life, k.number, k.out, k.wants, now - k.made_ns)
-            for o, k in self.known.items()
-            if now - k.made_ns < self.silence_ns
+    def limit_units(self, ready: float) -> float:
+        """Returns the units that this gateway may have in flight, with so many ready endpoints."""
+        return self.units_per_endpoint * ready * self.factor / self.gateway_count
+
+    def total_limit_units(self, ready: float) -> float:
+        """Returns the units that all gateways together have in flight at most, under any partition."""
+        return self.units_per_endpoint * ready * min(MAX_FACTOR, self.gateway_count)
+
+    def reports_to_send(
+        self, now: int, units_in_flight: float, wanted_units: float, rng: random.Random
+    ) -> list[ConcurrencyReport]:
+        """Returns a new own report, and the youngest of others."""
+        self.sequence += 1
+        own = ConcurrencyReport(
+            self.gateway, self.incarnation, self.sequence, units_in_flight, wanted_units, age_ns=0
+        )
+        relayed = [
+            ConcurrencyReport(
+                origin,
+                report.incarnation,
+                report.sequence,
+                report.units_in_flight,
+                report.wanted_units,
+                now - report.made_ns,
+            )
+            for origin, report in self.known.items()
+            if now - report.made_ns < self.silence_ns
         ]
-        rng.shuffle(young)
-        young.sort(key=lambda w: w.age_ns // (self.silence_ns // 8))
-        return [own, *young[:TOLD]]
-
-    def partners(self, rng: random.Random) -> list[int]:
-        """Who is told this time: drawn anew each time, so that no part of the fleet is left out."""
-        others = [k for k in range(self.gateways) if k != self.me]
-        return rng.sample(others, min(FAN, len(others)))
+        rng.shuffle(relayed)
+        step_ns = self.silence_ns // AGE_STEPS
+        relayed.sort(key=lambda report: report.age_ns // step_ns)
+        return [own, *relayed[:MAX_RELAYED_REPORTS]]
+
+    def draw_recipients(self, rng: random.Random) -> list[int]:
+        """Returns the gateways that get this round's message, drawn anew each time."""
+        others = [gateway for gateway in range(self.gateway_count) if gateway != self.gateway]
+        return rng.sample(others, min(RECIPIENTS, len(others)))
--- a/zincstile/leases/failure_detector.py
+++ b/zincstile/leases/failure_detector.py
@@ -1,188 +1,252 @@
-"""Judgements on backend servers: evidence with origin and age in place of a sum of words.
-
-* Own samples go first: what was tried here lately is not overruled by anybody. * What was only told
-needs witnesses that do not fail together: so many zones have to say it. A zone that is cut off sees all
-others' servers dead, and all of its gateways say so. * Words alone never rule out more than a stated
-part of the servers, however many say it. * Evidence ends `told` after it was made, wherever it travels:
-its age goes with it, and only grows. * A gateway that sees most servers dead, while those it hears do
-not, knows that it is itself the trouble: it keeps that to itself, and goes on trying.
-
-Merging is commutative and idempotent: of one origin on one server and group, the youngest evidence holds.
+"""Failure detection of backend endpoints, by own attempts and by suspicions of other gateways.
+
+* Own attempts go first: no suspicion overrules an endpoint that was tried here lately.
+* A suspicion of others counts once observers in several zones share it. Gateways of one zone fail together: a
+  zone that is cut off takes all endpoints of the others for dead, and all of its gateways say so.
+* Suspicions of others never rule out more than a stated part of the endpoints, however many say it.
+* A suspicion ends `told_ns` after it was made, wherever it travels: its age goes with it, and only grows.
+* A gateway for which most endpoints are dead, while the gateways that reach it do not suspect them, takes
+  itself for isolated: it keeps its suspicions to itself, and goes on trying.
+
+Merging is commutative and idempotent: of one origin on one endpoint and group, the youngest suspicion holds.
+An error score is the share of attempts that failed lately, from 0 to 1.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
+from operator import attrgetter
+from typing import Final
 
 from .settings import SharedSettings
 
-BAD, GOOD = 0.3, 0.1  # an evidence accuses from here on; is none any more below
-OWN_NS = 3_000_000_000  # own samples count for so long
-ENOUGH = 2  # own samples by which what was told is left aside
-RELAYED, FAN = 6, 8  # evidences of others, and of one's own, in one message at most
-MOST_DEAD = 0.5  # a gateway that sees more of the servers it tried lately dead looks at itself
-EVERY = 255  # a group: all classes
+SUSPECT_ERROR_SCORE: Final = 0.3  # an endpoint is suspected from here: three in ten attempts failed
+MIN_ERROR_SCORE: Final = 0.1  # below, a suspicion of others is no news any more
+UNSUSPECTED_RATIO: Final = 0.9  # of SUSPECT_ERROR_SCORE, to which the suspicions too many are lowered
+OWN_SAMPLES_VALID_NS: Final = (
+    3_000_000_000  # own attempts count for so long: an endpoint may recover meanwhile
+)
+FORGET_SAMPLES_NS: Final = 10 * OWN_SAMPLES_VALID_NS  # without an attempt for so long, they are dropped
+MIN_OWN_SAMPLES: Final = 2  # own attempts by which suspicions of others are ignored: one may be chance
+MAX_RELAYED_SUSPICIONS: Final = 6  # in one message, of others: both kinds fit into one datagram
+MAX_OWN_SUSPICIONS: Final = 8  # in one message
+MAX_DEAD_RATIO: Final = (
+    0.5  # of the endpoints that were tried; with more of them dead a gateway may be isolated
+)
+MIN_TRIED_ENDPOINTS: Final = 3  # by which a gateway can tell whether it is isolated
+MAX_CLASSES: Final = 64  # request classes have smaller numbers as groups
+ALL_CLASSES: Final = 255  # the group of all request classes
 
 
 @dataclass(slots=True)
-class Evidence:
-    """A word: how bad attempts of a group went at a server (a hash of its name), by who tried."""
-
-    server: int
-    group: int
-    bad: float
-    origin: int
-    zone: int
+class Suspicion:
+    """A message: how attempts of a group at an endpoint failed, as seen by its origin."""
+
+    endpoint: int  # a hash of its name
+    group: int  # a request class, a pair of class and plan, or ALL_CLASSES
+    error_score: float
+    origin: int  # gateway
+    zone: int  # of the origin
     age_ns: int
 
 
 @dataclass(slots=True)
-class Told:
-    """Of one origin on one server and group."""
+class ReceivedSuspicion:
+    """The youngest suspicion of one origin on one endpoint and group."""
 
-    bad: float
-    zone: int
+    error_score: float
+    zone: int  # of the origin
     made_ns: int  # by this gateway's clock
 
 
 @dataclass(slots=True)
-class Own:
-    """This gateway's own samples of one server and group."""
+class OwnSamples:
+    """This gateway's own attempts of one group at one endpoint."""
 
-    bad: float = 0.0
-    at_ns: int = -(10**18)
-    samples: int = 0
-    dead: bool = False  # the last one found no connection, or no answer
+    error_score: float = 0.0  # moving average
+    last_ns: int = -(10**18)
+    count: int = 0  # without a gap of OWN_SAMPLES_VALID_NS
+    unreachable: bool = False  # the last one found no connection, or no answer
 
 
 @dataclass(slots=True)
-class Judges:
-    """What one gateway knows of all servers, by itself and by others."""
+class Observer:
+    """Another gateway that was heard from."""
 
-    settings: SharedSettings
-    me: int
     zone: int
-    own: dict[tuple[int, int], Own] = field(default_factory=dict)
-    told: dict[tuple[int, int], dict[int, Told]] = field(default_factory=dict)
-    heard: dict[int, tuple[int, int]] = field(default_factory=dict)  # gateway: its zone, when last heard
-    trouble: bool = False  # this gateway is cut off from the back end
+    last_ns: int
+
+
+@dataclass(slots=True)
+class FailureDetector:
+    """What one gateway knows of all endpoints, by itself and from others."""
+
+    settings: SharedSettings
+    gateway: int  # this one
+    zone: int  # of this one
+    own: dict[tuple[int, int], OwnSamples] = field(default_factory=dict)  # by endpoint and group
+    # by endpoint and group, then by origin
+    received: dict[tuple[int, int], dict[int, ReceivedSuspicion]] = field(default_factory=dict)
+    observers: dict[int, Observer] = field(default_factory=dict)  # by gateway
+    isolated: bool = False  # this gateway is cut off from the back end
 
     # ---- what is learnt
 
-    def sampled(
-        self, now: int, server: int, group: int, bad: float, weight: float, dead: bool = False
+    def record_attempt(
+        self,
+        now: int,
+        endpoint: int,
+        group: int,
+        error_score: float,
+        weight: float,
+        *,
+        unreachable: bool = False,
     ) -> None:
-        """An own attempt has ended, well or badly."""
-        found = self.own.setdefault((server, group), Own())
-        if now - found.at_ns > OWN_NS:
-            found.samples = 0
-        found.bad += weight * (bad - found.bad)
-        found.at_ns, found.samples, found.dead = now, found.samples + 1, dead
-
-    def hear(self, now: int, sender: int, zone: int) -> None:
-        """Another gateway was heard of, and in which zone it is."""
-        self.heard[sender] = zone, now
-
-    def merge(self, now: int, word: Evidence) -> bool:
-        """Another's evidence; False where it says nothing new. Own evidence that comes back is nothing."""
-        made = now - word.age_ns
-        if word.origin == self.me or word.age_ns >= self.settings.told_ns:
+        """Records an own attempt that has ended; `weight` is its part of the moving average."""
+        samples = self.own.setdefault((endpoint, group), OwnSamples())
+        if now - samples.last_ns > OWN_SAMPLES_VALID_NS:
+            samples.count = 0
+        samples.error_score += weight * (error_score - samples.error_score)
+        samples.last_ns = now
+        samples.count += 1
+        samples.unreachable = unreachable
+
+    def record_observer(self, now: int, gateway: int, zone: int) -> None:
+        """Records that another gateway was heard from, and its zone."""
+        self.observers[gateway] = Observer(zone, now)
+
+    def merge(self, now: int, suspicion: Suspicion) -> bool:
+        """Takes a suspicion of another gateway; returns whether it is news, as an own one never is."""
+        if suspicion.origin == self.gateway or suspicion.age_ns >= self.settings.told_ns:
             return False
-        by = self.told.setdefault((word.server, word.group), {})
-        known = by.get(word.origin)
-        if known is not None and known.made_ns >= made:
+        made_ns = now - suspicion.age_ns
+        by_origin = self.received.setdefault((suspicion.endpoint, suspicion.group), {})
+        known = by_origin.get(suspicion.origin)
+        if known is not None and known.made_ns >= made_ns:
             return False
-        by[word.origin] = Told(word.bad, word.zone, made)
+        by_origin[suspicion.origin] = ReceivedSuspicion(suspicion.error_score, suspicion.zone, made_ns)
         return True
 
-    # ---- what it comes to
+    # ---- what follows from it
 
-    def needed(self, now: int) -> int:
-        """Zones that have to agree: never more than there are others to be heard, and at least one."""
-        zones = {zone for zone, at in self.heard.values() if now - at < self.settings.told_ns}
+    def zones_needed(self, now: int) -> int:
+        """Returns the zones that have to share a suspicion: no more than are heard from, and at least one."""
+        zones = {
+            observer.zone
+            for observer in self.observers.values()
+            if now - observer.last_ns < self.settings.told_ns
+        }
         return max(1, min(self.settings.witnesses, len(zones | {self.zone})))
 
-    def word(self, now: int, server: int, group: int) -> float:
-        """How bad a server is by what was told alone, 0 to 1: what the last of the zones needed says at
-        least, less the older it is."""
-        by = self.told.get((server, group))
-        if not by:
+    def received_error_score(self, now: int, endpoint: int, group: int) -> float:
+        """Returns the error score by suspicions of others alone, from 0 to 1.
+
+        It is what the last of the zones that are needed says at least; it falls with the suspicions' age.
+        """
+        by_origin = self.received.get((endpoint, group))
+        if not by_origin:
             return 0.0
-        zones: dict[int, float] = {}
-        for told in by.values():
-            left = 1 - (now - told.made_ns) / self.settings.told_ns
-            if left > 0:
-                zones[told.zone] = max(zones.get(told.zone, 0.0), told.bad * left)
-        needed = self.needed(now)
-        if len(zones) < needed:
+        scores: dict[int, float] = {}  # by zone, the highest
+        for suspicion in by_origin.values():
+            rest_ratio = 1 - (now - suspicion.made_ns) / self.settings.told_ns
+            if rest_ratio > 0:
+                score = suspicion.error_score * rest_ratio
+                scores[suspicion.zone] = max(scores.get(suspicion.zone, 0.0), score)
+        needed = self.zones_needed(now)
+        if len(scores) < needed:
             return 0.0
-        return sorted(zones.values(), reverse=True)[needed - 1]
-
-    def lately(self, now: int, server: int, group: int) -> Own | None:
-        """Own samples that are worth more than words; None where there are too few."""
-        found = self.own.get((server, group))
-        return found if found and found.samples >= ENOUGH and now - found.at_ns < OWN_NS else None
-
-    def doubts(self, now: int, servers: Iterable[int], groups: Iterable[int]) -> dict[int, dict[int, float]]:
-        """By words alone: for each server and group, how bad it is where own samples don't say. No more
-        servers than `least_good` leaves are accused by it: the worst ones."""
-        chosen = list(servers)
+        return sorted(scores.values(), reverse=True)[needed - 1]
+
+    def recent_samples(self, now: int, endpoint: int, group: int) -> OwnSamples | None:
+        """Returns own attempts that go before suspicions of others; None where there are too few."""
+        samples = self.own.get((endpoint, group))
+        if samples is None or samples.count < MIN_OWN_SAMPLES:
+            return None
+        return samples if now - samples.last_ns < OWN_SAMPLES_VALID_NS else None
+
+    def suspected(
+        self, now: int, endpoints: Iterable[int], groups: Iterable[int]
+    ) -> dict[int, dict[int, float]]:
+        """Returns error scores by endpoint and group where suspicions of others count, as own attempts lack.
+
+        Of the endpoints, at most the part that `least_good` leaves is suspected by it: the worst ones.
+        """
+        chosen = list(endpoints)
         found: dict[int, dict[int, float]] = {}
-        for server, group in self.told:
-            if group in groups and self.lately(now, server, group) is None:
-                bad = self.word(now, server, group)
-                if bad >= GOOD:
-                    found.setdefault(server, {})[group] = bad
-        found = {s: found[s] for s in chosen if s in found}
-        accused = sorted(
-            (s for s, by in found.items() if max(by.values()) >= BAD), key=lambda s: -max(found[s].values())
-        )
-        most = int((1 - self.settings.least_good) * len(chosen))
-        for server in accused[most:]:
-            found[server] = {g: min(bad, BAD * 0.9) for g, bad in found[server].items()}
+        for endpoint, group in self.received:
+            if group in groups and self.recent_samples(now, endpoint, group) is None:
+                score = self.received_error_score(now, endpoint, group)
+                if score >= MIN_ERROR_SCORE:
+                    found.setdefault(endpoint, {})[group] = score
+        found = {endpoint: found[endpoint] for endpoint in chosen if endpoint in found}
+        worst = {endpoint: max(by_group.values()) for endpoint, by_group in found.items()}
+        suspects = [endpoint for endpoint in found if worst[endpoint] >= SUSPECT_ERROR_SCORE]
+        suspects.sort(key=lambda endpoint: -worst[endpoint])
+        max_suspects = int((1 - self.settings.least_good) * len(chosen))
+        highest_score = SUSPECT_ERROR_SCORE * UNSUSPECTED_RATIO
+        for endpoint in suspects[max_suspects:]:
+            found[endpoint] = {group: min(score, highest_score) for group, score in found[endpoint].items()}
         return found
 
-    def look(self, now: int, servers: Iterable[int]) -> None:
-        """Once a beat: what is too old goes; is this gateway itself the trouble?"""
-        limit = now - self.settings.told_ns
-        for key, by in list(self.told.items()):
-            for origin in [o for o, told in by.items() if told.made_ns <= limit]:
-                del by[origin]
-            if not by:
-                del self.told[key]
-        for key in [k for k, own in self.own.items() if now - own.at_ns > 10 * OWN_NS]:
+    # ---- time
+
+    def tick(self, now: int, endpoints: Iterable[int]) -> None:
+        """Drops what is too old, and decides whether this gateway is isolated."""
+        self._drop_old(now)
+        self.isolated = self._is_isolated(now, set(endpoints))
+
+    def _drop_old(self, now: int) -> None:
+        """Drops suspicions that have ended, and own attempts of long ago."""
+        ended_ns = now - self.settings.told_ns
+        for key, by_origin in list(self.received.items()):
+            for origin in [origin for origin, one in by_origin.items() if one.made_ns <= ended_ns]:
+                del by_origin[origin]
+            if not by_origin:
+                del self.received[key]
+        for key in [key for key, one in self.own.items() if now - one.last_ns > FORGET_SAMPLES_NS]:
             del self.own[key]
-        known = set(servers)
-        tried: dict[int, bool] = {}
-        for (server, _), own in self.own.items():
-            if server in known and now - own.at_ns < OWN_NS and own.samples >= ENOUGH:
-                tried[server] = tried.get(server, False) or own.dead and own.bad >= BAD
-        dead = [s for s, is_dead in tried.items() if is_dead]
-        others = any(now - at < self.settings.told_ns for _, at in self.heard.values())
-        agreed = sum(any(self.word(now, s, g) >= BAD for g in (*range(64), EVERY)) for s in dead)
-        self.trouble = (
-            len(tried) >= 3 and len(dead) > MOST_DEAD * len(tried) and others and agreed <= len(dead) / 2
-        )
-
-    def tell(self, now: int) -> list[Evidence]:
-        """What to say: own evidence that accuses, unless this gateway is itself the trouble, and the youngest
-        of the others'."""
-        own = (
-            [
-                Evidence(server, group, own.bad, self.me, self.zone, now - own.at_ns)
-                for (server, group), own in self.own.items()
-                if own.bad >= BAD and now - own.at_ns < self.settings.told_ns
-            ]
-            if not self.trouble
-            else []
-        )
-        others = [
-            Evidence(server, group, told.bad, origin, told.zone, now - told.made_ns)
-            for (server, group), by in self.told.items()
-            for origin, told in by.items()
-            if told.bad >= BAD
+
+    def _is_isolated(self, now: int, endpoints: set[int]) -> bool:
+        """Returns whether most endpoints are dead for this gateway alone, and others are there to say so."""
+        is_dead: dict[int, bool] = {}  # by endpoint that was tried lately
+        for (endpoint, _), samples in self.own.items():
+            is_recent = now - samples.last_ns < OWN_SAMPLES_VALID_NS
+            if endpoint in endpoints and is_recent and samples.count >= MIN_OWN_SAMPLES:
+                failed = samples.unreachable and samples.error_score >= SUSPECT_ERROR_SCORE
+                is_dead[endpoint] = is_dead.get(endpoint, False) or failed
+        dead = [endpoint for endpoint, failed in is_dead.items() if failed]
+        if len(is_dead) < MIN_TRIED_ENDPOINTS or len(dead) <= MAX_DEAD_RATIO * len(is_dead):
+            return False
+        valid_ns = self.settings.told_ns
+        if not any(now - observer.last_ns < valid_ns for observer in self.observers.values()):
+            return False
+        agreed = sum(self._is_suspected_by_others(now, endpoint) for endpoint in dead)
+        return agreed <= len(dead) / 2
+
+    def _is_suspected_by_others(self, now: int, endpoint: int) -> bool:
+        """Returns whether other gateways suspect an endpoint, in any class."""
+        groups = (*range(MAX_CLASSES), ALL_CLASSES)
+        return any(self.received_error_score(now, endpoint, group) >= SUSPECT_ERROR_SCORE for group in groups)
+
+    def suspicions_to_send(self, now: int) -> list[Suspicion]:
+        """Returns own suspicions, unless this gateway is isolated, and others'; the youngest of each."""
+        own = [] if self.isolated else self._own_suspicions(now)
+        relayed = [
+            Suspicion(endpoint, group, one.error_score, origin, one.zone, now - one.made_ns)
+            for (endpoint, group), by_origin in self.received.items()
+            for origin, one in by_origin.items()
+            if one.error_score >= SUSPECT_ERROR_SCORE
+        ]
+        own.sort(key=attrgetter("age_ns"))
+        relayed.sort(key=attrgetter("age_ns"))
+        return own[:MAX_OWN_SUSPICIONS] + relayed[:MAX_RELAYED_SUSPICIONS]
+
+    def _own_suspicions(self, now: int) -> list[Suspicion]:
+        """Returns suspicions by own attempts."""
+        valid_ns = self.settings.told_ns
+        return [
+            Suspicion(endpoint, group, one.error_score, self.gateway, self.zone, now - one.last_ns)
+            for (endpoint, group), one in self.own.items()
+            if one.error_score >= SUSPECT_ERROR_SCORE and now - one.last_ns < valid_ns
         ]
-        own.sort(key=lambda e: e.age_ns)
-        others.sort(key=lambda e: e.age_ns)
-        return own[:FAN] + others[:RELAYED]
--- a/zincstile/leases/lease_manager.py
+++ b/zincstile/leases/lease_manager.py
@@ -25,7 +25,7 @@
 import random
 
 from ..decisions.quota_bounds import Quota
-from .bound import holders, opening, turn_most
+from .bound import batch_limit_units, holder_count, initial_fill_ratio
 from .lease_messages import NEGLIGIBLE_UNITS, LeaseMessage
 from .lease_state import LeaseState
 from .lessee import Lessee
@@ -67,12 +67,12 @@
     ) -> QuotaAccount:
         """Makes an account whose token bucket is as if it had been there since the start of the process."""
         state = self.state
-        chosen = tuple(choose_holders(customer, gateways, holders(quota, self.settings)))
+        chosen = tuple(choose_holders(customer, gateways, holder_count(quota, self.settings)))
         part_ratio = 1 / len(chosen) if state.gateway in chosen else 0.0
         capacity_units = quota.burst * part_ratio
         rate_per_s = quota.rate * part_ratio
         running_ns = state.clock.observe(now)
-        initial_units = opening(quota, self.settings) * capacity_units
+        initial_units = initial_fill_ratio(quota, self.settings) * capacity_units
         account = QuotaAccount(
             customer=customer,
             plan=plan,
@@ -81,7 +81,7 @@
             holders=chosen,
             capacity_units=capacity_units,
             rate_per_s=rate_per_s,
-            batch_limit_units=turn_most(quota, self.settings),
+            batch_limit_units=batch_limit_units(quota, self.settings),
             own_units=min(capacity_units, initial_units + rate_per_s * running_ns / SECOND),
             filled_ns=running_ns,
             used_ns=now,
--- a/zincstile/leases/module.py
+++ b/zincstile/leases/module.py
@@ -1,9 +1,9 @@
 """The decision module with its shared state held within stated bounds.
 
-Quotas by parts and leases (`leases`), judgements on servers by witnesses (`judges`), and a stated most
-for what all gateways have out (`levels`), in place of the gossip's shares, its sum of words and the
-level's free rise. All else is `policy.Policy`'s: budget, draws, choice of server, attempts. The gossip
-goes on beside it, for ceilings and limits on attempts out.
+Quotas by parts and leases (`lease_manager`), suspicions of servers by observers (`failure_detector`), and a
+stated limit for what all gateways have out (`concurrency_budget`), in place of the gossip's shares, its sum
+of words and the level's free rise. All else is `policy.Policy`'s: budget, draws, choice of server, attempts.
+The gossip goes on beside it, for ceilings and limits on attempts out.
 """
 
 from __future__ import annotations
@@ -19,9 +19,9 @@
 from ..decisions.settings import CustomerPlan, Settings
 from ..decisions.state import Attempt, Customer, Live, Server
 from .bound import bounds
-from .codec import AnyWord
-from .concurrency_budget import Levels, LevelWord
-from .failure_detector import EVERY, Judges
+from .codec import SharedMessage
+from .concurrency_budget import ConcurrencyBudget, ConcurrencyReport
+from .failure_detector import ALL_CLASSES, FailureDetector
 from .lease_manager import LeaseManager
 from .lease_messages import LeaseGrant, LeaseRelease, LeaseRequest
 from .quota_account import QuotaAccount
@@ -43,7 +43,7 @@
 
     peer: int
     process: int
-    words: list[AnyWord]
+    words: list[SharedMessage]
 
 
 @dataclass(slots=True)
@@ -52,7 +52,7 @@
 
     sender: int
     process: int
-    words: list[AnyWord] = field(default_factory=list)
+    words: list[SharedMessage] = field(default_factory=list)
 
 
 class SharedPolicy(HeldPolicy):
@@ -67,9 +67,9 @@
         self.process = self.draws.getrandbits(32)
         self.quotas: dict[tuple[int, int], Quota] = {}  # by plan and spread
         self.covered = [self._covers(p) for p in settings.plans]
-        self.judges = Judges(shared, settings.me, settings.zone)
-        self.levels = Levels(settings.me, settings.gateways, 0, shared.most_out)
-        self.accused: dict[int, dict[int, float]] = {}  # server: how bad by words alone
+        self.failure_detector = FailureDetector(shared, settings.me, settings.zone)
+        self.concurrency_budget = ConcurrencyBudget(settings.me, settings.gateways, 0, shared.most_out)
+        self.suspected: dict[int, dict[int, float]] = {}  # server: how bad by words alone
         self.units_out = 0.0
         self.spread_ns = self.sweep_ns = 0
         self.again_ns = -1  # when asks are looked at, whether to send them again
@@ -82,7 +82,9 @@
     def on_started(self, now: int, event: Started) -> None:
         """Builds what needs the start time, and begins to look about."""
         self.leases = LeaseManager(self.shared, self.set.me, self.process, now, self.draws)
-        self.levels.life = now // LIFE_NS % 2**32  # a machine's clock goes on over its processes' starts
+        self.concurrency_budget.incarnation = (
+            now // LIFE_NS % 2**32
+        )  # a machine's clock goes on over its processes' starts
         super().on_started(now, event)
         self._look(now)
 
@@ -101,14 +103,18 @@
         """What goes by time, once a beat."""
         self.leases.tick(now)
         self.slots.tick(now)
-        self.tier = self.set.gateways / self.levels.look(now)
+        self.tier = self.set.gateways / self.concurrency_budget.tick(now)
         names = [s.name for s in self.ready]
-        self.judges.look(now, names)
-        self.accused = self.judges.doubts(now, names, range(EVERY + 1)) if self.judges.told else {}
-        for name in self.accused:
+        self.failure_detector.tick(now, names)
+        self.suspected = (
+            self.failure_detector.suspected(now, names, range(ALL_CLASSES + 1))
+            if self.failure_detector.received
+            else {}
+        )
+        for name in self.suspected:
             self.touch(self.named[name]).doubt.setdefault(0, MARK)
-        if self.judges.trouble is not self.said_trouble:
-            self.said_trouble = self.judges.trouble
+        if self.failure_detector.isolated is not self.said_trouble:
+            self.said_trouble = self.failure_detector.isolated
             self.acts.append(
                 LogMessage(
                     "shared this gateway is cut off from the back end"
@@ -122,8 +128,11 @@
         if now - self.spread_ns >= SPREAD_NS:
             self.spread_ns = now + self.draws.randrange(self.shared.beat_ns)
             wants = sum(x.arrivals for x in self.leaves)
-            words = [*self.judges.tell(now), *self.levels.tell(now, self.units_out, wants, self.draws)]
-            for peer in self.levels.partners(self.draws) if self.set.peers else ():
+            words = [
+                *self.failure_detector.suspicions_to_send(now),
+                *self.concurrency_budget.reports_to_send(now, self.units_out, wants, self.draws),
+            ]
+            for peer in self.concurrency_budget.draw_recipients(self.draws) if self.set.peers else ():
                 self.acts.append(SharedTell(peer, self.process, words))
         self._carry_on(now)
         self.timer(now + self.shared.beat_ns, LOOK)
@@ -149,12 +158,12 @@
                     again[account.customer] = None
             elif isinstance(word, LeaseRelease):
                 self.leases.lessor.on_release(now, event.sender, event.process, word)
-            elif isinstance(word, LevelWord):
-                self.levels.merge(now, word)
+            elif isinstance(word, ConcurrencyReport):
+                self.concurrency_budget.merge(now, word)
             else:
                 if word.origin == event.sender:
-                    self.judges.hear(now, event.sender, word.zone)
-                self.judges.merge(now, word)
+                    self.failure_detector.record_observer(now, event.sender, word.zone)
+                self.failure_detector.merge(now, word)
         self.try_held(now, [k for k in again if k in self.held])
         self._carry_on(now)
 
@@ -191,7 +200,7 @@
             if soonest is not None and not now < self.again_ns <= soonest:
                 self.again_ns = soonest
                 self.timer(soonest, AGAIN)
-        by: dict[int, list[AnyWord]] = {}
+        by: dict[int, list[SharedMessage]] = {}
         for word in (*self.leases.drain_messages(), *self.slots.drain_messages()):
             by.setdefault(word.recipient, []).append(word)
         if self.set.peers:
@@ -269,7 +278,7 @@
 
     def on_gossip_received(self, now: int, event: GossipReceived) -> None:
         """As the base module takes it, without suspicions, which come with their origin; levels are hints."""
-        event.doubts = []  # judgements come with their origin, by `Evidence`
+        event.doubts = []  # suspicions come with their origin, by `Suspicion`
         super().on_gossip_received(now, event)
         for s in event.shares:
             account = self.leases.accounts.get(s.customer)
@@ -303,14 +312,14 @@
     def _sample(self, now: int, a: Attempt, group: int, bad: float, weight: float) -> None:
         super()._sample(now, a, group, bad, weight)
         self.fresh.clear()  # told as evidence with its origin
-        dead = bad >= DEAD and (group == EVERY or group < len(self.set.classes))
-        self.judges.sampled(now, a.server.name, group, bad, weight, dead)
+        dead = bad >= DEAD and (group == ALL_CLASSES or group < len(self.set.classes))
+        self.failure_detector.record_attempt(now, a.server.name, group, bad, weight, unreachable=dead)
 
     def _doubted(self, s: Server, cls: int, plan: int) -> float:
-        own, told = super()._doubted(s, cls, plan), self.accused.get(s.name)
+        own, told = super()._doubted(s, cls, plan), self.suspected.get(s.name)
         if told is None:
             return own
-        return max(own, *(told.get(g, 0.0) for g in (cls, self.set.pair(cls, plan), EVERY)))
+        return max(own, *(told.get(g, 0.0) for g in (cls, self.set.pair(cls, plan), ALL_CLASSES)))
 
     # ---- budgets
 
@@ -329,7 +338,7 @@
     def _choose(self, now: int, live: Live) -> Server | None:
         """No attempt beyond this gateway's part of what all may have out."""
         if self.units_out + live.ask.units > max(
-            self.levels.part(len(self.ready) * self.concentration), self.set.largest_units
+            self.concurrency_budget.limit_units(len(self.ready) * self.concentration), self.set.largest_units
         ):
             return None
         return super()._choose(now, live)
@@ -337,7 +346,7 @@
     def _follow(self, now: int, span: float, ticks: float) -> None:
         super()._follow(now, span, ticks)
         if self.level < math.inf:
-            self.level = min(self.level, self.levels.part(self.concentration))
+            self.level = min(self.level, self.concurrency_budget.limit_units(self.concentration))
 
     def sight(self) -> dict[str, float]:
         """The figures of the base module and those of the shared state."""
@@ -346,9 +355,9 @@
             super().sight()
             | more
             | {
-                "factor": round(self.levels.factor, 2),
-                "alive": self.levels.alive(self.tick_ns),
-                "accused": len(self.accused),
-                "trouble": int(self.judges.trouble),
+                "factor": round(self.concurrency_budget.factor, 2),
+                "alive": self.concurrency_budget.live_gateways(self.tick_ns),
+                "accused": len(self.suspected),
+                "trouble": int(self.failure_detector.isolated),
             }
         )
--- a/zincstile/net/bound_report.py
+++ b/zincstile/net/bound_report.py
@@ -7,6 +7,7 @@
 
 from ..decisions.quota_bounds import of_plan
 from ..leases import bound as lease_bounds
+from ..leases.concurrency_budget import MAX_FACTOR
 from ..quota_service.overshoot_bound import overshoot_bounds
 from .config import Config
 from .log import Log
@@ -33,6 +34,6 @@
     if config.shared:
         log.line(
             f"bound budget: {config.shared.most_out:g} units out for each ready server by all "
-            f"gateways, times {lease_bounds.MOST_FACTOR:g} at most where parts of silent ones are "
+            f"gateways, times {MAX_FACTOR:g} at most where parts of silent ones are "
             "taken over"
         )
--- a/zincstile/net/features.py
+++ b/zincstile/net/features.py
@@ -330,6 +330,6 @@
 
 def check_shared(path: str, settings: SharedSettings, quotas: list[Quota]) -> None:
     """FileError where a quota can't be held as the settings ask."""
-    from ..leases.bound import refused
+    from ..leases.bound import violation
 
-    _check(path, settings, quotas, refused)
+    _check(path, settings, quotas, violation)
--- a/zincstile/simulation/mutants_shared.py
+++ b/zincstile/simulation/mutants_shared.py
@@ -1,7 +1,8 @@
 """Deliberate faults of the shared state: each must be named by one of its checkers.
 
-Checkers are the search over small cases, worlds in which a part of the fleet hears nothing, and a trial of
-judgements in which one zone lies. A fault that none of them names is a hole in the checkers.
+Checkers are the search over small cases, worlds in which messages do not reach a part of the fleet, a trial
+of suspicions in which one zone lies, and a trial of the concurrency budget. A fault that none of them names
+is a hole in the checkers.
 """
 
 from __future__ import annotations
@@ -9,11 +10,10 @@
 import multiprocessing
 import random
 from collections.abc import Callable, Iterator
-from dataclasses import dataclass
+from dataclasses import dataclass, replace
 
-from ..leases import concurrency_budget, failure_detector
-from ..leases.concurrency_budget import Levels, LevelWord
-from ..leases.failure_detector import Evidence, Judges
+from ..leases.concurrency_budget import ConcurrencyBudget, ConcurrencyReport, KnownReport
+from ..leases.failure_detector import ALL_CLASSES, SUSPECT_ERROR_SCORE, FailureDetector, Suspicion
 from ..leases.lease_manager import LeaseManager
 from ..leases.lease_messages import LeaseRequest
 from ..leases.lease_records import PendingRequest
@@ -152,57 +152,66 @@
 
 
 def _no_witness() -> Undo:
-    """One zone's word is enough."""
-    return _swap(Judges, "needed", lambda self, now: 1)
+    """The suspicions of one zone are enough."""
+    return _swap(FailureDetector, "zones_needed", lambda self, now: 1)
 
 
 def _words_first() -> Undo:
-    """What was told goes before what was seen here."""
-    return _swap(Judges, "lately", lambda self, now, server, group: None)
+    """Suspicions of others go before own attempts."""
+    return _swap(FailureDetector, "recent_samples", lambda self, now, endpoint, group: None)
 
 
 def _no_end() -> Undo:
-    """Evidence does not age."""
-    old = Judges.merge
+    """Suspicions do not age."""
+    old = FailureDetector.merge
 
-    def merge(self, now, word):
-        word.age_ns = 0
-        return old(self, now, word)
+    def merge(self, now, suspicion):
+        suspicion.age_ns = 0
+        return old(self, now, suspicion)
 
-    return _swap(Judges, "merge", merge)
+    return _swap(FailureDetector, "merge", merge)
 
 
 def _all_ruled_out() -> Undo:
-    """Words may rule out every server."""
-    old = Judges.doubts
+    """Suspicions of others may rule out every endpoint."""
+    old = FailureDetector.suspected
 
-    def doubts(self, now, servers, groups):
-        found = old(self, now, servers, groups)
-        return {s: {g: max(bad, self.word(now, s, g)) for g, bad in by.items()} for s, by in found.items()}
+    def suspected(self, now, endpoints, groups):
+        return {
+            endpoint: {
+                group: max(score, self.received_error_score(now, endpoint, group))
+                for group, score in by_group.items()
+            }
+            for endpoint, by_group in old(self, now, endpoints, groups).items()
+        }
 
-    return _swap(Judges, "doubts", doubts)
+    return _swap(FailureDetector, "suspected", suspected)
 
 
 def _old_level_speaks() -> Undo:
-    """A word of a process that was followed by another counts."""
-
-    def merge(self, now, word):
-        self.known[word.origin] = concurrency_budget.Known(
-            word.life, word.number, word.out, word.wants, now - word.age_ns
+    """A report of a process that was followed by another counts."""
+
+    def merge(self, now, report):
+        self.known[report.origin] = KnownReport(
+            report.incarnation,
+            report.sequence,
+            report.units_in_flight,
+            report.wanted_units,
+            now - report.age_ns,
         )
         return True
 
-    return _swap(Levels, "merge", merge)
+    return _swap(ConcurrencyBudget, "merge", merge)
 
 
 def _takes_all() -> Undo:
-    """Who hears nobody takes over the parts of all, at once."""
+    """A gateway that hears of no other takes over the parts of all, at once."""
 
-    def look(self, now):
-        self.factor = self.gateways / self.alive(now)
+    def tick(self, now):
+        self.factor = self.gateway_count / self.live_gateways(now)
         return self.factor
 
-    return _swap(Levels, "look", look)
+    return _swap(ConcurrencyBudget, "tick", tick)
 
 
 # ---- checkers
@@ -227,64 +236,66 @@
     return ""
 
 
-def by_judging(seed: int) -> str:
-    """A gateway that sees all servers well hears what one zone's gateways, cut off, say of them; then two
-    zones agree on some; then nobody says anything more."""
+def by_suspicions(seed: int) -> str:
+    """A gateway for which all servers are well gets suspicions of one zone's gateways, cut off; then two
+    zones agree on some; then no more suspicions come."""
     rng, settings = random.Random(f"judging {seed}"), SharedSettings()
     for _ in range(200):
-        judge, servers, now = Judges(settings, 0, 0), list(range(1, rng.randint(4, 13))), 10 * SECOND
+        detector = FailureDetector(settings, 0, 0)
+        servers = list(range(1, rng.randint(4, 13)))
+        now = 10 * SECOND
         for peer in range(1, 7):
-            judge.hear(now, peer, peer % 3)
+            detector.record_observer(now, peer, peer % 3)
         liars = rng.choice((1, 2))
-        words = [
-            Evidence(s, failure_detector.EVERY, 1.0, peer, peer % 3, rng.randrange(500) * MS)
+        lies = [
+            Suspicion(s, ALL_CLASSES, 1.0, peer, peer % 3, rng.randrange(500) * MS)
             for s in servers
             for peer in range(1, 7)
             if peer % 3 == liars
         ]
-        rng.shuffle(words)
-        for word in words:
-            judge.merge(now, word)
-        if judge.doubts(now, servers, range(256)):
-            return "judging: one zone alone ruled servers out"
+        rng.shuffle(lies)
+        for suspicion in lies:
+            detector.merge(now, suspicion)
+        if detector.suspected(now, servers, range(256)):
+            return "suspicions: one zone alone ruled endpoints out"
         seen = rng.choice(servers)
         for _ in range(3):
-            judge.sampled(now, seen, failure_detector.EVERY, 0.0, 0.4)
-        told = [
-            Evidence(s, failure_detector.EVERY, 1.0, peer, peer % 3, rng.randrange(900) * MS)
+            detector.record_attempt(now, seen, ALL_CLASSES, 0.0, 0.4)
+        shared_by_zones = [
+            Suspicion(s, ALL_CLASSES, 1.0, peer, peer % 3, rng.randrange(900) * MS)
             for s in servers
             for peer in range(1, 7)
         ]
-        rng.shuffle(told)
-        for word in told:
-            judge.merge(now, word)
-        found = judge.doubts(now, servers, range(256))
-        out = [s for s, by in found.items() if max(by.values()) >= failure_detector.BAD]
+        rng.shuffle(shared_by_zones)
+        for suspicion in shared_by_zones:
+            detector.merge(now, suspicion)
+        found = detector.suspected(now, servers, range(256))
+        out = [s for s, by in found.items() if max(by.values()) >= SUSPECT_ERROR_SCORE]
         if seen in out:
-            return "judging: words went before own samples"
+            return "suspicions: those of others went before own attempts"
         if len(out) > (1 - settings.least_good) * len(servers):
-            return f"judging: words ruled out {len(out)} of {len(servers)}"
+            return f"suspicions: those of others ruled out {len(out)} of {len(servers)}"
         if not out and len(servers) > 3:
-            return "judging: what two zones agree on was not believed"
-        late = Evidence(servers[0], failure_detector.EVERY, 1.0, 3, 0, settings.told_ns)
-        judge.merge(now, late)
+            return "suspicions: what two zones agree on did not count"
+        late = Suspicion(servers[0], ALL_CLASSES, 1.0, 3, 0, settings.told_ns)
+        detector.merge(now, late)
         now += settings.told_ns
-        judge.merge(now, Evidence(servers[0], failure_detector.EVERY, 1.0, 4, 1, settings.told_ns))
-        judge.merge(now, Evidence(servers[0], failure_detector.EVERY, 1.0, 5, 2, settings.told_ns + MS))
-        judge.look(now, servers)
-        if judge.doubts(now, servers, range(256)):
-            return "judging: words did not end"
+        detector.merge(now, Suspicion(servers[0], ALL_CLASSES, 1.0, 4, 1, settings.told_ns))
+        detector.merge(now, Suspicion(servers[0], ALL_CLASSES, 1.0, 5, 2, settings.told_ns + MS))
+        detector.tick(now, servers)
+        if detector.suspected(now, servers, range(256)):
+            return "suspicions: they did not end"
     return ""
 
 
-def by_levels(seed: int) -> str:
+def by_concurrency_budget(seed: int) -> str:
     """Gateways in two sides of any sizes, killed, stopped and restarted: the sum of what all may have out."""
     rng = random.Random(f"levels {seed}")
     for _ in range(60):
         count = rng.randint(2, 12)
-        all_ = [Levels(k, count, 1000 + k, 40.0) for k in range(count)]
+        all_ = [ConcurrencyBudget(k, count, 1000 + k, 40.0) for k in range(count)]
         sides, now, ready = [rng.randrange(rng.randint(1, 3)) for _ in range(count)], 0, 10.0
-        doomed, dead, past = rng.sample(range(count), count * 7 // 10), set[int](), list[LevelWord]()
+        doomed, dead, past = rng.sample(range(count), count * 7 // 10), set[int](), list[ConcurrencyReport]()
         newest: dict[tuple[int, int, int], int] = {}  # who knows of whom: the newest process
         asleep = {k: rng.randint(20, 60) for k in range(count) if rng.random() < 0.3}
         for step in range(140):
@@ -292,36 +303,34 @@
             for k, one in enumerate(all_):
                 if k in dead or 0 < asleep.get(k, 0) - step < 15:
                     continue
-                one.look(now)
-                words = one.tell(now, 1.0, 1.0, rng)
-                past.append(words[0])
-                for other in one.partners(rng):
+                one.tick(now)
+                reports = one.reports_to_send(now, 1.0, 1.0, rng)
+                past.append(reports[0])
+                for other in one.draw_recipients(rng):
                     if sides[other] == sides[k] and other not in dead:
-                        for word in words:
-                            all_[other].merge(
-                                now,
-                                LevelWord(
-                                    word.origin, word.life, word.number, word.out, word.wants, word.age_ns
-                                ),
-                            )
-                if rng.random() < 0.05:  # an old word comes late
+                        for report in reports:
+                            all_[other].merge(now, replace(report))
+                if rng.random() < 0.05:  # an old report comes late
                     old = rng.choice(past)
-                    all_[k].merge(now, LevelWord(old.origin, old.life, old.number, 9e3, 9e3, 0))
+                    all_[k].merge(
+                        now, ConcurrencyReport(old.origin, old.incarnation, old.sequence, 9e3, 9e3, 0)
+                    )
             if step == 30:
                 dead.update(doomed)
             if step == 70:
                 for k in list(dead)[:2]:
                     dead.discard(k)
-                    all_[k] = Levels(k, count, 2000 + k, 40.0)
+                    all_[k] = ConcurrencyBudget(k, count, 2000 + k, 40.0)
             alive = [x for k, x in enumerate(all_) if k not in dead]
-            total = sum(x.part(ready) for x in alive)
-            if total > alive[0].stated(ready) + 1e-6:
-                return f"levels: {total:.1f} units out, {alive[0].stated(ready):.1f} stated"
+            total = sum(x.limit_units(ready) for x in alive)
+            stated = alive[0].total_limit_units(ready)
+            if total > stated + 1e-6:
+                return f"concurrency budget: {total:.1f} units in flight, {stated:.1f} stated"
             for one in alive:
                 for origin, known in one.known.items():
-                    if known.life < newest.get((one.me, one.life, origin), 0):
-                        return "levels: an old word spoke for its past"
-                    newest[one.me, one.life, origin] = known.life
+                    if known.incarnation < newest.get((one.gateway, one.incarnation, origin), 0):
+                        return "concurrency budget: an old report counted again"
+                    newest[one.gateway, one.incarnation, origin] = known.incarnation
     return ""
 
 
@@ -344,12 +353,12 @@
     "sleep-earns": Mutant(_sleep_earns, (by_search, by_worlds)),
     "out-forgotten": Mutant(_out_forgotten, (by_search, by_worlds)),
     "starts-full": Mutant(_starts_full, (by_worlds,)),
-    "no-witness": Mutant(_no_witness, (by_judging,)),
-    "words-before-own": Mutant(_words_first, (by_judging,)),
-    "words-never-end": Mutant(_no_end, (by_judging,)),
-    "all-ruled-out": Mutant(_all_ruled_out, (by_judging,)),
-    "old-level-speaks": Mutant(_old_level_speaks, (by_levels,)),
-    "takes-all-at-once": Mutant(_takes_all, (by_levels,)),
+    "no-witness": Mutant(_no_witness, (by_suspicions,)),
+    "words-before-own": Mutant(_words_first, (by_suspicions,)),
+    "words-never-end": Mutant(_no_end, (by_suspicions,)),
+    "all-ruled-out": Mutant(_all_ruled_out, (by_suspicions,)),
+    "old-level-speaks": Mutant(_old_level_speaks, (by_concurrency_budget,)),
+    "takes-all-at-once": Mutant(_takes_all, (by_concurrency_budget,)),
 }
 
 
--- a/zincstile/simulation/search.py
+++ b/zincstile/simulation/search.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass, field
 
 from ..decisions.quota_bounds import Quota
-from ..leases.bound import bounds, opening
+from ..leases.bound import bounds, initial_fill_ratio
 from ..leases.lease_manager import LeaseManager
 from ..leases.lease_messages import LeaseGrant, LeaseMessage, LeaseRelease, LeaseRequest
 from ..leases.lease_records import PeerState
@@ -205,7 +205,7 @@
     state.seats[g] = _seat(state, g)
     for c, quota in enumerate(QUOTAS):
         if g in ROWS[c]:
-            state.allowed[c] += opening(quota, SETTINGS) * quota.burst / len(ROWS[c])
+            state.allowed[c] += initial_fill_ratio(quota, SETTINGS) * quota.burst / len(ROWS[c])
 
 
 def _check(state: State) -> None:
--- a/zincstile/simulation/shared.py
+++ b/zincstile/simulation/shared.py
@@ -217,5 +217,5 @@
         quotas = [of_plan(spec, spread, traffic.MOST_UNITS) for spread in range(1, plan.gateways + 1)]
         most = max(b.units for q in quotas for b in bound.bounds(q, settings) if b.failure == failure)
         found[name] = rate, rate * burst, most
-        opening[name] = bound.opening(quotas[0], settings)
+        opening[name] = bound.initial_fill_ratio(quotas[0], settings)
     return found, opening
