--- a/zincstile/net/feature_messages.py
+++ b/zincstile/net/feature_messages.py
@@ -45,7 +45,7 @@
 
     dispatcher.carry_out[module.KeeperCall] = call
     dispatcher.carry_out[module.KeeperTell] = send
-    peers.others[codec.FIRST_BYTE] = receive
+    peers.decoders[codec.FIRST_BYTE] = receive
     return client
 
 
@@ -62,7 +62,7 @@
         return None if found is None else module.SharedWords(sender, *found)
 
     dispatcher.carry_out[module.SharedTell] = send
-    peers.others[codec.MAGIC] = receive
+    peers.decoders[codec.MAGIC] = receive
 
 
 def connect_zone_failover(dispatcher: Dispatcher, peers: Peers) -> None:
@@ -77,4 +77,4 @@
         return None if found is None else module.PlaceWord(sender, found)
 
     dispatcher.carry_out[module.PlaceTell] = send
-    peers.others[codec.MAGIC] = receive
+    peers.decoders[codec.MAGIC] = receive
--- a/zincstile/net/start.py
+++ b/zincstile/net/start.py
@@ -15,7 +15,7 @@
 from ..cold_start.settings import StartSettings
 from .discovery.watcher import EndpointWatcher
 from .dispatcher import Dispatcher
-from .peers import HEARD, Peers
+from .peers import HANDLED, Peers
 
 LOOK_NS, REST_NS = 30_000_000, 1_000_000_000  # how often it is looked at what is sought; once it is found
 
@@ -49,7 +49,7 @@
         self._opened = False
         self._open_ns = 0
         watcher.listener = self
-        peers.others[words.MAGIC] = self._heard
+        peers.decoders[words.MAGIC] = self._heard
 
     def begin(self, known: dict[str, Any]) -> None:
         """With the list of before the start, or none."""
@@ -97,7 +97,7 @@
             self.dispatcher.post(Running())
         self._take()
         self._send()
-        return HEARD
+        return HANDLED
 
     def _take(self) -> None:
         """A list of peers' that is whole. Only where it is younger than the one that is here."""
