--- a/tests/test_incremental.py
+++ b/tests/test_incremental.py
@@ -278,9 +278,9 @@
     )
     path, told = tmp_path / "config.json", []
     path.write_text(json.dumps(table | {"known": {"index": 1, "endpoints": endpoints(["s-a", "s-b"])}}))
-    started, again = (read({"RELAY_CONFIG": str(path)}) for read in (config.load, config.again))
-    assert again.known == {"index": 1, "endpoints": [None, None]}
-    assert replace(again, known=started.known) == started
+    started, reloaded = (read({"RELAY_CONFIG": str(path)}) for read in (config.load, config.reload))
+    assert reloaded.known == {"index": 1, "endpoints": [None, None]}
+    assert replace(reloaded, known=started.known) == started
     assert begin_list(started, SimpleNamespace(begin=told.append)) and not started.known
     assert [known["endpoints"] for known in told] == [endpoints(["s-a", "s-b"])]
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -2,10 +2,13 @@
 
 import ast
 import os
+from dataclasses import asdict
 from pathlib import Path
 
 import pytest
+from scenario import smallest
 
+from zincstile.net import config
 from zincstile.net.limits import SECOND, Limits
 
 ROOT = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
@@ -14,6 +17,20 @@
 DECISIONS = Path(ROOT) / "zincstile" / "decisions"
 MOST_LINES = 300  # non-blank lines of a module of the decisions
 BEFORE_THE_SPLIT = {"policy.py": 565, "state.py": 456}  # not split yet: none may grow
+# What operators may set under `limits` in the configuration, each by itself.
+OPERATORS_KEYS = """
+    frontend_connections backend_connections reserved read_bytes value_bytes answer_bytes words
+    line_bytes command_bytes id_bytes drained_bytes header_lines table_bytes datagram_bytes sessions
+    pipelined written_bytes backlog accepts keeper_connections keeper_pipelined keeper_waiting
+    keeper_call_ns keeper_stuck_ns keeper_rest_ns connect_ns command_ns command_stall_ns silent_ns
+    rest_ns tend_ns drained_ns answer_ns idle_ns settled_ns spare_ns newcomer_ns margin_ns
+    table_first_ns table_silence_ns table_answer_ns table_patience_ns table_list_ns
+    table_first_ask_ns table_again_ns table_again_most_ns table_longest_ns held_up_ns start_told_ns
+    backoff_ns backoff_most_ns drain_quiet_ns drain_ns drain_least_ns drain_margin_ns drain_most_ns
+    stream_bytes stream_stall_ns stream_pace_ns stream_piece_bytes control_connections
+    control_call_ns handover_poll_ns handover_keep_ns handover_read_ns handover_kept_ns
+    handover_stale_ns inherit_wait_ns inherit_look_ns inherit_bytes standby_rest_ns
+"""
 IMPURE = {
     "asyncio",
     "datetime",
@@ -84,3 +101,11 @@
     for longest, kill in ((SECOND, 1.7), (3 * SECOND, 3.7), (9 * SECOND, 3.7)):
         limits = Limits.for_gateway(256, 32, 100, 1, 1, longest, {})
         assert limits.drain_ns < limits.drain_most_ns < kill * SECOND
+
+
+@pytest.mark.parametrize("key", OPERATORS_KEYS.split())
+def test_each_key_of_operators_sets_one_limit(key):
+    usual = asdict(config.read(smallest(), {}).limits)
+    found = asdict(config.read(smallest() | {"limits": {key: 7}}, {}).limits)
+    changed = {name: value for name, value in found.items() if value != usual[name]}
+    assert list(changed.values()) == [7]
--- a/zincstile/__main__.py
+++ b/zincstile/__main__.py
@@ -1,6 +1,6 @@
-"""`python -m zincstile`: without words one real gateway (`zincstile.serve`), on the standard library alone.
+"""`python -m zincstile`: without arguments one real gateway (`zincstile.serve`); standard library only.
 
-With words it is the command line (`zincstile.cli`), which is loaded only then.
+With arguments it is the command line (`zincstile.cli`), which is loaded only then.
 """
 
 from __future__ import annotations
@@ -8,12 +8,12 @@
 import sys
 
 
-def main(words: list[str]) -> int:
-    """Serves, or runs the command that the words name; returns the exit code."""
-    if words:
+def main(arguments: list[str]) -> int:
+    """Serves, or runs the command that the arguments name; returns the exit code."""
+    if arguments:
         from .cli import main as command
 
-        return command(words)
+        return command(arguments)
 
     from .serve import serve
 
--- a/zincstile/net/config.py
+++ b/zincstile/net/config.py
@@ -49,8 +49,8 @@
     return host.strip("[]"), int(port)
 
 
-def again(env: dict[str, str] | os._Environ[str]) -> Config:
-    """The same file as it is by now. What the start was told besides it is older, so the file goes before."""
+def reload(env: dict[str, str] | os._Environ[str]) -> Config:
+    """Reads the file as it is by now. The other variables date from the start, so the file goes before."""
     return load({"RELAY_CONFIG": env.get("RELAY_CONFIG", "")}, each=_without_endpoint)
 
 
--- a/zincstile/net/host.py
+++ b/zincstile/net/host.py
@@ -1,9 +1,9 @@
-"""The one place by which time, the machine's sockets and its log reach the network code.
+"""The one place by which time, the machine's sockets, its files and its log reach the network code.
 
 `Host` is the real machine. The virtual one (`zincstile/virtual/host.py`) has the same attributes, so that the
 modules of `net` run unchanged on either. A host is made at the top and handed down; nothing in `net` calls
-the clock, a raw socket or the environment by itself. Functions of the clock are attributes that hold the
-system's own, so that the real path pays no call more than it did.
+the clock, a raw socket or the environment by itself. The clocks are attributes that hold the system's own
+functions, so that reading one costs no further call.
 """
 
 from __future__ import annotations
@@ -18,16 +18,19 @@
 import struct
 import sys
 import time
-from typing import NamedTuple
+from typing import Final, NamedTuple
 
 from ..admin.timestamp import Timestamp
-from .config import Address, Config, ConfigError, again
+from .config import Address, Config, ConfigError, reload
 
-BOOT_PATH = "/proc/sys/kernel/random/boot_id"  # proc(5): names the run of the machine
-# Of struct tcp_info (linux/tcp.h): tcpi_last_data_recv, in milliseconds
-TCP_INFO_BYTES, LAST_DATA_RECEIVED_AT, LAST_DATA_RECEIVED = 104, 52, struct.Struct("=I")
-MOST_UNREAD_MS = 60_000
-FILE_BYTES = 1 << 20  # of a file in $TMPDIR, at most
+NS_PER_MS: Final = 1_000_000
+BOOT_ID_PATH: Final = "/proc/sys/kernel/random/boot_id"  # proc(5): names the run of the machine
+IP_FAMILIES: Final = (socket.AF_INET, socket.AF_INET6)
+TCP_INFO_BYTES: Final = 104  # of struct tcp_info (linux/tcp.h), as far as it is read here
+LAST_DATA_RECEIVED_OFFSET: Final = 52  # of its tcpi_last_data_recv
+LAST_DATA_RECEIVED: Final = struct.Struct("=I")  # in milliseconds
+MAX_UNREAD_MS: Final = 60_000  # more can't be: a client's connection is closed well before
+MAX_FILE_BYTES: Final = 1 << 20  # of a file in $TMPDIR; guards the memory against one that is not ours
 
 
 class FileStat(NamedTuple):
@@ -47,99 +50,106 @@
     unix_ns = staticmethod(time.time_ns)  # what discovery's times and the log's lines go by
 
     def listen(self, address: Address, backlog: int) -> socket.socket:
-        """A listening socket that does not block; OSError where the address can't be had."""
+        """Returns a listening socket that does not block; OSError where the address can't be had."""
         family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
-        # By its protocol's number, which what is accepted inherits: asyncio sets TCP_NODELAY only where it is
-        # told. Without, the system holds back a small answer behind one that is not acknowledged, and a reset
-        # drops it.
-        sock = socket.socket(family, socket.SOCK_STREAM, socket.IPPROTO_TCP)
+        # By its protocol's number, which accepted connections inherit: asyncio sets TCP_NODELAY only where it
+        # is there. Without, the system holds back a small answer behind one that is not acknowledged, and a
+        # reset drops it.
+        listening = socket.socket(family, socket.SOCK_STREAM, socket.IPPROTO_TCP)
         try:
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-            sock.setblocking(False)
-            sock.bind(address)
-            sock.listen(backlog)
+            listening.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+            listening.setblocking(False)
+            listening.bind(address)
+            listening.listen(backlog)
         except OSError:
-            sock.close()
+            listening.close()
             raise
-        return sock
+        return listening
 
     def inherit(self, fd: int) -> socket.socket:
-        """The clients' listening socket that the platform holds and hands down (`$RELAY_SOCKET_FD`), so that
-        an old and a new process take clients by one queue. ConfigError where the descriptor is no listening
-        TCP socket: taken for one, it would fail later and far from its cause."""
+        """Returns the clients' listening socket that the platform hands down (`$RELAY_SOCKET_FD`).
+
+        By it an old and a new process take clients from one queue. ConfigError where the descriptor is no
+        listening TCP socket: taken for one, it would fail later and far from its cause.
+        """
         where = f"$RELAY_SOCKET_FD={fd}"
         try:
-            sock = socket.socket(fileno=fd)
+            inherited = socket.socket(fileno=fd)
         except OSError as err:
             raise ConfigError(f"{where}: {err.strerror or err}") from None
         try:
-            listening = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN)
+            listening = inherited.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN)
         except OSError as err:
-            sock.detach()
+            inherited.detach()
             raise ConfigError(f"{where}: {err.strerror or err}") from None
-        if (
-            sock.family not in (socket.AF_INET, socket.AF_INET6)
-            or sock.type != socket.SOCK_STREAM
-            or not listening
-        ):
-            sock.detach()
+        is_tcp = inherited.family in IP_FAMILIES and inherited.type == socket.SOCK_STREAM
+        if not is_tcp or not listening:
+            inherited.detach()
             raise ConfigError(f"{where}: not a listening TCP socket")
-        sock.setblocking(False)
-        return sock
+        inherited.setblocking(False)
+        return inherited
 
     def readable(self, transport: asyncio.Transport) -> bool:
-        """Something has come on a connection that the loop has not read yet: bytes, or its end."""
+        """Tells whether something has come on a connection that the loop has not read: bytes, or its end."""
         poll = select.poll()
         poll.register(transport.get_extra_info("socket").fileno(), select.POLLIN)
         return bool(poll.poll(0))
 
     def ended(self, transport: asyncio.Transport) -> bool:
-        """The other side has ended its sending, whatever lies unread before its end."""
+        """Tells whether the other side has ended its sending, whatever lies unread before its end."""
         poll = select.poll()
         poll.register(transport.get_extra_info("socket").fileno(), select.POLLRDHUP)
         return bool(poll.poll(0))
 
     def unread_ns(self, transport: asyncio.Transport) -> int:
-        """How long ago the machine received what came last on a connection; 0 where it doesn't say, or says
-        what can't be (tcp(7), TCP_INFO)."""
+        """Returns how long ago the machine received what came last on a connection (tcp(7), TCP_INFO).
+
+        0 where it doesn't say, or says what can't be.
+        """
         try:
             info = transport.get_extra_info("socket").getsockopt(
                 socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_BYTES
             )
-            (age_ms,) = LAST_DATA_RECEIVED.unpack_from(info, LAST_DATA_RECEIVED_AT)
+            (age_ms,) = LAST_DATA_RECEIVED.unpack_from(info, LAST_DATA_RECEIVED_OFFSET)
         except (OSError, AttributeError, struct.error):
             return 0
-        return age_ms * 1_000_000 if age_ms <= MOST_UNREAD_MS else 0
+        return age_ms * NS_PER_MS if age_ms <= MAX_UNREAD_MS else 0
 
-    def again(self) -> Config:
-        """The configuration as its file is by now; ConfigError or OSError where it can't be used."""
-        return again(os.environ)
+    def reload_config(self) -> Config:
+        """Returns the configuration as its file is by now; ConfigError or OSError where it can't be used."""
+        return reload(os.environ)
 
     def tmpdir(self) -> str:
+        """Returns the folder for files that another process of this gateway reads."""
         return os.environ.get("TMPDIR") or "/tmp"
 
     def timestamp(self) -> Timestamp:
         """Returns this instant, for another process of this machine."""
-        return Timestamp(self.monotonic_ns(), self.unix_ns(), _boot())
+        return Timestamp(self.monotonic_ns(), self.unix_ns(), _boot_id())
 
     def read_file(self, path: str) -> bytes | None:
-        """None where there is no such file. OSError where it can't be read, be it for a moment."""
+        """Returns a file's content, `MAX_FILE_BYTES` of it at most; None where there is no such file.
+
+        OSError where it can't be read, be it for a moment.
+        """
         try:
-            with open(path, "rb") as f:
-                return f.read(FILE_BYTES)
+            with open(path, "rb") as file:
+                return file.read(MAX_FILE_BYTES)
         except FileNotFoundError:
             return None
 
-    def write_file(self, path: str, data: bytes, sync: bool = False) -> None:
-        """Whole or not at all: written beside it and renamed over it. `sync`: it outlasts the machine too.
-        OSError where that fails; then nothing is left beside it."""
+    def write_file(self, path: str, data: bytes, *, sync: bool = False) -> None:
+        """Writes a file whole or not at all: beside it, and renamed over it.
+
+        sync: it outlasts a crash of the machine too. OSError where that fails; then no part is left.
+        """
         part = f"{path}.{os.getpid()}"
         try:
-            with open(part, "wb") as f:
-                f.write(data)
-                f.flush()
+            with open(part, "wb") as file:
+                file.write(data)
+                file.flush()
                 if sync:
-                    os.fsync(f.fileno())
+                    os.fsync(file.fileno())
             os.replace(part, path)
         except OSError:
             with contextlib.suppress(OSError):
@@ -147,44 +157,46 @@
             raise
 
     def touch(self, path: str) -> None:
-        """Dates a file by the monotonic clock, which needs no room on the disk: its process lives. OSError
-        where that fails too."""
+        """Dates a file by the monotonic clock: its process is running. That needs no space on the disk.
+
+        OSError where that fails too.
+        """
         now_ns = self.monotonic_ns()
         os.utime(path, ns=(now_ns, now_ns))
 
     def remove_parts(self, path: str) -> None:
-        """Takes away what processes that are no more left of their writes of this file."""
+        """Removes what ended processes left of their writes of this file."""
         folder, _, name = path.rpartition("/")
         with contextlib.suppress(OSError):
             for found in os.listdir(folder):
-                start, _, number = found.rpartition(".")
-                if start == name and number.isdigit() and not os.path.exists(f"/proc/{number}"):
+                start, _, pid = found.rpartition(".")
+                if start == name and pid.isdigit() and not os.path.exists(f"/proc/{pid}"):
                     os.unlink(f"{folder}/{found}")
 
     def stat(self, path: str) -> FileStat | None:
         """Returns what tells one content of a file from another; None where there is no such file."""
         try:
-            st = os.stat(path)
+            found = os.stat(path)
         except OSError:
             return None
-        return FileStat(st.st_ino, st.st_mtime_ns, st.st_size)
+        return FileStat(found.st_ino, found.st_mtime_ns, found.st_size)
 
     def log(self, line: str) -> None:
-        """A line of the log, whole; OSError where it can't be written."""
+        """Writes a complete line of the log; OSError where it can't be written."""
         sys.stderr.write(line)
         sys.stderr.flush()
 
     def usage(self) -> dict[str, int]:
-        """What the process used so far: CPU in milliseconds, most memory held in KB."""
+        """Returns what the process used so far: CPU in milliseconds, the most memory it held in KB."""
         used = resource.getrusage(resource.RUSAGE_SELF)
         return {"cpu_ms": round((used.ru_utime + used.ru_stime) * 1000), "memory_kb": used.ru_maxrss}
 
 
 @functools.cache
-def _boot() -> str:
-    """Of this run of the machine; empty where the system doesn't say."""
+def _boot_id() -> str:
+    """Returns the name of this run of the machine; empty where the system doesn't say."""
     try:
-        with open(BOOT_PATH, encoding="ascii") as file:
+        with open(BOOT_ID_PATH, encoding="ascii") as file:
             return file.read().strip()
     except (OSError, ValueError):
         return ""
--- a/zincstile/net/lifecycle.py
+++ b/zincstile/net/lifecycle.py
@@ -172,7 +172,7 @@
         the old configuration in force; one that the machine can't open for now is tried again.
         """
         try:
-            config = self._host.again()
+            config = self._host.reload_config()
         except (ConfigError, OSError) as err:
             if is_momentary(err.__cause__ or err) and attempts > 1:
                 retry_ns = self._dispatcher.now_ns() + RELOAD_RETRY_NS
--- a/zincstile/scale/hollow_process.py
+++ b/zincstile/scale/hollow_process.py
@@ -49,7 +49,7 @@
         def __init__(self, path: str) -> None:
             self.path = path
 
-        def again(self) -> Config:
+        def reload_config(self) -> Config:
             return load({"RELAY_CONFIG": self.path})
 
     class HollowLoop(asyncio.SelectorEventLoop):
@@ -65,7 +65,7 @@
         host = HollowHost(path)
 
         async def run() -> None:
-            gateway = Gateway(host.again(), loop, host)
+            gateway = Gateway(host.reload_config(), loop, host)
             gc.freeze()  # as the program itself does
             gateways.append((gateway, loop))
             say(gateway.config.name, "thread", tid=threading.get_native_id())
--- a/zincstile/virtual/host.py
+++ b/zincstile/virtual/host.py
@@ -42,7 +42,7 @@
         """Not told here."""
         return 0
 
-    def again(self) -> Config:
+    def reload_config(self) -> Config:
         """The configuration as it stands by now, for a reload."""
         return self._config()
 
