--- a/zincstile/net/config.py
+++ b/zincstile/net/config.py
@@ -5,12 +5,12 @@
 import json
 import os
 from collections.abc import Callable
-from dataclasses import dataclass, fields
+from dataclasses import dataclass
 from typing import Any
 
 from ..decisions.settings import Settings
 from ..simulator import codec
-from .limits import Limits
+from .limits import Limits, read_given
 
 Address = tuple[str, int]
 
@@ -91,7 +91,7 @@
     decoded = codec.read_settings(json.dumps(settings).encode())
     limits = settings["limits"]
     own = t.get("limits") or {}
-    given = {f.name: int(own[f.name]) for f in fields(Limits) if f.name in own}
+    given = read_given(own)
     if min(given.values(), default=1) < 1:
         raise ConfigError("limits: all must be above 0")
     peers = [address(p) for p in t.get("peers") or []]
--- a/zincstile/net/limits.py
+++ b/zincstile/net/limits.py
@@ -2,10 +2,21 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass, replace
+from dataclasses import dataclass, fields, replace
+from typing import Any, Final
 
-MS = 1_000_000
-SECOND = 1000 * MS
+MS: Final = 1_000_000  # in nanoseconds
+SECOND: Final = 1000 * MS
+
+# The operators' key of a limit (`limits.KEY` in the configuration) is its field's name, but for these.
+KEYS: Final = {
+    "quota_service_connections": "keeper_connections",
+    "quota_service_pipelined": "keeper_pipelined",
+    "quota_service_waiting": "keeper_waiting",
+    "quota_service_call_ns": "keeper_call_ns",
+    "quota_service_stuck_ns": "keeper_stuck_ns",
+    "quota_service_idle_ns": "keeper_rest_ns",
+}
 
 
 @dataclass(frozen=True, slots=True)
@@ -156,3 +167,12 @@
             frontend_connections=max(1, int(self.frontend_connections * part)),
             backend_connections=max(1, int(self.backend_connections * part)),
         )
+
+
+def read_given(table: dict[str, Any]) -> dict[str, int]:
+    """Returns by field the limits that operators set, from the configuration's `limits`.
+
+    ValueError or TypeError where one is no number.
+    """
+    keys = {field.name: KEYS.get(field.name, field.name) for field in fields(Limits)}
+    return {name: int(table[key]) for name, key in keys.items() if key in table}
