--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -131,7 +131,7 @@
         f"{PACKAGE}.net.http": {f"{PACKAGE}.decisions.state"},
     }
     assert upward(edges) == [f"{PACKAGE}.decisions.state imports {PACKAGE}.net.http"]
-    assert upward({f"{PACKAGE}.zone_failover.view": {f"{PACKAGE}.cold_start.words"}}) != []
+    assert upward({f"{PACKAGE}.zone_failover.view": {f"{PACKAGE}.cold_start.codec"}}) != []
 
 
 @pytest.mark.parametrize(
--- a/tests/test_asking.py
+++ b/tests/test_list_polling.py
@@ -1,4 +1,4 @@
-"""Calls to a list service that can't collapse: no give-up while it works, draws apart, a stated most."""
+"""Polling of a list service that can't collapse: no timeout while it works, random backoff, bounded calls."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 import pytest
 
-from zincstile.cold_start.asking import Asking
+from zincstile.cold_start.list_polling import ListPolling
 from zincstile.emulators.list_service import ListServiceBehaviour
 from zincstile.net import http
 from zincstile.net.limits import MS, SECOND, Limits
@@ -14,9 +14,9 @@
 from zincstile.testbed import start
 
 
-def asking(number, gateways):
+def polling(number, gateways):
     limits = Limits.for_gateway(384, 80, 100, 1, 1, 3 * SECOND, {}, gateways, 10 * SECOND)
-    return Asking(
+    return ListPolling(
         random.Random(number),
         limits.table_again_ns,
         limits.table_again_most_ns,
@@ -29,7 +29,7 @@
 def test_a_fleet_that_fails_makes_no_more_calls_than_are_stated_whatever_its_size(gateways):
     calls = []
     for number in range(gateways):
-        one, now = asking(number, gateways), 0
+        one, now = polling(number, gateways), 0
         while now < 20 * SECOND:
             now += one.failed()
             calls.append(now)
@@ -42,15 +42,19 @@
     assert len(set(calls)) > 0.99 * len(calls)
 
 
-def test_patience_follows_what_the_service_needs_and_its_word_is_heard():
-    one = asking(1, 200)
-    assert one.patience() == 50 * SECOND and one.silent(49 * SECOND) and not one.silent(50 * SECOND)
-    assert one.patience() == 100 * SECOND
+def test_the_timeout_follows_what_the_service_needs_and_retry_after_is_kept():
+    one = polling(1, 200)
+    assert (
+        one.timeout_ns() == 50 * SECOND
+        and one.keeps_waiting(49 * SECOND)
+        and not one.keeps_waiting(50 * SECOND)
+    )
+    assert one.timeout_ns() == 100 * SECOND
     one.answered(20 * SECOND)
-    assert one.patience() == 80 * SECOND and one.tries == one.silences == 0
+    assert one.timeout_ns() == 80 * SECOND and one.failures == one.timeouts == 0
     assert all(one.failed(2 * SECOND) >= 2 * SECOND for _ in range(50))
-    lone = asking(1, 1)
-    assert lone.patience() == 2600 * MS and lone.failed() <= 50 * MS
+    lone = polling(1, 1)
+    assert lone.timeout_ns() == 2600 * MS and lone.failed() <= 50 * MS
 
 
 def test_retry_after_is_read_where_it_gives_seconds():
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -9,7 +9,7 @@
 import pytest
 from scenario import World
 
-from zincstile.cold_start.asking import Asking
+from zincstile.cold_start.list_polling import ListPolling
 from zincstile.net.limits import MS, SECOND, Limits
 
 TOLD_S = 6.0
@@ -74,13 +74,13 @@
         dial, silence = limits.backoff_most_ns, limits.table_silence_ns
         for told_once in (False, True):
             for retry_after in (0, SECOND, 30 * SECOND):
-                one = Asking(
+                one = ListPolling(
                     SimpleNamespace(randint=lambda first, last: last),
                     limits.table_again_ns,
                     limits.table_again_most_ns,
                     limits.table_patience_ns,
                     limits.table_longest_ns,
-                    told=told_once,
+                    answered_before=told_once,
                 )
                 waits = [one.failed(retry_after) for _ in range(20)]
                 assert dial + max(waits) + ANSWER_NS <= TOLD_S * SECOND
--- a/zincstile/cli/sim.py
+++ b/zincstile/cli/sim.py
@@ -370,10 +370,10 @@
     sizes: tuple[int, ...], alive: float, lines: int, per_s: float, seed: int, alone: bool
 ) -> int:
     """A cold start of any number of gateways by the pure modules alone; exit 1 where one is never ready."""
-    from ..cold_start.settings import StartSettings
+    from ..cold_start.settings import ColdStartSettings
     from ..simulation import start_model as them
 
-    settings = StartSettings(peers=not alone)
+    settings = ColdStartSettings(peers=not alone)
     rows = [them.Model(n, int(n * alive), lines, per_s, seed, settings=settings).play() for n in sizes]
     click.echo(them.table(rows))
     return 0 if all(r.all_s >= 0 for r in rows) else 1
--- a/zincstile/cold_start/policy.py
+++ b/zincstile/cold_start/policy.py
@@ -13,8 +13,8 @@
 from ..decisions.policy import Policy
 from ..decisions.settings import Settings
 from ..decisions.state import Attempt, Live, Server
-from .opening import Opening
-from .settings import StartSettings
+from .admission_ramp import AdmissionRamp
+from .settings import ColdStartSettings
 
 
 @dataclass(slots=True)
@@ -25,11 +25,11 @@
 class OpeningPolicy(Policy):
     """The decision module with the pace of a start. `opening` puts it before the module that it slows."""
 
-    start_settings: StartSettings
+    start_settings: ColdStartSettings
 
     def __init__(self, settings: Settings, seed: int, *more: object) -> None:
         super().__init__(settings, seed, *more)
-        self.opening: Opening | None = Opening(
+        self.opening: AdmissionRamp | None = AdmissionRamp(
             self.start_settings, settings.gateways, settings.largest_units, random.Random(f"opening {seed}")
         )
 
@@ -40,18 +40,18 @@
     def on_state_inherited(self, now: int, event: StateInherited) -> None:
         super().on_state_inherited(now, event)
         if self.opening is not None:  # the old process of this gateway knew what the back end bears
-            self.opening.known(self.done_rate)
+            self.opening.inherit(self.done_rate)
 
     def _choose(self, now: int, live: Live) -> Server | None:
         """Further attempts go by the pace too: at a start the credit for them is full everywhere."""
         paced = self.opening
         if paced is None:
             return super()._choose(now, live)
-        if not paced.may(now, self.good):
+        if not paced.admits(now, self.good):
             return None
         server = super()._choose(now, live)
         if server is not None:
-            paced.took(live.ask.units)
+            paced.sent(live.ask.units)
         return server
 
     def _learn(self, now: int, e: AttemptOutcome, attempt: Attempt) -> None:
@@ -59,11 +59,11 @@
         if self.opening is not None and e.result is AttemptResult.OK:
             # a cold server takes the longer without being pressed
             took_ns = e.latency_ns * self._warmth(now, attempt.server)
-            self.opening.answered(attempt.units, took_ns <= attempt.bound_ns)
+            self.opening.answered(attempt.units, in_time=took_ns <= attempt.bound_ns)
 
     def _follow(self, now: int, span: float, ticks: float) -> None:
         super()._follow(now, span, ticks)
-        if self.opening is not None and (self.level < math.inf or self.opening.over(now)):
+        if self.opening is not None and (self.level < math.inf or self.opening.is_over(now)):
             self._open(now, "by what was seen" if self.level == math.inf else "by the budget's own bound")
 
     def on_running(self, now: int, _: Running) -> None:
@@ -71,7 +71,7 @@
             self._open(now, "as the fleet's is")
 
     def _open(self, now: int, why: str) -> None:
-        after, refused = (now - self.start_ns) // 1_000_000, self.opening.refused
+        after, refused = (now - self.start_ns) // 1_000_000, self.opening.rejected
         self.acts.append(
             LogMessage(
                 f"start admission is open after {after} ms, {why}; {refused} tries turned away by the pace"
@@ -84,6 +84,6 @@
         return super().sight() | {"pace": pace}
 
 
-def opening(base: type[Policy], start: StartSettings) -> type[Policy]:
+def opening(base: type[Policy], start: ColdStartSettings) -> type[Policy]:
     """`base` that opens by `start`."""
     return type("OpenedPolicy", (OpeningPolicy, base), {"start_settings": start})
--- a/zincstile/cold_start/settings.py
+++ b/zincstile/cold_start/settings.py
@@ -1,33 +1,39 @@
-"""The settings of a start. Times in nanoseconds."""
+"""Settings of a cold start."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
+from typing import Final
 
 from ..decisions.validation import require_above_zero
 
-MS, SECOND = 1_000_000, 1_000_000_000
+MS: Final = 1_000_000  # nanoseconds
+SECOND: Final = 1_000_000_000  # nanoseconds
 
 
 @dataclass(frozen=True, slots=True)
-class StartSettings:
-    """ValueError names a field that can't work."""
-
-    peers: bool = False  # lists from peers: only where a server's address is the same for all gateways
-    wait_ns: int = 80 * MS  # so long a start waits for a peer's word before it asks the service
-    each_ns: int = 10 * MS  # and then a drawn time, up to so long for each gateway, where it has to be asked
-    again_ns: int = 150 * MS  # an ask of a peer that was not answered goes to another after so long
-    agree: int = 2  # peers that have to tell of one list before it is taken at once
-    lone_ns: int = 300 * MS  # one peer's alone is taken after so long
-    fan: int = 3  # peers asked at once
-    told_per_s: float = 120.0  # datagrams with lines that a gateway tells in a second, at most
-    oldest_ns: int = 600 * SECOND  # a list that discovery confirmed longer ago is neither told nor taken
-    known_ns: int = 300 * MS  # a start with a list of its own waits so long for a younger one
-    first_per_s: float = 20.0  # units a second that all gateways together send each ready server at first
-    double_ns: int = 200 * MS  # the time in which good answers raise that to 2.7 times it
-    open_ns: int = 10 * SECOND  # after so long admission is open whatever was seen
+class ColdStartSettings:
+    """What an operator configures; a field has the name of its key in the file, so that errors name the key.
+
+    Durations are in nanoseconds.
+    """
+
+    peers: bool = False  # lists from peers: only where an endpoint's address is the same for all gateways
+    wait_ns: int = 80 * MS  # a start waits this long for peers before it polls the list service
+    each_ns: int = 10 * MS  # and then a random time, up to this long for each gateway of the fleet
+    again_ns: int = 150 * MS  # a request that a peer did not answer goes to another after this long
+    agree: int = 2  # peers that have to send the same list before it is used at once
+    lone_ns: int = 300 * MS  # the list of one peer alone is used after this long
+    fan: int = 3  # peers that are queried at once
+    told_per_s: float = 120.0  # datagrams of list lines that a gateway sends in a second, at most
+    oldest_ns: int = 600 * SECOND  # a list that discovery confirmed longer ago is neither sent nor used
+    known_ns: int = 300 * MS  # a start with a cached list waits this long for a newer one
+    first_per_s: float = 20.0  # units a second that all gateways together send each ready endpoint at first
+    double_ns: int = 200 * MS  # time in which good answers raise that to 2.7 times as much
+    open_ns: int = 10 * SECOND  # admission is open after this long, whatever was observed
 
     def __post_init__(self) -> None:
+        """Raises ValueError for a field that can't work, and names it."""
         require_above_zero(
             self,
             "wait_ns",
--- a/zincstile/net/config.py
+++ b/zincstile/net/config.py
@@ -34,7 +34,7 @@
     peers: list[Address]
     quota_service_address: Address | None = None
     quota_service: Any = None  # quota_service.settings.QuotaServiceSettings, where quotas are held so
-    start: Any = None  # start.settings.StartSettings, where gateways start beside each other by a file
+    start: Any = None  # cold_start.settings.ColdStartSettings, where a file switches cold_start on
     place: Any = None  # zone_failover.settings.ZoneFailoverSettings, where zones are chosen in common
     subset: Any = None  # subset.settings.SubsetSettings, where a gateway uses a part of the endpoints
     shared: Any = None  # shared.settings.SharedSettings, where state is shared within stated bounds
--- a/zincstile/net/discovery/watch.py
+++ b/zincstile/net/discovery/watch.py
@@ -26,7 +26,7 @@
 
 
 class WatchListener(Protocol):
-    """Who gets discovery's own lists too: `start.Starter`."""
+    """Who gets discovery's own lists too: `cold_start.ColdStart`."""
 
     def list_received(self, version: int, endpoints: list[dict[str, Any]], *, complete: bool) -> None:
         """A list or a change of it, as its JSON has it."""
--- a/zincstile/net/discovery/watcher.py
+++ b/zincstile/net/discovery/watcher.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from typing import Any, Final
 
-from ...cold_start.asking import Asking
+from ...cold_start.list_polling import ListPolling
 from ...decisions.messages import EndpointList, EndpointListKind, WatchEndpoints
 from ..config import Address, ConfigError
 from ..dispatcher import Dispatcher
@@ -39,7 +39,7 @@
         self.listener: WatchListener | None = None
         self.current: Watch | None = None  # the last that was opened
         limits = dispatcher.limits
-        self._backoff = Asking(
+        self._polling = ListPolling(
             rng,
             limits.table_again_ns,
             limits.table_again_most_ns,
@@ -110,7 +110,7 @@
         if address != self.address:
             self.address = address
             self.table.version = 0  # another discovery may count in another way
-            self._backoff.tries = 0
+            self._polling.reset_backoff()
             self.open()
 
     async def _connect(self, address: Address) -> None:
@@ -171,7 +171,7 @@
         except (OSError, TimeoutError):
             watch.give_up_unanswered("silent, and it takes no connection")
             return
-        if self._backoff.silent(self.dispatcher.now_ns() - watch.called_ns):
+        if self._polling.keeps_waiting(self.dispatcher.now_ns() - watch.called_ns):
             watch.wait_on()
         else:
             waited_ns = self.dispatcher.now_ns() - watch.called_ns
@@ -193,7 +193,7 @@
         if watch is not None:  # else the one that stands is read on, though the next did not come up
             self.current = None
         self.dispatcher.log.often("watch", f"lost: {failure.reason}; the last list stands")
-        wait_ns = self._backoff.failed(failure.retry_after_ns, failure.silent_ns)
+        wait_ns = self._polling.failed(failure.retry_after_ns, failure.silent_ns)
         self.dispatcher.deadlines.add(self.dispatcher.now_ns() + wait_ns, self.open, address)
         self.dispatcher.wake()
 
@@ -208,7 +208,7 @@
             complete = bool(message["snapshot"])
             self.listener.list_received(self.table.version, message["endpoints"], complete=complete)
         if watch is self.current:
-            self._backoff.answered(watch.response_time_ns())
+            self._polling.answered(watch.response_time_ns())
             if self._previous is not None:
                 replaced = self._previous
                 self._previous = None
--- a/zincstile/net/features.py
+++ b/zincstile/net/features.py
@@ -14,7 +14,7 @@
 from ..serialization.typed_yaml import FileError, load
 
 if TYPE_CHECKING:  # a start loads what its own files need: each feature's modules are some 10 ms of its CPU
-    from ..cold_start.settings import StartSettings
+    from ..cold_start.settings import ColdStartSettings
     from ..decisions.quota_bounds import Quota
     from ..decisions.settings import Settings
     from ..leases.settings import SharedSettings
@@ -77,7 +77,7 @@
 
 
 class StartRow(msgspec.Struct, forbid_unknown_fields=True, omit_defaults=True):
-    """`StartSettings` in milliseconds; what is left out has its usual value."""
+    """`ColdStartSettings` in milliseconds; what is left out has its usual value."""
 
     peers: bool | None = None
     wait_ms: int | None = None
@@ -224,11 +224,11 @@
     return _settings(path, table.shared, SharedSettings), _plans(path, table.plans)
 
 
-def start(path: str) -> StartSettings:
+def start(path: str) -> ColdStartSettings:
     """FileError where the file can't be used."""
-    from ..cold_start.settings import StartSettings
+    from ..cold_start.settings import ColdStartSettings
 
-    return _settings(path, load(path, StartFile).start, StartSettings)
+    return _settings(path, load(path, StartFile).start, ColdStartSettings)
 
 
 def place(path: str) -> ZoneFailoverSettings:
--- a/zincstile/net/gateway.py
+++ b/zincstile/net/gateway.py
@@ -24,8 +24,8 @@
 
 if TYPE_CHECKING:
     from .administration import Administration
+    from .cold_start import ColdStart
     from .quota_service import QuotaServiceClient
-    from .start import Starter
 
 
 class Gateway:
@@ -70,7 +70,9 @@
     def _become_ready(self, _: object = None) -> None:
         self.lifecycle.become_ready()
 
-    def _connect_features(self, read_buffer: memoryview) -> tuple[QuotaServiceClient | None, Starter | None]:
+    def _connect_features(
+        self, read_buffer: memoryview
+    ) -> tuple[QuotaServiceClient | None, ColdStart | None]:
         """Connects what the configuration's `features` switch on; returns what the lifecycle needs of it."""
         config = self.config
         quota_client, starter = None, None
@@ -90,12 +92,12 @@
             connect_zone_failover(self.dispatcher, self.peers)
         return quota_client, starter
 
-    def _build_starter(self) -> Starter:
+    def _build_starter(self) -> ColdStart:
         """Builds what starts this gateway beside others: with a list from those that have one."""
-        from .start import Starter
+        from .cold_start import ColdStart
 
         config = self.config
-        return Starter(
+        return ColdStart(
             self.dispatcher,
             self.peers,
             self.watcher,
--- a/zincstile/net/lifecycle.py
+++ b/zincstile/net/lifecycle.py
@@ -23,8 +23,8 @@
 
 if TYPE_CHECKING:
     from .administration import Administration
+    from .cold_start import ColdStart
     from .quota_service import QuotaServiceClient
-    from .start import Starter
 
 # SIGHUP comes once: a file that the machine can't open for now is tried again, for 3 s in all.
 RELOAD_RETRY_NS: Final = 100_000_000
@@ -41,7 +41,7 @@
     peers: Peers
     watcher: EndpointWatcher
     quota_client: QuotaServiceClient | None
-    starter: Starter | None
+    starter: ColdStart | None
     administration: Administration | None
 
 
@@ -147,7 +147,7 @@
             parts.administration.handover.announce_ready()
         source = "told" if parts.watcher.has_received else "as known before"
         if parts.starter is not None:
-            source = parts.starter.readiness.right.value
+            source = parts.starter.readiness.trust.value
         self._log.line(f"ready with {len(parts.pool.listed)} backend servers, {source}")
 
     def _may_be_ready(self) -> bool:
@@ -189,7 +189,7 @@
         self._log.line("reload discovery at {}:{}".format(*config.discovery))
 
 
-def begin_list(config: Config, source: EndpointWatcher | Starter) -> bool:
+def begin_list(config: Config, source: EndpointWatcher | ColdStart) -> bool:
     """Hands the endpoint list that the start was given to who begins with it; False where there is none.
 
     It is taken out of the configuration: as JSON it takes more memory than all that is made of it.
--- a/zincstile/scale/capacity_messages.py
+++ b/zincstile/scale/capacity_messages.py
@@ -11,7 +11,9 @@
 from functools import cache
 from typing import Final
 
-from ..cold_start import words as list_words
+from ..cold_start import codec as list_codec
+from ..cold_start.entry_lines import encode_entry
+from ..cold_start.messages import BUCKETS, BucketPart
 from ..decisions.messages import CustomerUsage, ErrorSample, SendGossip
 from ..decisions.state import LEVEL
 from ..simulator import codec
@@ -92,17 +94,17 @@
     return len(zone_codec.pack(ZoneReport(1, 2**31, 7, 0, 80.0, sights, 0, 0)))
 
 
-def bucket_lines(entries: int) -> list[list_words.Lines]:
+def bucket_lines(entries: int) -> list[BucketPart]:
     """Lists from peers (features.start): a mean bucket of a list of so many entries, as datagrams."""
-    count = -(-entries // list_words.BUCKETS)
-    lines = [list_words.line(ENTRY | {"name": f"s-{k:08x}"}) for k in range(count)]
-    return list_words.parted(41, 0, [line for line in lines if line is not None])
+    count = -(-entries // BUCKETS)
+    lines = [encode_entry(ENTRY | {"name": f"s-{k:08x}"}) for k in range(count)]
+    return list_codec.split_bucket(41, 0, [line for line in lines if line is not None])
 
 
-def can_be_told(parts: list[list_words.Lines]) -> bool:
+def can_be_told(parts: list[BucketPart]) -> bool:
     """Whether the format of lists from peers has room for the numbers of these datagrams."""
     try:
-        list_words.pack(parts[-1])
+        list_codec.pack(parts[-1])
     except struct.error:
         return False
     return True
@@ -113,7 +115,7 @@
     low, high = 1, 1 << 16
     while low < high:  # the largest count that packs
         middle = (low + high + 1) // 2
-        if can_be_told([list_words.Lines(41, 0, middle - 1, middle, (b"x",))]):
+        if can_be_told([BucketPart(41, 0, middle - 1, middle, (b"x",))]):
             low = middle
         else:
             high = middle - 1
--- a/zincstile/scale/capacity_moments.py
+++ b/zincstile/scale/capacity_moments.py
@@ -6,7 +6,8 @@
 from functools import partial
 from typing import Final
 
-from ..cold_start import lists
+from ..cold_start.list_search import INTAKE_RATIO
+from ..cold_start.messages import BUCKETS
 from ..decisions.policy import DIRECT
 from ..net.limits import Limits
 from . import capacity_load, capacity_messages
@@ -154,8 +155,8 @@
     """Each needs the whole list before it can take clients."""
     started, limits = topology.gateways // len(topology.zones), Limits()
     whole, list_s = capacity_messages.list_bytes(topology.backends), limits.table_list_ns / 1e9
-    datagrams = lists.BUCKETS * len(capacity_messages.bucket_lines(topology.backends))
-    intake = lists.INTAKE * capacity_load.PEER_IN_PER_S
+    datagrams = BUCKETS * len(capacity_messages.bucket_lines(topology.backends))
+    intake = INTAKE_RATIO * capacity_load.PEER_IN_PER_S
     return [
         row(
             "one gateway ready, the list at hand on its machine",
@@ -170,7 +171,7 @@
             f"{started:,} lists, {1000 * list_s:g} ms of work each",
             Unit.SECONDS,
             exact(started * list_s),
-            "cold_start/asking.Asking",
+            "cold_start/list_polling.ListPolling",
             READY_S,
         ),
         Row(
@@ -185,7 +186,7 @@
             f"{datagrams:,} datagrams at {intake:g} a second",
             Unit.SECONDS,
             exact(datagrams / intake),
-            "cold_start/lists.Lists",
+            "cold_start/list_search.ListSearch",
             READY_S,
         ),
         Row(
--- a/zincstile/scale/capacity_roles.py
+++ b/zincstile/scale/capacity_roles.py
@@ -80,7 +80,7 @@
             f"{topology.backends:,} entries",
             Unit.COUNT,
             exact(len(parts)),
-            "cold_start/words.Lines",
+            "cold_start/messages.BucketPart",
             line,
         ),
         *(
--- a/zincstile/simulation/mutants_place.py
+++ b/zincstile/simulation/mutants_place.py
@@ -6,8 +6,9 @@
 import random
 from collections.abc import Callable, Iterator
 
-from ..cold_start import asking, lists, opening
-from ..cold_start.settings import MS, StartSettings
+from ..cold_start import admission_ramp, list_polling, list_search, peer_lists
+from ..cold_start.messages import Provenance
+from ..cold_start.settings import MS, ColdStartSettings
 from ..zone_failover import leader_terms, messages, zone_states, zone_view
 from ..zone_failover.settings import SECOND, ZoneFailoverSettings
 from ..zone_failover.zone_states import ZoneState, ZoneTracker
@@ -79,44 +80,39 @@
 
 def _fixed_give_up() -> Undo:
     """A call is given up after a fixed time, however long the line is."""
-    return _swap(asking.Asking, "patience", lambda self: 2600 * MS)
+    return _swap(list_polling.ListPolling, "timeout_ns", lambda self: 2600 * MS)
 
 
 def _in_step() -> Undo:
     """Failed calls are made again after the whole span, by all."""
-    return _swap(asking.Asking, "failed", lambda self, *_: self.again_ns)
+    return _swap(list_polling.ListPolling, "failed", lambda self, *_: self.first_backoff_ns)
 
 
 def _all_for_itself() -> Undo:
     """Each opens as if it were alone."""
     return _swap(
-        opening.Opening, "pace", lambda self, servers: self.settings.first_per_s * servers + self.gained
+        admission_ramp.AdmissionRamp,
+        "pace",
+        lambda self, endpoints: self.settings.first_per_s * endpoints + self.earned_per_s,
     )
 
 
 def _peers_outlive() -> Undo:
     """A list of peers' goes on being sought and taken after discovery has spoken."""
-    old = lists.Lists.told_by_discovery
-
-    def told(self, now, version, entries, whole):
-        seeking, target, have = self.seeking, self._target, dict(self._have)
-        old(self, now, version, entries, whole)
-        self.seeking, self._target, self._have = seeking, target, have
-
-    return _swap(lists.Lists, "told_by_discovery", told)
+    return _swap(list_search.ListSearch, "stop", lambda self: None)
 
 
 def _tells_on() -> Undo:
     """What came from a peer is told on."""
-    old = lists.Lists.take_found
+    old = peer_lists.PeerLists.take_found
 
     def take(self):
         found = old(self)
         if found is not None:
-            self.book.begin(0, found.version, lists.KNOWN, found.entries)
+            self.copy.replace(0, found.version, Provenance.CACHED, found.entries)
         return found
 
-    return _swap(lists.Lists, "take_found", take)
+    return _swap(peer_lists.PeerLists, "take_found", take)
 
 
 def _reach_forgotten() -> Undo:
@@ -182,11 +178,11 @@
 
 def by_calls() -> str:
     """A call that a service works on is left out; a fleet that fails calls apart, at most as stated."""
-    one = asking.Asking(random.Random(1), 200 * 50 * MS, 10 * SECOND, 50 * SECOND, 4500 * MS)
-    if not one.silent(20 * SECOND):
+    one = list_polling.ListPolling(random.Random(1), 200 * 50 * MS, 10 * SECOND, 50 * SECOND, 4500 * MS)
+    if not one.keeps_waiting(20 * SECOND):
         return "asking: a call was given up while the service may work on it"
     calls = sorted(
-        asking.Asking(random.Random(k), 10 * SECOND, 10 * SECOND, SECOND, 4500 * MS).failed()
+        list_polling.ListPolling(random.Random(k), 10 * SECOND, 10 * SECOND, SECOND, 4500 * MS).failed()
         for k in range(200)
     )
     most = max(sum(at <= c < at + 100 * MS for c in calls) for at in calls)
@@ -195,17 +191,19 @@
 
 def by_opening() -> str:
     """A fleet sends no more than is stated."""
-    settings, fleet, sent = StartSettings(), [], 0.0
+    settings, fleet, sent = ColdStartSettings(), [], 0.0
     for k in range(200):
-        fleet.append(opening.Opening(settings, 200, 6.0, random.Random(k)))
+        fleet.append(admission_ramp.AdmissionRamp(settings, 200, 6.0, random.Random(k)))
         fleet[-1].begin(0)
     for now in range(0, settings.double_ns, 10 * MS):
         for one in fleet:
-            if one.may(now, 40.0):
-                one.took(2.0)
+            if one.admits(now, 40.0):
+                one.sent(2.0)
                 sent += 2.0
-        if sent > opening.stated(settings, 40.0, now + 10 * MS) + 130:
-            return f"opening: {sent:.0f} units sent, {opening.stated(settings, 40.0, now):.0f} stated"
+        if sent > admission_ramp.sent_bound(settings, 40.0, now + 10 * MS) + 130:
+            return (
+                f"opening: {sent:.0f} units sent, {admission_ramp.sent_bound(settings, 40.0, now):.0f} stated"
+            )
     return ""
 
 
@@ -215,19 +213,19 @@
     late = model.gateways[-1]
     late.start()
     model.scheduler.run(60 * MS)
-    late.lists.told_by_discovery(model.now, 7, [], True)
+    late.lists.list_from_discovery(model.now, 7, [], complete=True)
     for one in model.gateways[:3]:
-        one.lists.told_by_discovery(0, start_model.VERSION, model.entries, True)
+        one.lists.list_from_discovery(0, start_model.VERSION, model.entries, complete=True)
     model.scheduler.run(3 * SECOND)
-    if late.lists.found is not None:
+    if late.lists.search.found is not None:
         return "lists: a peer's list was taken after discovery's word"
     for one in model.gateways[3:-1]:
         one.start()
     model.scheduler.run(6 * SECOND)
     for one in model.gateways[3:-1]:
-        if one.lists.found is None:
+        if one.lists.search.found is None:
             return "lists: no list came"
-        if one.lists.book.digest(model.now) is not None:
+        if one.lists.copy.digest(model.now) is not None:
             return "lists: a peer's list is told on"
     return ""
 
--- a/zincstile/simulation/start_model.py
+++ b/zincstile/simulation/start_model.py
@@ -1,6 +1,6 @@
-"""A cold start of any number of gateways by the pure modules alone: `start.lists`, `start.ready` and
-`start.opening` on virtual time, with a list service that works off calls one after another. No sockets and
-no whole gateways, so that 10,000 fit; `field start` and `worlds/starts` play whole ones.
+"""A cold start of any number of gateways by the pure modules alone: `peer_lists`, `readiness` and
+`admission_ramp` of `cold_start` on virtual time, with a list service that works off calls one after another.
+No sockets and no whole gateways, so that 10,000 fit; `field start` and `simulation/starts` play whole ones.
 """
 
 from __future__ import annotations
@@ -8,12 +8,13 @@
 import random
 from collections import Counter, deque
 from dataclasses import dataclass
+from functools import partial
 
-from ..cold_start.lists import Lists
-from ..cold_start.opening import Opening
-from ..cold_start.ready import Readiness, Right
-from ..cold_start.settings import MS, SECOND, StartSettings
-from ..cold_start.words import Lines, Word
+from ..cold_start.admission_ramp import AdmissionRamp
+from ..cold_start.messages import BucketPart, ListMessage
+from ..cold_start.peer_lists import PeerLists
+from ..cold_start.readiness import ListTrust, Readiness
+from ..cold_start.settings import MS, SECOND, ColdStartSettings
 from ..virtual.clock import Scheduler
 
 LOOK_NS, NEAR_NS, FAR_NS = 30 * MS, 1.9 * MS, 30 * MS  # looks while seeking; a datagram's way
@@ -46,20 +47,20 @@
         self.model, self.number, self.runs = model, number, runs
         settings = model.settings
         self.rng = random.Random(f"{model.seed} {number}")
-        self.lists = Lists(settings, number, model.count, INTAKE, self.rng)
-        self.lists.open = runs
-        self.right = Right.NONE
+        self.lists = PeerLists(settings, number, model.count, INTAKE, self.rng)
+        self.lists.admission_open = runs
+        self.trust = ListTrust.NONE
         self.called = False
         self.ready_ns = -1
-        self.opening = Opening(settings, model.count, 6.0, self.rng)
+        self.ramp = AdmissionRamp(settings, model.count, 6.0, self.rng)
 
     def start(self) -> None:
         now = self.model.now
         self.readiness = Readiness(self.model.settings, now)
-        self.lists.seek(now)
+        self.lists.search.start(now)
         wait = (
             self.model.settings.wait_ns + self.rng.randrange(self.model.count * self.model.settings.each_ns)
-            if self.lists.seeking
+            if self.lists.search.active
             else 0
         )
         self.model.at(now + wait, self.call)
@@ -73,55 +74,55 @@
 
     def answered(self) -> None:
         now = self.model.now
-        self.lists.told_by_discovery(now, VERSION, self.model.entries, True)
-        self._has(Right.TOLD)
+        self.lists.list_from_discovery(now, VERSION, self.model.entries, complete=True)
+        self._has(ListTrust.DISCOVERY)
         self.send()
 
-    def hear(self, sender: int, word: Word) -> None:
-        self.lists.hear(self.model.now, sender, word)
+    def hear(self, sender: int, message: ListMessage) -> None:
+        self.lists.receive(self.model.now, sender, message)
         self.after()
 
     def after(self) -> None:
         found = self.lists.take_found()
         if found is not None and not self.runs:
-            self._has(found.right)
-            if found.right is Right.AGREED:
+            self._has(found.trust)
+            if found.trust is ListTrust.PEERS_AGREE:
                 self.model.at(self.model.now + self.rng.randrange(50 * MS * self.model.count), self.call)
         self.send()
 
     def look(self) -> None:
-        self.lists.look(self.model.now)
+        self.lists.search.update(self.model.now)
         self.after()
-        if self.right is Right.LONE:
+        if self.trust is ListTrust.ONE_PEER:
             self._say()
-        if self.lists.seeking:
+        if self.lists.search.active:
             self.model.at(self.model.now + LOOK_NS, self.look)
 
-    def _has(self, right: Right) -> None:
-        self.right = right
-        self.readiness.has(right)
+    def _has(self, trust: ListTrust) -> None:
+        self.trust = trust
+        self.readiness.list_arrived(trust)
         self._say()
 
     def _say(self) -> None:
-        if self.ready_ns < 0 and self.readiness.ready(self.model.now):
+        if self.ready_ns < 0 and self.readiness.is_ready(self.model.now):
             self.ready_ns = self.model.now
-            self.opening.begin(self.model.now)
+            self.ramp.begin(self.model.now)
             self.model.at(self.model.now, self.ask)
 
     def ask(self) -> None:
         """A client's request; its answer comes in time."""
         model = self.model
-        if self.opening.may(model.now, model.servers):
+        if self.ramp.admits(model.now, model.servers):
             units = self.rng.choice((1.0, 1.0, 2.0, 6.0))
-            self.opening.took(units)
+            self.ramp.sent(units)
             model.sent[model.now // (100 * MS)] += units
-            model.at(model.now + 80 * MS, self.opening.answered, units, True)
+            model.at(model.now + 80 * MS, partial(self.ramp.answered, units, in_time=True))
         if model.now < self.ready_ns + 2 * SECOND:
             model.at(model.now + int(self.rng.expovariate(model.per_gateway) * SECOND), self.ask)
 
     def send(self) -> None:
-        for peer, word in self.lists.told():
-            self.model.post(self.number, peer, word)
+        for peer, message in self.lists.take_messages():
+            self.model.post(self.number, peer, message)
 
 
 class Model:
@@ -136,10 +137,10 @@
         seed: int = 1,
         loss: float = 0.03,
         apart_s: float = 0.5,
-        settings: StartSettings | None = None,
+        settings: ColdStartSettings | None = None,
         asked: float = 2.0,
     ) -> None:
-        self.settings = settings or StartSettings(peers=True)
+        self.settings = settings or ColdStartSettings(peers=True)
         self.count, self.alive, self.per_s, self.seed, self.loss = count, alive, per_s, seed, loss
         self.scheduler, self.rng = Scheduler(), random.Random(f"model {seed}")
         self.entries = [
@@ -172,16 +173,16 @@
     def at(self, at_ns: int, then, *args) -> None:
         self.scheduler.at(max(self.now, int(at_ns)), then, *args)
 
-    def post(self, sender: int, to: int, word: Word) -> None:
+    def post(self, sender: int, to: int, message: ListMessage) -> None:
         self.told[sender, self.now // SECOND] += 1
         if self.rng.random() < self.loss:
             return
-        self.at(self.now + self.rng.uniform(NEAR_NS, FAR_NS), self._arrive, sender, to, word)
+        self.at(self.now + self.rng.uniform(NEAR_NS, FAR_NS), self._arrive, sender, to, message)
 
-    def _arrive(self, sender: int, to: int, word: Word) -> None:
-        if isinstance(word, Lines):
+    def _arrive(self, sender: int, to: int, message: ListMessage) -> None:
+        if isinstance(message, BucketPart):
             self.heard[to, self.now // SECOND] += 1
-        self.gateways[to].hear(sender, word)
+        self.gateways[to].hear(sender, message)
 
     def service(self, gateway: Gateway) -> None:
         self.calls.append(self.now)
@@ -190,7 +191,7 @@
             self._begin()
 
     def _begin(self) -> None:
-        changes = self.queue[0].right is Right.AGREED
+        changes = self.queue[0].trust is ListTrust.PEERS_AGREE
         self.whole += not changes
         self.at(self.now + SECOND / self.per_s / (len(self.entries) if changes else 1), self._end)
 
@@ -202,7 +203,7 @@
     def play(self, patience_s: float = 120.0, apart_s: float = 0.5) -> Row:
         for one in self.gateways:
             if one.runs:
-                one.lists.told_by_discovery(0, VERSION, self.entries, True)
+                one.lists.list_from_discovery(0, VERSION, self.entries, complete=True)
             else:
                 self.at(self.rng.uniform(0, apart_s) * SECOND, one.start)
         starting = [g for g in self.gateways if not g.runs]
--- a/zincstile/simulation/world.py
+++ b/zincstile/simulation/world.py
@@ -16,7 +16,7 @@
 from ..checkers.cases import NAMES, Breach
 from ..checkers.checker import Checker
 from ..checkers.quotas import Quotas
-from ..cold_start.settings import StartSettings
+from ..cold_start.settings import ColdStartSettings
 from ..emulators import codec
 from ..emulators.backend import BackendEmulator, BackendModel, Rack
 from ..emulators.client_connection import ClientConnection
@@ -130,7 +130,7 @@
             QuotaServiceSettings(clock_skew_ns=1, max_overshoot_ratio=0.08) if plan.keeper else None
         )
         self.shared = SharedSettings() if plan.share else None
-        self.start = StartSettings(peers=True) if plan.start else None
+        self.start = ColdStartSettings(peers=True) if plan.start else None
         self.place_settings = ZoneFailoverSettings() if plan.place else None
         self.subset = SubsetSettings(least=2, holders=2) if plan.subset else None
         self.manners = ListServiceBehaviour(plan.lists_per_s or 1e6)
