--- a/tests/test_subset.py
+++ b/tests/test_subsetting.py
@@ -6,9 +6,9 @@
 from collections import Counter, defaultdict
 
 import pytest
-from conftest import MS, SECOND, backend, settings
-from hypothesis import given
-from hypothesis import settings as limits
+from conftest import MS, SECOND, backend
+from conftest import settings as gateway_settings
+from hypothesis import given, settings
 from hypothesis import strategies as st
 
 from zincstile.decisions.messages import (
@@ -41,21 +41,25 @@
 from zincstile.subsetting.settings import Layout, Reach, ServiceBy, SubsetSettings
 
 ZONES = ["a", "b", "c"]
-SPREAD = Layout.INTERLEAVED
-READY, DRAINING, GONE = EndpointState.READY, EndpointState.DRAINING, EndpointState.REMOVED
-DELTA, FULL = EndpointListKind.DELTA, EndpointListKind.FULL
-SAFE = [RequestClass("look", SECOND, 4 * SECOND, Idempotency.ALWAYS, 1.0)]
+INTERLEAVED = Layout.INTERLEAVED
+READY = EndpointState.READY
+DRAINING = EndpointState.DRAINING
+REMOVED = EndpointState.REMOVED
+DELTA = EndpointListKind.DELTA
+FULL = EndpointListKind.FULL
+NOW = 10 * SECOND
+IDEMPOTENT = [RequestClass("look", SECOND, 4 * SECOND, Idempotency.ALWAYS, 1.0)]
 
 
 def gateway(me=0, gateways=12, zone=0, classes=None, zones=ZONES, **subset):
     """A decision module with a subset, in which no class is bound to a group unless given."""
-    given_ = settings(me=me, gateways=gateways, zone=zone, classes=classes or SAFE)
-    policy = subsetting(Policy, SubsetSettings(**subset), zones, [])(given_, 1)
-    policy.handle(10 * SECOND, Started())
+    own = gateway_settings(me=me, gateways=gateways, zone=zone, classes=classes or IDEMPOTENT)
+    policy = subsetting(Policy, SubsetSettings(**subset), zones, [])(own, 1)
+    policy.handle(NOW, Started())
     return policy
 
 
-def feed(policy, entries, kind=DELTA, now=10 * SECOND):
+def feed(policy, entries, kind=DELTA, now=NOW):
     return policy.handle(now, EndpointList(kind, 1, entries))
 
 
@@ -72,7 +76,7 @@
 
 
 def fail(policy, numbers, now, bad=1.0):
-    """What these endpoints' attempts leave as doubt, told by the module's own rule."""
+    """Records failed attempts of these endpoints, by the module's own rule."""
     for endpoint in numbers:
         policy._observe(policy.servers[endpoint], 255, bad, 1.0)
     return tick(policy, now)
@@ -134,7 +138,7 @@
     st.integers(0, 3),
     st.integers(0, 2),
     st.integers(0, 3),
-    st.sampled_from([READY, READY, READY, DRAINING, GONE]),
+    st.sampled_from([READY, READY, READY, DRAINING, REMOVED]),
     st.sampled_from([0, 5 * SECOND]),
 )
 LISTS = st.lists(st.tuples(st.sampled_from([DELTA, DELTA, FULL]), st.lists(ENTRY, max_size=30)), max_size=8)
@@ -153,20 +157,22 @@
         scale = min(most, max(1, len([z for z in tier if z < 3]) / len(inside)))
         for zone in inside:
             ring = sorted(rings[service, zone], key=lambda n: ring_key(service, n))
-            fleet = Fleet(SubsetSettings(reach=Reach.ZONE, layout=SPREAD), me, gateways, me % 3, ZONES)
-            seat = fleet.seat(zone) if len(tiers) > 1 else fleet.everybody
-            size = min(len(ring), max(least, math.ceil(4 * len(ring) / seat.count)))
-            offset = stable_hash(service, fleet.name(zone)) % seat.count
-            first = first_rank(me, seat.count, len(ring), offset)
+            fleet = Fleet(SubsetSettings(reach=Reach.ZONE, layout=INTERLEAVED), me, gateways, me % 3, ZONES)
+            position = fleet.position(zone) if len(tiers) > 1 else fleet.among_all
+            size = min(len(ring), max(least, math.ceil(4 * len(ring) / position.count)))
+            offset = stable_hash(service, fleet.zone_name(zone)) % position.count
+            first = first_rank(me, position.count, len(ring), offset)
             found |= {ring[(first + k) % len(ring)] for k in range(min(len(ring), math.ceil(size * scale)))}
     return found
 
 
-@limits(max_examples=200, deadline=None)
+@settings(max_examples=200, deadline=None)
 @given(LISTS, st.integers(1, 9), st.sampled_from([Reach.ALL, Reach.ZONE]), st.data())
-def test_subset_and_table_are_what_a_plain_model_makes_of_any_lists(lists, gateways, reach, data):
+def test_subset_and_rings_are_what_a_plain_model_makes_of_any_lists(lists, gateways, reach, data):
     me = data.draw(st.integers(0, gateways - 1))
-    policy = gateway(me, gateways, me % 3, service_by=ServiceBy.TYPE, reach=reach, least=2, layout=SPREAD)
+    policy = gateway(
+        me, gateways, me % 3, service_by=ServiceBy.TYPE, reach=reach, min_endpoints=2, layout=INTERLEAVED
+    )
     tiers = [(me % 3,), (0, 1, 2, 3)] if reach is Reach.ZONE else [(0, 1, 2, 3)]
     table = {}
     for kind, entries in lists:
@@ -174,7 +180,7 @@
         table = {} if kind is FULL else table
         for b in entries:
             table[b.id] = b
-        table = {n: b for n, b in table.items() if b.mode is not GONE}
+        table = {n: b for n, b in table.items() if b.mode is not REMOVED}
         assert policy.table.endpoints == table
         assert {
             place: [k & (2**64 - 1) for k in ring.keys] for place, ring in policy.table.rings.items()
@@ -194,15 +200,17 @@
 # ---- cold endpoints
 
 
-@limits(max_examples=40, deadline=None)
+@settings(max_examples=40, deadline=None)
 @given(st.integers(2, 24), st.integers(4, 60), st.integers(2, 10), st.integers(0, 59), st.floats(1, 1000))
 def test_a_cold_endpoint_gets_no_more_by_all_than_its_share_of_a_warm_one(gateways, total, least, cold, rate):
     """Rule 4 by the sum over whole fleets: against the work of the busiest warm endpoint by the same
     gateways, and before any was seen against one first rate for all gateways together."""
     now, cold, seen, first, warm = 10 * SECOND, 1 + cold % total, 0.0, 0.0, Counter()
     for me in range(gateways):
-        given_ = settings(me=me, gateways=gateways, cold_share=0.2, cold_ns=30 * SECOND, cold_multiple=2.0)
-        policy = subsetting(Policy, SubsetSettings(least=least), [], [])(given_, 1)
+        own = gateway_settings(
+            me=me, gateways=gateways, cold_share=0.2, cold_ns=30 * SECOND, cold_multiple=2.0
+        )
+        policy = subsetting(Policy, SubsetSettings(min_endpoints=least), [], [])(own, 1)
         policy.handle(now, Started())
         feed(policy, [backend(n, started=now if n == cold else 0) for n in range(1, total + 1)])
         policy.leaves[0].arrivals = rate / gateways
@@ -234,8 +242,10 @@
 
 
 def test_a_slice_whose_every_member_fails_is_widened_within_its_bound_and_shrinks_back_once():
-    """Handling: `Widening.look` on a tick; without it the gateway knows nobody else."""
-    policy = gateway(gateways=60, least=4, least_good=2, most=3, back_ns=2 * SECOND, zones=[])
+    """Handling: `Widening.review` on a tick; without it the gateway knows nobody else."""
+    policy = gateway(
+        gateways=60, min_endpoints=4, min_usable=2, max_growth=3, recovery_ns=2 * SECOND, zones=[]
+    )
     feed(policy, many(60, zone=0))
     usual, now = ready(policy), 11 * SECOND
     assert len(usual) == 4
@@ -252,15 +262,15 @@
         tick(policy, now)
         sizes.append(len(ready(policy)))
     assert ready(policy) == usual and sizes == sorted(sizes, reverse=True)
-    assert sizes.count(12) >= 15  # until they were good for `back`
+    assert sizes.count(12) >= 15  # until they were healthy for `recovery_ns`
     fail(policy, usual, now)
-    assert policy.selection.widenings[0, 0].wait_ns == 4 * SECOND  # relapsed: it waits longer
+    assert policy.selection.widenings[0, 0].recovery_ns == 4 * SECOND  # relapsed: it waits longer
 
 
-@pytest.mark.parametrize("mode", [DRAINING, GONE])
+@pytest.mark.parametrize("mode", [DRAINING, REMOVED])
 def test_members_that_drain_or_go_are_replaced_at_once_and_come_back_to_their_places(mode):
     """Handling: only ready endpoints stand in a ring."""
-    policy = gateway(gateways=60, least=4, zones=[])
+    policy = gateway(gateways=60, min_endpoints=4, zones=[])
     feed(policy, many(60, zone=0))
     usual = ready(policy)
     feed(policy, [backend(n, mode=mode) for n in usual])
@@ -274,7 +284,7 @@
     """Handling: places depend on numbers alone, and each change exchanges one endpoint at most."""
     late, early = Counter(), Counter()
     for me in range(40):
-        policy = gateway(me, 40, least=5, zones=[])
+        policy = gateway(me, 40, min_endpoints=5, zones=[])
         feed(policy, many(100, zone=0))
         old = ready(policy)
         late.update(old)
@@ -287,22 +297,22 @@
 
 def test_an_endpoint_back_under_its_name_is_the_same_member_and_new_to_the_module_if_it_was_restarted():
     """Handling: rings by name alone; evidence only for the same start (`_seen_before`)."""
-    policy = gateway(gateways=60, least=4, zones=[])
+    policy = gateway(gateways=60, min_endpoints=4, zones=[])
     feed(policy, many(60, zone=0, started=SECOND))
     usual = ready(policy)
     one = min(usual)
     policy.touch(policy.servers[one]).slowness = 3.0
-    feed(policy, [backend(one, mode=GONE, started=SECOND)])
+    feed(policy, [backend(one, mode=REMOVED, started=SECOND)])
     feed(policy, [backend(one, started=SECOND)])
     assert ready(policy) == usual and policy.servers[one].slowness == 3.0  # undone by the next change
-    feed(policy, [backend(one, mode=GONE, started=SECOND)])
+    feed(policy, [backend(one, mode=REMOVED, started=SECOND)])
     feed(policy, [backend(one, started=9 * SECOND)])
     assert ready(policy) == usual and policy.servers[one].slowness == 1.0
 
 
 def test_an_attempt_out_at_an_endpoint_that_leaves_the_subset_is_learned_from_and_remembered():
     """Handling: `left` keeps what was learned of it; the attempt goes on and is no other's."""
-    policy = gateway(me=30, gateways=600, least=4, zones=[])
+    policy = gateway(me=30, gateways=600, min_endpoints=4, zones=[])
     feed(policy, many(60, zone=0))
     actions = policy.handle(10 * SECOND, Request(1, 0, 0, 7, 14 * SECOND, 1.0, 1, 0))
     sent = next(a for a in actions if isinstance(a, ForwardRequest)).backend
@@ -314,7 +324,7 @@
     assert sent not in policy.servers and not [a for a in policy.acts if isinstance(a, CancelAttempt)]
     policy.handle(10 * SECOND + MS, AttemptOutcome(1, 0, sent, AttemptResult.ERROR, MS, True))
     assert not policy.attempts
-    feed(policy, [backend(n, mode=GONE) for n in range(61, more + 1)])
+    feed(policy, [backend(n, mode=REMOVED) for n in range(61, more + 1)])
     assert sent in ready(policy) and policy.servers[sent].doubt and not policy.servers[sent].out
     assert {b.id for b in others} < ready(policy)
 
@@ -322,7 +332,7 @@
 @pytest.mark.parametrize("reach", [Reach.ALL, Reach.ZONE])
 def test_a_zone_lost_is_made_good_by_the_others_and_taken_back(reach):
     """Handling: `scale` for zones in reach without endpoints; further tiers where none in reach has any."""
-    policy = gateway(gateways=90, least=4, reach=reach, layout=SPREAD)
+    policy = gateway(gateways=90, min_endpoints=4, reach=reach, layout=INTERLEAVED)
     feed(policy, many(180))
     usual = ready(policy)
     zones = Counter(n % 3 for n in usual)
@@ -336,8 +346,8 @@
 
 
 def test_a_zone_that_nobody_called_lost_and_whose_endpoints_all_fail_is_helped_by_others():
-    """Handling: `Widening.beyond` and the next tier."""
-    policy = gateway(gateways=90, least=4, reach=Reach.ZONE, layout=SPREAD, back_ns=SECOND)
+    """Handling: `Widening.needs_further_zones` and the next tier."""
+    policy = gateway(gateways=90, min_endpoints=4, reach=Reach.ZONE, layout=INTERLEAVED, recovery_ns=SECOND)
     feed(policy, many(180))
     usual, now = ready(policy), 10 * SECOND
     for _ in range(6):
@@ -352,7 +362,7 @@
 
 def test_a_service_replaced_whole_never_leaves_a_slice_short_and_moves_no_other_service():
     """Handling: only ready endpoints stand in a ring; changes of one service choose anew for that alone."""
-    policy = gateway(gateways=30, least=4, service_by=ServiceBy.TYPE, zones=[])
+    policy = gateway(gateways=30, min_endpoints=4, service_by=ServiceBy.TYPE, zones=[])
     feed(policy, [EndpointEntry(n, 0, n % 2, 0, READY, 1.0, 0) for n in range(1, 121)])
     other = {n for n in ready(policy) if n % 2 == 0}
     for batch in range(4):
@@ -361,7 +371,7 @@
         feed(policy, [EndpointEntry(n + 1000, 0, 1, 0, READY, 1.0, now) for n in old])
         feed(policy, [EndpointEntry(n, 0, 1, 0, DRAINING, 1.0, 0) for n in old])
         assert len(ready(policy) - other) == 8 and other <= ready(policy)
-        feed(policy, [EndpointEntry(n, 0, 1, 0, GONE, 1.0, 0) for n in old])
+        feed(policy, [EndpointEntry(n, 0, 1, 0, REMOVED, 1.0, 0) for n in old])
         assert len(ready(policy) - other) == 8
     assert min(ready(policy) - other) > 1000
     assert policy.moved <= 3 * 60 and set(policy.servers) == ready(policy)
@@ -370,7 +380,7 @@
 def test_a_service_of_one_endpoint_is_used_by_all_and_stays_used_in_trouble():
     """Handling: slices and what is needed of them are bounded by the ring."""
     for me in range(5):
-        policy = gateway(me, 5, service_by=ServiceBy.TYPE, reach=Reach.ZONE, zone=me % 3, layout=SPREAD)
+        policy = gateway(me, 5, service_by=ServiceBy.TYPE, reach=Reach.ZONE, zone=me % 3, layout=INTERLEAVED)
         feed(policy, [*many(30), EndpointEntry(99, 2, 9, 0, READY, 1.0, 0)])
         assert 99 in ready(policy)
         fail(policy, [99], 11 * SECOND, bad=0.2)
@@ -399,7 +409,7 @@
     """Handling: `Ring.partner`, and at least a pair for each zone, where a class is bound to such a group."""
     put = RequestClass("put", SECOND, 4 * SECOND, Idempotency.BY_KEY, 2.0, group=group, window_ns=500 * MS)
     for me in range(20):
-        policy = gateway(me, 40, classes=[put], least=1, least_good=1, holders=1)
+        policy = gateway(me, 40, classes=[put], min_endpoints=1, min_usable=1, min_gateways=1)
         listed = {n: backend(n, n % 3, cell=n // 2 % 30) for n in range(1, 121)}
         feed(policy, list(listed.values()))
         assert len(ready(policy)) < 60
@@ -414,7 +424,7 @@
 
 def test_a_change_undone_by_the_next_in_the_same_turn_leaves_all_as_it_was():
     """Handling: `left`; what the first change shifted out comes back with what was learned of it."""
-    policy = gateway(gateways=60, least=4, zones=[])
+    policy = gateway(gateways=60, min_endpoints=4, zones=[])
     feed(policy, many(60, zone=0))
     usual = ready(policy)
     for n in usual:
@@ -423,27 +433,27 @@
         policy,
         [backend(n, mode=DRAINING) for n in range(1, 61) if n not in usual] + [backend(n) for n in (61, 62)],
     )
-    feed(policy, many(60, zone=0) + [backend(n, mode=GONE) for n in (61, 62)])
+    feed(policy, many(60, zone=0) + [backend(n, mode=REMOVED) for n in (61, 62)])
     assert ready(policy) == usual == set(policy.servers)
     assert {policy.servers[n].slowness for n in usual} == {2.0}
 
 
 def test_a_whole_list_that_leaves_out_half_is_followed_and_its_evidence_kept():
-    """Handling: `EndpointTable.replace` takes what is not listed out of the rings."""
-    policy = gateway(gateways=60, least=4, zones=[])
+    """Handling: `EndpointRings.replace` takes what is not listed out of the rings."""
+    policy = gateway(gateways=60, min_endpoints=4, zones=[])
     feed(policy, many(60, zone=0), FULL)
     usual = ready(policy)
     for n in usual:
         policy.touch(policy.servers[n]).slowness = 2.0
     feed(policy, many(30, first=31, zone=0), FULL)
-    assert len(ready(policy)) == 4 and min(ready(policy)) > 30 and policy.table.ready == 30
+    assert len(ready(policy)) == 4 and min(ready(policy)) > 30 and policy.table.ready_count == 30
     feed(policy, many(60, zone=0), FULL)
     assert ready(policy) == usual and {policy.servers[n].slowness for n in usual} == {2.0}
 
 
 def test_budgets_are_shared_out_among_those_that_use_an_endpoint():
     """Else pressure is seen with fewer attempts out for each endpoint, the smaller the subset."""
-    policy = gateway(gateways=60, least=4, zones=[])
+    policy = gateway(gateways=60, min_endpoints=4, zones=[])
     assert policy.tier == 60
     feed(policy, many(60, zone=0))
     assert policy.concentration == 15.0 and policy.tier == 4.0
@@ -463,7 +473,7 @@
         policy = subsetting(
             Policy, SubsetSettings(ServiceBy.TYPE), ["a"], [endpoint_id(name) for name in named]
         )
-        found.append([policy(settings(), 1).service_of(b) for b, _ in entries])
+        found.append([policy(gateway_settings(), 1).service_of(b) for b, _ in entries])
     assert found[0] == found[1] and len(set(found[0])) == 3 and found[0][0] == found[0][3]
 
 
@@ -471,11 +481,11 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "said"),
+    ("text", "error"),
     [
         ("subset: {service_by: name}", "service_by"),
         ("subset: {service_by: type, least: 0}", "least: must be above 0"),
-        ("subset: {service_by: type, least_good: 9}", "least_good: at most least"),
+        ("subset: {service_by: type, least_good: 9}", r"least_good: at most least \(3\)"),
         ("subset: {service_by: none, reach: region, layout: blocks}", "no regions are given"),
         ("subset: {service_by: none, reach: zone}", "used by nobody"),
         ("subset: {service_by: none, regions: {x: [q]}}", "no zone is called q"),
@@ -484,12 +494,14 @@
         ("subset: {}", "service_by"),
     ],
 )
-def test_a_bad_file_is_one_line(text, said, tmp_path):
+def test_a_bad_file_is_one_line(text, error, tmp_path):
     path = tmp_path / "subset.yaml"
     path.write_text(text)
-    with pytest.raises(FileError, match=said) as err:
-        features.check_subset(str(path), features.subset(str(path)), ZONES, settings(gateways=6, zone=1))
-    assert len(str(err.value).splitlines()) == 1
+    with pytest.raises(FileError, match=error) as caught:
+        features.check_subset(
+            str(path), features.subset(str(path)), ZONES, gateway_settings(gateways=6, zone=1)
+        )
+    assert len(str(caught.value).splitlines()) == 1
 
 
 def test_the_file_under_deploy_is_read_where_it_is_named():
--- a/zincstile/net/features.py
+++ b/zincstile/net/features.py
@@ -141,17 +141,17 @@
 
 
 class SubsetRow(msgspec.Struct, forbid_unknown_fields=True, omit_defaults=True):
-    """`SubsetSettings`; what is left out has its usual value."""
+    """`SubsetSettings`, under the operators' keys; what is left out has its default."""
 
     service_by: Literal["type", "group", "none"]
     reach: Literal["zone", "region", "all"] = "all"
     layout: Literal["unknown", "interleaved", "blocks"] = "unknown"
     regions: dict[str, list[str]] = {}
-    least: int | None = None
-    holders: int | None = None
-    least_good: int | None = None
-    most: int | None = None
-    back_ms: int | None = None
+    min_endpoints: int | None = msgspec.field(name="least", default=None)
+    min_gateways: int | None = msgspec.field(name="holders", default=None)
+    min_usable: int | None = msgspec.field(name="least_good", default=None)
+    max_growth: int | None = msgspec.field(name="most", default=None)
+    recovery_ms: int | None = msgspec.field(name="back_ms", default=None)
 
 
 class SubsetFile(msgspec.Struct, forbid_unknown_fields=True):
@@ -282,16 +282,16 @@
 
     row = load(path, SubsetFile).subset
     regions = {name: tuple(zones) for name, zones in row.regions.items()}
-    numbers = {k: getattr(row, k) for k in ("least", "holders", "least_good", "most")}
-    given = {k: v for k, v in numbers.items() if v is not None}
-    if row.back_ms is not None:
-        given["back_ns"] = row.back_ms * MS
+    names = ("min_endpoints", "min_gateways", "min_usable", "max_growth")
+    given = {name: getattr(row, name) for name in names if getattr(row, name) is not None}
+    if row.recovery_ms is not None:
+        given["recovery_ns"] = row.recovery_ms * MS
     try:
         return SubsetSettings(
             ServiceBy(row.service_by), Reach(row.reach), regions, Layout(row.layout), **given
         )
     except ValueError as err:
-        raise FileError(f"{path}: {err}") from None
+        raise FileError(f"{path}: {_by_keys(row, str(err))}") from None
 
 
 def check_subset(path: str, subset: SubsetSettings, zones: list[str], settings: Settings) -> None:
--- a/zincstile/simulation/world.py
+++ b/zincstile/simulation/world.py
@@ -132,7 +132,7 @@
         self.shared = SharedSettings() if plan.share else None
         self.start = ColdStartSettings(peers=True) if plan.start else None
         self.place_settings = ZoneFailoverSettings() if plan.place else None
-        self.subset = SubsetSettings(least=2, holders=2) if plan.subset else None
+        self.subset = SubsetSettings(min_endpoints=2, min_gateways=2) if plan.subset else None
         self.manners = ListServiceBehaviour(plan.lists_per_s or 1e6)
         quotas = None
         if self.quota_service:
--- a/zincstile/subsetting/fleet.py
+++ b/zincstile/subsetting/fleet.py
@@ -1,59 +1,72 @@
-"""Which gateways share a zone's endpoints, as far as the settings tell, and this one's index."""
+"""Which gateways share a zone's endpoints, as far as the settings tell, and this one's position there."""
 
 from __future__ import annotations
 
-from typing import NamedTuple
+from typing import Final, NamedTuple
 
 from .settings import Layout, SubsetSettings
 
+UNNAMED_ZONE: Final = "?"  # stands for a zone that the settings don't name
 
-class Seat(NamedTuple):
-    """This gateway among those that take endpoints of one zone."""
+
+class FleetPosition(NamedTuple):
+    """A gateway's index among the `count` gateways that share the endpoints of one zone."""
 
     index: int
     count: int
 
 
 class Fleet:
-    """Gateway `me` of `gateways`, in a zone of those named."""
-
-    def __init__(self, settings: SubsetSettings, me: int, gateways: int, zone: int, zones: list[str]) -> None:
-        self.settings, self.me, self.gateways = settings, me, gateways
+    """All gateways, seen from one of them.
+
+    Zones are numbers in the settings' order; the number of zones stands for all that the settings don't name.
+    """
+
+    def __init__(
+        self, settings: SubsetSettings, gateway: int, gateways: int, zone: int, zones: list[str]
+    ) -> None:
+        """Takes this gateway's number, how many there are, its zone, and the names of all zones."""
+        self.settings = settings
+        self.gateway = gateway
+        self.gateways = gateways
         self.zones = zones
-        name = zones[zone] if zone < len(zones) else "?"
-        self.tiers = [tuple(map(self._number, tier)) for tier in settings.tiers(name, zones)]
-        if len(zones) not in self.tiers[-1]:  # endpoints whose zone nobody named are in reach of all
+        own_zone = self.zone_name(zone)
+        self.tiers = [tuple(map(self._zone_number, tier)) for tier in settings.tiers(own_zone, zones)]
+        if len(zones) not in self.tiers[-1]:  # endpoints of an unnamed zone are in reach of all
             self.tiers[-1] += (len(zones),)
-        self.everybody = Seat(me, gateways)
-        self._seats: dict[int, Seat] = {z: self._seat(z, name) for z in self.tiers[0]}
+        self.among_all = FleetPosition(gateway, gateways)
+        self._positions = {near: self._position(near) for near in self.tiers[0]}
 
-    def _number(self, zone: str) -> int:
-        return self.zones.index(zone) if zone in self.zones else len(self.zones)
+    def zone_name(self, zone: int) -> str:
+        """A zone's name, or `UNNAMED_ZONE`."""
+        return self.zones[zone] if zone < len(self.zones) else UNNAMED_ZONE
 
-    def name(self, zone: int) -> str:
-        """A zone's name; `?` where the settings name none."""
-        return self.zones[zone] if zone < len(self.zones) else "?"
+    def zone_of(self, gateway: int) -> int:
+        """A gateway's zone by the layout that the settings tell."""
+        return zone_of(self.settings.layout, gateway, self.gateways, len(self.zones))
 
-    def seat(self, zone: int) -> Seat:
-        """Beyond the first tier it depends on each gateway's troubles who shares a zone: all may."""
-        return self._seats.get(zone, self.everybody)
+    def position(self, zone: int) -> FleetPosition:
+        """This gateway's position among those that may use a zone's endpoints.
 
-    def _seat(self, zone: int, own: str) -> Seat:
-        reaching = self.settings.tiers(self.name(zone), self.zones)[0]
-        if len(reaching) >= len(self.zones):
-            return self.everybody
-        sharing = [g for g in range(self.gateways) if self.zones[self.zone_of(g)] in reaching]
-        if self.me not in sharing:
-            return self.everybody
-        return Seat(sharing.index(self.me), len(sharing))
+        Beyond the first tier that depends on the health that each gateway sees: all may.
+        """
+        return self._positions.get(zone, self.among_all)
 
-    def zone_of(self, gateway: int) -> int:
-        """By the layout that the settings tell."""
-        return zone_of(self.settings.layout, gateway, self.gateways, len(self.zones))
+    def _zone_number(self, name: str) -> int:
+        return self.zones.index(name) if name in self.zones else len(self.zones)
+
+    def _position(self, zone: int) -> FleetPosition:
+        reaching = self.settings.tiers(self.zone_name(zone), self.zones)[0]
+        if len(reaching) >= len(self.zones):
+            return self.among_all
+        sharing = [other for other in range(self.gateways) if self.zones[self.zone_of(other)] in reaching]
+        if self.gateway not in sharing:
+            return self.among_all
+        return FleetPosition(sharing.index(self.gateway), len(sharing))
 
 
 def zone_of(layout: Layout, gateway: int, gateways: int, zones: int) -> int:
-    """The zone of a gateway by its number."""
+    """The zone of a gateway by its number; `gateways` and `zones`: how many there are."""
     if layout is Layout.BLOCKS:
         return gateway * zones // gateways
     return gateway % zones
--- a/zincstile/subsetting/module.py
+++ b/zincstile/subsetting/module.py
@@ -16,9 +16,9 @@
 from ..decisions.settings import DeduplicationScope, Idempotency, Settings
 from ..decisions.state import NO_DOUBT, Server
 from .fleet import Fleet
+from .rings import EndpointRings
 from .selection import Selection
-from .settings import SECOND, ServiceBy, SubsetSettings
-from .table import EndpointTable
+from .settings import SECOND_NS, ServiceBy, SubsetSettings
 from .widening import Health
 
 UNEASY = FAULTY / 2  # doubt below which an endpoint counts as good again
@@ -43,9 +43,9 @@
         super().__init__(settings, seed, *more)
         groups = keyed_groups(settings)
         by_cell = DeduplicationScope.CELL in groups and self.subset.service_by is not ServiceBy.GROUP
-        self.table = EndpointTable(self.service_of, by_cell)
+        self.table = EndpointRings(self.service_of, by_cell=by_cell)
         fleet = Fleet(self.subset, settings.me, settings.gateways, settings.zone, self.zones_named)
-        least = max(self.subset.least, PAIR) if groups else self.subset.least
+        least = max(self.subset.min_endpoints, PAIR) if groups else self.subset.min_endpoints
         self.selection = Selection(self.subset, fleet, self.table, least)
         self.used: dict[int, EndpointEntry] = {}  # as the module below was told of them last
         self.left: dict[int, tuple[int, Server]] = {}  # since when, and the evidence; the oldest first
@@ -89,7 +89,7 @@
         """What the module below has to hear of these endpoints."""
         entries = [e for number in sorted(named) if (e := self._change(now, number)) is not None]
         ready = len(self.selection.members)
-        self.concentration = self.table.ready / ready if ready else 1.0
+        self.concentration = self.table.ready_count / ready if ready else 1.0
         if entries:
             self._now = now
             super().on_endpoint_list(now, EndpointList(EndpointListKind.DELTA, version, entries))
@@ -125,7 +125,7 @@
         server.info = s.info
         self.servers[s.info.id] = server
         if server.doubt is not NO_DOUBT:
-            fade = math.exp(-(self._now - since) / SECOND / FADE_S)
+            fade = math.exp(-(self._now - since) / SECOND_NS / FADE_S)
             server.slowness += (1 - fade) * (1 - server.slowness)
             server.doubt = {g: bad * fade for g, bad in server.doubt.items() if bad * fade > FORGOTTEN}
             self.touched[s.info.id] = server
@@ -135,7 +135,7 @@
     def _tick(self, now: int) -> None:
         super()._tick(now)
         suspects = [number for number, s in self.touched.items() if s.doubt]
-        services = self.selection.look(now, suspects, self._health)
+        services = self.selection.review(now, suspects, self._health)
         if services:
             self._pass_on(now, self.selection.update(services), 0)
 
@@ -143,17 +143,17 @@
         """By its own doubts, not beside the usual one: all of a subset may fail alike."""
         server = self.servers.get(number)
         if server is None:
-            return Health.GOOD
+            return Health.HEALTHY
         worst = max((server.doubt.get(g, 0.0) for g in range(len(self.set.classes))), default=0.0)
         if worst >= FAULTY:
-            return Health.BAD
-        return Health.UNEASY if worst >= UNEASY else Health.GOOD
+            return Health.UNHEALTHY
+        return Health.RECOVERING if worst >= UNEASY else Health.HEALTHY
 
     # ---- what is told
 
     def _line(self) -> str:
         return (
-            f"subset {len(self.selection.members)} of {self.table.ready} ready endpoints, "
+            f"subset {len(self.selection.members)} of {self.table.ready_count} ready endpoints, "
             f"{len(self.selection.slices)} services, {self.selection.widened} slices widened"
         )
 
--- a/zincstile/subsetting/settings.py
+++ b/zincstile/subsetting/settings.py
@@ -6,12 +6,13 @@
 from enum import Enum
 from typing import Final
 
-MS: Final = 1_000_000
-SECOND: Final = 1000 * MS
+from ..decisions.validation import require_above_zero
+
+SECOND_NS: Final = 1_000_000_000
 
 
 class ServiceBy(Enum):
-    """The field of discovery's entries by which an endpoint's service is known."""
+    """The field of discovery's entries that names an endpoint's service."""
 
     TYPE = "type"
     GROUP = "group"
@@ -30,38 +31,32 @@
     """How the gateways' numbers are laid out over the zones, in the order of the settings."""
 
     UNKNOWN = "unknown"
-    INTERLEAVED = "interleaved"  # gateway g stands in zone g modulo the number of zones
+    INTERLEAVED = "interleaved"  # gateway g is in zone g modulo the number of zones
     BLOCKS = "blocks"  # the first so many in the first zone, and so on, in even blocks
 
 
 @dataclass(frozen=True, slots=True)
 class SubsetSettings:
-    """ValueError names a field that can't work."""
+    """The settings of one gateway's subset; the same at all gateways of a fleet."""
 
     service_by: ServiceBy = ServiceBy.NONE
     reach: Reach = Reach.ALL
-    regions: dict[str, tuple[str, ...]] = field(default_factory=dict)
+    regions: dict[str, tuple[str, ...]] = field(default_factory=dict)  # zones by region
     layout: Layout = Layout.UNKNOWN
-    least: int = 3  # endpoints per service and zone in reach, where there are so many
-    holders: int = 4  # gateways that use each endpoint, at least: with 4 or more the load is even within 25%
-    least_good: int = 2  # usable members of a slice below which it is widened
-    most: int = 3  # so many times its usual size is a slice at most
-    back_ns: int = (
-        5 * SECOND
-    )  # its usual members are usable for so long before a slice shrinks; doubled on relapse
+    min_endpoints: int = 3  # of each service and zone in reach, where there are so many
+    min_gateways: int = 4  # that use each endpoint: with 4 or more the load is even within 25%
+    min_usable: int = 2  # endpoints of a slice: with fewer it is widened
+    max_growth: int = 3  # a slice is at most so many times its regular size
+    recovery_ns: int = 5 * SECOND_NS  # its regular endpoints are healthy for so long before it shrinks
 
     def __post_init__(self) -> None:
-        for name in ("least", "holders", "least_good", "most", "back_ns"):
-            if getattr(self, name) < 1:
-                raise ValueError(f"{name}: must be above 0")
-        if self.least_good > self.least:
-            raise ValueError(f"least_good: at most least ({self.least}): a slice would always be widened")
-        seen: dict[str, str] = {}
-        for region, zones in self.regions.items():
-            for zone in zones:
-                if zone in seen:
-                    raise ValueError(f"regions: zone {zone} is in {seen[zone]} and in {region}")
-                seen[zone] = region
+        """Raises ValueError, which names the field, where a value can't work."""
+        require_above_zero(self, "min_endpoints", "min_gateways", "min_usable", "max_growth", "recovery_ns")
+        if self.min_usable > self.min_endpoints:
+            raise ValueError(
+                f"min_usable: at most min_endpoints ({self.min_endpoints}): a slice would always be widened"
+            )
+        self._check_regions()
         if self.reach is not Reach.ALL and self.layout is Layout.UNKNOWN:
             raise ValueError(
                 f"reach: {self.reach.value}, and layout is unknown: who shares a zone has to be known, "
@@ -70,18 +65,28 @@
         if self.reach is Reach.REGION and not self.regions:
             raise ValueError("reach: region, and no regions are given")
 
+    def _check_regions(self) -> None:
+        region_of: dict[str, str] = {}
+        for region, zones in self.regions.items():
+            for zone in zones:
+                if zone in region_of:
+                    raise ValueError(f"regions: zone {zone} is in {region_of[zone]} and in {region}")
+                region_of[zone] = region
+
     def region(self, zone: str) -> tuple[str, ...]:
-        """The zones of its region; one that is in none is alone."""
+        """The zones of a zone's region; one that is in none is a region of its own."""
         return next((zones for zones in self.regions.values() if zone in zones), (zone,))
 
     def tiers(self, zone: str, zones: list[str]) -> list[tuple[str, ...]]:
-        """Zones that a gateway of `zone` takes endpoints from, and those it falls back on, each tier with
-        the ones before it."""
-        region = tuple(z for z in zones if z in self.region(zone))
-        found: list[tuple[str, ...]] = []
+        """Zones that a gateway of `zone` takes endpoints from, then those that it falls back on.
+
+        Each tier contains the ones before it; the last one is all `zones`.
+        """
+        tiers: list[tuple[str, ...]] = []
         if self.reach is Reach.ZONE:
-            found.append((zone,))
+            tiers.append((zone,))
         if self.reach is not Reach.ALL and self.regions:
-            found.append(region)
-        found.append(tuple(zones))
-        return [tier for k, tier in enumerate(found) if k == 0 or len(tier) > len(found[k - 1])]
+            region = self.region(zone)
+            tiers.append(tuple(other for other in zones if other in region))
+        tiers.append(tuple(zones))
+        return [tier for k, tier in enumerate(tiers) if k == 0 or len(tier) > len(tiers[k - 1])]
--- a/zincstile/subsetting/widening.py
+++ b/zincstile/subsetting/widening.py
@@ -1,4 +1,4 @@
-"""How far one slice is widened while its endpoints are in trouble: bounded, and back with hysteresis."""
+"""How far one slice is widened while its endpoints are unhealthy: bounded, and back with hysteresis."""
 
 from __future__ import annotations
 
@@ -6,61 +6,73 @@
 from enum import IntEnum
 from typing import Final
 
-from .settings import SECOND
+from .settings import SECOND_NS
 
-RELAPSE_NS: Final = 60 * SECOND  # trouble again within so long after a slice shrank: it waits twice as long
-MOST_DOUBLED: Final = 16
+RELAPSE_NS: Final = 60 * SECOND_NS  # widened again this soon after it shrank, a slice waits twice as long
+MAX_RECOVERY_FACTOR: Final = 16  # four doublings: 80 s at the usual settings
 
 
 class Health(IntEnum):
-    """Of one endpoint, by what the decision module knows of it."""
+    """The health of one endpoint, as the decision module sees it."""
 
-    GOOD = 0
-    UNEASY = 1  # better than when it was left, not yet good
-    BAD = 2
+    HEALTHY = 0
+    RECOVERING = 1  # no longer unhealthy, and not yet healthy
+    UNHEALTHY = 2
 
 
 @dataclass(slots=True)
 class Widening:
-    """Of one slice."""
+    """How far one slice is widened at present, and since when its regular endpoints are healthy."""
 
-    wait_ns: int
-    extra: int = 0  # endpoints besides the usual ones
-    beyond: bool = False  # the widest slice is not enough: zones further away have to help
-    well_ns: int = -1  # since when all the usual endpoints are good
-    shrunk_ns: int = -1
+    recovery_ns: int  # they have to be for so long before the slice shrinks
+    extra_count: int = 0  # endpoints besides the regular ones
+    needs_further_zones: bool = False  # the widest slice is not enough
+    healthy_since_ns: int | None = None
+    shrunk_at_ns: int | None = None
 
     @property
     def active(self) -> bool:
-        return self.extra > 0 or self.beyond
-
-    def look(self, now: int, usual: list[Health], more: list[Health], need: int, bound: int) -> bool:
-        """`usual` and `more`: the endpoints of the slice now. At least `need` have to be usable, `bound` may
-        be added at most. True where the slice changes."""
-        before = self.extra, self.beyond
-        self.extra = min(self.extra, bound)
-        bad = sum(h is Health.BAD for h in (*usual, *more))
-        if len(usual) + len(more) - bad < need:
-            self.well_ns = -1
-            self._widen(now, bad, bound, full=len(more) >= bound)
-        elif not all(h is Health.GOOD for h in usual):
-            self.well_ns = -1
+        """Whether the slice is widened."""
+        return self.extra_count > 0 or self.needs_further_zones
+
+    def review(
+        self, now: int, regular: list[Health], extra: list[Health], *, required: int, max_extra: int
+    ) -> bool:
+        """Widens or shrinks the slice by the health of its endpoints; True where it changes.
+
+        At least `required` endpoints have to be usable, and `max_extra` may be added at most.
+        """
+        before = self.extra_count, self.needs_further_zones
+        self.extra_count = min(self.extra_count, max_extra)
+        unhealthy = sum(health is Health.UNHEALTHY for health in (*regular, *extra))
+        if len(regular) + len(extra) - unhealthy < required:
+            self.healthy_since_ns = None
+            self._widen(now, unhealthy, max_extra, at_limit=len(extra) >= max_extra)
+        elif not all(health is Health.HEALTHY for health in regular):
+            self.healthy_since_ns = None
         elif self.active:
-            self._shrink(now)
-        return (self.extra, self.beyond) != before
-
-    def _widen(self, now: int, bad: int, bound: int, full: bool) -> None:
-        if not self.active and self.shrunk_ns >= 0 and now - self.shrunk_ns < RELAPSE_NS:
-            self.wait_ns *= 2
-        self.extra = max(self.extra, min(bound, bad))
-        self.beyond = self.beyond or full
-
-    def _shrink(self, now: int) -> None:
-        if self.well_ns < 0:
-            self.well_ns = now
-        if now - self.well_ns >= self.wait_ns:
-            self.extra, self.beyond, self.well_ns, self.shrunk_ns = 0, False, -1, now
-
-    def forgotten(self, now: int) -> bool:
-        """Nothing of it is needed any more."""
-        return not self.active and (self.shrunk_ns < 0 or now - self.shrunk_ns >= RELAPSE_NS)
+            self._shrink_if_recovered(now)
+        return (self.extra_count, self.needs_further_zones) != before
+
+    def forgettable(self, now: int) -> bool:
+        """Whether nothing of it is needed any more."""
+        return not self.active and not self._relapses(now)
+
+    def _relapses(self, now: int) -> bool:
+        """Whether trouble now would be a relapse."""
+        return self.shrunk_at_ns is not None and now - self.shrunk_at_ns < RELAPSE_NS
+
+    def _widen(self, now: int, unhealthy: int, max_extra: int, *, at_limit: bool) -> None:
+        if not self.active and self._relapses(now):
+            self.recovery_ns *= 2
+        self.extra_count = max(self.extra_count, min(max_extra, unhealthy))
+        self.needs_further_zones = self.needs_further_zones or at_limit
+
+    def _shrink_if_recovered(self, now: int) -> None:
+        if self.healthy_since_ns is None:
+            self.healthy_since_ns = now
+        if now - self.healthy_since_ns >= self.recovery_ns:
+            self.extra_count = 0
+            self.needs_further_zones = False
+            self.healthy_since_ns = None
+            self.shrunk_at_ns = now
