--- a/tests/endpoint_lists.py
+++ b/tests/endpoint_lists.py
@@ -35,7 +35,7 @@
     return SimpleNamespace(
         limits=limits or Limits(),
         deadlines=Deadlines(),
-        carry_out={},
+        action_handlers={},
         trace=Trace(),
         now_ns=now_ns,
         wake=lambda: None,
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -27,7 +27,7 @@
     open c1                     connects without a word; `open a1`: the next connection there is taken
     refuse a                    connections to a are refused; `listen a`: they are taken again
     fill a                      connections to a do not come up any more; `free a`: those on their way do
-    wait gw left=1              until the counters say so
+    wait gw abandoned=1              until the counters say so
 """
 
 from __future__ import annotations
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -20,7 +20,7 @@
 from zincstile.net.dispatcher import Dispatcher
 from zincstile.net.limits import MS, SECOND, Limits
 from zincstile.net.log import Log
-from zincstile.net.session import Call, Kind, Session
+from zincstile.net.session import AnswerKind, Call, Session
 
 NEVER = 10**12
 # A dial that comes up after the client of its attempt has left
@@ -29,7 +29,7 @@
         send c1 look 1
         wait gw connects=1
         close c1
-        wait gw left=1
+        wait gw abandoned=1
         free a
         open a1
         """
@@ -93,7 +93,7 @@
         close c1
         close c2
         send gw CONT
-        wait gw left=3
+        wait gw abandoned=3
         send c9 look 99
         expect a1 look 99
         send a1 ok still
@@ -113,7 +113,7 @@
         + "wait gw connects=40\n"
         + "".join(f"reset c{k}\n" for k in numbers)
         + """
-        wait gw left=40
+        wait gw abandoned=40
         free a
         open a1
         wait gw attempts=0
@@ -132,7 +132,7 @@
         send c1 look 1
         expect a1 look 1
         close c1
-        wait gw left=1
+        wait gw abandoned=1
         send c2 look 1
         expect a2 look 1
         send a2 ok hello
@@ -258,7 +258,7 @@
         expect a2 book 2
         send a2 ok hello
         expect c1 ok hello
-        wait gw stale=0
+        wait gw stale_connection=0
         wait gw reset=0""",
     )
 
@@ -354,7 +354,7 @@
         send a2 ok second
         expect c1 ok second
         wait gw reset=0
-        wait gw stale=0""",
+        wait gw stale_connection=0""",
     )
 
 
@@ -381,7 +381,7 @@
     def answer(self, session, answer):
         self.answers.append(answer.kind)
 
-    def gone(self):
+    def has_left(self):
         return False
 
 
@@ -406,7 +406,7 @@
     loop.create_connection = slow
     client, now = Client(), dispatcher.now_ns()
     call = Call(True, b"0" * 16, b"1", [b"c=look", b"d=9000"], 1, None)
-    dispatcher.take(
+    dispatcher.submit(
         Session(1, call, client, now + 9 * SECOND), Request(1, 0, 0, 7, now + 9 * SECOND, 1.0, 1, 0)
     )
     return dispatcher, attempts, client
@@ -432,7 +432,7 @@
     with socket.create_server(("127.0.0.1", 0)) as listening:
         listening.setblocking(False)
         got, outcomes, answers = asyncio.run(asyncio.wait_for(play(listening), PATIENCE))
-    assert (got, outcomes, answers) == (b"*4\r\n", [AttemptResult.OK], [Kind.SERVED])
+    assert (got, outcomes, answers) == (b"*4\r\n", [AttemptResult.OK], [AnswerKind.SERVED])
 
 
 def test_a_connection_that_came_up_too_late_is_not_closed_beneath_the_next_attempt():
@@ -454,7 +454,7 @@
                     Client(),
                     now + 9 * SECOND,
                 )
-                dispatcher.take(session, Request(2, 0, 0, 7, now + 9 * SECOND, 1.0, 1, 0))
+                dispatcher.submit(session, Request(2, 0, 0, 7, now + 9 * SECOND, 1.0, 1, 0))
 
         attempts.connector.connected = connected
         taken, _ = await loop.sock_accept(listening)
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -2,7 +2,7 @@
 
 
 def due(deadlines, now):
-    return [about for *_, about in deadlines.sweep(now)]
+    return [about for *_, about in deadlines.pop_due(now)]
 
 
 def test_deadlines_are_swept_in_order_and_once():
@@ -17,9 +17,9 @@
 def test_a_deadline_can_be_taken_back():
     d = Deadlines()
     keys = [d.add(at, print, at) for at in (10, 10, 20)]
-    d.drop(keys[0])
-    d.drop(keys[0])  # twice is no fault
-    d.drop(None)
+    d.cancel(keys[0])
+    d.cancel(keys[0])  # twice is no fault
+    d.cancel(None)
     assert due(d, 10) == [10] and len(d) == 1
-    d.drop(keys[1])  # it has passed
+    d.cancel(keys[1])  # it has passed
     assert due(d, 20) == [20] and d.next_ns is None
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -19,7 +19,7 @@
 from scenario import PATIENCE, ROOT, World, call, encode, where
 from test_scenarios import PING, READY, play
 
-from zincstile.net.accept import Acceptor, Taken
+from zincstile.net.acceptor import Acceptor, AcceptResult
 from zincstile.net.clients.connection import ClientConnection
 from zincstile.net.clients.listener import ClientListener
 from zincstile.net.counters import Counters
@@ -44,7 +44,7 @@
         expect a2 look *
         send c1 look 3
         close c1
-        wait gw left=2
+        wait gw abandoned=2
         expect a1 end
         expect a2 end
         wait gw requests=2""",
@@ -430,7 +430,7 @@
 
         acceptor = Acceptor(dispatcher, Welcomed)
         with socket.create_connection(listening.getsockname(), PATIENCE):
-            while acceptor.take(listening) is not Taken.ONE:
+            while acceptor.accept(listening) is not AcceptResult.ACCEPTED:
                 await asyncio.sleep(0)
             while not made:
                 await asyncio.sleep(0)
@@ -470,14 +470,14 @@
 
     async def play():
         dispatcher = Dispatcher(asyncio.get_running_loop(), None, Limits(), Counters(), Log("n0"))
-        dispatcher.readable = dispatcher.ended = lambda transport: False
+        dispatcher.readable = dispatcher.has_ended = lambda transport: False
         door = ClientListener(dispatcher, module_settings(), memoryview(bytearray(64)), HOST)
         wires = [Wire(gone=k == 0) for k in range(3)]
         for wire in wires:
             client = ClientConnection(door)
             client.connection_made(wire)
-            client.asked = 1
-        door.shut()
+            client.commands = 1
+        door.shut_down()
         return wires
 
     wires = asyncio.run(play())
--- a/tests/test_endpoint_table.py
+++ b/tests/test_endpoint_table.py
@@ -27,7 +27,7 @@
     waited = []
     for _ in range(attempts):
         watcher.lost(watcher.address, WatchFailure("rejected"))
-        ((at_ns, *_),) = watcher.dispatcher.deadlines.sweep(1 << 62)
+        ((at_ns, *_),) = watcher.dispatcher.deadlines.pop_due(1 << 62)
         waited.append(at_ns)
     return waited
 
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -3,9 +3,12 @@
 
 from __future__ import annotations
 
+import json
+from pathlib import Path
 from types import SimpleNamespace
 
 import pytest
+from scenario import ROOT
 from test_checker import MS, SECOND, Bench
 
 from zincstile.decisions.messages import AttemptResult, EndpointEntry, EndpointState, RejectionReason
@@ -13,16 +16,17 @@
 from zincstile.net.counters import Counters
 from zincstile.net.invariants import DEADLINE_SLACK_NS, InvariantGuard
 from zincstile.net.log import Log
-from zincstile.net.reasons import CloseReason, RefusalReason, RetryReason
+from zincstile.net.reasons import CloseReason, GatewayRejection, RetryReason
 from zincstile.net.session import Call, Session
-from zincstile.net.trace import RING_ENTRIES, TOLD_ENTRIES, Step, Trace
+from zincstile.net.trace import DESCRIBED_ENTRIES, RING_ENTRIES, Step, Trace
+from zincstile.testbed.counter_names import by_stored_name
 
 GIVE_UP = 10 * SECOND
 
 
 def server(number: int = 1, zone: int = 0, cell: int = 0, ready: bool = True):
     listed = EndpointEntry(number, zone, 0, cell, EndpointState.READY, 1.0, 0)
-    return SimpleNamespace(address=("10.0.0.1", number), ready=ready, backend=listed)
+    return SimpleNamespace(address=("10.0.0.1", number), ready=ready, entry=listed)
 
 
 def session(
@@ -34,7 +38,7 @@
 
 def attempt(owner, where, sent_ns: int = 0, may_have_run: bool = False, until_ns: int = GIVE_UP):
     return SimpleNamespace(
-        session=owner, server=where, sent_ns=sent_ns, may_have_run=may_have_run, until_ns=until_ns
+        session=owner, backend=where, sent_ns=sent_ns, may_have_run=may_have_run, until_ns=until_ns
     )
 
 
@@ -59,14 +63,14 @@
 
 def test_sends_for_nobody_to_nobody_or_for_too_long_are_named(guard, capsys):
     over = session()
-    over.over = True
+    over.ended = True
     assert not guard.may_send(0, attempt(over, server()))
     assert not guard.may_send(0, attempt(session(), server(ready=False)))
     longest = GIVE_UP + DEADLINE_SLACK_NS
     assert guard.may_send(0, attempt(session(), server(), until_ns=longest))
     assert not guard.may_send(0, attempt(session(), server(), until_ns=longest + 1))
     assert counted(guard) == {"send": 3}
-    assert "violated send id: its request is over" in capsys.readouterr().err
+    assert "violated send id: its request has ended" in capsys.readouterr().err
 
 
 @pytest.mark.parametrize(
@@ -81,9 +85,9 @@
 )
 def test_repeats_of_what_may_have_run_are_by_its_class(guard, effect, where, now, may):
     owner = session(effect)
-    owner.carried.append(attempt(owner, server(1), may_have_run=False))  # turned away: no matter
+    owner.sent_attempts.append(attempt(owner, server(1), may_have_run=False))  # turned away: no matter
     assert guard.may_send(now, attempt(owner, where))
-    owner.carried.append(attempt(owner, server(1), may_have_run=True))
+    owner.sent_attempts.append(attempt(owner, server(1), may_have_run=True))
     assert guard.may_send(now, attempt(owner, where)) is may
     assert counted(guard) == ({} if may else {"repeat": 1})
 
@@ -91,7 +95,7 @@
 @pytest.mark.parametrize(("group", "may"), [(DeduplicationScope.ALL, True), (DeduplicationScope.ZONE, False)])
 def test_a_group_may_be_all_servers_or_a_zone(guard, group, may):
     owner = session(Idempotency.BY_KEY, group)
-    owner.carried.append(attempt(owner, server(1, zone=0), may_have_run=True))
+    owner.sent_attempts.append(attempt(owner, server(1, zone=0), may_have_run=True))
     assert guard.may_send(0, attempt(owner, server(2, zone=1))) is may
 
 
@@ -106,38 +110,46 @@
 
 
 def test_a_violation_tells_what_its_request_went_through(guard, capsys):
-    guard._trace.note(0, Step.COME, b"id")
+    guard._trace.note(0, Step.RECEIVED, b"id")
     guard._trace.note(2 * MS, Step.SENT, b"other", ("10.0.0.1", 1))
     guard._trace.note(3 * MS, Step.OUTCOME, b"id", AttemptResult.RESET)
     owner = session()
-    owner.over = True
+    owner.ended = True
     guard.may_send(5 * MS, attempt(owner, server()))
     told = capsys.readouterr().err
-    assert "trace -5.000ms come id" in told and "trace -2.000ms outcome id reset" in told
+    assert "trace -5.000ms received id" in told and "trace -2.000ms outcome id reset" in told
     assert "other" not in told
 
 
 def test_the_trace_is_bounded_and_tells_the_last():
     trace = Trace()
     for n in range(RING_ENTRIES + 5):
-        trace.note(n, Step.COME, n)
+        trace.note(n, Step.RECEIVED, n)
     assert len(trace) == RING_ENTRIES
-    told = trace.tell(RING_ENTRIES + 5)
-    assert len(told) == TOLD_ENTRIES and told[-1].endswith(f"come {RING_ENTRIES + 4}")
+    told = trace.describe(RING_ENTRIES + 5)
+    assert len(told) == DESCRIBED_ENTRIES and told[-1].endswith(f"received {RING_ENTRIES + 4}")
 
 
 def test_every_reason_has_a_counter():
     counters = Counters()
     for reason in CloseReason:
-        counters.closed(reason)
-    for reason in RefusalReason:
-        counters.refused(reason)
+        counters.count_close(reason)
+    for reason in GatewayRejection:
+        counters.count_rejection(reason)
     for reason in RetryReason:
-        counters.retried(reason)
-    named = [n for n in Counters.__slots__ if n.startswith(("close_", "refuse_", "retry_"))]
-    assert len(named) == len(CloseReason) + len(RefusalReason) + len(RetryReason)
+        counters.count_retry(reason)
+    named = [n for n in Counters.__slots__ if n.startswith(("close_", "reject_", "retry_"))]
+    assert len(named) == len(CloseReason) + len(GatewayRejection) + len(RetryReason)
     assert all(getattr(counters, n) == 1 for n in named)
-    assert {why.name for why in RejectionReason} <= {r.name for r in RefusalReason}
+    assert {why.name for why in RejectionReason} <= {r.name for r in GatewayRejection}
+
+
+def test_results_of_the_testbed_hold_all_counters_by_the_names_of_those_stored_before():
+    result = json.loads((Path(ROOT) / "tests/data/stored/field-result.json").read_text(encoding="utf-8"))
+    stored = by_stored_name(json.loads(Counters().line().removeprefix("counters ")))
+    assert result["rows"]
+    for row in result["rows"]:
+        assert stored.keys() == row["counters"].keys()
 
 
 # ---- from outside
--- a/tests/test_leavers.py
+++ b/tests/test_leavers.py
@@ -22,7 +22,7 @@
 BURST = range(1, 21)
 GATEWAYS = 7  # a set of so many is wide: its relay is asked
 UNITS = 2.0  # of plan `small`, whose stores never hold so much: nothing goes out but by a grant
-GONE = ("left", "denied")
+GONE = ("abandoned", "rejected")
 
 
 def each(line: str) -> str:
@@ -96,7 +96,7 @@
         before = world.counters()
         ask(world, "c1", customer)
         relays.grant(world, *relays.asked_by({customer})[0])
-        if settled(world, before, ("attempts", "denied"), 1)["attempts"]:
+        if settled(world, before, ("attempts", "rejected"), 1)["attempts"]:
             break
         world.play("expect c1 -BUSY*")
     assert world.line("a1").message()[2] == b"%016x" % customer
@@ -130,7 +130,7 @@
         found = settled(world, before, GONE, len(BURST))
         settled(world, before, ("messages_in",), len(BURST))
         assert world.counters()["attempts"] == 0
-        if found["left"] - before["left"] == len(BURST):
+        if found["abandoned"] - before["abandoned"] == len(BURST):
             return
     raise AssertionError("no burst left while its relay was asked")
 
@@ -161,7 +161,7 @@
         + f"send d1 change a=Terminating b=Ready\nwait gw connects={2 * len(BURST)}\n"
         + each("close c{0}")
         + f"""
-        wait gw left={len(BURST)}
+        wait gw abandoned={len(BURST)}
         free b
         open b1
         wait gw attempts=0
@@ -193,7 +193,7 @@
         {both[order]}
         {both[1 - order]}
         send gw CONT
-        wait gw left=1
+        wait gw abandoned=1
         send c2 look 3
         expect b1 look 3
         send b1 ok still
@@ -215,7 +215,7 @@
         send d1 change b=Ready
         wait gw tables=2
         close c1
-        wait gw left=1
+        wait gw abandoned=1
         expect b1 look 2
         wait gw attempts=3""",
     )
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -360,6 +360,6 @@
         )
         counters = world.counters()
         assert counters["connect_failed"] > 0
-        assert (counters["moot"], counters["connects"]) == (0, count + counters["connect_failed"])
+        assert (counters["not_sent"], counters["connects"]) == (0, count + counters["connect_failed"])
     finally:
         world.end()
--- a/tests/test_machine.py
+++ b/tests/test_machine.py
@@ -463,7 +463,7 @@
         counted = world.counters()
         state = json.loads(world.logged("state *").split(" ", 1)[1])
         client.close()
-        assert counted["connect_failed"] == 0 < counted["moot"]
+        assert counted["connect_failed"] == 0 < counted["not_sent"]
         assert state["doubted"] == 0
 
 
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -101,7 +101,7 @@
         send c1 look 1
         expect a1 look 1
         close c1
-        wait gw left=1
+        wait gw abandoned=1
         expect a1 end
         send c2 raw *4\\r\\n$8\\r\\nCALL
         close c2
@@ -122,7 +122,7 @@
         expect a1 book 1
         send a1 -BUSY inflight=7,queue=2
         expect c1 -BUSY*
-        wait gw full=1""",
+        wait gw attempt_rejected=1""",
     "a keyed call that failed is not refused": READY
     + """
         send c1 put 1
@@ -139,7 +139,7 @@
         expect a1 book 2
         close a1
         expect c1 -ERR failed
-        wait gw stale=1
+        wait gw stale_connection=1
         wait gw reset=0
         send c1 look 3
         expect a2 look 3
@@ -186,7 +186,7 @@
         expect a4 look 4
         send a4 raw *1\\r\\n$5\\r\\nhello\\r\\n
         expect c1 -BUSY*
-        wait gw spoilt=4""",
+        wait gw malformed_response=4""",
     "a good answer counts whatever comes behind it": READY
     + "".join(
         f"""
--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -55,7 +55,7 @@
         lag = first[0] - began
         assert lag < 0.15, f"first bytes {lag:.3f} s after the backend server's"
         counters = world.counters()
-        assert counters["streamed"] == 1 and counters["streams_cut"] == 0
+        assert counters["streamed"] == 1 and counters["streams_truncated"] == 0
         held_kb = counters["memory_kb"] - before
         print(f"first bytes after {1000 * lag:.1f} ms; most memory grew by {held_kb} KB for a 4096 KB value")
         assert held_kb < 3 * 1024  # not held whole: at most what the client has not read, and the pieces
@@ -84,7 +84,7 @@
         with contextlib.suppress(ConnectionError):
             data = world.line("c1").file.read()
         assert len(data) < MIB  # the client can tell that it is not whole
-        world.wait("gw", "streams_cut=1")
+        world.wait("gw", "streams_truncated=1")
 
 
 def test_a_client_that_leaves_in_the_middle_frees_the_backend_connection(tmp_path):
@@ -114,26 +114,26 @@
 
 
 def test_a_stream_tells_each_side_and_is_cut_once():
-    from zincstile.net.session import Stream
+    from zincstile.net.value_stream import ValueStream
 
     told = []
 
     class Side:
-        def more(self):
+        def on_taken(self):
             told.append("more")
 
         def abandon(self):
             told.append("abandon")
 
-        def poke(self):
+        def on_stream_progress(self):
             told.append("poke")
 
-    s = Stream(Side())
-    s.writer = Side()
+    s = ValueStream(Side())
+    s.sink = Side()
     s.push(b"ab")
     s.push(b"cd")
-    assert s.pending == 4 and s.take() == [b"ab", b"cd"] and s.pending == 0
+    assert s.pending_bytes == 4 and s.take() == [b"ab", b"cd"] and s.pending_bytes == 0
     s.abandon()
     s.abandon()
-    s.end(cut=False)  # too late: it was cut
-    assert told == ["poke", "poke", "more", "abandon"] and s.cut and not s.whole
+    s.end(truncated=False)  # too late: it was cut
+    assert told == ["poke", "poke", "more", "abandon"] and s.truncated and not s.complete
--- a/tests/test_turn.py
+++ b/tests/test_turn.py
@@ -25,7 +25,7 @@
 from zincstile.net.dispatcher import Dispatcher
 from zincstile.net.limits import Limits
 from zincstile.net.log import Log
-from zincstile.net.session import Call, Kind, Session
+from zincstile.net.session import AnswerKind, Call, Session
 
 
 class Failing:
@@ -44,7 +44,7 @@
     def answer(self, session, answer):
         self.answers.append((session.id, answer.kind))
 
-    def gone(self):
+    def has_left(self):
         return False
 
 
@@ -54,7 +54,7 @@
         dispatcher = Dispatcher(asyncio.get_running_loop(), Failing(), Limits(), Counters(), Log("n0"))
         for number in (1, 2):
             call = Call(True, b"c", b"id", [b"d=1"], 0, None)
-            dispatcher.take(
+            dispatcher.submit(
                 Session(number, call, client, 10**18), Request(number, 0, 0, 7, 10**18, 1.0, 1, 0)
             )
         while len(client.answers) < 2:
@@ -62,7 +62,7 @@
         return client.answers, dispatcher
 
     answers, dispatcher = asyncio.run(asyncio.wait_for(play(), 20))
-    assert answers == [(1, Kind.FAILED), (2, Kind.FAILED)]
+    assert answers == [(1, AnswerKind.FAILED), (2, AnswerKind.FAILED)]
     assert dispatcher.counters.faults == 1 and not dispatcher.sessions
     assert "fault KeyError" in capsys.readouterr().err
 
@@ -219,10 +219,10 @@
         dispatcher.sessions[1] = session
         session.attempts = 1
         dispatcher.post(AttemptOutcome(1, 0, 5, AttemptResult.REJECTED, 1, False))
-        dispatcher.leave(session)
+        dispatcher.abandon(session)
         while len(module.told) < 2:
             await asyncio.sleep(0)
-        assert not attempts.in_flight and not dispatcher.over
+        assert not attempts.in_flight and not dispatcher.ended_sessions
         return module
 
     module = asyncio.run(asyncio.wait_for(play(), 20))
@@ -239,7 +239,7 @@
         )
         dispatcher.now_ns = lambda: now[0]
         dispatcher._alarm_ns, now[0] = 100, 100 + late_ns
-        dispatcher._ring()
+        dispatcher._on_alarm()
         return dispatcher.counters.held_up
 
     assert asyncio.run(play(10)) == 0
--- a/zincstile/net/__init__.py
+++ b/zincstile/net/__init__.py
@@ -1,5 +1,6 @@
-"""The gateway's network: one module a concern, none of which decides anything.
+"""The gateway's network: sockets, clocks and files, none of which decides anything.
 
-Only `frontend`, `backend` and `resp` know RESP; the rest speaks of sessions, calls and answers, so that a
-second protocol needs a frontend of its own and nothing else.
+What clients ask becomes sessions and requests (`clients`), which the `dispatcher` hands to the policy in
+batches; the policy's actions are attempts at backend servers, answers, and messages to peers. Only `clients`,
+the backends' side and `resp` know RESP: a second protocol needs a package beside `clients` and nothing else.
 """
--- a/zincstile/net/admin_endpoint.py
+++ b/zincstile/net/admin_endpoint.py
@@ -17,7 +17,7 @@
 
 from ..admin.http import Request, RequestError, RequestLimits, RequestParser, Status, encode_response
 from ..admin.operator_state import OperatorChange, OperatorReply, OperatorState
-from .accept import Acceptor, Taken
+from .acceptor import Acceptor, AcceptResult
 from .config import Address
 from .deadlines import every
 from .dispatcher import Dispatcher
@@ -61,7 +61,7 @@
         try:
             request = self._parser.feed(bytes(self._endpoint.buffer[:size]))
         except RequestError as err:
-            self._endpoint.dispatcher.counters.control_bad += 1
+            self._endpoint.dispatcher.counters.control_malformed += 1
             self.finish(err.status, str(err))
             return
         if request is not None:
@@ -84,7 +84,7 @@
         counters = self._endpoint.dispatcher.counters
         counters.control_calls += 1
         if status >= FIRST_ERROR_STATUS:
-            counters.control_no += 1
+            counters.control_rejected += 1
         self._transport.write(encode_response(status, text))
         self._transport.close()
 
@@ -162,10 +162,10 @@
         if self._socket is None:
             return
         for _ in range(self.dispatcher.limits.control_connections):
-            taken = self._acceptor.take(self._socket)
-            if taken is Taken.LACK:
+            taken = self._acceptor.accept(self._socket)
+            if taken is AcceptResult.EXHAUSTED:
                 self._pause_accepting(self._socket)
-            if taken in (Taken.NONE, Taken.LACK):
+            if taken in (AcceptResult.QUEUE_EMPTY, AcceptResult.EXHAUSTED):
                 return
 
     def _pause_accepting(self, listening: socket.socket) -> None:
@@ -198,7 +198,7 @@
         for connection in list(self._connections):
             age_ns = now_ns - connection.opened_ns
             if age_ns >= self.dispatcher.limits.control_call_ns and not connection.request_complete:
-                self.dispatcher.counters.control_bad += 1
+                self.dispatcher.counters.control_malformed += 1
                 connection.finish(Status.REQUEST_TIMEOUT, "no whole call in time")
 
     # ---- requests
--- a/zincstile/net/administration.py
+++ b/zincstile/net/administration.py
@@ -124,7 +124,7 @@
         else:
             text = "active: taking clients again"
         self._dispatcher.log.line(text)
-        self._listener.set_standby(standby)
+        self._listener.set_standby(standby=standby)
 
     def _set_maintenance(self, name: str, *, enter: bool) -> None:
         self._table.maintain(name, enter=enter)
@@ -154,4 +154,4 @@
         """Another process of this gateway serves beside this one, or no more: both have one's descriptors."""
         limits = self._config.limits
         self._dispatcher.limits = limits.shared() if shared else limits
-        self._listener.fit()
+        self._listener.shrink_to_limits()
--- a/zincstile/net/backends/attempt.py
+++ b/zincstile/net/backends/attempt.py
@@ -6,15 +6,16 @@
 from typing import Protocol
 
 from ...decisions.messages import EndpointEntry
-from ..deadlines import Key
-from ..session import Session, Stream
+from ..deadlines import DeadlineKey
+from ..session import Session
+from ..value_stream import ValueStream
 
 
 class Connection(Protocol):
     """A connection to a backend, as far as attempts and backends have to know it."""
 
     attempt: Attempt | None
-    stream: Stream | None
+    stream: ValueStream | None
     last_received_ns: int
 
     @property
@@ -62,7 +63,7 @@
         self.sent_ns = sent_ns
         self.until_ns = until_ns  # it is given up then
         self.by_ns = by_ns  # its last byte is written by then, or never
-        self.deadline: Key | None = None
+        self.deadline: DeadlineKey | None = None
         self.connection: Connection | None = None
         self.begun = False  # its first byte may have left
         self.may_have_run = False  # its last byte is written, and it was not rejected
--- a/zincstile/net/backends/attempts.py
+++ b/zincstile/net/backends/attempts.py
@@ -17,7 +17,7 @@
 from .. import resp
 from ..dispatcher import Dispatcher
 from ..reasons import RetryReason
-from ..session import Answer, Kind, Session
+from ..session import Answer, AnswerKind, Session
 from ..trace import Step
 from .attempt import Attempt
 from .connecting import Connector
@@ -50,29 +50,31 @@
         self.connector = Connector(dispatcher, pool, self)
         self.streams = AnswerStreams(dispatcher, pool, self)
         pool.on_withdrawn = self._fail_queued
-        dispatcher.carry_out[ForwardRequest] = self.forward
-        dispatcher.carry_out[CancelAttempt] = self.cancel
-        dispatcher.carry_out[CheckHealth] = self._check_health
-        dispatcher.carry_out[CloseIdleConnections] = self._close_idle
-        dispatcher.withdraw = self.withdraw
+        dispatcher.action_handlers[ForwardRequest] = self.forward
+        dispatcher.action_handlers[CancelAttempt] = self.cancel
+        dispatcher.action_handlers[CheckHealth] = self._check_health
+        dispatcher.action_handlers[CloseIdleConnections] = self._close_idle
+        dispatcher.withdraw_unsent = self.withdraw
 
     # ---- actions of the decisions
 
     def forward(self, now_ns: int, action: ForwardRequest) -> None:
         """Makes an attempt of a request."""
-        session = self.dispatcher.sessions.get(action.request) or self.dispatcher.over.get(action.request)
+        session = self.dispatcher.sessions.get(action.request) or self.dispatcher.ended_sessions.get(
+            action.request
+        )
         if session is None:
             return
         number = session.attempts
         session.attempts = number + 1
-        if session.over or session.frontend.gone():
+        if session.ended or session.client.has_left():
             # The client left, or was answered, in the very batch in which this attempt was decided on. It
             # is reported all the same: the decisions would take it to be in flight for good.
             self.report(session, number, action.backend, AttemptResult.NOT_SENT, 0)
             return
         if number:
-            self.dispatcher.counters.retried(self._retry_reason(session))
-        until_ns = min(action.until_ns, session.give_up_ns)
+            self.dispatcher.counters.count_retry(self._retry_reason(session))
+        until_ns = min(action.until_ns, session.deadline_ns)
         by_ns = min(until_ns, action.by_ns or until_ns)
         self._launch(now_ns, session, number, action.backend, until_ns, by_ns, fresh=action.fresh)
 
@@ -160,7 +162,7 @@
         if session is None:
             request = HEALTH_CHECK
         else:
-            session.carried.append(attempt)
+            session.sent_attempts.append(attempt)
             dispatcher.trace.note(now_ns, Step.SENT, session.call.id, attempt.backend.address)
             dispatcher.counters.attempts += 1
             request = call_command(session.call, attempt.until_ns - now_ns)
@@ -171,7 +173,7 @@
 
     def set_deadline(self, attempt: Attempt, at_ns: int) -> None:
         """Gives an attempt up at a time, in place of the deadline that it had."""
-        self.dispatcher.deadlines.drop(attempt.deadline)
+        self.dispatcher.deadlines.cancel(attempt.deadline)
         attempt.deadline = self.dispatcher.deadlines.add(at_ns, self._expire, attempt)
 
     def _expire(self, attempt: Attempt) -> None:
@@ -192,7 +194,7 @@
         # A length that is more than what comes would else hold the client for all of its time.
         at_ns = attempt.connection.last_received_ns + self.dispatcher.limits.answer_ns
         if at_ns < attempt.until_ns:
-            self.dispatcher.deadlines.drop(attempt.deadline)
+            self.dispatcher.deadlines.cancel(attempt.deadline)
             attempt.deadline = self.dispatcher.deadlines.add(at_ns, self._check_answer, attempt)
             self.dispatcher.wake()
 
@@ -256,7 +258,7 @@
         session = attempt.session
         if session is not None and self.in_flight.pop((session.id, attempt.number), None) is None:
             return
-        self.dispatcher.deadlines.drop(attempt.deadline)
+        self.dispatcher.deadlines.cancel(attempt.deadline)
         attempt.deadline = None
         attempt.backend.queued.pop(attempt, None)
         if result is AttemptResult.REJECTED:
@@ -266,7 +268,7 @@
         if connection is not None and connection.attempt is attempt:
             connection.drop()
         if session is not None and result is AttemptResult.OK:
-            self.dispatcher.end(session, Answer(Kind.SERVED, value))
+            self.dispatcher.finish(session, Answer(AnswerKind.SERVED, value))
         latency_ns = self.dispatcher.now_ns() - attempt.sent_ns
         self.report(session, attempt.number, attempt.backend.id, result, latency_ns, load_report)
 
@@ -290,6 +292,6 @@
         name = RESULT_COUNTERS[result]
         setattr(counters, name, getattr(counters, name) + 1)
         outcome = AttemptOutcome(
-            session.id, number, backend_id, result, latency_ns, session.over, 0, 0.0, figures
+            session.id, number, backend_id, result, latency_ns, session.ended, 0, 0.0, figures
         )
         self.dispatcher.post(outcome)
--- a/zincstile/net/backends/connecting.py
+++ b/zincstile/net/backends/connecting.py
@@ -8,7 +8,7 @@
 
 from ...decisions.messages import AttemptResult
 from ..dispatcher import Dispatcher
-from ..transient import is_lack
+from ..transient import is_exhaustion
 from .attempt import Attempt
 from .connection import BackendConnection, ConnectionOwner
 from .pool import ConnectionPool
@@ -59,7 +59,7 @@
 
     def _is_local_shortage(self, err: Exception) -> bool:
         """Whether this machine lacks something: no backend may be suspected for it, here or at peers."""
-        local = is_lack(err) or (isinstance(err, OSError) and err.errno == errno.EADDRNOTAVAIL)
+        local = is_exhaustion(err) or (isinstance(err, OSError) and err.errno == errno.EADDRNOTAVAIL)
         if local:
             self.dispatcher.log.often("full", f"no connection to backend servers for now: {err}")
         return local
@@ -78,7 +78,7 @@
             self.pool.add_idle(connection, unused=True)
             return
         session = attempt.session
-        ended = session is not None and (session.over or session.frontend.gone())  # since the last batch
+        ended = session is not None and (session.ended or session.client.has_left())  # since the last batch
         if ended or self.dispatcher.now_ns() >= attempt.by_ns:
             result = AttemptResult.CANCELLED if ended else AttemptResult.CONNECT_FAILED
             self.carrier.finish(attempt, result)
--- a/zincstile/net/backends/connection.py
+++ b/zincstile/net/backends/connection.py
@@ -8,7 +8,7 @@
 from ...decisions.messages import AttemptResult
 from .. import resp
 from ..dispatcher import Dispatcher
-from ..session import Stream
+from ..value_stream import ValueStream
 from .attempt import Attempt, Backend
 
 HEAD_BYTES: Final = 16  # of an answer: enough to tell how long its value is
@@ -114,7 +114,7 @@
         self.reusable_from_ns = 0  # it may carry another attempt from then on
         self.last_received_ns = 0  # when more of the incomplete answer came last
         self.connect_timeout: asyncio.Timeout | None = None  # how long it may take to come up
-        self.stream: Stream | None = None  # the value that is passed on as it comes
+        self.stream: ValueStream | None = None  # the value that is passed on as it comes
         self.bytes_left = 0  # of it still to come, through the end of its line
         self.last_two_bytes = b""  # of it that came
         self.trailer_parser: resp.ReplyParser | None = None  # of what follows the value
@@ -212,7 +212,7 @@
 
     # ---- a value that is passed on as it comes
 
-    def begin_stream(self, stream: Stream, size_bytes: int) -> None:
+    def begin_stream(self, stream: ValueStream, size_bytes: int) -> None:
         """A value has begun that takes so many bytes, its head and the end of its line included."""
         self.stream = stream
         self.bytes_left = size_bytes
@@ -234,7 +234,7 @@
             if not self.paced:
                 self.transport.pause_reading()
 
-    def more(self) -> None:
+    def on_taken(self) -> None:
         """The client took what came of the value."""
         if self.held:
             self.held = False
--- a/zincstile/net/backends/outcomes.py
+++ b/zincstile/net/backends/outcomes.py
@@ -13,24 +13,24 @@
 RESULT_COUNTERS: Final = {
     AttemptResult.OK: "ok",
     AttemptResult.ERROR: "error",
-    AttemptResult.REJECTED: "full",
+    AttemptResult.REJECTED: "attempt_rejected",
     AttemptResult.TIMEOUT: "timeout",
     AttemptResult.CONNECT_FAILED: "connect_failed",
     AttemptResult.RESET: "reset",
     AttemptResult.CANCELLED: "cancelled",
-    AttemptResult.NOT_SENT: "moot",
-    AttemptResult.STALE_CONNECTION: "stale",
-    AttemptResult.MALFORMED: "spoilt",
+    AttemptResult.NOT_SENT: "not_sent",
+    AttemptResult.STALE_CONNECTION: "stale_connection",
+    AttemptResult.MALFORMED: "malformed_response",
 }
 RETRY_REASONS: Final = {  # by how the attempt before ended
     AttemptResult.CONNECT_FAILED: RetryReason.CONNECT,
-    AttemptResult.REJECTED: RetryReason.FULL,
-    AttemptResult.NOT_SENT: RetryReason.MOOT,
+    AttemptResult.REJECTED: RetryReason.REJECTED,
+    AttemptResult.NOT_SENT: RetryReason.NOT_SENT,
     AttemptResult.ERROR: RetryReason.ERROR,
-    AttemptResult.RESET: RetryReason.BROKEN,
-    AttemptResult.STALE_CONNECTION: RetryReason.BROKEN,
+    AttemptResult.RESET: RetryReason.RESET,
+    AttemptResult.STALE_CONNECTION: RetryReason.RESET,
     AttemptResult.TIMEOUT: RetryReason.TIMEOUT,
-    AttemptResult.MALFORMED: RetryReason.SPOILT,
+    AttemptResult.MALFORMED: RetryReason.MALFORMED_RESPONSE,
 }
 
 
--- a/zincstile/net/backends/requests.py
+++ b/zincstile/net/backends/requests.py
@@ -18,8 +18,8 @@
     """A client's call with the time that its client still waits, in whole milliseconds, at least one."""
     wait_ms = max(1, remaining_ns // NS_PER_MS)
     fields = call.fields.copy()
-    fields[call.wait_at] = b"d=%d" % wait_ms
-    command = CALL_IDEMPOTENT if call.repeatable else CALL_UNSAFE
+    fields[call.deadline_field] = b"d=%d" % wait_ms
+    command = CALL_IDEMPOTENT if call.idempotent else CALL_UNSAFE
     parts = [command, call.customer, call.id, b",".join(fields)]
     if call.body is not None:
         parts.append(call.body)
--- a/zincstile/net/backends/streaming.py
+++ b/zincstile/net/backends/streaming.py
@@ -7,7 +7,8 @@
 from ...decisions.messages import AttemptResult
 from .. import resp
 from ..dispatcher import Dispatcher
-from ..session import Answer, Kind, Session, Stream
+from ..session import Answer, AnswerKind, Session
+from ..value_stream import ValueStream
 from .attempt import Attempt
 from .connection import BackendConnection
 from .pool import ConnectionPool
@@ -50,11 +51,11 @@
         session = attempt.session
         now_ns, limits = self.dispatcher.now_ns(), self.dispatcher.limits
         self.reporter.in_flight.pop((session.id, attempt.number), None)
-        self.dispatcher.deadlines.drop(attempt.deadline)
+        self.dispatcher.deadlines.cancel(attempt.deadline)
         attempt.deadline = None
-        stream = Stream(connection)
+        stream = ValueStream(connection)
         connection.begin_stream(stream, len(b"$%d\r\n" % size) + size + len(resp.CRLF))
-        if not self.dispatcher.end(session, Answer(Kind.SERVED, stream=stream)):
+        if not self.dispatcher.finish(session, Answer(AnswerKind.SERVED, stream=stream)):
             connection.abandon()  # the client left or was answered meanwhile
             return
         self.dispatcher.counters.streamed += 1
@@ -81,9 +82,9 @@
                     self.dispatcher.log.often("cut", f"a value of {address} without its end")
                     connection.abandon()
                     return
-                stream.end(cut=False)
+                stream.end(truncated=False)
                 connection.trailer_parser = resp.ReplyParser(limits)
-            elif stream.pending > limits.written_bytes:
+            elif stream.pending_bytes > limits.written_bytes:
                 connection.hold()
             elif len(piece) < limits.stream_piece_bytes:
                 connection.pace(connection.last_received_ns + limits.stream_pace_ns)
@@ -113,7 +114,7 @@
         if connection is None or connection.stream is None:
             return
         now_ns, limits = self.dispatcher.now_ns(), self.dispatcher.limits
-        stalled_ns = max(connection.last_received_ns + limits.stream_stall_ns, attempt.session.give_up_ns)
+        stalled_ns = max(connection.last_received_ns + limits.stream_stall_ns, attempt.session.deadline_ns)
         if stalled_ns > now_ns or connection.held:
             again_ns = max(stalled_ns, now_ns + 1)
             attempt.deadline = self.dispatcher.deadlines.add(again_ns, self._check_stalled, attempt)
@@ -125,12 +126,12 @@
     def connection_lost(self, connection: BackendConnection) -> None:
         """The connection has ended; its value is cut where it is not complete."""
         stream = connection.stream
-        complete = stream.whole
+        complete = stream.complete
         if not complete:
-            self.dispatcher.counters.streams_cut += 1
+            self.dispatcher.counters.streams_truncated += 1
             address, missing = connection.backend.address, connection.bytes_left
             self.dispatcher.log.often("cut", f"a value of {address}: {missing} bytes short")
-            stream.end(cut=True)
+            stream.end(truncated=True)
         self._finish(connection, AttemptResult.OK if complete else AttemptResult.RESET)
 
     def _finish(self, connection: BackendConnection, result: AttemptResult, load_report: bytes = b"") -> None:
@@ -139,7 +140,7 @@
         if attempt is None:
             return
         attempt.connection = None
-        self.dispatcher.deadlines.drop(attempt.deadline)
+        self.dispatcher.deadlines.cancel(attempt.deadline)
         attempt.deadline = None
         latency_ns = self.dispatcher.now_ns() - attempt.sent_ns
         self.reporter.report(
--- a/zincstile/net/clients/call_reader.py
+++ b/zincstile/net/clients/call_reader.py
@@ -1,12 +1,19 @@
-"""A client's command, read: what it asks of the module, and what is passed on to a backend server."""
+"""Checks a client's command and makes of it a request for the policy and a call to be forwarded."""
 
 from __future__ import annotations
 
+from typing import Final
+
 from ...decisions.messages import Request
 from ...decisions.settings import Idempotency, Settings
 from ..session import Call
 
-READ, WRITE = b"CALL.GET", b"CALL.POST"
+READ: Final = b"CALL.GET"  # of classes that may always run again
+WRITE: Final = b"CALL.POST"
+WORDS_WITHOUT_BODY: Final = 4  # verb, customer, id, fields
+LONGEST_WAIT_MS: Final = 3_600_000  # an hour: more can only be a mistake
+CUSTOMER_DIGITS: Final = 16  # hexadecimal
+CUSTOMERS: Final = 2**33  # ids of customers are below
 
 
 class CallError(ValueError):
@@ -14,68 +21,92 @@
 
 
 class CallReader:
-    """Reads a client's command: what it asks of the module, and what is passed on."""
+    """Reads commands by the names and bounds of the settings."""
 
-    __slots__ = ("classes", "specs", "plans", "margin_ns", "gateways", "largest_units", "id_bytes")
+    __slots__ = (
+        "request_classes",
+        "_class_by_name",
+        "_plan_by_name",
+        "_margin_ns",
+        "_gateways",
+        "_largest_units",
+        "_id_bytes",
+    )
 
     def __init__(self, settings: Settings, margin_ns: int, id_bytes: int) -> None:
-        self.gateways, self.largest_units = settings.gateways, settings.largest_units
-        self.id_bytes = id_bytes
-        self.specs = settings.classes
-        self.classes = {c.name.encode(): (k, c) for k, c in enumerate(settings.classes)}
-        self.plans = {p.name.encode(): k for k, p in enumerate(settings.plans)}
-        self.margin_ns = margin_ns
+        """`margin_ns`: taken off a client's wait for the way here; `id_bytes`: the longest id."""
+        self.request_classes = settings.classes
+        self._class_by_name = {c.name.encode(): (number, c) for number, c in enumerate(settings.classes)}
+        self._plan_by_name = {p.name.encode(): number for number, p in enumerate(settings.plans)}
+        self._gateways = settings.gateways
+        self._largest_units = settings.largest_units
+        self._margin_ns = margin_ns
+        self._id_bytes = id_bytes
+
+    def read(self, words: list[bytes], request_id: int, now: int) -> tuple[Call, Request]:
+        """The call and the request of one command; `now`: when it came, in ns. Raises CallError.
 
-    def read(self, words: list[bytes], number: int, now: int) -> tuple[Call, Request]:
+        `words`: verb, customer, id, a list of name=value, and for CALL.POST a body.
+        """
         verb = words[0].upper()
         if verb != READ and verb != WRITE:
             raise CallError("unknown command")
-        if not 4 <= len(words) <= (4 if verb == READ else 5):
+        if not WORDS_WITHOUT_BODY <= len(words) <= WORDS_WITHOUT_BODY + (verb != READ):
             raise CallError("wrong number of words")
         fields = words[3].split(b",")
-        given: dict[bytes, bytes] = {}
-        wait_at = -1
-        for at, field in enumerate(fields):
-            name, equals, value = field.partition(b"=")
-            if not equals or name in given:
-                raise CallError("malformed list of names and values")
-            if name == b"d":
-                wait_at = at
-            given[name] = value
+        values = _parse_fields(fields)
         try:
-            cls, spec = self.classes[given[b"c"]]
-            plan = self.plans[given[b"t"]]
-            digits = (given[b"d"], given[b"spread"], given[b"first"])
-            if not all(d.isdigit() for d in digits):  # int() would take signs, blanks and underlines too
+            class_number, request_class = self._class_by_name[values[b"c"]]
+            plan = self._plan_by_name[values[b"t"]]
+            wait, spread_digits, first_digits = values[b"d"], values[b"spread"], values[b"first"]
+            # int() alone would take signs, blanks and underlines too
+            if not (wait.isdigit() and spread_digits.isdigit() and first_digits.isdigit()):
                 raise ValueError
-            wait_ms, spread, first = (int(d) for d in digits)
-            units, customer = float(given[b"units"]), int(words[1], 16)
+            wait_ms = int(wait)
+            spread = int(spread_digits)
+            first = int(first_digits)
+            units = float(values[b"units"])
+            customer = int(words[1], 16)
         except KeyError as err:
             raise CallError(f"missing or unknown: {err.args[0]!r}") from None
         except ValueError:
             raise CallError("a value that is no number") from None
         if (
-            len(words[1]) != 16
+            len(words[1]) != CUSTOMER_DIGITS
             or not words[1].isalnum()
-            or customer >= 2**33
-            or not 0 < len(words[2]) <= self.id_bytes
+            or customer >= CUSTOMERS
+            or not 0 < len(words[2]) <= self._id_bytes
         ):
             raise CallError("no such customer or id")
-        # Guards the customer's quota too: what a stranger says under its name would be remembered.
+        # Bounded, as the customer's quota would remember what anybody says in its name
         if not (
-            0 < wait_ms <= 3_600_000
-            and 0 < units <= self.largest_units
-            and 0 < spread <= self.gateways
-            and first < self.gateways
+            0 < wait_ms <= LONGEST_WAIT_MS
+            and 0 < units <= self._largest_units
+            and 0 < spread <= self._gateways
+            and first < self._gateways
         ):
             raise CallError("a value out of range")
-        if (spec.effect is Idempotency.ALWAYS) != (verb == READ):
+        if (request_class.effect is Idempotency.ALWAYS) != (verb == READ):
             raise CallError("the wrong command for this class")
-        if spec.effect is Idempotency.BY_KEY and not given.get(b"k"):
+        if request_class.effect is Idempotency.BY_KEY and not values.get(b"k"):
             raise CallError("no key")
         wait_ns = wait_ms * 1_000_000
-        give_up = now + wait_ns - min(self.margin_ns, wait_ns // 2)
-        call = Call(verb == READ, words[1], words[2], fields, wait_at, words[4] if len(words) > 4 else None)
+        deadline_ns = now + wait_ns - min(self._margin_ns, wait_ns // 2)
+        deadline_field = fields.index(b"d=" + wait)
+        body = words[WORDS_WITHOUT_BODY] if len(words) > WORDS_WITHOUT_BODY else None
+        call = Call(verb == READ, words[1], words[2], fields, deadline_field, body)
+        is_retry = values.get(b"r") == b"1"
         return call, Request(
-            number, cls, plan, customer, give_up, units, spread, first, given.get(b"r") == b"1"
+            request_id, class_number, plan, customer, deadline_ns, units, spread, first, is_retry
         )
+
+
+def _parse_fields(fields: list[bytes]) -> dict[bytes, bytes]:
+    """Values by name, of a list of name=value."""
+    values: dict[bytes, bytes] = {}
+    for field in fields:
+        name, equals, value = field.partition(b"=")
+        if not equals or name in values:
+            raise CallError("malformed list of names and values")
+        values[name] = value
+    return values
--- a/zincstile/net/clients/listener.py
+++ b/zincstile/net/clients/listener.py
@@ -3,213 +3,229 @@
 from __future__ import annotations
 
 import socket
+from collections import Counter
+from typing import Final
 
 from ...decisions.settings import Settings
-from ..accept import Acceptor, Taken
+from .. import resp
+from ..acceptor import Acceptor, AcceptResult
 from ..deadlines import every
 from ..dispatcher import Dispatcher
 from ..host import Host
-from ..reasons import CloseReason, RefusalReason
+from ..reasons import CloseReason, GatewayRejection
 from ..session import Session
 from .call_reader import CallReader
-from .connection import ClientConnection
+from .connection import ClientConnection, ConnectionState
+from .eviction import evict_one
+
+STANDBY_ANSWER: Final = resp.error("standby")  # to PING: the front sends new connections elsewhere
+NOT_READY_ANSWER: Final = resp.error("not ready")
 
 
 class ClientListener:
-    """The listening socket and all clients that came in by it."""
+    """Accepts clients while there is room, and closes their connections when they are idle or it stops."""
 
     def __init__(self, dispatcher: Dispatcher, settings: Settings, buffer: memoryview, host: Host) -> None:
-        self.dispatcher, self.buffer, self.host, self.counters = dispatcher, buffer, host, dispatcher.counters
+        """`buffer`: all connections read into it, one at a time."""
+        self.dispatcher = dispatcher
+        self.buffer = buffer
+        self.host = host
+        self.counters = dispatcher.counters
         self.reader = CallReader(settings, dispatcher.limits.margin_ns, dispatcher.limits.id_bytes)
-        self.open: dict[bytes, Session] = {}  # by the id that the client gave
-        self.ready = False
-        self.heard_ns = 0  # the last call
-        self.closing = False  # every connection is closed as soon as nothing is owed on it
-        self.over = False  # too late for any request to be sent on: what still comes is refused
-        self.standby = False  # by an operator: PING says no, and connections are closed when nothing is owed
-        self.clients: dict[ClientConnection, None] = {}
+        self.open_requests: dict[bytes, Session] = {}  # by the id that the client gave
+        self.clients: dict[ClientConnection, None] = {}  # in the order in which they connected
+        self.last_request_ns = 0
+        self.ready = False  # requests are taken
+        self.closing = False  # each connection is closed as soon as nothing is owed on it
+        self.rejects_all = False  # too late before the end of the process for any request
+        self.standby = False  # by an operator: no new clients, connections closed as for `closing`
+        self.inherited = False  # the socket is the platform's, and an old process may share it
         self._socket: socket.socket | None = None
-        self._listening = False
-        self.inherited = False
-        self._resumed_ns = 0  # when connections were last taken again, or first
+        self._accepting = False
+        self._resumed_ns = 0  # when accepting began, or began again
         self._acceptor = Acceptor(dispatcher, lambda: ClientConnection(self))
 
+    # ---- the socket
+
     def listen(self, address: tuple[str, int], inherited: int | None = None) -> None:
-        """On the address, or on the socket that the platform hands down, which an old process shares."""
+        """Listens on the address, or on the socket with that descriptor, which an old process may share.
+
+        A shared queue is left to the old process until this one serves: see `start_serving`. Raises OSError.
+        """
         self.inherited = inherited is not None
-        self._socket = (
-            self.host.inherit(inherited)
-            if self.inherited
-            else self.host.listen(address, self.dispatcher.limits.backlog)
-        )
-        self._resume()  # a shared queue is left to the old process until this one is ready: see `take`
-        every(self.dispatcher, self.dispatcher.limits.tend_ns, self._tend)
-
-    def _tend(self) -> None:
-        now = self.dispatcher.now_ns()
-        for client in list(self.clients):
-            client.tend(now)
+        if inherited is not None:
+            self._socket = self.host.inherit(inherited)
+        else:
+            self._socket = self.host.listen(address, self.dispatcher.limits.backlog)
+        self._resume()
+        every(self.dispatcher, self.dispatcher.limits.tend_ns, self._check_timeouts)
 
     @property
     def address(self) -> str:
+        """HOST:PORT of the socket."""
         return "{}:{}".format(*self._socket.getsockname()[:2])
 
     @property
-    def opened(self) -> bool:
+    def has_listened(self) -> bool:
         """It listens, or has."""
         return self._socket is not None or self.closing
 
-    def refusal(self) -> RefusalReason | None:
-        """Why no request is taken at present."""
-        if not self.ready:
-            return RefusalReason.NOT_READY
-        if self.over:
-            return RefusalReason.OVER
-        full = len(self.dispatcher.sessions) >= self.dispatcher.limits.sessions
-        return RefusalReason.SESSIONS if full else None
+    @property
+    def is_empty(self) -> bool:
+        """No connection is open, on its way, or waits to be accepted."""
+        return not self.clients and not self._acceptor.pending and self._socket is None
 
-    def take(self) -> None:
-        """Ready: connections are taken from now on, also from a queue shared with an old process."""
+    def start_serving(self) -> None:
+        """The gateway is ready: requests are taken, also from a queue that an old process shares."""
         self.ready = True
         self._resume()
 
     def _resume(self, _: object = None) -> None:
         may = self._socket is not None and not self.closing and (self.ready or not self.inherited)
-        if may and not self._listening:
-            self._listening = True
+        if may and not self._accepting:
+            self._accepting = True
             self._resumed_ns = self.dispatcher.now_ns()
-            self.dispatcher.loop.add_reader(self._socket.fileno(), self._take_queued)
+            self.dispatcher.loop.add_reader(self._socket.fileno(), self._accept_queued)
 
     def _pause(self) -> None:
-        if self._socket is not None and self._listening:
-            self._listening = False
+        if self._socket is not None and self._accepting:
+            self._accepting = False
             self.dispatcher.loop.remove_reader(self._socket.fileno())
 
-    def _take_queued(self) -> bool:
-        """Takes what waits in the queue, as much as one turn may. True: it was found empty."""
-        for _ in range(self.dispatcher.limits.accepts):
-            held = len(self.clients) + self._acceptor.coming
-            if held >= self.dispatcher.limits.frontend_connections and not self._make_room():
-                # Guards against running out of descriptors: the rest waits in the backlog until one is free.
-                self.dispatcher.log.often(
-                    "full",
-                    f"{len(self.clients)} client connections {self._kinds()}: " "taking no more for now",
-                )
-                self._take_later(self.dispatcher.limits.newcomer_ns)
+    def _accept_queued(self) -> bool:
+        """Accepts what waits in the queue, as much as one batch may; True: the queue was found empty."""
+        limits = self.dispatcher.limits
+        for _ in range(limits.accepts):
+            held = len(self.clients) + self._acceptor.pending
+            if held >= limits.frontend_connections and not self._evict_one():
+                # The rest waits in the backlog until a descriptor is free.
+                self.dispatcher.log.often("full", f"{self._describe_clients()}: accepting no more for now")
+                self._resume_after(limits.newcomer_ns)
                 return False
-            taken = self._acceptor.take(self._socket)
-            if taken is Taken.NONE:
+            result = self._acceptor.accept(self._socket)
+            if result is AcceptResult.QUEUE_EMPTY:
                 return True
-            if taken is Taken.LACK:
-                self._make_room()
-                self._take_later(self.dispatcher.limits.backoff_ns)
+            if result is AcceptResult.EXHAUSTED:
+                self._evict_one()
+                self._resume_after(limits.backoff_ns)
                 return False
         return False
 
-    def _take_later(self, after_ns: int) -> None:
-        """Guards the processor against a queue that says at every look that something waits."""
+    def _resume_after(self, wait_ns: int) -> None:
+        """Pauses: the queue would say at every look that something waits, and cost the processor."""
         self._pause()
         if not self.closing:
-            self.dispatcher.deadlines.add(self.dispatcher.now_ns() + after_ns, self._resume)
+            self.dispatcher.deadlines.add(self.dispatcher.now_ns() + wait_ns, self._resume)
             self.dispatcher.wake()
 
-    def _kinds(self) -> str:
-        count = dict.fromkeys(("asking", "resting", "silent", "half", "ending"), 0)
-        for client in self.clients:
-            count[client.kind] += 1
-        return "({})".format(", ".join(f"{n} {kind}" for kind, n in count.items()))
-
-    def _make_room(self) -> bool:
-        """Closes the client connection that has rested longest: first of those whose end was sent, then of
-        those that never asked, then of those that asked once, which crowds of clients leave behind, and at
-        last, after a longer rest, of those used again and again. Each is spared for a while: its next request
-        may be on its way, or its last answer."""
-        now, limits = self.dispatcher.now_ns(), self.dispatcher.limits
-        for c in self.clients:
-            if c.lingers and now - c.ended_ns > limits.newcomer_ns and not c.transport.is_closing():
-                return c.give_way()
-        least = (limits.newcomer_ns, limits.newcomer_ns, limits.spare_ns)
-        resting = [
-            (min(c.asked, 2), c.rested_ns, k, c)
-            for k, c in enumerate(self.clients)
-            if now - c.rested_ns > least[min(c.asked, 2)] and c.idle
-        ]
-        return any(c.give_way() for *_, c in sorted(resting))
-
-    def done(self, session: Session) -> None:
-        if self.open.get(session.call.id) is session:
-            del self.open[session.call.id]
-
-    def joined(self, client: ClientConnection) -> None:
+    def _describe_clients(self) -> str:
+        counts = Counter(client.state for client in self.clients)
+        states = ", ".join(f"{counts[state]} {state.value}" for state in ConnectionState)
+        return f"{len(self.clients)} client connections ({states})"
+
+    # ---- what the connections ask
+
+    def ping_answer(self) -> bytes:
+        """The answer to PING, as it is written."""
+        if self.standby:
+            return STANDBY_ANSWER
+        return resp.PONG if self.ready and not self.rejects_all else NOT_READY_ANSWER
+
+    def rejection_reason(self) -> GatewayRejection | None:
+        """Why no request is taken for now."""
+        if not self.ready:
+            return GatewayRejection.NOT_READY
+        if self.rejects_all:
+            return GatewayRejection.STOPPING
+        full = len(self.dispatcher.sessions) >= self.dispatcher.limits.sessions
+        return GatewayRejection.SESSIONS if full else None
+
+    def on_request_ended(self, session: Session) -> None:
+        """A request was answered or abandoned: its id may be used again."""
+        if self.open_requests.get(session.call.id) is session:
+            del self.open_requests[session.call.id]
+
+    def on_connected(self, client: ClientConnection) -> None:
+        """A connection has its transport."""
         self.clients[client] = None
-        # it may have come, and asked, while none were taken: before this process, on an inherited queue
-        client.may_have_waited = (
-            self.dispatcher.now_ns() - self._resumed_ns < self.dispatcher.limits.newcomer_ns
-        )
-        client._from_old_queue = client.may_have_waited and self.inherited
+        # It may have come, and asked, while none were accepted: before this process, on an inherited queue
+        since_ns = self.dispatcher.now_ns() - self._resumed_ns
+        client.may_have_waited = since_ns < self.dispatcher.limits.newcomer_ns
+        client.from_inherited_queue = client.may_have_waited and self.inherited
 
-    def left(self, client: ClientConnection) -> None:
+    def on_disconnected(self, client: ClientConnection) -> None:
+        """A connection is closed: there is room for another."""
         self.clients.pop(client, None)
         if not self.closing:
             self._resume()
 
-    def shut(self, take_queued: bool = True) -> None:
-        """Takes no more connections, and closes each one when nothing is owed on it. take_queued: what the
-        machine has accepted is taken first; not where another process shares the socket and takes it."""
+    # ---- closing connections
+
+    def _check_timeouts(self) -> None:
+        now = self.dispatcher.now_ns()
+        for client in list(self.clients):
+            client.check_timeouts(now)
+
+    def _evict_one(self) -> bool:
+        return evict_one(self.clients, self.dispatcher.now_ns(), self.dispatcher.limits)
+
+    def shrink_to_limits(self) -> None:
+        """The limits have become narrower: idle connections are closed as where new ones need room."""
+        while len(self.clients) > self.dispatcher.limits.frontend_connections and self._evict_one():
+            pass
+
+    def set_standby(self, *, standby: bool) -> None:
+        """Takes the gateway out of the front's rotation, or back.
+
+        The front asks PING every 0.1 s and stops sending new connections soon after a no, but clients keep
+        what they have. So each connection is closed once nothing is owed on it, and an idle one after
+        `standby_rest_ns`, so that none is idle when the front counts. Requests that still come are served.
+        """
+        self.standby = standby
+        if standby:
+            self.counters.standby_closed += self.close_idle(CloseReason.STANDBY)
+
+    def close_idle(self, reason: CloseReason = CloseReason.STOP) -> int:
+        """Closes all idle connections; returns how many.
+
+        Those that came last and have not asked are spared for a moment: what they came for is on its way.
+        """
+        now, least_ns = self.dispatcher.now_ns(), self.dispatcher.limits.newcomer_ns
+        closed = 0
+        for client in list(self.clients):
+            if client.commands or now - client.idle_since_ns > least_ns:
+                closed += client.close_if_idle(reason)
+        return closed
+
+    def shut_down(self, *, accept_queued: bool = True) -> None:
+        """Accepts no more connections, and closes each one when nothing is owed on it.
+
+        `accept_queued`: what waits in the queue is accepted first; not where another process shares the
+        socket and accepts it.
+        """
         self.closing = True
-        if take_queued:
-            self._empty_queue(None)
+        if accept_queued:
+            self._drain_queue(None)
         else:
-            self._close_listening()
+            self._close_socket()
         self.close_idle()
 
-    def _empty_queue(self, _: object) -> None:
-        """Takes all that the machine has accepted, then closes the socket: what waits behind would be reset
-        with it. Where the machine lacks descriptors for them it is tried again; the end of the process ends
-        that."""
+    def _drain_queue(self, _: object) -> None:
+        """Accepts all that waits, then closes the socket: what is left in the queue would be reset with it.
+
+        Where the machine lacks descriptors it is tried again, until the end of the process.
+        """
         while self._socket is not None:
-            if self._take_queued():
-                self._close_listening()
-            elif not self._listening:
-                self.dispatcher.deadlines.add(
-                    self.dispatcher.now_ns() + self.dispatcher.limits.backoff_ns, self._empty_queue
-                )
+            if self._accept_queued():
+                self._close_socket()
+            elif not self._accepting:
+                at_ns = self.dispatcher.now_ns() + self.dispatcher.limits.backoff_ns
+                self.dispatcher.deadlines.add(at_ns, self._drain_queue)
                 self.dispatcher.wake()
                 return
 
-    def _close_listening(self) -> None:
+    def _close_socket(self) -> None:
         if self._socket is not None:
             self._pause()
             self._socket.close()
             self._socket = None
-
-    def set_standby(self, standby: bool) -> None:
-        """The front asks PING every 0.1 s and stops sending new connections soon after a no; clients keep
-        what they have. So each connection is closed once nothing is owed on it, and one that rests closed
-        after `standby_rest_ns`, so that none is held idle when the front counts. Requests that still come
-        are served."""
-        self.standby = standby
-        if standby:
-            self.counters.standby_closed += self.close_idle(CloseReason.STANDBY)
-
-    def fit(self) -> None:
-        """The limits have become narrower: connections that rest are closed as where new ones need room."""
-        while len(self.clients) > self.dispatcher.limits.frontend_connections and self._make_room():
-            pass
-
-    def close_idle(self, reason: CloseReason = CloseReason.STOP) -> int:
-        """All that rest; how many. Spared for a moment are those that came last and have not asked: what they
-        came for is on its way."""
-        now, least = self.dispatcher.now_ns(), self.dispatcher.limits.newcomer_ns
-        return sum(
-            [
-                client.close_if_idle(reason)
-                for client in list(self.clients)
-                if client.asked or now - client.rested_ns > least
-            ]
-        )
-
-    @property
-    def empty(self) -> bool:
-        """No connection is open, on its way, or waits to be taken."""
-        return not self.clients and not self._acceptor.coming and self._socket is None
--- a/zincstile/net/counters.py
+++ b/zincstile/net/counters.py
@@ -1,4 +1,4 @@
-"""What the gateway took in, sent and answered; printed on SIGUSR1 and at the end."""
+"""What the gateway received, sent and answered; written to the log on SIGUSR1 and at the end."""
 
 from __future__ import annotations
 
@@ -6,91 +6,95 @@
 from typing import Final
 
 from .host import HOST, Host
-from .reasons import CloseReason, RefusalReason, RetryReason
+from .reasons import CloseReason, GatewayRejection, RetryReason
 
-CLOSED = {reason: f"close_{reason.value}" for reason in CloseReason}
-REFUSED = {reason: f"refuse_{reason.value}" for reason in RefusalReason}
-RETRIED = {reason: f"retry_{reason.value}" for reason in RetryReason}
-# Printed under their names of before, by which the testbed's stored results hold them.
-PRINTED_NAMES: Final = {
-    "quota_service_calls": "keeper_calls",
-    "quota_service_unanswered": "keeper_unanswered",
-    "quota_service_overflow": "keeper_full",
-}
+CLOSE_COUNTERS: Final = {reason: f"close_{reason.value}" for reason in CloseReason}
+REJECT_COUNTERS: Final = {reason: f"reject_{reason.value}" for reason in GatewayRejection}
+RETRY_COUNTERS: Final = {reason: f"retry_{reason.value}" for reason in RetryReason}
 
 
 class Counters:
-    """All of one process, by name; whole numbers."""
+    """All counters of one process by name, as whole numbers; docs/on-call.md explains each."""
 
     __slots__ = (
+        # clients
         "clients",
         "requests",
         "pings",
         "malformed",
+        # answers to requests
         "served",
-        "denied",
+        "rejected",
         "failed",
-        "left",
+        "abandoned",
+        # attempts, and how they ended
         "attempts",
         "ok",
         "error",
-        "full",
+        "attempt_rejected",
         "timeout",
         "connect_failed",
         "reset",
         "cancelled",
-        "moot",
-        "spoilt",
-        "stale",
+        "not_sent",
+        "malformed_response",
+        "stale_connection",
         "connects",
+        # peers
         "messages_in",
         "messages_out",
         "messages_bad",
+        # discovery
         "tables",
         "watches",
+        # the process
         "faults",
-        "turns",
+        "batches",
         "reloads",
+        "held_up",  # times that the process got no processor for longer than it is made for
+        # the quota service
         "quota_service_calls",
         "quota_service_unanswered",
         "quota_service_overflow",
+        # operators
         "control_calls",
-        "control_no",
-        "control_bad",
+        "control_rejected",
+        "control_malformed",
         "handover_bad",
         "standby_closed",
+        # large values
         "streamed",
-        "streams_cut",
-        "held_up",  # times that the process got no processor for longer than it is made for
-        "violated_send",  # invariants (`invariants.Invariant`): each is nought, always
+        "streams_truncated",
+        # invariants (`invariants.Invariant`) that did not hold: each is always 0
+        "violated_send",
         "violated_repeat",
         "violated_close",
         "violated_start",
-        *CLOSED.values(),
-        *REFUSED.values(),
-        *RETRIED.values(),
+        *CLOSE_COUNTERS.values(),
+        *REJECT_COUNTERS.values(),
+        *RETRY_COUNTERS.values(),
     )
 
     def __init__(self) -> None:
         for name in self.__slots__:
             setattr(self, name, 0)
 
-    def closed(self, reason: CloseReason) -> None:
-        """A client's connection has ended."""
-        self._add(CLOSED[reason])
+    def count_close(self, reason: CloseReason) -> None:
+        """Counts the end of a client's connection."""
+        self._add(CLOSE_COUNTERS[reason])
 
-    def refused(self, reason: RefusalReason) -> None:
-        """A request is answered -BUSY."""
-        self._add(REFUSED[reason])
+    def count_rejection(self, reason: GatewayRejection) -> None:
+        """Counts a request that is answered -BUSY."""
+        self._add(REJECT_COUNTERS[reason])
 
-    def retried(self, reason: RetryReason) -> None:
-        """A request has a further attempt."""
-        self._add(RETRIED[reason])
+    def count_retry(self, reason: RetryReason) -> None:
+        """Counts another attempt for a request."""
+        self._add(RETRY_COUNTERS[reason])
 
     def _add(self, name: str) -> None:
         setattr(self, name, getattr(self, name) + 1)
 
     def line(self, host: Host = HOST) -> str:
-        """All of them, and what the process used, as a line of the log."""
-        counts = {PRINTED_NAMES.get(name, name): getattr(self, name) for name in self.__slots__}
+        """All counters and what the process used, as a line of the log."""
+        counts = {name: getattr(self, name) for name in self.__slots__}
         return "counters " + json.dumps(counts | host.usage())
--- a/zincstile/net/deadlines.py
+++ b/zincstile/net/deadlines.py
@@ -6,27 +6,30 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-Key = tuple[int, int]
+DeadlineKey = tuple[int, int]  # time in ns and number of a deadline: what cancels it
+DueDeadline = tuple[int, int, Callable[[Any], None], Any]  # its key, what to call, and with what
 
 
 class Deadlines:
+    """Calls that are due at a time of the monotonic clock; whoever owns the clock pops and makes them."""
+
     __slots__ = ("_items", "_number")
 
     def __init__(self) -> None:
-        self._items: list[tuple[int, int, Callable[[Any], None], Any]] = []
+        self._items: list[DueDeadline] = []
         self._number = 0
 
     def __len__(self) -> int:
         return len(self._items)
 
-    def add(self, at_ns: int, then: Callable[[Any], None], about: Any = None) -> Key:
-        """Calls then(about) in the first sweep at or past that time; the key takes it back."""
+    def add(self, at_ns: int, callback: Callable[[Any], None], argument: Any = None) -> DeadlineKey:
+        """Calls `callback(argument)` at that time or soon after; the key that is returned cancels it."""
         self._number += 1
-        insort(self._items, (at_ns, self._number, then, about))
+        insort(self._items, (at_ns, self._number, callback, argument))
         return at_ns, self._number
 
-    def drop(self, key: Key | None) -> None:
-        """Takes a deadline back; one that has passed, or none, is no fault."""
+    def cancel(self, key: DeadlineKey | None) -> None:
+        """Cancels a deadline; nothing happens where it has passed, or where there is none."""
         if key is not None:
             at = bisect_left(self._items, key)
             if at < len(self._items) and self._items[at][:2] == key:
@@ -34,10 +37,11 @@
 
     @property
     def next_ns(self) -> int | None:
+        """Time of the earliest deadline."""
         return self._items[0][0] if self._items else None
 
-    def sweep(self, now: int) -> list[tuple[int, int, Callable[[Any], None], Any]]:
-        """Takes out all that are due, in order; the caller runs them."""
+    def pop_due(self, now: int) -> list[DueDeadline]:
+        """Removes all that are due and returns them in their order, for the caller to call."""
         items = self._items
         if not items or items[0][0] > now:
             return []
@@ -47,23 +51,29 @@
         return due
 
 
-class Sweeper(Protocol):
-    """Who has the deadlines swept: `dispatcher.Dispatcher`."""
+class Scheduler(Protocol):
+    """Who makes the calls that are due: `dispatcher.Dispatcher`."""
 
     deadlines: Deadlines
 
-    def now_ns(self) -> int: ...
+    def now_ns(self) -> int:
+        """The monotonic clock."""
+        ...
+
+    def wake(self) -> None:
+        """Looks at the deadlines soon: one was added."""
+        ...
 
-    def wake(self) -> None: ...
 
+def every(scheduler: Scheduler, period_ns: int, action: Callable[[], None]) -> None:
+    """Calls `action()` soon and then once in each period, for as long as the process lives.
 
-def every(dispatcher: Sweeper, period_ns: int, act: Callable[[], None]) -> None:
-    """Calls act() now and then in each period, for good. The next time is set before the call: guards what is
-    done again and again against ending for good with one round that fails."""
+    The next time is set before the call, so that a round that fails does not end the series.
+    """
 
-    def again(_: object) -> None:
-        dispatcher.deadlines.add(dispatcher.now_ns() + period_ns, again)
-        act()
+    def run_round(_: object) -> None:
+        scheduler.deadlines.add(scheduler.now_ns() + period_ns, run_round)
+        action()
 
-    again(None)
-    dispatcher.wake()
+    run_round(None)
+    scheduler.wake()
--- a/zincstile/net/discovery/watch.py
+++ b/zincstile/net/discovery/watch.py
@@ -8,7 +8,7 @@
 
 from .. import http
 from ..config import Address
-from ..deadlines import Key
+from ..deadlines import DeadlineKey
 from ..dispatcher import Dispatcher
 from ..json_objects import JsonObjects
 from .table import EndpointTable
@@ -95,7 +95,7 @@
         read_endpoint = owner.table.read_early if owner.listener is None else None
         self._objects = JsonObjects(limits.table_bytes, read_endpoint)
         self._failure = WatchFailure("it ended")
-        self._deadline: Key | None = None
+        self._deadline: DeadlineKey | None = None
         self.called_ns = owner.dispatcher.now_ns()
         self._last_received_ns = self.called_ns
         self._answered = False  # something has come
@@ -169,7 +169,7 @@
         if not self._answered:
             self._answered = True
             self._answered_ns = self._last_received_ns
-            owner.dispatcher.deadlines.drop(self._deadline)
+            owner.dispatcher.deadlines.cancel(self._deadline)
             self._check_silence(None)
         self._read(self._lines.feed, bytes(self._buffer[:size]))
         owner.table.note_contact()
@@ -198,5 +198,5 @@
 
     def connection_lost(self, err: Exception | None) -> None:
         """The connection has ended. Called by asyncio."""
-        self.owner.dispatcher.deadlines.drop(self._deadline)
+        self.owner.dispatcher.deadlines.cancel(self._deadline)
         self.owner.lost(self.address, self._failure, self)
--- a/zincstile/net/discovery/watcher.py
+++ b/zincstile/net/discovery/watcher.py
@@ -49,7 +49,9 @@
         self._previous: Watch | None = None  # an older one: it stands until the current one is answered
         self._connecting: asyncio.Task | None = None  # the loop alone would hold it weakly
         self._checks: dict[asyncio.Task, None] = {}  # whether a silent service is there at all
-        dispatcher.carry_out[WatchEndpoints] = lambda now, _: None  # a watch is always open, or being opened
+        dispatcher.action_handlers[WatchEndpoints] = (
+            lambda now, _: None
+        )  # a watch is always open, or being opened
 
     # ---- the list of before discovery's own
 
--- a/zincstile/net/dispatcher.py
+++ b/zincstile/net/dispatcher.py
@@ -1,10 +1,10 @@
-"""The loop's turn: what is ready is gathered, handed to the module in one go, and its word is carried out."""
+"""Gathers events into batches, hands each batch to the policy, and has the policy's actions carried out."""
 
 from __future__ import annotations
 
 import asyncio
 from collections.abc import Callable
-from typing import Any, Protocol
+from typing import Any, Final, Protocol
 
 from ..decisions.messages import (
     Action,
@@ -25,21 +25,30 @@
 from .invariants import InvariantGuard
 from .limits import Limits
 from .log import Log
-from .reasons import RefusalReason
-from .session import DENIED, FAILED, Answer, Kind, Session
+from .reasons import GatewayRejection
+from .session import FAILED, REJECTED, Answer, AnswerKind, Session
 from .trace import Step, Trace
 
-REFUSALS = {why: RefusalReason[why.name] for why in RejectionReason}
+POLICY_REJECTIONS: Final = {reason: GatewayRejection[reason.name] for reason in RejectionReason}
+
+ActionHandler = Callable[[int, Any], None]  # is given the time of the batch, in ns, and the action
 
 
 class Writer(Protocol):
-    """A connection that has something to write at the end of the turn."""
+    """A connection that has something to write at the end of the batch."""
 
-    def flush(self) -> None: ...
+    def flush(self) -> None:
+        """Writes it."""
+        ...
 
 
 class Dispatcher:
-    """Holds the sessions, the events of the next turn, and the one alarm for the deadlines."""
+    """Owns the sessions, the events of the next batch, and the one alarm for the deadlines.
+
+    A batch runs once in an iteration of the loop, and only where something has happened: deadlines that are
+    due are called, events go to the policy in their order, its actions are carried out, and each connection
+    that has something to write does so once.
+    """
 
     def __init__(
         self,
@@ -50,109 +59,126 @@
         log: Log,
         host: Host = HOST,
     ) -> None:
-        self.loop, self.policy, self.limits, self.counters, self.log = loop, policy, limits, counters, log
-        self.now_ns, self.readable = host.monotonic_ns, host.readable  # for all that are handed the turn
-        self.ended = host.ended
+        self.loop = loop
+        self.policy = policy
+        self.limits = limits
+        self.counters = counters
+        self.log = log
+        # What the connections ask of the machine, without a call in between
+        self.now_ns = host.monotonic_ns
+        self.readable = host.readable
+        self.has_ended = host.ended
         self.trace = Trace()
         self.guard = InvariantGuard(counters, log, self.trace)
         self.deadlines = Deadlines()
-        self.sessions: dict[int, Session] = {}
-        self.carry_out: dict[type, Callable[[int, Any], None]] = {
+        self.sessions: dict[int, Session] = {}  # without a final answer, by id
+        self.action_handlers: dict[type, ActionHandler] = {
             SetTimer: self._set_timer,
-            RejectRequest: self._deny,
-            FailRequest: self._fail,
-            LogMessage: self._note,
+            RejectRequest: self._reject_request,
+            FailRequest: self._fail_request,
+            LogMessage: self._log_message,
         }
-        self.over: dict[int, Session] = {}  # ended since the last turn's end: the module may not know it yet
-        self.withdraw: Callable[[Session], None] = lambda session: None  # what of one that ended is not sent
+        # Those that ended since the last batch's end: the policy may not know it yet
+        self.ended_sessions: dict[int, Session] = {}
+        # Called for each of them at the end of the batch: takes back what is not sent yet
+        self.withdraw_unsent: Callable[[Session], None] = lambda session: None
         self._events: list[Event] = []
         self._writers: list[Writer] = []
         self._scheduled = False
         self._alarm: asyncio.TimerHandle | None = None
         self._alarm_ns = 0
-        self._number = 0
+        self._last_request_id = 0
 
     # ---- what the connections use
 
     def post(self, event: Event) -> None:
+        """Adds an event to the next batch."""
         self._events.append(event)
-        self.wake()
+        if not self._scheduled:
+            self.wake()
 
-    def write_later(self, writer: Writer) -> None:
+    def flush_later(self, writer: Writer) -> None:
+        """Has the connection write at the end of the next batch."""
         self._writers.append(writer)
-        self.wake()
+        if not self._scheduled:
+            self.wake()
 
     def wake(self) -> None:
+        """Has a batch run soon."""
         if not self._scheduled:
             self._scheduled = True
-            self.loop.call_soon(self.run)
+            self.loop.call_soon(self.run_batch)
 
-    def next_id(self) -> int:
-        self._number += 1
-        return self._number
+    def next_request_id(self) -> int:
+        """A number that no other request of this process has."""
+        self._last_request_id += 1
+        return self._last_request_id
 
-    def take(self, session: Session, request: Request) -> None:
+    def submit(self, session: Session, request: Request) -> None:
+        """Takes a request over; the policy decides on it in the next batch."""
         self.counters.requests += 1
-        self.trace.note(self.now_ns(), Step.COME, session.call.id)
+        self.trace.note(self.now_ns(), Step.RECEIVED, session.call.id)
         self.sessions[session.id] = session
         self.post(request)
 
-    def end(self, session: Session, answer: Answer) -> bool:
-        """The one final answer; False where it has had one."""
-        if session.over:
+    def finish(self, session: Session, answer: Answer) -> bool:
+        """Gives a session its one final answer; False where it has had one, or its client has left."""
+        if session.ended:
             return False
-        session.over = True
+        session.ended = True
         self.sessions.pop(session.id, None)
-        self.over[session.id] = session
-        self.trace.note(self.now_ns(), Step.ANSWERED, session.call.id, answer.kind)
-        if answer.kind is Kind.SERVED:
+        self.ended_sessions[session.id] = session
+        kind = answer.kind
+        self.trace.note(self.now_ns(), Step.ANSWERED, session.call.id, kind)
+        if kind is AnswerKind.SERVED:
             self.counters.served += 1
-        elif answer.kind is Kind.DENIED:
-            self.counters.denied += 1
+        elif kind is AnswerKind.REJECTED:
+            self.counters.rejected += 1
         else:
             self.counters.failed += 1
-        session.frontend.answer(session, answer)
+        session.client.answer(session, answer)
         return True
 
-    def leave(self, session: Session) -> None:
-        """The client is gone: nothing is owed any more."""
-        if not session.over:
-            session.over = True
+    def abandon(self, session: Session) -> None:
+        """Ends a session whose client has left: no answer is owed any more."""
+        if not session.ended:
+            session.ended = True
             self.sessions.pop(session.id, None)
-            self.over[session.id] = session
-            self.counters.left += 1
-            self.trace.note(self.now_ns(), Step.LEFT, session.call.id)
+            self.ended_sessions[session.id] = session
+            self.counters.abandoned += 1
+            self.trace.note(self.now_ns(), Step.ABANDONED, session.call.id)
             self.post(RequestAbandoned(session.id))
 
-    # ---- the turn
+    # ---- the batch
 
-    def run(self) -> None:
+    def run_batch(self) -> None:
+        """Runs one batch; the loop calls it after `wake`."""
         now = self.now_ns()
-        self.counters.turns += 1
-        for _, _, then, about in self.deadlines.sweep(now):
+        self.counters.batches += 1
+        for _, _, callback, argument in self.deadlines.pop_due(now):
             try:
-                then(about)
+                callback(argument)
             except Exception as err:
-                self._fault(err, about)
+                self._contain_fault(err, argument)
         events, self._events = self._events, []
         for action in self._decide(now, events):
             try:
-                self.carry_out[type(action)](now, action)
+                self.action_handlers[type(action)](now, action)
             except Exception as err:
-                self._fault(err, action)
+                self._contain_fault(err, action)
         self._scheduled = False
-        for session in self.over.values():
+        for session in self.ended_sessions.values():
             try:
-                self.withdraw(session)
+                self.withdraw_unsent(session)
             except Exception as err:
-                self._fault(err, session)
-        self.over.clear()
+                self._contain_fault(err, session)
+        self.ended_sessions.clear()
         writers, self._writers = self._writers, []
         for writer in writers:
             try:
                 writer.flush()
             except Exception as err:
-                self._fault(err, writer)
+                self._contain_fault(err, writer)
         if self._events or self._writers:
             self.wake()
         self._set_alarm()
@@ -163,44 +189,42 @@
             try:
                 actions += self.policy.handle(now, event)
             except Exception as err:
-                self._fault(err, event)
-                if isinstance(event, TimerFired):  # guards what the module does by a chain of timers
-                    self.deadlines.add(now + self.limits.backoff_ns, self._timer, event.token)
+                self._contain_fault(err, event)
+                if isinstance(event, TimerFired):  # else a chain of timers would end here for good
+                    self.deadlines.add(now + self.limits.backoff_ns, self._fire_timer, event.token)
         return actions
 
-    def _fault(self, err: Exception, about: object) -> None:
-        """Guards the process against a fault in one session's handling: that session fails, no other."""
+    def _contain_fault(self, err: Exception, subject: object) -> None:
+        """Keeps a fault in the handling of one session from the process: that session fails, no other."""
         self.counters.faults += 1
-        at = err.__traceback__
-        while at is not None and at.tb_next is not None:
-            at = at.tb_next
-        where = f"{at.tb_frame.f_code.co_filename.rpartition('/')[2]}:{at.tb_lineno}" if at else "?"
-        self.log.often("fault", f"{type(err).__name__}: {err} at {where} in {type(about).__name__}")
-        session = self._session_of(about)
-        for line in self.trace.tell(self.now_ns(), session.call.id if session else None):
+        kind = type(subject).__name__
+        self.log.often("fault", f"{type(err).__name__}: {err} at {_place(err)} in {kind}")
+        session = self._session_of(subject)
+        for line in self.trace.describe(self.now_ns(), session.call.id if session else None):
             self.log.line(f"trace {line}")
-        if session is not None and self.end(session, FAILED):
+        if session is not None and self.finish(session, FAILED):
             self.post(RequestAbandoned(session.id))
 
-    def _session_of(self, about: object) -> Session | None:
-        """The open request that an event, an action or a deadline was about."""
-        if isinstance(about, Request):
-            return self.sessions.get(about.id)
-        session = about if isinstance(about, Session) else getattr(about, "session", None)
+    def _session_of(self, subject: object) -> Session | None:
+        """The open session that an event, an action or a deadline was about."""
+        if isinstance(subject, Request):
+            return self.sessions.get(subject.id)
+        session = subject if isinstance(subject, Session) else getattr(subject, "session", None)
         if isinstance(session, Session):
             return self.sessions.get(session.id)
-        number = getattr(about, "request", None)
-        return self.sessions.get(number) if isinstance(number, int) else None
+        request_id = getattr(subject, "request", None)
+        return self.sessions.get(request_id) if isinstance(request_id, int) else None
 
     def _set_alarm(self) -> None:
-        at = self.deadlines.next_ns
-        if at is None or (self._alarm is not None and self._alarm_ns <= at):
+        at_ns = self.deadlines.next_ns
+        if at_ns is None or (self._alarm is not None and self._alarm_ns <= at_ns):
             return
         if self._alarm is not None:
             self._alarm.cancel()
-        self._alarm, self._alarm_ns = self.loop.call_at(at / 1e9, self._ring), at
+        self._alarm = self.loop.call_at(at_ns / 1e9, self._on_alarm)
+        self._alarm_ns = at_ns
 
-    def _ring(self) -> None:
+    def _on_alarm(self) -> None:
         self._alarm = None
         late_ns = self.now_ns() - self._alarm_ns
         if late_ns > self.limits.held_up_ns:
@@ -211,24 +235,33 @@
     # ---- actions that need no connection
 
     def _set_timer(self, _: int, action: SetTimer) -> None:
-        self.deadlines.add(action.at_ns, self._timer, action.token)
+        self.deadlines.add(action.at_ns, self._fire_timer, action.token)
 
-    def _timer(self, token: int) -> None:
+    def _fire_timer(self, token: int) -> None:
         self._events.append(TimerFired(token))
 
-    def _deny(self, _: int, action: RejectRequest) -> None:
+    def _reject_request(self, _: int, action: RejectRequest) -> None:
         session = self.sessions.get(action.request)
         if session is not None:
-            reason = REFUSALS[action.why]
-            self.counters.refused(reason)
-            self.trace.note(self.now_ns(), Step.REFUSED, session.call.id, reason)
-            ms = -(-action.retry_in_ns // 1_000_000)
-            self.end(session, Answer(Kind.DENIED, retry_ms=ms) if ms else DENIED)
+            reason = POLICY_REJECTIONS[action.why]
+            self.counters.count_rejection(reason)
+            self.trace.note(self.now_ns(), Step.REJECTED, session.call.id, reason)
+            retry_ms = -(-action.retry_in_ns // 1_000_000)
+            answer = Answer(AnswerKind.REJECTED, retry_ms=retry_ms) if retry_ms else REJECTED
+            self.finish(session, answer)
 
-    def _fail(self, _: int, action: FailRequest) -> None:
+    def _fail_request(self, _: int, action: FailRequest) -> None:
         session = self.sessions.get(action.request)
         if session is not None:
-            self.end(session, FAILED)
+            self.finish(session, FAILED)
 
-    def _note(self, _: int, action: LogMessage) -> None:
+    def _log_message(self, _: int, action: LogMessage) -> None:
         self.log.often("module", action.text)
+
+
+def _place(err: Exception) -> str:
+    """File and line at which an exception was raised."""
+    at = err.__traceback__
+    while at is not None and at.tb_next is not None:
+        at = at.tb_next
+    return f"{at.tb_frame.f_code.co_filename.rpartition('/')[2]}:{at.tb_lineno}" if at else "?"
--- a/zincstile/net/feature_messages.py
+++ b/zincstile/net/feature_messages.py
@@ -43,8 +43,8 @@
         message = codec.unpack(sender, data)
         return None if message is None else module.KeeperWord(message)
 
-    dispatcher.carry_out[module.KeeperCall] = call
-    dispatcher.carry_out[module.KeeperTell] = send
+    dispatcher.action_handlers[module.KeeperCall] = call
+    dispatcher.action_handlers[module.KeeperTell] = send
     peers.decoders[codec.FIRST_BYTE] = receive
     return client
 
@@ -61,7 +61,7 @@
         found = codec.unpack(data)
         return None if found is None else module.SharedWords(sender, *found)
 
-    dispatcher.carry_out[module.SharedTell] = send
+    dispatcher.action_handlers[module.SharedTell] = send
     peers.decoders[codec.MAGIC] = receive
 
 
@@ -76,5 +76,5 @@
         found = codec.unpack(data)
         return None if found is None else module.PlaceWord(sender, found)
 
-    dispatcher.carry_out[module.PlaceTell] = send
+    dispatcher.action_handlers[module.PlaceTell] = send
     peers.decoders[codec.MAGIC] = receive
--- a/zincstile/net/lifecycle.py
+++ b/zincstile/net/lifecycle.py
@@ -19,7 +19,7 @@
 from .peers import Peers
 from .shutdown import GracefulShutdown
 from .trace import Step
-from .transient import is_momentary, patiently
+from .transient import is_transient_file_error, retry_while_exhausted
 
 if TYPE_CHECKING:
     from .administration import Administration
@@ -70,7 +70,7 @@
         if administration is not None:
             await self._unless_ended(administration.take_over())
         if self._config.peer_listen:
-            await patiently(lambda: self._parts.peers.open(self._config.peer_listen))
+            await retry_while_exhausted(lambda: self._parts.peers.open(self._config.peer_listen))
         if not self._shutdown.begun:  # else no client was taken yet, and none is
             await self._serve()
         await self._shutdown.ended
@@ -107,10 +107,10 @@
         config, parts, dispatcher = self._config, self._parts, self._dispatcher
         dispatcher.post(Started())
         known = self._begin_list()
-        await patiently(lambda: parts.listener.listen(config.listen, config.socket_fd))
+        await retry_while_exhausted(lambda: parts.listener.listen(config.listen, config.socket_fd))
         administration = parts.administration
         if administration is not None:
-            await patiently(lambda: administration.open(config.control))
+            await retry_while_exhausted(lambda: administration.open(config.control))
             administration.watch_files()
         if parts.starter is None and known:
             # Discovery may be down: then the known list must do.
@@ -142,7 +142,7 @@
         if parts.listener.ready or not self._may_be_ready():
             return
         self._dispatcher.trace.note(self._dispatcher.now_ns(), Step.STATE, "ready")
-        parts.listener.take()
+        parts.listener.start_serving()
         if parts.administration is not None:
             parts.administration.handover.announce_ready()
         source = "told" if parts.watcher.has_received else "as known before"
@@ -174,7 +174,7 @@
         try:
             config = self._host.reload_config()
         except (ConfigError, OSError) as err:
-            if is_momentary(err.__cause__ or err) and attempts > 1:
+            if is_transient_file_error(err.__cause__ or err) and attempts > 1:
                 retry_ns = self._dispatcher.now_ns() + RELOAD_RETRY_NS
                 self._dispatcher.deadlines.add(retry_ns, self.reload, attempts - 1)
                 self._dispatcher.wake()
--- a/zincstile/net/peers.py
+++ b/zincstile/net/peers.py
@@ -31,7 +31,7 @@
         self.transport: asyncio.DatagramTransport | None = None
         self.decoders: dict[int, Decoder] = {}  # by a message's first byte; all others are gossip
         self._numbers = {address: number for number, address in enumerate(addresses)}
-        dispatcher.carry_out[SendGossip] = self._send_gossip
+        dispatcher.action_handlers[SendGossip] = self._send_gossip
 
     async def open(self, address: Address) -> None:
         """Binds the socket. Raises OSError."""
--- a/zincstile/net/quota_service.py
+++ b/zincstile/net/quota_service.py
@@ -15,7 +15,7 @@
 
 from . import http
 from .config import Address
-from .deadlines import Key, every
+from .deadlines import DeadlineKey, every
 from .dispatcher import Dispatcher
 
 MAX_NAME_BYTES: Final = 64  # the service refuses longer names
@@ -44,7 +44,7 @@
         self.request = request
         self.on_answer = on_answer
         self.made_ns = made_ns
-        self.deadline: Key | None = None
+        self.deadline: DeadlineKey | None = None
         self.over = False
 
 
@@ -88,7 +88,7 @@
             self.transport.abort()
             return
         self.idle_since_ns = dispatcher.now_ns()
-        dispatcher.write_later(self.client)
+        dispatcher.flush_later(self.client)
 
     def _take_answer(self, status: int, body: bytes) -> None:
         if not self.calls:
@@ -140,7 +140,7 @@
         timeout_ns = now + dispatcher.limits.quota_service_call_ns
         call.deadline = dispatcher.deadlines.add(timeout_ns, self._timed_out, call)
         self.waiting.append(call)
-        dispatcher.write_later(self)
+        dispatcher.flush_later(self)
 
     def move(self, address: Address) -> None:
         """The service is found elsewhere from now on.
@@ -150,7 +150,7 @@
         if address != self.address:
             self.address = address
             self._no_connect_before_ns = 0
-            self.dispatcher.write_later(self)
+            self.dispatcher.flush_later(self)
 
     # ---- writing, once a batch of the dispatcher
 
@@ -202,14 +202,14 @@
             self._connecting -= 1
 
     def _retry_connect(self, _: object) -> None:
-        self.dispatcher.write_later(self)
+        self.dispatcher.flush_later(self)
 
     # ---- called by connections
 
     def connected(self, connection: QuotaServiceConnection) -> None:
         """A connection is up: waiting calls may be written to it."""
         self.connections[connection] = None
-        self.dispatcher.write_later(self)
+        self.dispatcher.flush_later(self)
 
     def disconnected(self, connection: QuotaServiceConnection) -> None:
         """A connection is closed: the amounts of its calls may have been added."""
@@ -217,7 +217,7 @@
         calls, connection.calls = connection.calls, deque()
         for call in calls:
             self._finish(call, None)
-        self.dispatcher.write_later(self)
+        self.dispatcher.flush_later(self)
 
     def answered(self, call: PendingCall, status: int, body: bytes) -> bool:
         """Ends a call with its answer.
@@ -246,7 +246,7 @@
         if call.over:
             return
         call.over = True
-        self.dispatcher.deadlines.drop(call.deadline)
+        self.dispatcher.deadlines.cancel(call.deadline)
         if total is None:
             self.dispatcher.counters.quota_service_unanswered += 1
         call.on_answer(self.dispatcher.now_ns(), total)
--- a/zincstile/net/reasons.py
+++ b/zincstile/net/reasons.py
@@ -1,54 +1,57 @@
-"""Why a gateway closed a connection, refused a request, or sent one again: its counters and trace tell it."""
+"""Why a gateway closed a connection, rejected a request, or retried one: for its counters and its trace."""
 
 from __future__ import annotations
 
 from enum import Enum
 
 
-class Reason(Enum):
-    """Counted by identity: an enum's own hash costs a call at each request."""
+class CountedReason(Enum):
+    """A reason with a counter of its own, whose name ends with the value."""
 
-    __hash__ = object.__hash__
+    __hash__ = object.__hash__  # looked up for each request: an enum's own hash costs a call
 
 
-class CloseReason(Reason):
-    """Of a client's connection. The first reason holds."""
+class CloseReason(CountedReason):
+    """Why a client's connection was closed; the first reason holds."""
 
     CLIENT = "client"  # the client ended or reset it
     MALFORMED = "malformed"  # nothing after what it sent can be understood
-    INCOMPLETE = "incomplete"  # it began a command and did not end it in time
-    SILENT = "silent"  # it never sent a whole command
-    IDLE = "idle"  # it rested for as long as a connection may
-    ROOM = "room"  # its descriptor was wanted
-    STANDBY = "standby"  # an operator said so
+    INCOMPLETE = "incomplete"  # it began a command and did not complete it in time
+    SILENT = "silent"  # it never sent a complete command
+    IDLE = "idle"  # it was idle for as long as a connection may be
+    EVICTED = "evicted"  # its descriptor was needed for another
+    STANDBY = "standby"  # an operator put the gateway on standby
     STOP = "stop"  # the gateway is about to end
-    CUT = "cut"  # the value that was passed on can't be finished
-    STALLED = "stalled"  # it does not take what was written, or does not end in its turn
-    FLOOD = "flood"  # it sent too much behind its end
+    TRUNCATED = "truncated"  # the value that was passed on can't be completed
+    STALLED = "stalled"  # it does not read what was written, or does not close after the end
+    FLOOD = "flood"  # it sent too much after the end
 
 
-class RefusalReason(Reason):
-    """Of a request that is answered -BUSY before any attempt."""
+class GatewayRejection(CountedReason):
+    """Why a request was answered -BUSY before any attempt.
+
+    The policy's own reasons (`decisions.messages.RejectionReason`) have the same names here.
+    """
 
     SESSIONS = "sessions"  # as many requests are open as may be
-    NOT_READY = "not_ready"  # there is no list of backend servers yet
-    WAITED = "waited"  # in a queue that no process served, nobody knows for how long
-    OVER = "over"  # too late before the end of the process
-    QUOTA = "quota"  # beyond the customer's quota, and not worth it
+    NOT_READY = "not_ready"  # there is no endpoint list yet
+    UNKNOWN_AGE = "unknown_age"  # it waited in a queue that no process served, nobody knows for how long
+    STOPPING = "stopping"  # too late before the end of the process
+    QUOTA = "quota"  # beyond the customer's quota, and not worth its cost
     CEILING = "ceiling"  # beyond the customer's ceiling
-    BUDGET = "budget"  # the draw for the back end's budget was lost
-    NO_ENDPOINT = "no_server"  # no backend server can take it
-    NO_RETRY = "no_retry"  # its attempts never ran, and no further one is allowed
-
-
-class RetryReason(Reason):
-    """Why a request has a further attempt: how the one before ended, or that it has not."""
-
-    HEDGE = "hedge"  # the one before is out still
-    CONNECT = "connect"  # it could not connect, or was never written whole
-    FULL = "full"  # it was turned away
-    MOOT = "moot"  # it was never begun
-    ERROR = "error"
-    BROKEN = "broken"  # its connection broke behind it
-    TIMEOUT = "timeout"
-    SPOILT = "spoilt"  # its answer could not be read
+    BUDGET = "budget"  # the draw for the backends' budget was lost
+    NO_ENDPOINT = "no_endpoint"  # no endpoint can take it
+    NO_RETRY = "no_retry"  # its attempts never ran, and no retry is allowed
+
+
+class RetryReason(CountedReason):
+    """Why a request has another attempt: how the one before ended, or that it has not."""
+
+    HEDGE = "hedge"  # the one before is still in flight
+    CONNECT = "connect"  # it could not connect, or was never written completely
+    REJECTED = "rejected"  # the backend server rejected it
+    NOT_SENT = "not_sent"  # it was never begun
+    ERROR = "error"  # the backend server answered with an error
+    RESET = "reset"  # its connection was lost after it was written
+    TIMEOUT = "timeout"  # it had no answer in time
+    MALFORMED_RESPONSE = "malformed_response"  # its answer could not be read
--- a/zincstile/net/session.py
+++ b/zincstile/net/session.py
@@ -1,112 +1,80 @@
-"""What a protocol's frontend and backend code share: a call, the session that owes its answer, the answer."""
+"""What the clients' side and the backends' side share: a call, the session that owes its answer, the answer.
+
+Nothing here knows a protocol: a second one needs a client connection of its own that makes sessions.
+"""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from enum import Enum
-from typing import Protocol
+from typing import Final, Protocol
 
 from ..decisions.messages import AttemptResult, EndpointEntry
 from ..decisions.settings import RequestClass
+from .value_stream import ValueStream
 
 
 @dataclass(slots=True)
 class Call:
-    """What a client asked for, as it has to go on."""
+    """What a client asked for, as it is forwarded to a backend server."""
 
-    repeatable: bool  # of a class that is safe to repeat
+    idempotent: bool  # of a class that may always run again
     customer: bytes
     id: bytes
     fields: list[bytes]  # name=value
-    wait_at: int  # place of the field that says how long the answer is waited for
+    deadline_field: int  # index in `fields` of the one that says how long the client waits
     body: bytes | None
 
 
-class Kind(Enum):
-    SERVED = 0
-    DENIED = 1
-    FAILED = 2
+class AnswerKind(Enum):
+    """How a request was answered; the values are the names in the trace."""
+
+    SERVED = "served"
+    REJECTED = "rejected"
+    FAILED = "failed"
 
 
 @dataclass(slots=True)
 class Answer:
-    kind: Kind
-    value: bytes = b""
-    retry_ms: int = 0
-    stream: Stream | None = None  # a large value, passed on as it comes; `value` is then empty
-
-
-class Stream:
-    """A value passed on as it comes, from one backend connection to one client connection, so that its first
-    bytes go out at once and no more of it is held than the client has not read.
-
-    The backend side pushes pieces and marks it whole, or cut; the client side takes the pieces. Each side
-    tells the other by the object it hands in: `writer.poke()` where there is more to write, `reader.more()`
-    where what is held was taken, `reader.abandon()` where the client left."""
-
-    __slots__ = ("pieces", "pending", "whole", "cut", "reader", "writer")
+    """The final answer to one request."""
 
-    def __init__(self, reader: object) -> None:
-        self.pieces: list[bytes] = []
-        self.pending = 0  # bytes pushed and not yet taken
-        self.whole = self.cut = False
-        self.reader: object = reader
-        self.writer: object | None = None
-
-    def push(self, data: bytes) -> None:
-        self.pieces.append(data)
-        self.pending += len(data)
-        self._poke()
-
-    def end(self, cut: bool) -> None:
-        if not self.whole and not self.cut:
-            self.whole, self.cut = not cut, cut
-            self._poke()
-
-    def take(self) -> list[bytes]:
-        pieces, self.pieces, self.pending = self.pieces, [], 0
-        self.reader.more()  # type: ignore[attr-defined]
-        return pieces
-
-    def abandon(self) -> None:
-        if not self.whole and not self.cut:
-            self.cut = True
-            self.reader.abandon()  # type: ignore[attr-defined]
-
-    def _poke(self) -> None:
-        if self.writer is not None:
-            self.writer.poke()  # type: ignore[attr-defined]
+    kind: AnswerKind
+    value: bytes = b""
+    retry_ms: int = 0  # of a rejection: when the client may retry; 0: nothing is said
+    stream: ValueStream | None = None  # a large value, passed on as it comes; `value` is then empty
 
 
-FAILED = Answer(Kind.FAILED)
-DENIED = Answer(Kind.DENIED)
+FAILED: Final = Answer(AnswerKind.FAILED)
+REJECTED: Final = Answer(AnswerKind.REJECTED)
 
 
-class Frontend(Protocol):
+class Client(Protocol):
     """A client's connection, of whatever protocol."""
 
-    def answer(self, session: Session, answer: Answer) -> None: ...
+    def answer(self, session: Session, answer: Answer) -> None:
+        """Takes the final answer of one of its sessions."""
+        ...
 
-    def gone(self) -> bool:
-        """The client has left, though its end may lie unread; then its sessions are left too."""
+    def has_left(self) -> bool:
+        """The client has left, though its end may not be read yet; then its sessions are abandoned too."""
         ...
 
 
-class SentTo(Protocol):
-    """A backend server, as far as an attempt on it has to be known here."""
+class AttemptTarget(Protocol):
+    """The backend server of an attempt, as far as the invariants look at it."""
 
     address: tuple[str, int]
-    ready: bool  # it may be sent to
-    entry: EndpointEntry | None  # as it is listed
+    ready: bool  # requests may be sent to it
+    entry: EndpointEntry | None  # its entry in the endpoint list
 
 
-class Sending(Protocol):
+class SentAttempt(Protocol):
     """An attempt, as far as its session has to know it: `backends.attempt.Attempt`."""
 
     session: Session | None
-    backend: SentTo
+    backend: AttemptTarget
     sent_ns: int
-    until_ns: int  # what the server is told of its client's time
+    until_ns: int  # the deadline that the server is given
     may_have_run: bool
 
 
@@ -116,28 +84,32 @@
     __slots__ = (
         "id",
         "call",
-        "frontend",
-        "give_up_ns",
-        "spec",
+        "client",
+        "deadline_ns",
+        "request_class",
         "attempts",
-        "carried",
+        "sent_attempts",
         "last_result",
-        "over",
+        "ended",
         "reply",
     )
 
     def __init__(
         self,
-        number: int,
+        request_id: int,
         call: Call,
-        frontend: Frontend,
-        give_up_ns: int,
-        spec: RequestClass | None = None,
+        client: Client,
+        deadline_ns: int,
+        request_class: RequestClass | None = None,
     ) -> None:
-        self.id, self.call, self.frontend, self.give_up_ns = number, call, frontend, give_up_ns
-        self.spec = spec  # of its class; none: it is as one that is safe to repeat
+        """`request_class`: none stands for a class that may always run again."""
+        self.id = request_id
+        self.call = call
+        self.client = client
+        self.deadline_ns = deadline_ns  # monotonic: when the client gives up
+        self.request_class = request_class
         self.attempts = 0  # made so far
-        self.carried: list[Sending] = []  # of these, the ones whose first byte may have left
+        self.sent_attempts: list[SentAttempt] = []  # those of which the first byte may have left
         self.last_result: AttemptResult | None = None  # of the attempt that ended last
-        self.over = False
-        self.reply: bytes | Stream | None = None
+        self.ended = False  # answered, or abandoned by its client
+        self.reply: bytes | ValueStream | None = None  # as it is written; none: not answered
--- a/zincstile/net/shutdown.py
+++ b/zincstile/net/shutdown.py
@@ -53,12 +53,12 @@
         self.begun = True
         self._dispatcher.trace.note(self._dispatcher.now_ns(), Step.STATE, "stop")
         self._dispatcher.log.line(f"stop with {len(self._dispatcher.sessions)} sessions")
-        if not self._listener.opened:
+        if not self._listener.has_listened:
             self._end(None)
             return
         now_ns = self._dispatcher.now_ns()
         self._begun_ns = now_ns
-        self._listener.heard_ns = now_ns
+        self._listener.last_request_ns = now_ns
         self._drain_clients()
         end_ns = now_ns + self._limits.drain_most_ns
         deadlines = self._dispatcher.deadlines
@@ -87,7 +87,7 @@
             self._administration.handover.on_successor_ready = None
         if self._listener.closing:
             return
-        self._listener.shut(take_queued=False)
+        self._listener.shut_down(accept_queued=False)
         self._peers.close()  # else what peers send to the address goes to one of both processes, by chance
         self._end_if_empty(None)
 
@@ -96,25 +96,25 @@
         if self._listener.closing:
             return  # left to a successor meanwhile
         limits = self._limits
-        quiet_ns = self._listener.heard_ns + limits.drain_quiet_ns
+        quiet_ns = self._listener.last_request_ns + limits.drain_quiet_ns
         shut_ns = min(self._begun_ns + limits.drain_ns, quiet_ns)
         if self._dispatcher.now_ns() < shut_ns:
             self._dispatcher.deadlines.add(shut_ns, self._shut_if_quiet)
         else:
-            self._listener.shut()
+            self._listener.shut_down()
             self._end_if_empty(None)
 
     def _fail_rest(self, _: object) -> None:
         """Answers what is left as failed, however long its client would wait, and takes nothing more: it
         could not be answered before the end."""
-        self._listener.over = True
+        self._listener.rejects_all = True
         for session in list(self._dispatcher.sessions.values()):
-            if self._dispatcher.end(session, FAILED):
+            if self._dispatcher.finish(session, FAILED):
                 self._dispatcher.post(RequestAbandoned(session.id))
 
     def _end_if_empty(self, _: object) -> None:
         self._listener.close_idle()  # also those that came last and ask nothing
-        if self._listener.empty:
+        if self._listener.is_empty:
             self._end(None)
         else:
             retry_ns = self._dispatcher.now_ns() + self._limits.backoff_ns
--- a/zincstile/net/trace.py
+++ b/zincstile/net/trace.py
@@ -1,7 +1,8 @@
-"""The last events of a gateway in a bounded ring, told only when something is wrong.
+"""The last events of a gateway in a bounded ring, written to the log only when something is wrong.
 
-One entry for each step of a request (come, sent, outcome, answered, left) and each end of a connection. No
-line of it is written on the way of a request; `tell` gives the entries that led to a fault.
+There is one entry for each step of a request (received, sent, outcome, answered, abandoned) and for each end
+of a connection. Nothing is formatted on the path of a request; `describe` formats the entries that led to a
+fault.
 """
 
 from __future__ import annotations
@@ -10,57 +11,59 @@
 from enum import Enum
 from typing import Final, NamedTuple
 
-RING_ENTRIES: Final = 2048
-TOLD_ENTRIES: Final = 24  # of the ring, in one telling
+RING_ENTRIES: Final = 2048  # the last requests of all clients, in bounded memory
+DESCRIBED_ENTRIES: Final = 24  # a request has fewer; more lines would bury the fault in the log
 
 
 class Step(Enum):
-    """What an entry is about."""
+    """What an entry is about; the values are the names in the log."""
 
-    COME = "come"
-    REFUSED = "refused"
+    RECEIVED = "received"
+    REJECTED = "rejected"
     SENT = "sent"
     OUTCOME = "outcome"
     ANSWERED = "answered"
-    LEFT = "left"
+    ABANDONED = "abandoned"
     CLOSED = "closed"
     STATE = "state"  # of the gateway: ready, standby, stop, a list, maintenance
 
 
 class Entry(NamedTuple):
-    """One event. `subject`: the client's id of the request, or what else it is about."""
+    """One event."""
 
     at_ns: int  # monotonic
     step: Step
-    subject: bytes | str | int
+    subject: bytes | str | int  # the client's id of the request, or what else it is about
     detail: object
 
 
 class Trace:
-    """The ring. `note` takes what is at hand and formats nothing."""
+    """The ring of entries."""
 
     __slots__ = ("_ring",)
 
     def __init__(self, entries: int = RING_ENTRIES) -> None:
-        # plain rows in the order of an Entry, which is made of one only when it is told
+        # Plain tuples with the fields of an Entry: an Entry is made only when it is described.
         self._ring: deque[tuple[int, Step, bytes | str | int, object]] = deque(maxlen=entries)
 
     def __len__(self) -> int:
         return len(self._ring)
 
     def note(self, at_ns: int, step: Step, subject: bytes | str | int, detail: object = "") -> None:
-        """Adds an entry; the oldest goes where the ring is full."""
+        """Adds an entry; the oldest is dropped where the ring is full."""
         self._ring.append((at_ns, step, subject, detail))
 
-    def tell(self, now_ns: int, subject: bytes | str | int | None = None) -> list[str]:
-        """The last entries, oldest first: of one subject and of the gateway's state, or all. Milliseconds
-        before now come first in each line."""
+    def describe(self, now_ns: int, subject: bytes | str | int | None = None) -> list[str]:
+        """The last entries as lines, oldest first: of one subject and of the gateway's state, or all.
+
+        Each line begins with how many milliseconds before now the event was.
+        """
         chosen = [
             entry
             for entry in map(Entry._make, self._ring)
             if subject is None or entry.subject == subject or entry.step is Step.STATE
         ]
-        return [_line(now_ns, entry) for entry in chosen[-TOLD_ENTRIES:]]
+        return [_line(now_ns, entry) for entry in chosen[-DESCRIBED_ENTRIES:]]
 
 
 def _line(now_ns: int, entry: Entry) -> str:
--- a/zincstile/simulation/mutants.py
+++ b/zincstile/simulation/mutants.py
@@ -82,21 +82,21 @@
 def _two_answers() -> Undo:
     """The guard of the one final answer is left out, here and where answers are written."""
 
-    def end(self, session, answer):
-        session.over = True
+    def finish(self, session, answer):
+        session.ended = True
         self.sessions.pop(session.id, None)
-        session.frontend.answer(session, answer)
+        session.client.answer(session, answer)
         return True
 
     old = connection.ClientConnection.__dict__["answer"]
 
     def again(self, session, answer):
-        if session not in self._waiting:
-            self._out.append(resp.bulk(answer.value))
+        if session not in self._answers.pending:
+            self._answers._ready.append(resp.bulk(answer.value))
         old(self, session, answer)
 
     return _both(
-        _swap(dispatcher.Dispatcher, "end", end), _swap(connection.ClientConnection, "answer", again)
+        _swap(dispatcher.Dispatcher, "finish", finish), _swap(connection.ClientConnection, "answer", again)
     )
 
 
@@ -104,18 +104,19 @@
     """Answers go out as they come, whatever was asked before."""
 
     def flush(self):
-        self._dirty = False
-        ready = [x for x in self._waiting if not isinstance(x, connection.Session) or x.reply is not None]
-        for one in ready:
-            self._waiting.remove(one)
-            self._out.append(one if isinstance(one, bytes) else one.reply)
-        out, self._out = self._out, []
+        self._flush_scheduled = False
+        answers = self._answers
+        ready = [entry for entry in answers.pending if isinstance(entry, bytes) or entry.reply is not None]
+        for entry in ready:
+            answers.pending.remove(entry)
+            answers._ready.append(entry if isinstance(entry, bytes) else entry.reply)
+        out, answers._ready = answers._ready, []
         if out and not self.transport.is_closing():
             self.transport.write(b"".join(out))
-        if not self._waiting:
-            self.rested_ns = self.dispatcher.now_ns()
-            if self._closing:
-                self._finish()
+        if not answers.pending:
+            self.idle_since_ns = self.dispatcher.now_ns()
+            if self._closer.reading_ended:
+                self._end()
             elif self.listener.closing:
                 self.transport.close()
 
@@ -229,13 +230,13 @@
 
 def _never_rests() -> Undo:
     """Every turn asks for the next."""
-    old = dispatcher.Dispatcher.__dict__["run"]
+    old = dispatcher.Dispatcher.__dict__["run_batch"]
 
-    def run(self):
+    def run_batch(self):
         old(self)
         self.wake()
 
-    return _swap(dispatcher.Dispatcher, "run", run)
+    return _swap(dispatcher.Dispatcher, "run_batch", run_batch)
 
 
 def _deadline_lost() -> Undo:
@@ -302,13 +303,13 @@
 
 def _read_before_end_dropped() -> Undo:
     """What is read between the decision to end a connection and its end is thrown away."""
-    old = connection.ClientConnection.__dict__["_finish"]
+    old = connection.ClientConnection.__dict__["_end"]
 
-    def finish(self):
-        self._closing = True
+    def end(self):
+        self._closer.reading_ended = True
         self.dispatcher.loop.call_later(0.02, old, self)
 
-    return _swap(connection.ClientConnection, "_finish", finish)
+    return _swap(connection.ClientConnection, "_end", end)
 
 
 def _read_after_end_sent_on() -> Undo:
@@ -319,7 +320,7 @@
         self._read(bytes(self.listener.buffer[:size]))
 
     def flush(self):
-        if not self.ended_ns:  # nothing can be written any more
+        if not self._closer.end_sent_ns:  # nothing can be written any more
             old(self)
 
     return _both(
@@ -330,7 +331,7 @@
 
 def _ids_leak() -> Undo:
     """The ids of requests that are over are kept."""
-    return _swap(listener.ClientListener, "done", lambda self, session: None)
+    return _swap(listener.ClientListener, "on_request_ended", lambda self, session: None)
 
 
 def _connections_leak() -> Undo:
@@ -344,7 +345,7 @@
     def cancel(self, _, action):
         attempt = self.in_flight.get((action.request, action.attempt))
         if attempt is not None:
-            self.dispatcher.deadlines.drop(attempt.deadline)
+            self.dispatcher.deadlines.cancel(attempt.deadline)
 
     return _swap(attempts.Attempts, "cancel", cancel)
 
@@ -398,22 +399,24 @@
     old = attempts.Attempts.__dict__["forward"]
 
     def send(self, now, action):
-        session = self.dispatcher.sessions.get(action.request) or self.dispatcher.over.get(action.request)
-        if session is not None and session.over:
-            session.over = False
+        session = self.dispatcher.sessions.get(action.request) or self.dispatcher.ended_sessions.get(
+            action.request
+        )
+        if session is not None and session.ended:
+            session.ended = False
             old(self, now, action)
-            session.over = True
+            session.ended = True
             return
         old(self, now, action)
 
-    def leave(self, session):
+    def abandon(self, session):
         """The module is never told."""
-        session.over = True
+        session.ended = True
 
     return _both(
         _swap(attempts.Attempts, "forward", send),
-        _swap(dispatcher.Dispatcher, "leave", leave),
-        _swap(connection.ClientConnection, "gone", lambda self: False),
+        _swap(dispatcher.Dispatcher, "abandon", abandon),
+        _swap(connection.ClientConnection, "has_left", lambda self: False),
         _swap(attempts.Attempts, "withdraw", lambda self, session: None),
     )
 
@@ -443,11 +446,11 @@
 
     def close_if_idle(self, reason):
         if self.listener.closing:
-            self._finish()
+            self._end()
         return True
 
     def shut_at_once(self, _):
-        self._listener.shut()
+        self._listener.shut_down()
         self._end_if_empty(None)
 
     return _both(
--- a/zincstile/simulation/world.py
+++ b/zincstile/simulation/world.py
@@ -489,7 +489,7 @@
                 {
                     "sessions": len(gateway.dispatcher.sessions),
                     "attempts": len(gateway.attempts.in_flight),
-                    "open ids": len(gateway.listener.open),
+                    "open ids": len(gateway.listener.open_requests),
                     "requests in the module": len(module.live),
                     "attempts in the module": len(module.attempts),
                     "asks": len(module.asked),
--- a/zincstile/testbed/gateways.py
+++ b/zincstile/testbed/gateways.py
@@ -13,6 +13,7 @@
 from ..emulators.misbehaving_client import MisbehavingClient
 from ..simulation import traffic
 from . import places
+from .counter_names import by_stored_name
 from .members import Seat
 from .programs import Program, told
 from .shim_control import Knob
@@ -224,8 +225,8 @@
                     self.checker.violated(seat.name, line.split(" violated ", 1)[1])
                 found = told(line, "counters")
                 if found is not None and program is seat.program:
-                    seat.latest = found
-                    self._record_figures(seat, found)
+                    seat.latest = by_stored_name(found)
+                    self._record_figures(seat, seat.latest)
                 believed = told(line, "state")
                 if believed is not None and program is seat.program:
                     seat.believes = believed
