--- a/tests/test_inherit.py
+++ b/tests/test_inherit.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from zincstile.net.config import ConfigError, _descriptor
+from zincstile.net.config import ConfigError, parse_descriptor
 from zincstile.net.host import Host
 
 
@@ -46,5 +46,5 @@
 @pytest.mark.parametrize("text", ["three", "-3", "3.0"])
 def test_a_descriptor_that_is_no_number_is_told(text):
     with pytest.raises(ConfigError, match="not a descriptor"):
-        _descriptor(text)
-    assert _descriptor(None) is None and _descriptor("3") == 3
+        parse_descriptor(text)
+    assert parse_descriptor(None) is None and parse_descriptor("3") == 3
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -9,7 +9,7 @@
 from scenario import smallest
 
 from zincstile.net import config
-from zincstile.net.limits import SECOND, Limits
+from zincstile.net.limits import SECOND, Limits, Machine
 
 ROOT = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
 
@@ -90,7 +90,7 @@
 
 @pytest.mark.parametrize("sockets", [128, 192, 384, 1024])
 def test_two_processes_of_an_upgrade_have_together_what_one_has(sockets):
-    limits = Limits.for_gateway(sockets, 40, 100, 1, 1, SECOND, {}, operators=True)
+    limits = Limits.for_gateway(Machine(sockets, 40, 100, 1, 1, SECOND, operators=True), {})
     half = limits.shared()
     assert limits.frontend_connections + limits.backend_connections + limits.reserved <= sockets
     assert 2 * (half.frontend_connections + half.backend_connections + limits.reserved) <= sockets
@@ -99,7 +99,7 @@
 
 def test_a_stop_ends_before_the_platform_kills():
     for longest, kill in ((SECOND, 1.7), (3 * SECOND, 3.7), (9 * SECOND, 3.7)):
-        limits = Limits.for_gateway(256, 32, 100, 1, 1, longest, {})
+        limits = Limits.for_gateway(Machine(256, 32, 100, 1, 1, longest), {})
         assert limits.drain_ns < limits.drain_most_ns < kill * SECOND
 
 
--- a/zincstile/net/discovery/reader.py
+++ b/zincstile/net/discovery/reader.py
@@ -5,7 +5,7 @@
 from typing import Any, Final
 
 from ...decisions.messages import EndpointEntry, EndpointState
-from ..config import address
+from ..config import parse_address
 from ..host import Host
 from .clock import DiscoveryClock
 from .messages import EndpointListMessage, ListedEndpoint, endpoint_id
@@ -51,7 +51,7 @@
         state = ENDPOINT_STATES[raw["status"]]
         weight = float(raw.get("weight") or USUAL_WEIGHT)
         unknown = state is EndpointState.REMOVED and not raw.get("address")
-        host, port = NO_ADDRESS if unknown else address(raw["address"])
+        host, port = NO_ADDRESS if unknown else parse_address(raw["address"])
         backend_id = endpoint_id(str(raw["name"]))
         start_ms, now_ns = int(raw.get("since_ms") or 0), self.now_ns()
         if start_ms and not self.clock.fixed:  # read as its text came, before the list is complete
--- a/zincstile/net/limits.py
+++ b/zincstile/net/limits.py
@@ -1,4 +1,8 @@
-"""Every size, count and time that the network code keeps to: filled once at the start and handed down."""
+"""Every size, count and time that the network code keeps to: filled once at the start and handed down.
+
+Operators can set each field under `limits` in the configuration, by its name or the key in `KEYS`. A name
+ends in its unit; a field without one is a count.
+"""
 
 from __future__ import annotations
 
@@ -19,8 +23,43 @@
 }
 
 
+# What `for_gateway` makes of the settings
+MIN_RESERVED: Final = 16  # descriptors: the log, the loop, the listening sockets and some watches need these
+RESERVED_PART: Final = 25  # of all descriptors one in so many: peers and watches grow with the gateway
+SUPPORTED_DRAIN_NS: Final = (
+    3 * SECOND
+)  # a longer request isn't waited for: the platform kills 3.7 s after SIGTERM
+DRAIN_TAIL_NS: Final = 600 * MS  # after the longest request: then the end, 0.1 s before the platform kills
+LAST_ANSWERS_NS: Final = 700 * MS  # so long before the end, no connection is kept for further requests
+MAX_BACKOFF_FACTOR: Final = 16  # a lost watch's longest wait, in times of its first
+
+# Of the memory in MB (1 << 20 bytes), in bytes a MB
+ANSWER_SHIFT: Final = 14  # a value takes 1/64 of the memory at most
+UNREAD_SHIFT: Final = 11  # answers unread on one connection, 1/512
+TABLE_LINE_SHIFT: Final = 17  # a line of the endpoint list, 1/8
+
+MIN_SHARED_RATIO: Final = 0.1  # of its descriptors each of two processes has at least, however few there are
+
+
+@dataclass(frozen=True, slots=True)
+class Machine:
+    """What limits are made from: the machine's part for this gateway, and the settings of the service."""
+
+    sockets: int  # descriptors of the process
+    memory_mb: int
+    sessions: int  # requests at once
+    connect_ns: int  # a connection to a backend server has to be open within this
+    idle_close_ns: int  # a backend server closes an idle connection after this
+    longest_request_ns: int
+    gateways: int = 1  # of the fleet
+    poll_interval_ns: int = 0  # above 0 where discovery is a service that all gateways poll
+    operators: bool = False  # the admin endpoint is open
+
+
 @dataclass(frozen=True, slots=True)
 class Limits:
+    """The limits of one process; two that serve beside each other have `shared` ones."""
+
     # descriptors: what a process may hold, in three parts
     frontend_connections: int = 580
     backend_connections: int = 400
@@ -29,7 +68,7 @@
     read_bytes: int = 65536  # the one buffer that all connections read into
     value_bytes: int = 65536  # of a command
     answer_bytes: int = 1 << 20  # of a value that a backend server sends: many times a command's were seen
-    words: int = 16  # of a command
+    words: int = 16  # arguments of a command, its name counted
     line_bytes: int = 1024  # a header line of RESP or HTTP
     command_bytes: int = 131072
     id_bytes: int = 64
@@ -42,7 +81,7 @@
     pipelined: int = 64  # unanswered requests on one connection before it is read no further
     written_bytes: int = 262144  # unread answers on one connection before it is read no further
     backlog: int = 512
-    accepts: int = 64  # connections taken in one turn
+    accepts: int = 64  # connections taken in one iteration of the loop
     quota_service_connections: int = 4  # it resets what is over 32
     quota_service_pipelined: int = 32  # calls on one of these that have no answer yet
     quota_service_waiting: int = 512  # calls that wait for a connection; more are not made
@@ -51,124 +90,132 @@
     quota_service_stuck_ns: int = SECOND  # a connection to it whose next answer is late by this is of no use
     quota_service_idle_ns: int = 8 * SECOND  # an idle one is closed after this: the service does it at 10 s
     connect_ns: int = 250 * MS
-    command_ns: int = 10 * SECOND  # a command that is begun has to be whole by then
+    command_ns: int = 10 * SECOND  # a command that is begun has to be complete within this
     command_stall_ns: int = 2200 * MS  # and has to go on within this
-    silent_ns: int = 2200 * MS  # a client that has sent no whole command by then is closed
-    rest_ns: int = 10 * SECOND  # a client's connection that rested this long is closed
-    tend_ns: int = 250 * MS  # how often these are looked at
+    silent_ns: int = 2200 * MS  # a client that has sent no complete command by then is closed
+    rest_ns: int = 10 * SECOND  # a client's connection that was idle this long is closed
+    tend_ns: int = 250 * MS  # how often connections are checked for the above
     drained_ns: int = 500 * MS  # after the last answer, how long the client's close is waited for
     answer_ns: int = 250 * MS  # an answer that is begun has to go on within this
-    idle_ns: int = 20 * SECOND  # a resting backend connection is closed after this
-    settled_ns: int = 10 * MS  # behind an answer, how long a second one may come that nobody asked for
-    spare_ns: int = 2 * SECOND  # a client's connection that rested this long may be closed to make room
-    newcomer_ns: int = 100 * MS  # the same for one that never asked, or only once
+    idle_ns: int = 20 * SECOND  # an idle backend connection is closed after this
+    settled_ns: int = 10 * MS  # after an answer, how long a second one may come that no request is for
+    spare_ns: int = 2 * SECOND  # a client's connection idle this long may be closed to make room
+    newcomer_ns: int = 100 * MS  # the same for one that sent no request, or only one
     margin_ns: int = 2 * MS  # a request's way here, taken off the time that its client waits
     table_first_ns: int = 300 * MS  # how long the start waits for discovery before the known list must do
-    table_silence_ns: int = 2600 * MS  # a watch says something every 2 s; one that does not is opened anew
-    table_answer_ns: int = 800 * MS  # the same for one that has said nothing yet
+    table_silence_ns: int = 2600 * MS  # a watch sends an event every 2 s; one that does not is opened anew
+    table_answer_ns: int = 800 * MS  # the same for one that has sent nothing yet
     table_patience_ns: int = 0  # a call that a list service took is left out for so long; 0: an agent answers
     table_list_ns: int = 250 * MS  # a whole list may take the service so long, for each gateway of the fleet
     table_first_ask_ns: int = 1  # the first watch is opened within this, where a list is known
     table_again_ns: int = 50 * MS  # a lost watch is opened again within this, then twice, four times it
     table_again_most_ns: int = SECOND  # and within this at most
-    table_longest_ns: int = 4500 * MS  # no wait is longer: with a dial and an answer it is told within 6 s
-    held_up_ns: int = 150 * MS  # a process that gets no processor for longer says so
-    start_told_ns: int = 60 * SECOND  # a server may have started so long before discovery first tells of it
+    table_longest_ns: int = (
+        4500 * MS
+    )  # no wait is longer: with a connect and an answer, the list is here within 6 s
+    held_up_ns: int = 150 * MS  # a process that gets no processor for longer logs it
+    start_told_ns: int = 60 * SECOND  # a server may have started so long before discovery first lists it
     backoff_ns: int = 50 * MS
     backoff_most_ns: int = SECOND
     drain_quiet_ns: int = 450 * MS  # after SIGTERM, connections are kept until no call came for this
     drain_ns: int = 2900 * MS  # and for this at most
-    drain_least_ns: int = 500 * MS  # the front sends new clients for up to 0.4 s after SIGTERM
-    drain_margin_ns: int = 100 * MS  # before the end, all has its answer
+    drain_least_ns: int = 500 * MS  # the balancer sends new clients for up to 0.4 s after SIGTERM
+    drain_margin_ns: int = 100 * MS  # all has its answer so long before the end
     drain_most_ns: int = 3600 * MS  # after SIGTERM, the end: the longest deadline and more
     # large values
-    stream_bytes: int = 65536  # a value larger than this is passed on as it comes: its first bytes are timed
-    stream_stall_ns: int = 10 * SECOND  # one that says nothing this long, past its client's time, is cut
+    stream_bytes: int = 65536  # a larger value is forwarded as it comes: its first bytes are timed
+    stream_stall_ns: int = 10 * SECOND  # one that sends nothing this long, past its client's time, is cut off
     stream_pace_ns: int = 5 * MS  # a value that comes in small pieces is read at most this often
     stream_piece_bytes: int = 16384  # a piece smaller than this is small
-    # the operators' door
+    # operators
     control_connections: int = 16  # callers at once; where more come, the oldest is answered and closed
-    control_call_ns: int = 900 * MS  # a call has to be whole by then: its answer is due within 1 s
-    handover_poll_ns: int = 50 * MS  # how often the hand-over file is looked at: a ban holds within 250 ms
-    handover_keep_ns: int = 10 * SECOND  # how often a living process writes it anew
+    control_call_ns: int = 900 * MS  # a request has to be complete by then: its response is due within 1 s
+    handover_poll_ns: int = 50 * MS  # the hand-over file is polled so often: maintenance holds within 250 ms
+    handover_keep_ns: int = 10 * SECOND  # how often a running process writes it anew
     handover_read_ns: int = 2 * SECOND  # a start waits so long for a file that can't be read for now
-    handover_kept_ns: int = 700 * MS  # a yes waits so long for its word to be in the file
+    handover_kept_ns: int = 700 * MS  # a yes waits so long for the file to hold it
     handover_stale_ns: int = 60 * SECOND  # a file that nobody wrote for this long is not trusted
-    inherit_wait_ns: int = 250 * MS  # a new process waits so long for the old one's memory: five looks
-    inherit_look_ns: int = 10 * MS  # and looks for it so often
+    inherit_wait_ns: int = 250 * MS  # a new process waits so long for the old one's memory: five polls
+    inherit_look_ns: int = 10 * MS  # and polls for it so often
     inherit_bytes: int = 1 << 20  # of the memory that is left: files count as memory
-    standby_rest_ns: int = 500 * MS  # in standby, a connection that rested this long is closed
+    standby_rest_ns: int = 500 * MS  # in standby, a connection idle this long is closed
 
     @classmethod
-    def for_gateway(
-        cls,
-        sockets: int,
-        memory_mb: int,
-        max_open: int,
-        connect_ns: int,
-        idle_close_ns: int,
-        longest_ns: int,
-        given: dict[str, int],
-        gateways: int = 1,
-        ask_within_ns: int = 0,
-        operators: bool = False,
-    ) -> Limits:
-        """Splits the descriptors: a reserve for what is neither client nor backend, and three to two. Where
-        memory is short, large values and unread answers get less of it; where there is more, a line of the
-        endpoint table may take an eighth of it. operators: their door is open, and
-        its callers are counted in the reserve. ask_within_ns, above 0 where
-        discovery has to be asked: then it is one service for all gateways, which is asked the more seldom the
-        more there are, and left the time to answer. What is given by name goes before."""
-        usual, memory_mb = cls(), max(1, memory_mb)
-        reserve = max(16, sockets // 25) + operators * given.get(
-            "control_connections", usual.control_connections
-        )
-        stop_ns = min(longest_ns, 3 * SECOND) + 600 * MS  # 0.1 s before SIGKILL
-        rest = max(2, sockets - reserve)
-        again_ns = usual.table_again_ns * (gateways if ask_within_ns else 1)
-        asked = {
-            "table_first_ask_ns": again_ns,
-            "table_answer_ns": usual.table_silence_ns,
-            "table_patience_ns": max(usual.table_silence_ns, gateways * usual.table_list_ns),
-            "table_again_most_ns": max(usual.table_again_most_ns, min(ask_within_ns, again_ns * 16)),
+    def for_gateway(cls, machine: Machine, given: dict[str, int]) -> Limits:
+        """Returns the limits of a gateway; `given`, by field, goes before all that is made here.
+
+        The descriptors are split: a reserve for what is neither client nor backend, and the rest three to
+        two. Where memory is short, large values and unread answers get less of it; where there is more, a
+        line of the endpoint list may take an eighth of it.
+        """
+        usual = cls()
+        memory_mb = max(1, machine.memory_mb)
+        reserved = max(MIN_RESERVED, machine.sockets // RESERVED_PART)
+        if machine.operators:
+            reserved += given.get("control_connections", usual.control_connections)
+        connections = max(2, machine.sockets - reserved)
+        frontend_connections = connections * 3 // 5
+        made = {
+            "frontend_connections": frontend_connections,
+            "backend_connections": connections - frontend_connections,
+            "reserved": reserved,
+            "answer_bytes": min(usual.answer_bytes, memory_mb << ANSWER_SHIFT),
+            "written_bytes": min(usual.written_bytes, memory_mb << UNREAD_SHIFT),
+            "table_bytes": cls.table_line_bytes(memory_mb),
+            "sessions": max(1, machine.sessions),
+            "connect_ns": machine.connect_ns,
+            "idle_ns": machine.idle_close_ns * 2 // 3,  # well before the server closes it
         }
-        return cls(
-            **{
-                "frontend_connections": rest * 3 // 5,
-                "backend_connections": rest - rest * 3 // 5,
-                "reserved": reserve,
-                "answer_bytes": min(usual.answer_bytes, memory_mb << 14),
-                "written_bytes": min(usual.written_bytes, memory_mb << 11),
-                "table_bytes": cls.table_line_bytes(memory_mb),
-                "sessions": max(1, max_open),
-                "connect_ns": connect_ns,
-                "idle_ns": idle_close_ns * 2 // 3,
-                "table_again_ns": again_ns,
-                **(asked if ask_within_ns else {}),
-                "drain_most_ns": stop_ns,
-                "drain_ns": max(stop_ns - 700 * MS, min(usual.drain_least_ns, stop_ns)),
-                **given,
-            }
-        )
+        return cls(**(made | _polling(usual, machine) | _draining(usual, machine) | given))
 
     @classmethod
     def table_line_bytes(cls, memory_mb: int) -> int:
-        """The longest line of the endpoint table: an eighth of the memory, and 4 MiB at least."""
-        return max(cls().table_bytes, memory_mb << 17)
+        """Returns the longest line of the endpoint list: an eighth of the memory, and 4 MiB at least."""
+        return max(cls().table_bytes, memory_mb << TABLE_LINE_SHIFT)
 
     def shared(self) -> Limits:
-        """Of two processes of one gateway during an upgrade, whose descriptors count together: half of what
-        the reserve of the second leaves. What each connection may hold is the same, so that the memory for
-        them is no more either."""
-        rest = self.frontend_connections + self.backend_connections
-        part = max(0.1, (rest - self.reserved) / 2 / rest)
+        """Returns the limits of each of two processes of one gateway during an upgrade.
+
+        Their descriptors count together: each has half of what the reserve of the second leaves. What each
+        connection may hold is the same, so that the memory for them is no more either.
+        """
+        connections = self.frontend_connections + self.backend_connections
+        ratio = max(MIN_SHARED_RATIO, (connections - self.reserved) / 2 / connections)
         return replace(
             self,
-            frontend_connections=max(1, int(self.frontend_connections * part)),
-            backend_connections=max(1, int(self.backend_connections * part)),
+            frontend_connections=max(1, int(self.frontend_connections * ratio)),
+            backend_connections=max(1, int(self.backend_connections * ratio)),
         )
 
 
+def _polling(usual: Limits, machine: Machine) -> dict[str, int]:
+    """Returns the limits of the calls to a discovery that all gateways poll.
+
+    It is one service: the more gateways there are, the more seldom each calls it, and the longer it may
+    take to answer.
+    """
+    if not machine.poll_interval_ns:
+        return {}
+    again_ns = usual.table_again_ns * machine.gateways
+    longest_backoff_ns = min(machine.poll_interval_ns, again_ns * MAX_BACKOFF_FACTOR)
+    return {
+        "table_again_ns": again_ns,
+        "table_first_ask_ns": again_ns,
+        "table_answer_ns": usual.table_silence_ns,
+        "table_patience_ns": max(usual.table_silence_ns, machine.gateways * usual.table_list_ns),
+        "table_again_most_ns": max(usual.table_again_most_ns, longest_backoff_ns),
+    }
+
+
+def _draining(usual: Limits, machine: Machine) -> dict[str, int]:
+    """Returns the limits of a graceful shutdown: as long as the longest request, within bounds."""
+    stop_ns = min(machine.longest_request_ns, SUPPORTED_DRAIN_NS) + DRAIN_TAIL_NS
+    return {
+        "drain_most_ns": stop_ns,
+        "drain_ns": max(stop_ns - LAST_ANSWERS_NS, min(usual.drain_least_ns, stop_ns)),
+    }
+
+
 def read_given(table: dict[str, Any]) -> dict[str, int]:
     """Returns by field the limits that operators set, from the configuration's `limits`.
 
