--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -174,50 +174,50 @@
 def test_a_box_is_told_no_more_than_what_its_client_has_left(bench):
     bench.ask(wait=1000)
     bench.at(300)
-    one = bench.checker.sent("g0", "b1", b"1", bench.now)
-    bench.checker.whole(b"1", one, 850)
+    one = bench.checker.attempt_started("g0", "b1", b"1", bench.now)
+    bench.checker.attempt_complete(b"1", one, 850)
     assert bench.broken == []
-    one = bench.checker.sent("g0", "b2", b"1", bench.now)
-    bench.checker.whole(b"1", one, 851)
+    one = bench.checker.attempt_started("g0", "b2", b"1", bench.now)
+    bench.checker.attempt_complete(b"1", one, 851)
     assert bench.broken == ["deadline"]
 
 
 def test_what_a_paused_gateway_reads_late_is_told_by_its_own_clock(bench):
-    bench.checker.paused("g0", 400 * MS)
+    bench.checker.gateway_paused("g0", 400 * MS)
     bench.ask(wait=1000)
     bench.at(450)
-    one = bench.checker.sent("g0", "b1", b"1", bench.now)
-    bench.checker.whole(b"1", one, 990)
+    one = bench.checker.attempt_started("g0", "b1", b"1", bench.now)
+    bench.checker.attempt_complete(b"1", one, 990)
     assert bench.broken == []
 
 
 def test_maintenance_holds_from_the_yes_until_the_call_back_over_a_restart(bench):
     maintenance = bench.checker.maintenance
-    maintenance.entered(bench.now, "g0", "b1")
+    maintenance.confirmed(bench.now, "g0", "b1")
     bench.ask(wait=9000)
     bench.at(250)
     bench.send("b1")
     assert bench.broken == []
-    bench.checker.ended("g0")
-    bench.checker.started("g0")
+    bench.checker.gateway_ended("g0")
+    bench.checker.gateway_started("g0")
     bench.at(251)
     bench.send("b1")
     assert bench.broken == ["maintenance"]
-    maintenance.put_back("g0", "b1")
+    maintenance.ended("g0", "b1")
     bench.ask(b"2", line=2, wait=9000)
     bench.send("b1", b"2")
     assert bench.broken == ["maintenance"]
 
 
 def test_what_a_gateway_counts_itself_is_a_breach(bench):
-    bench.checker.violated("g0", "close c1: 2 requests without an answer")
+    bench.checker.report_invariant("g0", "close c1: 2 requests without an answer")
     assert bench.broken == ["invariant"]
 
 
 def test_what_waited_for_a_process_may_be_answered_late_or_never_and_only_that(bench):
     bench.ask(wait=100)
     bench.ask(b"2", wait=100, line=2, gateway="g1")
-    bench.checker.excuse("g0")
+    bench.checker.excuse_gateway("g0")
     bench.at(100).request_answered(b"2", "failed", b"")
     bench.at(500).request_answered(b"1", "failed", b"")
     bench.ask(b"3", wait=100, line=3)
--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -159,10 +159,10 @@
         found = verdict(result, check)
         assert found.kept, (found.text, found.worst)
     assert not [
-        b.text for b in one.checker.breaches if "its time" not in b.text
+        b.text for b in one.checker.violations if "its time" not in b.text
     ]  # late: the machine's, perhaps
-    assert verdict(result, Check.RULES).kept == (not one.checker.breaches)
-    assert {case.gateway for case in one.checker.cases.values()} == {"g0"}
+    assert verdict(result, Check.RULES).kept == (not one.checker.violations)
+    assert {case.gateway for case in one.checker.histories.values()} == {"g0"}
     assert not any(process.alive for process in one.processes)
 
 
--- a/tests/test_throng.py
+++ b/tests/test_throng.py
@@ -27,11 +27,14 @@
     drawn = plan.load(PLANS / f"throng-{gateways}.yaml")
     drawn.seed = seed
     run = Run(drawn)
-    breach, run.checker.breach = run.checker.breach, lambda rule, *more: rule == "cold" or breach(rule, *more)
+    breach, run.checker.report_violation = (
+        run.checker.report_violation,
+        lambda rule, *more: rule == "cold" or breach(rule, *more),
+    )
     found = run.play()  # the house's own rule is narrower than the term, and tested elsewhere
     assert found.breach is None, found.breach.text
     assert found.tally["served"] > 100
-    assert 0.2 < run.checker.cold.calls.nearest <= 1
+    assert 0.2 < run.checker.cold.calls.peak_ratio <= 1
 
 
 def test_what_servers_did_that_drain_is_not_taken_for_what_those_left_can_do():
--- a/tests/test_zone_failover.py
+++ b/tests/test_zone_failover.py
@@ -213,14 +213,14 @@
         )
     )
     sent = []  # seconds, crossed
-    went = run.checker.sent
+    went = run.checker.attempt_started
 
     def heard(gateway, box, request, first_ns):
         at = (run.scheduler.now_ns - run.began_ns) / 1e9
-        sent.append((at, run.checker.boxes[box][0], int(gateway[1:]) % 3))
+        sent.append((at, run.checker.locations[box][0], int(gateway[1:]) % 3))
         return went(gateway, box, request, first_ns)
 
-    run.checker.sent = heard
+    run.checker.attempt_started = heard
     result = run.play()
     assert result.breach is None, result.breach
     calm = [z != home for at, z, home in sent if at < 2.4]
@@ -239,13 +239,13 @@
             seed=8, gateways=6, boxes=18, requests=1300, last_ms=15000, place=True, greedy=0.1, anchored=False
         )
     )
-    sent, went, module = [], run.checker.sent, "zincstile.zone_failover.module"
+    sent, went, module = [], run.checker.attempt_started, "zincstile.zone_failover.module"
 
     def heard(gateway, box, request, first_ns):
-        sent.append(((run.scheduler.now_ns - run.began_ns) / 1e9, run.checker.boxes[box][0]))
+        sent.append(((run.scheduler.now_ns - run.began_ns) / 1e9, run.checker.locations[box][0]))
         return went(gateway, box, request, first_ns)
 
-    run.checker.sent = heard
+    run.checker.attempt_started = heard
     said = importlib.import_module(module).ZoneSaid
     for at, drained in ((3, True), (8, False)):
         run.scheduler.at(
--- a/zincstile/checkers/ceilings.py
+++ b/zincstile/checkers/ceilings.py
@@ -1,32 +1,42 @@
-"""Rule on ceilings: for each customer a store that holds the ceiling's burst, starts full and fills at its
-rate.
+"""Rule on ceilings: a token bucket for each customer, which starts full and may fall below 0 by the slack.
 
-Every try takes its units once its first attempt has reached a box whole, by whichever gateway. The store
-may fall below nothing by the slack, and on sockets by what its rate gives in 150 ms (PROTOCOL, 'The rules
-on sockets').
+Every request takes its units once its first attempt has reached a backend completely, by whichever gateway.
+On sockets the slack is wider by what the rate gives in 150 ms (PROTOCOL, 'The rules on sockets').
 """
 
 from __future__ import annotations
 
-from .cases import Figures
+from typing import NamedTuple
+
+from .rules import SECOND_NS, RuleLimits
+
+
+class BucketLevel(NamedTuple):
+    """Units in a token bucket at a time."""
+
+    units: float
+    at_ns: int
 
 
 class Ceilings:
-    """The stores of all customers of plans that have a ceiling."""
+    """The token buckets of all customers of plans that have a ceiling."""
 
-    def __init__(self, figures: Figures) -> None:
-        self.figures = figures
-        self.nearest = 0.0  # to the rule: 0 full, 1 at it
-        self._stores: dict[tuple[str, bytes], tuple[float, int]] = {}
+    def __init__(self, limits: RuleLimits) -> None:
+        """Begin with full buckets. `peak_ratio`: how much was ever used; 0 nothing, 1 the limit."""
+        self.limits = limits
+        self.peak_ratio = 0.0
+        self._levels: dict[tuple[str, bytes], BucketLevel] = {}  # by plan and customer
 
-    def take(self, now: int, plan: str, customer: bytes, units: float) -> float:
-        """Units past the slack; 0 or less: kept."""
-        spec = self.figures.plans.get(plan)
-        if spec is None or not spec.ceiling_rate:
+    def consume(self, now_ns: int, plan: str, customer: bytes, units: float) -> float:
+        """Take units of a customer's bucket; the units beyond the slack, 0 or less where the rule holds."""
+        rule = self.limits.plans.get(plan)
+        if rule is None or not rule.ceiling_rate:
             return 0.0
-        level, at = self._stores.get((plan, customer), (spec.ceiling_burst, now))
-        level = min(spec.ceiling_burst, level + spec.ceiling_rate * (now - at) / 1e9) - units
-        self._stores[plan, customer] = level, now
-        slack = spec.slack + spec.ceiling_rate * self.figures.ceiling_late_ns / 1e9
-        self.nearest = max(self.nearest, (spec.ceiling_burst - level) / (spec.ceiling_burst + slack))
+        before = self._levels.get((plan, customer), BucketLevel(rule.ceiling_burst, now_ns))
+        refilled = before.units + rule.ceiling_rate * (now_ns - before.at_ns) / SECOND_NS
+        level = min(rule.ceiling_burst, refilled) - units
+        self._levels[plan, customer] = BucketLevel(level, now_ns)
+        slack = rule.slack + rule.ceiling_rate * self.limits.ceiling_delay_ns / SECOND_NS
+        used = (rule.ceiling_burst - level) / (rule.ceiling_burst + slack)
+        self.peak_ratio = max(self.peak_ratio, used)
         return -level - slack
--- a/zincstile/checkers/checker.py
+++ b/zincstile/checkers/checker.py
@@ -1,358 +1,405 @@
-"""Hears all that crosses the network, keeps each request's history, and names what breaks a rule.
+"""Observes all that crosses the network, keeps each request's history, and names what breaks a rule.
 
-The clock and the step are asked of the run. Checks happen as things are heard; what is due by time is
-looked at by `watch`, which the run calls after every step. A rule that is broken is recorded once for each
-request.
+Clock and step are asked of the run. Rules are checked as things happen; what is due by time is checked by
+`check_due`, which the run calls after every step. A violation is recorded once for each rule and request.
 """
 
 from __future__ import annotations
 
-import heapq
-from collections import deque
 from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Final
 
-from .cases import NAMES, Breach, Case, Figures, Try
+from .answer_deadlines import AnswerDeadlines
 from .ceilings import Ceilings
-from .cold import ColdStarts
+from .cold_starts import ColdStarts
 from .drains import Drains
+from .history import Attempt, Location, RequestHistory, RequestState, SentRequest, Violation
 from .maintenance import Maintenance
 from .quotas import Quotas
+from .repeats import Repeats
+from .rules import MS_NS, RULE_NAMES, Rule, RuleLimits
+from .violations import ViolationLog
 
-NEVER_NS = 2**62
+NEVER_NS: Final = 2**62  # later than any run ends
+VALUE_LENGTH: Final = 60  # bytes of a value that a history shows
+ID_LENGTH: Final = 40  # bytes of an unknown id that a violation shows
+
+
+@dataclass(slots=True)
+class CheckerCounts:
+    """What the checker observed."""
+
+    requests: int = 0
+    answers: int = 0
+    attempts: int = 0
+    arrivals: int = 0
+    notifications: int = 0
 
 
 class Checker:
-    """All checkers of one run."""
+    """All checkers of one run; an `emulators.observer.Observer`, notified of more by the run itself."""
 
     def __init__(
         self,
-        figures: Figures,
+        limits: RuleLimits,
         clock: Callable[[], tuple[int, int]],
-        rules: tuple[str, ...] = NAMES,
+        rules: tuple[str, ...] = RULE_NAMES,
         quotas: Quotas | None = None,
     ) -> None:
-        self.figures, self._clock = figures, clock  # the clock gives step and nanoseconds
-        self.rules = rules  # those that are looked at
-        self.cases: dict[bytes, Case] = {}
-        self.breaches: list[Breach] = []
-        self.events: deque[tuple[int, int, str]] = deque(maxlen=40)  # what happened to all alike
-        self.dead: dict[str, None] = {}  # gateways that are down
-        self.boxes: dict[str, tuple[int, int]] = {}  # zone and cell
-        self.counts = {"asked": 0, "answered": 0, "attempts": 0, "arrivals": 0, "told": 0}
-        self.drains = Drains(figures)
-        self.maintenance = Maintenance(figures)
-        self.cold = ColdStarts(figures)
-        self.ceilings = Ceilings(figures)
+        """Check these rules. `clock` gives the run's step and its time in nanoseconds."""
+        self.limits = limits
+        self.histories: dict[bytes, RequestHistory] = {}
+        self.ended_gateways: dict[str, None] = {}
+        self.locations: dict[str, Location] = {}  # of backends
+        self.counts = CheckerCounts()
+        self.drains = Drains(limits)
+        self.maintenance = Maintenance(limits)
+        self.cold = ColdStarts(limits)
+        self.ceilings = Ceilings(limits)
         self.quotas = quotas
-        self._due: list[tuple[int, bytes]] = []
-        self._line_due: dict[int, int] = {}  # when the last request of a connection is due
-        self._pauses: dict[str, int] = {}  # gateway: until when it gets no CPU
-        self._made: dict[bytes, dict[bytes, None]] = {}
+        self._clock = clock
+        self._log = ViolationLog(clock, rules)
+        self._repeats = Repeats(limits, self.locations)
+        self._deadlines = AnswerDeadlines(limits)
+        self._values: dict[bytes, dict[bytes, None]] = {}  # by request: what backends produced for it
 
-    # ---- telling
+    # ---- records
 
-    def breach(self, rule: str, text: str, case: Case | None = None) -> None:
-        step, now = self._clock()
-        name = case.id.decode() if case else "-"
-        if rule not in self.rules or any(b.rule == rule and b.request == name for b in self.breaches):
-            return
-        past = sorted([*(case.history if case else []), *self.events])[-40:]
-        self.breaches.append(
-            Breach(rule, step, now, name, text, [f"step {s} t={at / 1e9:.6f} {what}" for s, at, what in past])
-        )
+    @property
+    def violations(self) -> list[Violation]:
+        """The violations so far, in their order."""
+        return self._log.violations
 
-    def event(self, text: str) -> None:
-        """Something that concerns all: a fault, a restart, a change of the list."""
-        self.events.append((*self._clock(), text))
+    def report_violation(self, rule: Rule, text: str, history: RequestHistory | None = None) -> None:
+        """Record that a rule is broken, by that request or by none."""
+        self._log.report(rule, text, history)
 
-    def _note(self, case: Case, text: str) -> None:
-        case.history.append((*self._clock(), text))
+    def record_event(self, text: str) -> None:
+        """Record what concerns all requests: a fault, a restart, a change of the list."""
+        self._log.record_event(text)
+
+    def forget_request(self, request_id: bytes) -> None:
+        """Drop a request's history, for runs that have no end."""
+        del self.histories[request_id]
+        self._values.pop(request_id, None)
+
+    def _record(self, history: RequestHistory, text: str) -> None:
+        history.events.append(self._log.event(text))
 
     # ---- clients
 
-    def request_sent(self, what) -> None:
-        _, now = self._clock()
-        self.counts["asked"] += 1
-        due = now + what.timeout_ms * 1_000_000 + self.figures.answer_grace_ns
-        unread = max(0, self._pauses.get(what.gateway, 0) - now)  # it is read so much later at least
-        due += unread
-        due = max(due, self._line_due.get(what.connection, 0))  # what waits behind others has their time too
-        self._line_due[what.connection] = due
-        old = self.cases.get(what.id)
-        case = Case(
-            what.id,
-            what.request_class,
-            what.plan,
-            what.customer,
-            what.units,
-            what.key,
-            what.gateway,
-            what.connection,
-            now,
-            due,
-            now + unread + what.timeout_ms * 1_000_000,
+    def request_sent(self, request: SentRequest) -> None:
+        """Begin a request's history, or go on with that of one that was not read and is sent anew."""
+        _, now_ns = self._clock()
+        self.counts.requests += 1
+        earlier = self.histories.get(request.id)
+        if earlier is None and self.quotas is not None:
+            self.quotas.request_sent(now_ns, request.plan, request.customer, request.units)
+        history = self._begin_history(request, now_ns)
+        if earlier is not None:
+            history.attempts = earlier.attempts
+            history.events = earlier.events
+            history.reached_backend = earlier.reached_backend
+            history.counted_in_quota = earlier.counted_in_quota
+            history.earlier_attempts = len(earlier.attempts)
+        self.histories[request.id] = history
+        self._record(
+            history,
+            f"asked of {request.gateway}: {request.request_class} {request.plan} "
+            f"units={request.units:g} d={request.timeout_ms}",
         )
-        if self.quotas is not None and old is None:
-            self.quotas.ask(now, what.plan, what.customer, what.units)
-        if old is not None:  # sent once more, as its connection was closed before it was read
-            case.tries, case.history = old.tries, old.history
-            case.arrived, case.counted = old.arrived, old.counted
-            case.tries_before = len(old.tries)
-        self.cases[what.id] = case
-        self._note(
-            case,
-            f"asked of {what.gateway}: {what.request_class} {what.plan} units={what.units:g} "
-            f"d={what.timeout_ms}",
+
+    def _begin_history(self, request: SentRequest, now_ns: int) -> RequestHistory:
+        deadline = self._deadlines.request_sent(request, now_ns)
+        return RequestHistory(
+            id=request.id,
+            request_class=request.request_class,
+            plan=request.plan,
+            customer=request.customer,
+            units=request.units,
+            key=request.key,
+            gateway=request.gateway,
+            connection=request.connection,
+            sent_ns=now_ns,
+            due_ns=deadline.due_ns,
+            expires_ns=deadline.expires_ns,
         )
-        heapq.heappush(self._due, (due, what.id))
-
-    def request_answered(self, request: bytes, kind: str, value: bytes) -> None:
-        case = self.cases[request]
-        _, now = self._clock()
-        self.counts["answered"] += 1
-        self._note(case, f"answered: {kind} {value.decode('latin-1')[:60]}".rstrip())
-        if case.state not in ("open", "late"):
-            self.breach("answer", f"a second answer ({kind} after {case.state})", case)
+
+    def request_answered(self, request_id: bytes, kind: str, value: bytes) -> None:
+        """Check that the answer is the first, in time, and of a value that a backend produced."""
+        history = self.histories[request_id]
+        _, now_ns = self._clock()
+        self.counts.answers += 1
+        self._record(history, f"answered: {kind} {value.decode('latin-1')[:VALUE_LENGTH]}".rstrip())
+        if history.state not in (RequestState.OPEN, RequestState.LATE):
+            self.report_violation(Rule.ANSWER, f"a second answer ({kind} after {history.state})", history)
             return
-        case.state = kind
-        if now > case.due_ns:
-            self.breach("answer", f"{(now - case.due_ns) / 1e6:.1f} ms after its time", case)
-        if kind == "served" and value not in self._made.get(request, ()):
-            self.breach("value", f"served with what no box made for it: {value[:60]!r}", case)
-
-    def unexpected_answer(self, gateway: str, line: int, text: str) -> None:
-        self.breach("answer", f"{gateway} answered what nobody asked on connection {line}: {text}")
-
-    def request_dropped(self, request: bytes) -> None:
-        case = self.cases[request]
-        if case.gateway in self.dead:
-            self.request_voided(request)
+        history.state = RequestState(kind)
+        if now_ns > history.due_ns:
+            late_ms = (now_ns - history.due_ns) / MS_NS
+            self.report_violation(Rule.ANSWER, f"{late_ms:.1f} ms after its time", history)
+        if history.state is RequestState.SERVED and value not in self._values.get(request_id, ()):
+            text = f"served with what no backend produced for it: {value[:VALUE_LENGTH]!r}"
+            self.report_violation(Rule.VALUE, text, history)
+
+    def unexpected_answer(self, gateway: str, connection: int, text: str) -> None:
+        """Report an answer to nothing."""
+        message = f"{gateway} answered what nobody asked on connection {connection}: {text}"
+        self.report_violation(Rule.ANSWER, message)
+
+    def request_dropped(self, request_id: bytes) -> None:
+        """Report that a living gateway closed the connection after it had read the request."""
+        history = self.histories[request_id]
+        if history.gateway in self.ended_gateways:
+            self.request_voided(request_id)
             return
-        self._note(case, "its connection ended")
-        if case.state == "open":
-            case.state = "void"
-            self.breach("answer", f"{case.gateway} ended the connection without an answer", case)
-
-    def request_unread(self, request: bytes) -> None:
-        """The connection was ended before the request was read. One that was sent on was read all the same,
-        before the end or after it, and is lost."""
-        case = self.cases[request]
-        if len(case.tries) > case.tries_before:
-            self.request_dropped(request)
+        self._record(history, "its connection ended")
+        if history.state is RequestState.OPEN:
+            history.state = RequestState.VOID
+            text = f"{history.gateway} ended the connection without an answer"
+            self.report_violation(Rule.ANSWER, text, history)
+
+    def request_unread(self, request_id: bytes) -> None:
+        """The connection was closed before the request was read.
+
+        One that was attempted was read all the same, before the close or after it, and is lost.
+        """
+        history = self.histories[request_id]
+        if history.attempted:
+            self.request_dropped(request_id)
             return
-        case.crossed = case.gateway not in self.dead
-        self.request_voided(request)
-
-    def request_voided(self, request: bytes) -> None:
-        case = self.cases[request]
-        if case.state == "open":
-            case.state = "void"
-            self._note(case, "nothing owed any more")
-
-    def client_disconnected(self, request: bytes) -> None:
-        """Its client has closed the connection."""
-        case = self.cases[request]
-        if case.state == "open":
-            _, case.left_ns = self._clock()
-        self.request_voided(request)
-
-    def excuse(self, gateway: str) -> None:
-        """Its machine took connections while no process of it ran: what was asked meanwhile may have its
-        answer late, or never."""
-        for case in self.cases.values():
-            if case.gateway == gateway and case.state in ("open", "void"):
-                case.state, case.due_ns = "late", NEVER_NS
+        history.unread_at_close = history.gateway not in self.ended_gateways
+        self.request_voided(request_id)
+
+    def request_voided(self, request_id: bytes) -> None:
+        """No answer is owed any more."""
+        history = self.histories[request_id]
+        if history.state is RequestState.OPEN:
+            history.state = RequestState.VOID
+            self._record(history, "nothing owed any more")
+
+    def client_disconnected(self, request_id: bytes) -> None:
+        """The client has closed the connection."""
+        history = self.histories[request_id]
+        if history.state is RequestState.OPEN:
+            _, history.disconnected_ns = self._clock()
+        self.request_voided(request_id)
+
+    def excuse_gateway(self, gateway: str) -> None:
+        """The gateway's machine took connections while no process of it ran.
+
+        What was asked meanwhile may be answered late, or never.
+        """
+        for history in self.histories.values():
+            if history.gateway == gateway and history.state in (RequestState.OPEN, RequestState.VOID):
+                history.state = RequestState.LATE
+                history.due_ns = NEVER_NS
 
     # ---- attempts
 
-    def sent(self, gateway: str, box: str, request: bytes, first_ns: int) -> Try | None:
-        """The command's head has left the gateway; its first byte did at first_ns."""
-        case = self.cases.get(request)
-        self.counts["attempts"] += 1
-        if case is None:
-            self.breach("foreign", f"{gateway} sent {box} a request that no client made: {request[:40]!r}")
+    def attempt_started(
+        self, gateway: str, backend: str, request_id: bytes, first_byte_ns: int
+    ) -> Attempt | None:
+        """Check an attempt whose command's head has left the gateway; None where no client made it."""
+        history = self.histories.get(request_id)
+        self.counts.attempts += 1
+        if history is None:
+            text = f"{gateway} sent {backend} a request that no client made: {request_id[:ID_LENGTH]!r}"
+            self.report_violation(Rule.FOREIGN, text)
             return None
-        one = Try(gateway, box, first_ns)
-        case.tries.append(one)
-        self._note(case, f"attempt {len(case.tries)} begun by {gateway} to {box}")
-        if case.crossed and case.gateway == gateway:
-            self.breach("answer", f"{gateway} sent on what it read after it had ended the connection", case)
-        gone_ns = first_ns - case.left_ns - self.figures.left_ns
-        if case.left_ns >= 0 and gone_ns > 0:
-            self.breach("left", f"sent to {box} {gone_ns / 1e6:.1f} ms too late after its client left", case)
-        late = self.maintenance.late_ns(gateway, box, first_ns)
-        if late > 0:
-            self.breach(
-                "maintenance", f"{gateway} sent to {box} {late / 1e6:.1f} ms after the grace of a yes", case
-            )
-        late = self.drains.late_ns(gateway, box, first_ns)
-        if late > 0:
-            self.breach("drain", f"{gateway} sent to {box} {late / 1e6:.1f} ms after the grace", case)
-        if len(case.tries) > self.figures.most_attempts:
-            self.breach("repeat", f"{len(case.tries)} attempts", case)
-        return one
-
-    def whole(self, request: bytes, one: Try, told_ms: int = 0) -> None:
-        """Its last byte has left the gateway: from here on it may have run. `told_ms`: the client's time, as
-        the box is told of it."""
-        case = self.cases[request]
-        over_ns = told_ms * 1_000_000 - (case.until_ns - one.first_ns) - self.figures.deadline_ns
-        if over_ns > 0:
-            self.breach(
-                "deadline", f"{one.box} was told {told_ms} ms, {over_ns / 1e6:.1f} ms past the slack", case
-            )
-        _, one.whole_ns = self._clock()
-        self._note(case, f"attempt to {one.box} whole")
-        self._let_out(case, one.whole_ns)
-        spec = self.figures.classes.get(case.cls)
-        before = [t for t in case.tries if t is not one and t.whole_ns >= 0 and not t.turned_away]
-        if spec is None or spec.effect == "safe" or not before:
+        attempt = Attempt(gateway, backend, first_byte_ns)
+        history.attempts.append(attempt)
+        self._record(history, f"attempt {len(history.attempts)} begun by {gateway} to {backend}")
+        self._check_connection_end(history, attempt)
+        self._check_backend_may_be_sent_to(history, attempt)
+        if len(history.attempts) > self.limits.max_attempts:
+            self.report_violation(Rule.REPEAT, f"{len(history.attempts)} attempts", history)
+        return attempt
+
+    def _check_connection_end(self, history: RequestHistory, attempt: Attempt) -> None:
+        """Check that nothing begins once the connection was closed by the gateway or by the client."""
+        if history.unread_at_close and history.gateway == attempt.gateway:
+            text = f"{attempt.gateway} forwarded what it read after it had ended the connection"
+            self.report_violation(Rule.ANSWER, text, history)
+        if history.disconnected_ns is None:
             return
-        first = min(before, key=lambda t: t.whole_ns)
-        if spec.effect == "unsafe":
-            self.breach("repeat", f"sent to {one.box} while it may have run at {first.box}", case)
-        elif self._group(spec.group, first.box) != self._group(spec.group, one.box):
-            self.breach("repeat", f"its key went to {one.box}, out of the group of {first.box}", case)
-        elif one.first_ns - first.first_ns > spec.window_ns:
-            self.breach(
-                "repeat",
-                f"its key went out {(one.first_ns - first.first_ns) / 1e6:.0f} ms after "
-                "the first attempt that may have run",
-                case,
-            )
-
-    def _let_out(self, case: Case, now: int) -> None:
-        """A try counts against its quota once, when its first attempt has left."""
-        if self.quotas is None or case.counted:
+        late_ns = attempt.first_byte_ns - history.disconnected_ns - self.limits.disconnect_grace_ns
+        if late_ns > 0:
+            text = f"sent to {attempt.backend} {late_ns / MS_NS:.1f} ms too late after its client left"
+            self.report_violation(Rule.LEFT, text, history)
+
+    def _check_backend_may_be_sent_to(self, history: RequestHistory, attempt: Attempt) -> None:
+        """Check that the backend is not under maintenance, draining or gone."""
+        where = attempt.gateway, attempt.backend, attempt.first_byte_ns
+        sent = f"{attempt.gateway} sent to {attempt.backend}"
+        late_ns = self.maintenance.lateness_ns(*where)
+        if late_ns > 0:
+            text = f"{sent} {late_ns / MS_NS:.1f} ms after the grace of a confirmed maintenance"
+            self.report_violation(Rule.MAINTENANCE, text, history)
+        late_ns = self.drains.lateness_ns(*where)
+        if late_ns > 0:
+            self.report_violation(Rule.DRAIN, f"{sent} {late_ns / MS_NS:.1f} ms after the grace", history)
+
+    def attempt_complete(self, request_id: bytes, attempt: Attempt, timeout_ms: int = 0) -> None:
+        """Check an attempt whose last byte has left the gateway: from here on it may have run.
+
+        `timeout_ms`: the client's remaining time, as the backend is given it.
+        """
+        history = self.histories[request_id]
+        remaining_ns = history.expires_ns - attempt.first_byte_ns
+        excess_ns = timeout_ms * MS_NS - remaining_ns - self.limits.deadline_slack_ns
+        if excess_ns > 0:
+            text = f"{attempt.backend} was given {timeout_ms} ms, {excess_ns / MS_NS:.1f} ms past the slack"
+            self.report_violation(Rule.DEADLINE, text, history)
+        _, attempt.complete_ns = self._clock()
+        self._record(history, f"attempt to {attempt.backend} complete")
+        self._check_quota(history, attempt.complete_ns)
+        text = self._repeats.violation(history, attempt)
+        if text:
+            self.report_violation(Rule.REPEAT, text, history)
+
+    def _check_quota(self, history: RequestHistory, now_ns: int) -> None:
+        """Count a request against its quota once, when its first attempt has left."""
+        if self.quotas is None or history.counted_in_quota:
             return
-        case.counted = True
-        over = self.quotas.take(now, case.plan, case.customer, case.units)
-        if over > 0:
-            self.breach(
-                "quota",
-                f"customer {case.customer.decode()} of {case.plan} is {over:.2f} units "
-                "past the stated bound",
-                case,
-            )
-
-    def _group(self, kind: str, box: str) -> int:
-        zone, cell = self.boxes.get(box, (-1, -1))
-        return {"all": 0, "zone": zone, "cell": cell}[kind]
-
-    # ---- guide boxes
-
-    def attempt_received(self, box: str, request: bytes, key: bytes, gateway: str, work_ns: int) -> None:
-        case = self.cases.get(request)
-        step, now = self._clock()
-        self.counts["arrivals"] += 1
-        if case is None:
-            return  # told when it was sent
-        self._note(case, f"arrived at {box}")
-        if key != case.key:
-            self.breach("foreign", f"the key changed on its way to {box}", case)
-        if not case.arrived:
-            case.arrived = True
-            over = self.ceilings.take(now, case.plan, case.customer, case.units)
-            if over > 0:
-                self.breach(
-                    "ceiling",
-                    f"customer {case.customer.decode()} of {case.plan} is {over:.2f} units " "past the slack",
-                    case,
-                )
-        calls_before = self.cold.calls.nearest
-        over_ns = self.cold.take(now, box, gateway, work_ns)
-        if over_ns > 0:
-            self.breach("cold", f"{box} was sent {over_ns / 1e6:.0f} ms of work more than it bears", case)
-        if self.cold.calls.nearest > max(1.0, calls_before):
-            nearest = self.cold.calls.nearest
-            self.breach("cold_calls", f"{box} was sent {nearest:.2f} times the calls that it bears", case)
-
-    def attempt_rejected(self, box: str, request: bytes) -> None:
-        case = self.cases.get(request)
-        if case is None:
+        history.counted_in_quota = True
+        excess = self.quotas.request_forwarded(now_ns, history.plan, history.customer, history.units)
+        if excess > 0:
+            text = f"{_customer(history)} is {excess:.2f} units past the stated bound"
+            self.report_violation(Rule.QUOTA, text, history)
+
+    # ---- backends
+
+    def add_backend(self, name: str, zone: int, cell: int) -> None:
+        """Know where a backend stands, by the numbers of its zone and cell."""
+        self.locations[name] = Location(zone, cell)
+
+    def attempt_received(
+        self, backend: str, request_id: bytes, key: bytes, gateway: str, work_ns: int
+    ) -> None:
+        """Check key, ceiling and cold starts at an attempt that has reached its backend."""
+        history = self.histories.get(request_id)
+        _, now_ns = self._clock()
+        self.counts.arrivals += 1
+        if history is None:
+            return  # reported when it was sent
+        self._record(history, f"arrived at {backend}")
+        if key != history.key:
+            self.report_violation(Rule.FOREIGN, f"the key changed on its way to {backend}", history)
+        self._check_ceiling(history, now_ns)
+        self._check_cold_start(history, now_ns, backend, gateway, work_ns)
+
+    def _check_ceiling(self, history: RequestHistory, now_ns: int) -> None:
+        """Count a request against its ceiling once, when its first attempt arrives."""
+        if history.reached_backend:
             return
-        self._note(case, f"turned away by {box}")
-        for one in reversed(case.tries):
-            if one.box == box and not one.turned_away:
-                one.turned_away = True
+        history.reached_backend = True
+        excess = self.ceilings.consume(now_ns, history.plan, history.customer, history.units)
+        if excess > 0:
+            text = f"{_customer(history)} is {excess:.2f} units past the slack"
+            self.report_violation(Rule.CEILING, text, history)
+
+    def _check_cold_start(
+        self, history: RequestHistory, now_ns: int, backend: str, gateway: str, work_ns: int
+    ) -> None:
+        before = self.cold.calls.peak_ratio
+        excess_ns = self.cold.call_received(now_ns, backend, gateway, work_ns)
+        if excess_ns > 0:
+            text = f"{backend} was sent {excess_ns / MS_NS:.0f} ms of work more than it can do"
+            self.report_violation(Rule.COLD, text, history)
+        ratio = self.cold.calls.peak_ratio
+        if ratio > max(1.0, before):
+            text = f"{backend} was sent {ratio:.2f} times the calls that it can do"
+            self.report_violation(Rule.COLD_CALLS, text, history)
+
+    def attempt_rejected(self, backend: str, request_id: bytes) -> None:
+        """The latest attempt at that backend never ran."""
+        history = self.histories.get(request_id)
+        if history is None:
+            return
+        self._record(history, f"rejected by {backend}")
+        for attempt in reversed(history.attempts):
+            if attempt.backend == backend and not attempt.rejected:
+                attempt.rejected = True
                 return
 
-    def value_produced(self, box: str, request: bytes, value: bytes) -> None:
-        self._made.setdefault(request, {})[value] = None
+    def value_produced(self, backend: str, request_id: bytes, value: bytes) -> None:
+        """A backend produced a value with which the request may be served."""
+        self._values.setdefault(request_id, {})[value] = None
 
-    def protocol_violated(self, where: str, gateway: str, why: str) -> None:
-        self.breach("foreign", f"{gateway} sent {where}: {why}")
+    def protocol_violated(self, receiver: str, gateway: str, reason: str) -> None:
+        """Report that a gateway sent what the protocol does not have."""
+        self.report_violation(Rule.FOREIGN, f"{gateway} sent {receiver}: {reason}")
 
     # ---- discovery and gateways
 
-    def endpoint_changed(self, box: str, status: str, since_ms: int) -> None:
-        _, now = self._clock()
-        self.event(f"{box} is {status}")
-        self.drains.changed(now, box, status)
-
-    def gateway_notified(self, gateway: str, box: str, status: str, since_ms: int) -> None:
-        _, now = self._clock()
-        self.counts["told"] += 1
-        self.drains.told(now, gateway, box, status)
-        self.cold.told(gateway, box, since_ms)
-
-    def started(self, gateway: str) -> None:
-        _, now = self._clock()
-        self.dead.pop(gateway, None)
-        self.drains.started(now, gateway)
-        self.cold.forget(gateway)
-        self.event(f"{gateway} started")
-
-    def paused(self, gateway: str, for_ns: int) -> None:
-        """It gets no CPU for so long: what it has open, and what comes meanwhile, may be that much later."""
-        _, now = self._clock()
-        self._pauses[gateway] = now + for_ns
-        for case in self.cases.values():
-            if case.gateway == gateway and case.state == "open":
-                self._later(case, for_ns)
-
-    def _later(self, case: Case, by_ns: int) -> None:
-        case.due_ns += by_ns
-        case.until_ns += by_ns
-        self._line_due[case.line] = max(case.due_ns, self._line_due.get(case.line, 0))
-        heapq.heappush(self._due, (case.due_ns, case.id))
-
-    def ended(self, gateway: str) -> None:
-        """It was killed, or has ended as it was told to: from here on it owes nothing."""
-        self.dead[gateway] = None
-        self.drains.ended(gateway)
-        self.event(f"{gateway} ended")
+    def endpoint_changed(self, backend: str, status: str, since_ms: int) -> None:
+        """Discovery knows a new status of a backend."""
+        _, now_ns = self._clock()
+        self.record_event(f"{backend} is {status}")
+        self.drains.endpoint_changed(now_ns, backend, status)
+
+    def gateway_notified(self, gateway: str, backend: str, status: str, since_ms: int) -> None:
+        """Discovery has written a backend's status to a gateway."""
+        _, now_ns = self._clock()
+        self.counts.notifications += 1
+        self.drains.gateway_notified(now_ns, gateway, backend, status)
+        self.cold.gateway_notified(gateway, backend, since_ms)
+
+    def gateway_started(self, gateway: str) -> None:
+        """A process of the gateway starts."""
+        _, now_ns = self._clock()
+        self.ended_gateways.pop(gateway, None)
+        self.drains.gateway_started(now_ns, gateway)
+        self.cold.gateway_started(gateway)
+        self.record_event(f"{gateway} started")
+
+    def gateway_paused(self, gateway: str, pause_ns: int) -> None:
+        """The gateway gets no CPU: what it has open, and what comes meanwhile, may be that much later."""
+        _, now_ns = self._clock()
+        self._deadlines.gateway_paused(gateway, now_ns + pause_ns)
+        for history in self.histories.values():
+            if history.gateway == gateway and history.state is RequestState.OPEN:
+                self._deadlines.postpone(history, pause_ns)
+
+    def gateway_ended(self, gateway: str) -> None:
+        """The gateway was killed, or has shut down as it was asked to: from here on it owes nothing."""
+        self.ended_gateways[gateway] = None
+        self.drains.gateway_ended(gateway)
+        self.record_event(f"{gateway} ended")
 
     # ---- time, and the end
 
-    def watch(self, now: int) -> bool:
-        """After every step: what is due by now. True where a rule is broken."""
-        due = self._due
-        while due and due[0][0] < now:
-            at, request = heapq.heappop(due)
-            case = self.cases[request]
-            if case.state != "open" or case.due_ns > at:
-                continue
-            if case.gateway in self.dead:
-                self.request_voided(request)
+    def check_due(self, now_ns: int) -> bool:
+        """Check, after every step, what is due by now. True where a rule is broken."""
+        for history in self._deadlines.overdue(now_ns, self.histories):
+            if history.gateway in self.ended_gateways:
+                self.request_voided(history.id)
             else:
-                case.state = "late"
-                self.breach("answer", "no answer in its time", case)
-        return bool(self.breaches)
+                history.state = RequestState.LATE
+                self.report_violation(Rule.ANSWER, "no answer in its time", history)
+        return bool(self.violations)
 
-    def left_over(self, gateway: str, what: dict[str, int]) -> None:
-        """What a gateway still holds when nothing is asked of it any more; only noughts are right."""
-        found = ", ".join(f"{n} {name}" for name, n in what.items() if n)
+    def check_leftovers(self, gateway: str, held: dict[str, int]) -> None:
+        """Check that a gateway holds nothing when nothing is asked of it any more; counts by name."""
+        found = ", ".join(f"{count} {name}" for name, count in held.items() if count)
         if found:
-            self.breach("resources", f"{gateway} holds at the end: {found}")
+            self.report_violation(Rule.RESOURCES, f"{gateway} holds at the end: {found}")
 
-    def descriptors(self, gateway: str, most: int, limit: int) -> None:
+    def check_descriptors(self, gateway: str, most: int, limit: int) -> None:
+        """Check that a gateway never held more descriptors than it may."""
         if most > limit:
-            self.breach("resources", f"{gateway} held {most} of {limit} descriptors")
+            self.report_violation(Rule.RESOURCES, f"{gateway} held {most} of {limit} descriptors")
+
+    def report_invariant(self, gateway: str, text: str) -> None:
+        """Report that the gateway itself counted a broken invariant (`net.invariants`)."""
+        self.report_violation(Rule.INVARIANT, f"{gateway}: {text}")
+
+    def report_fault(self, gateway: str, text: str) -> None:
+        """Report an exception of a gateway, or an end that nobody asked for."""
+        self.report_violation(Rule.RESOURCES, f"{gateway}: exception {text}")
 
-    def violated(self, gateway: str, text: str) -> None:
-        """The gateway itself has counted that one of its invariants was broken (`net.invariants`)."""
-        self.breach("invariant", f"{gateway}: {text}")
 
-    def fault(self, gateway: str, text: str) -> None:
-        self.breach("resources", f"{gateway}: exception {text}")
+def _customer(history: RequestHistory) -> str:
+    return f"customer {history.customer.decode()} of {history.plan}"
--- a/zincstile/checkers/drains.py
+++ b/zincstile/checkers/drains.py
@@ -1,51 +1,55 @@
-"""Rule on drains: 250 ms after a gateway was told, nothing new goes to a box that drains or is gone.
+"""Rule on drains: nothing new to a backend 250 ms after the gateway knows that it drains or is gone.
 
-Told means written by discovery to that gateway, or known to discovery for 6 s while the gateway ran,
-whichever comes first (PROTOCOL, 'Figures'). The time of a send is that of its first byte.
+A gateway counts as knowing it once discovery has written it to that gateway, or has known it for 6 s while
+the gateway ran, whichever comes first (PROTOCOL, 'Figures'). An attempt's time is that of its first byte.
 """
 
 from __future__ import annotations
 
-from .cases import Figures
+from .rules import RuleLimits
 
 
 class Drains:
-    """Who was told what, and when."""
+    """Which gateway was notified of which backend, and when."""
 
-    def __init__(self, figures: Figures) -> None:
-        self.figures = figures
-        self._told: dict[tuple[str, str], int] = {}  # gateway, box: when it was told that it drains
-        self._since: dict[str, int] = {}  # box: when discovery knew
-        self._up: dict[str, int] = {}  # gateway: its start
+    def __init__(self, limits: RuleLimits) -> None:
+        """Begin with no backend that drains."""
+        self.limits = limits
+        self._notified_ns: dict[tuple[str, str], int] = {}  # by gateway and backend
+        self._known_ns: dict[str, int] = {}  # by backend: when discovery knew that it drains
+        self._started_ns: dict[str, int] = {}  # by gateway
 
-    def changed(self, now: int, box: str, status: str) -> None:
+    def endpoint_changed(self, now_ns: int, backend: str, status: str) -> None:
+        """Discovery knows a new status of a backend."""
         if status == "Ready":
-            self._since.pop(box, None)
-            for key in [k for k in self._told if k[1] == box]:
-                del self._told[key]
+            self._known_ns.pop(backend, None)
+            for key in [key for key in self._notified_ns if key[1] == backend]:
+                del self._notified_ns[key]
         else:
-            self._since.setdefault(box, now)
+            self._known_ns.setdefault(backend, now_ns)
 
-    def told(self, now: int, gateway: str, box: str, status: str) -> None:
+    def gateway_notified(self, now_ns: int, gateway: str, backend: str, status: str) -> None:
+        """Discovery has written a backend's status to a gateway."""
         if status == "Ready":
-            self._told.pop((gateway, box), None)
+            self._notified_ns.pop((gateway, backend), None)
         else:
-            self._told.setdefault((gateway, box), now)
-
-    def started(self, now: int, gateway: str) -> None:
-        self._up[gateway] = now
-        self.ended(gateway)
-
-    def ended(self, gateway: str) -> None:
-        """A new start knows nothing of what the last was told."""
-        for key in [k for k in self._told if k[0] == gateway]:
-            del self._told[key]
-
-    def late_ns(self, gateway: str, box: str, first_ns: int) -> int:
-        """How long after the grace a send began; 0 or less: it may."""
-        at = self._told.get((gateway, box))
-        known = self._since.get(box)
-        if known is not None:
-            latest = max(known, self._up.get(gateway, 0)) + self.figures.told_at_most_ns
-            at = latest if at is None else min(at, latest)
-        return 0 if at is None else first_ns - at - self.figures.drain_ns
+            self._notified_ns.setdefault((gateway, backend), now_ns)
+
+    def gateway_started(self, now_ns: int, gateway: str) -> None:
+        """A process of the gateway starts: it knows nothing of what the last one was notified of."""
+        self._started_ns[gateway] = now_ns
+        self.gateway_ended(gateway)
+
+    def gateway_ended(self, gateway: str) -> None:
+        """Forget what a process was notified of."""
+        for key in [key for key in self._notified_ns if key[0] == gateway]:
+            del self._notified_ns[key]
+
+    def lateness_ns(self, gateway: str, backend: str, first_byte_ns: int) -> int:
+        """How long after the grace an attempt began; 0 or less where the rule holds."""
+        notified_ns = self._notified_ns.get((gateway, backend))
+        known_ns = self._known_ns.get(backend)
+        if known_ns is not None:
+            latest_ns = max(known_ns, self._started_ns.get(gateway, 0)) + self.limits.max_notification_ns
+            notified_ns = latest_ns if notified_ns is None else min(notified_ns, latest_ns)
+        return 0 if notified_ns is None else first_byte_ns - notified_ns - self.limits.drain_grace_ns
--- a/zincstile/checkers/maintenance.py
+++ b/zincstile/checkers/maintenance.py
@@ -1,4 +1,4 @@
-"""Rule on maintenance: from a gateway's yes on, nothing new of it goes to the box, until it is put back.
+"""Rule on maintenance: from a gateway's confirmation on, it sends the backend nothing new until the end.
 
 It holds over restarts and upgrades of the gateway, whatever discovery lists; the grace is that of the rule
 on drains.
@@ -6,25 +6,26 @@
 
 from __future__ import annotations
 
-from .cases import Figures
+from .rules import RuleLimits
 
 
 class Maintenance:
-    """Which gateway has said yes for which box, and when."""
+    """Which gateway has confirmed the maintenance of which backend, and when."""
 
-    def __init__(self, figures: Figures) -> None:
-        self.figures = figures
-        self._since_ns: dict[tuple[str, str], int] = {}
+    def __init__(self, limits: RuleLimits) -> None:
+        """Begin with no backend under maintenance."""
+        self.limits = limits
+        self._since_ns: dict[tuple[str, str], int] = {}  # by gateway and backend
 
-    def entered(self, now: int, gateway: str, box: str) -> None:
-        """The gateway said yes to taking the box out."""
-        self._since_ns.setdefault((gateway, box), now)
+    def confirmed(self, now_ns: int, gateway: str, backend: str) -> None:
+        """The gateway confirmed that it has taken the backend out."""
+        self._since_ns.setdefault((gateway, backend), now_ns)
 
-    def put_back(self, gateway: str, box: str) -> None:
-        """A call to put it back is made: from here on it may be sent to."""
-        self._since_ns.pop((gateway, box), None)
+    def ended(self, gateway: str, backend: str) -> None:
+        """An operator asked to put the backend back: from here on it may be sent to."""
+        self._since_ns.pop((gateway, backend), None)
 
-    def late_ns(self, gateway: str, box: str, first_ns: int) -> int:
-        """How long after the grace a send began; 0 or less: it may."""
-        since_ns = self._since_ns.get((gateway, box))
-        return 0 if since_ns is None else first_ns - since_ns - self.figures.drain_ns
+    def lateness_ns(self, gateway: str, backend: str, first_byte_ns: int) -> int:
+        """How long after the grace an attempt began; 0 or less where the rule holds."""
+        since_ns = self._since_ns.get((gateway, backend))
+        return 0 if since_ns is None else first_byte_ns - since_ns - self.limits.drain_grace_ns
--- a/zincstile/checkers/quotas.py
+++ b/zincstile/checkers/quotas.py
@@ -1,85 +1,125 @@
-"""Where quotas are held with a stated bound: for each customer a store of burst and rate, which what all
-gateways together send on may pass by that bound and no more.
+"""Rule on quotas with a stated bound: what all gateways forward for a customer exceeds its quota by no more.
 
-It is looked at only in runs that state one. Every try takes its units once its first attempt has left a
-gateway whole. Beside it stands what one store that sees every try at once would have let in, as the measure
-of what the quota is worth while gateways can't hear each other.
+Looked at only in runs that state a bound. Each customer has a token bucket of the quota's rate and burst.
+Every request takes its units once its first attempt has left a gateway completely. Beside it stands an ideal
+bucket that sees every request at once: what it would have admitted is the measure of what the quota is worth
+while gateways can't reach each other.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
+from typing import NamedTuple
+
+from .rules import SECOND_NS
+
+
+class StatedQuota(NamedTuple):
+    """A plan's quota for each customer: units a second, units at once, and units that may exceed it."""
+
+    rate: float
+    burst: float
+    bound: float
+
+
+class PlanUsage(NamedTuple):
+    """What all customers of a plan used, in units."""
+
+    worst_excess: float  # of one customer
+    bound: float
+    sent: float
+    ideal: float  # what ideal buckets would have admitted
 
 
 @dataclass(slots=True)
-class Store:
-    """One customer's: what was sent, and what the all-seeing store would have sent."""
+class CustomerUsage:
+    """One customer's two buckets, and what passed them."""
 
     level: float
-    at: int
-    best_level: float
-    best_at: int
+    level_at_ns: int
+    ideal_level: float
+    ideal_at_ns: int
     sent: float = 0.0
-    best: float = 0.0
-    lowest: float = 0.0
+    ideal: float = 0.0
+    lowest_level: float = 0.0
 
 
 class Quotas:
-    """The stores of all customers. `stated`: plan: rate, burst, and the bound in units."""
+    """The buckets of all customers."""
 
     def __init__(
         self,
-        stated: dict[str, tuple[float, float, float]],
-        late_ns: int = 0,
-        opening: dict[str, float] | None = None,
+        stated: dict[str, StatedQuota],
+        delay_ns: int = 0,
+        initial_ratio: dict[str, float] | None = None,
         began_ns: int = 0,
     ) -> None:
-        self.stated, self.late_ns = stated, late_ns  # units on their way to a box arrive later by so much
-        self.opening, self.began_ns = opening or {}, began_ns  # part of the burst that the all-seeing store
-        # begins with, as gateways that know no past do; and when
-        self.nearest = 0.0  # to the bound: 0 within the quota, 1 at it
-        self.worst = 0.0  # units beyond a quota
-        self.best = self.sent = 0.0  # of all customers
-        self.stores: dict[tuple[str, bytes], Store] = {}
-
-    def _store(self, now: int, plan: str, customer: bytes) -> Store:
-        found = self.stores.get((plan, customer))
+        """Begin at `began_ns` with full buckets, and ideal ones filled to the initial ratio of their plan.
+
+        Gateways that know no past begin with a part of the burst, so the ideal bucket does too. `delay_ns`:
+        units on their way to a backend are counted later by so much.
+        """
+        self.stated = {plan: StatedQuota(*quota) for plan, quota in stated.items()}
+        self.delay_ns = delay_ns
+        self.initial_ratio = initial_ratio or {}
+        self.began_ns = began_ns
+        self.peak_ratio = 0.0  # of the excess to its bound: 0 within the quota, 1 at the bound
+        self.worst_excess = 0.0  # units beyond a quota
+        self.ideal = 0.0  # units of all customers
+        self.sent = 0.0
+        self.customers: dict[tuple[str, bytes], CustomerUsage] = {}  # by plan and customer
+
+    def _usage(self, now_ns: int, plan: str, customer: bytes) -> CustomerUsage:
+        found = self.customers.get((plan, customer))
         if found is None:
-            rate, burst, _ = self.stated[plan]
-            best = min(burst, burst * self.opening.get(plan, 1.0) + rate * (now - self.began_ns) / 1e9)
-            found = self.stores[plan, customer] = Store(burst, now, best, now)
+            quota = self.stated[plan]
+            initial = quota.burst * self.initial_ratio.get(plan, 1.0)
+            ideal = min(quota.burst, initial + quota.rate * (now_ns - self.began_ns) / SECOND_NS)
+            found = CustomerUsage(quota.burst, now_ns, ideal, now_ns)
+            self.customers[plan, customer] = found
         return found
 
-    def ask(self, now: int, plan: str, customer: bytes, units: float) -> None:
-        """A try is asked, of whichever gateway."""
+    def request_sent(self, now_ns: int, plan: str, customer: bytes, units: float) -> None:
+        """A request was sent to any gateway: the ideal bucket admits it or not."""
         if plan not in self.stated:
             return
-        rate, burst, _ = self.stated[plan]
-        store = self._store(now, plan, customer)
-        store.best_level = min(burst, store.best_level + rate * (now - store.best_at) / 1e9)
-        store.best_at = now
-        if store.best_level >= units:
-            store.best_level -= units
-            store.best, self.best = store.best + units, self.best + units
-
-    def take(self, now: int, plan: str, customer: bytes, units: float) -> float:
-        """Units past the bound; 0 or less: kept."""
+        quota = self.stated[plan]
+        usage = self._usage(now_ns, plan, customer)
+        refilled = usage.ideal_level + quota.rate * (now_ns - usage.ideal_at_ns) / SECOND_NS
+        usage.ideal_level = min(quota.burst, refilled)
+        usage.ideal_at_ns = now_ns
+        if usage.ideal_level >= units:
+            usage.ideal_level -= units
+            usage.ideal += units
+            self.ideal += units
+
+    def request_forwarded(self, now_ns: int, plan: str, customer: bytes, units: float) -> float:
+        """A request's first attempt has left a gateway; units beyond the bound, 0 or less where it holds."""
         if plan not in self.stated:
             return 0.0
-        rate, burst, bound = self.stated[plan]
-        store = self._store(now, plan, customer)
-        store.level = min(burst, store.level + rate * (now - store.at) / 1e9) - units
-        store.at, store.sent, self.sent = now, store.sent + units, self.sent + units
-        store.lowest = min(store.lowest, store.level)
-        bound += rate * self.late_ns / 1e9
-        self.worst, self.nearest = max(self.worst, -store.level), max(self.nearest, -store.level / bound)
-        return -store.level - bound
-
-    def by_plan(self) -> dict[str, tuple[float, float, float, float]]:
-        """Plan: the most units beyond a quota, its bound, units sent, and what the all-seeing store would
-        send."""
-        found: dict[str, tuple[float, float, float, float]] = {}
-        for (plan, _), store in self.stores.items():
-            worst, bound, sent, best = found.get(plan, (0.0, self.stated[plan][2], 0.0, 0.0))
-            found[plan] = max(worst, -store.lowest), bound, sent + store.sent, best + store.best
+        quota = self.stated[plan]
+        usage = self._usage(now_ns, plan, customer)
+        refilled = usage.level + quota.rate * (now_ns - usage.level_at_ns) / SECOND_NS
+        usage.level = min(quota.burst, refilled) - units
+        usage.level_at_ns = now_ns
+        usage.sent += units
+        self.sent += units
+        usage.lowest_level = min(usage.lowest_level, usage.level)
+        bound = quota.bound + quota.rate * self.delay_ns / SECOND_NS
+        excess = -usage.level
+        self.worst_excess = max(self.worst_excess, excess)
+        self.peak_ratio = max(self.peak_ratio, excess / bound)
+        return excess - bound
+
+    def by_plan(self) -> dict[str, PlanUsage]:
+        """What each plan's customers used."""
+        found: dict[str, PlanUsage] = {}
+        for (plan, _), usage in self.customers.items():
+            before = found.get(plan, PlanUsage(0.0, self.stated[plan].bound, 0.0, 0.0))
+            found[plan] = PlanUsage(
+                max(before.worst_excess, -usage.lowest_level),
+                before.bound,
+                before.sent + usage.sent,
+                before.ideal + usage.ideal,
+            )
         return found
--- a/zincstile/cli/demo.py
+++ b/zincstile/cli/demo.py
@@ -43,9 +43,9 @@
 
     def attempt_received(self, box: str, request: bytes, key: bytes, gateway: str, work_ns: int) -> None:
         """An attempt has come to a backend: it counts as sent and as read whole at that moment."""
-        one = self.checker.sent(gateway, box, request, time.monotonic_ns())
+        one = self.checker.attempt_started(gateway, box, request, time.monotonic_ns())
         if one is not None:
-            self.checker.whole(request, one)
+            self.checker.attempt_complete(request, one)
         self.checker.attempt_received(box, request, key, gateway, work_ns)
 
 
@@ -106,7 +106,7 @@
             )
             port = await box.start(HOST)
             zone = traffic.ZONES[k % len(traffic.ZONES)]
-            self.checker.boxes[name] = k % len(traffic.ZONES), k % RACKS
+            self.checker.add_backend(name, k % len(traffic.ZONES), k % RACKS)
             roster.put(EndpointEntry(name, f"{HOST}:{port}", zone, "std", k % RACKS))
         listens = free_ports(plan.gateways, socket.SOCK_STREAM)
         peers = [f"{HOST}:{p}" for p in free_ports(plan.gateways, socket.SOCK_DGRAM)]
@@ -165,7 +165,7 @@
             loop.time() < wants[-1].at_s or front.in_flight or front.retries_waiting
         ):
             await asyncio.sleep(0.05)
-            self.checker.watch(time.monotonic_ns())
+            self.checker.check_due(time.monotonic_ns())
 
     def _tell(self, front: ClientLoadBalancer) -> int:
         kinds = ("served", "denied", "failed", "unreached")
@@ -182,13 +182,13 @@
                 f"half of the served had their answer within {half:.0f} ms, 99 in 100 within "
                 f"{most:.0f} ms"
             )
-        for breach in self.checker.breaches:
+        for breach in self.checker.violations:
             self.console.print(f"rule {breach.rule} broken: {breach.text}")
             for line in breach.history:
                 self.console.print(f"  {line}")
         if front.in_flight:
             self.console.print(f"{front.in_flight} requests were never answered")
-        ok = not self.checker.breaches and not front.in_flight and bool(waits)
+        ok = not self.checker.violations and not front.in_flight and bool(waits)
         self.console.print("every rule held" if ok else "not every rule held")
         return 0 if ok else 1
 
--- a/zincstile/cli/sim.py
+++ b/zincstile/cli/sim.py
@@ -10,7 +10,7 @@
 
 import click
 
-from ..checkers.cases import NAMES
+from ..checkers.rules import RULE_NAMES
 from ..serialization.typed_yaml import FileError
 from ..simulation import plan as plans
 from ..simulation.plan import Plan
@@ -41,9 +41,9 @@
 def _rules(names: tuple[str, ...]) -> tuple[str, ...]:
     """The rules to look at; all where none is named."""
     for name in names:
-        if name not in NAMES:
-            raise BadInputError(f"--rule {name}: no such rule; there are {', '.join(NAMES)}")
-    return names or NAMES
+        if name not in RULE_NAMES:
+            raise BadInputError(f"--rule {name}: no such rule; there are {', '.join(RULE_NAMES)}")
+    return names or RULE_NAMES
 
 
 RULE = click.option("--rule", "rules", multiple=True, metavar="NAME", help="Look at this rule only.")
--- a/zincstile/scale/day.py
+++ b/zincstile/scale/day.py
@@ -21,6 +21,7 @@
 
 from ..checkers.checker import Checker
 from ..checkers.quotas import Quotas
+from ..checkers.rules import Rule
 from ..emulators.clients import ClientLoadBalancer
 from ..net import features as feature_files
 from ..simulation import shared, traffic
@@ -292,13 +293,12 @@
         self._read_logs()
         self._machine.append(_machine_seconds())
         now = time.monotonic_ns()
-        self.checker.watch(now)
+        self.checker.check_due(now)
         self.ears.came.clear()
         checker = self.checker
         old = now - int(FORGET_S * 1e9)
-        for request in [r for r, c in checker.cases.items() if c.due_ns < old and c.state != "open"]:
-            del checker.cases[request]
-            checker._made.pop(request, None)
+        for request in [r for r, c in checker.histories.items() if c.due_ns < old and c.state != "open"]:
+            checker.forget_request(request)
         held = sum(p.program.memory_kb() for p in self.processes if p.alive) * 1024 + _own_bytes()
         self.result.measured_bytes = max(self.result.measured_bytes, held)
         for process in self.processes:
@@ -318,7 +318,7 @@
         while (self.front.in_flight or self.front.retries_waiting) and self.loop.time() < until_s:
             await asyncio.sleep(STEP_S)
         if self.front.in_flight:
-            self.checker.breach("answer", f"{self.front.in_flight} requests were never answered")
+            self.checker.report_violation(Rule.ANSWER, f"{self.front.in_flight} requests were never answered")
         asked_s = time.time() - LOG_ROUNDING_S
         for process in self.processes:
             process.ask_counters()
@@ -336,7 +336,7 @@
     def _begin(self, process: GatewayProcess) -> None:
         for member in process.members:
             if member.loaded:
-                self.checker.started(member.name)
+                self.checker.gateway_started(member.name)
         process.start()
 
     async def _stop(self, process: GatewayProcess, at_once: bool) -> None:
@@ -344,7 +344,7 @@
         if at_once:
             for member in process.members:
                 if member.loaded:
-                    self.checker.ended(member.name)
+                    self.checker.gateway_ended(member.name)
             process.program.asked_to_end = True
             process.program.signal(signal.SIGKILL)
         else:
@@ -400,9 +400,9 @@
             changes=changes,
             end_s=now_s,
             cold=self.cold,
-            breaches=self.checker.breaches,
-            attempts=self.checker.counts["attempts"],
-            bound_nearest=max(self.checker.ceilings.nearest, self.checker.quotas.nearest),
+            breaches=self.checker.violations,
+            attempts=self.checker.counts.attempts,
+            bound_nearest=max(self.checker.ceilings.peak_ratio, self.checker.quotas.peak_ratio),
             quota_over=_quota_over(self.checker.quotas),
             faults=self.faults + [fault for p in self.processes for fault in p.faults],
             spans=self.spans + open_spans,
@@ -423,7 +423,7 @@
         result.attempts, result.cold_calls = evidence.attempts, self.cold.calls
         result.breaches = [
             BreachRow(b.rule, round(b.at_ns / 1e9 - self._began_monotonic_s, 3), b.request, b.text, b.history)
-            for b in self.checker.breaches[:BREACHES]
+            for b in self.checker.violations[:BREACHES]
         ]
         for (_, kind), count in self.front.outcomes.items():
             result.requests[kind] = result.requests.get(kind, 0) + count
@@ -471,8 +471,8 @@
     return replace(
         figures,
         answer_grace_ns=figures.answer_grace_ns + SLACK_NS,
-        drain_ns=figures.drain_ns + SLACK_NS,
-        told_at_most_ns=figures.told_at_most_ns + SLACK_NS,
+        drain_grace_ns=figures.drain_grace_ns + SLACK_NS,
+        max_notification_ns=figures.max_notification_ns + SLACK_NS,
         cold_slack_ns=2 * figures.cold_slack_ns,
     )
 
--- a/zincstile/scale/judge.py
+++ b/zincstile/scale/judge.py
@@ -7,7 +7,7 @@
 from math import ceil
 from typing import Final
 
-from ..checkers.cases import Breach
+from ..checkers.history import Violation
 from .members import Member
 from .outcome import Check, DelayRow, GatewayRow, Verdict
 from .records import Kind
@@ -29,7 +29,7 @@
     changes: list[Change]
     end_s: float
     cold: ColdBudgets
-    breaches: list[Breach] = field(default_factory=list)
+    breaches: list[Violation] = field(default_factory=list)
     attempts: int = 0
     bound_nearest: float = 0.0  # to a ceiling or a stated bound of a quota; 1: at it
     quota_over: dict[str, float] = field(
@@ -234,7 +234,7 @@
     )
 
 
-def _stalled(breach: Breach, stalls: list[tuple[int, int]]) -> bool:
+def _stalled(breach: Violation, stalls: list[tuple[int, int]]) -> bool:
     """It was seen while the driver stood still, or within a second after."""
     return any(from_ns <= breach.at_ns <= to_ns + STALL_AFTER_NS for from_ns, to_ns in stalls)
 
--- a/zincstile/scale/surroundings.py
+++ b/zincstile/scale/surroundings.py
@@ -191,10 +191,10 @@
         box = BackendEmulator(self.loop, entry.name, model, rack, self._rng, self.ears, cold=cold)
         self.by_address[_host(entry)] = box
         checker = self.ears.checker
-        checker.boxes[entry.name] = self.fleet.zones.index(entry.zone), entry.group
+        checker.add_backend(entry.name, self.fleet.zones.index(entry.zone), entry.group)
         if cold:
             self.ears.cold.began(entry.name, self.budget(self._clock()))
-            checker.cold.began(entry.name, entry.since_ms, box.capacity, lambda: box.warmth() >= 1)
+            checker.cold.backend_started(entry.name, entry.since_ms, box.capacity, lambda: box.warmth() >= 1)
 
     def budget(self, began_s: float) -> Callable[[float], float | None]:
         """Calls that a backend started then bears in a window of the settings, by its age."""
--- a/zincstile/simulation/faults.py
+++ b/zincstile/simulation/faults.py
@@ -25,7 +25,7 @@
 def begin(run: Stage, fault: Fault) -> None:
     """At its instant."""
     whom = " ".join(str(n) for n in fault.who)
-    run.checker.event(f"fault {fault.kind} {whom} for {fault.for_ms} ms".replace("  ", " "))
+    run.checker.record_event(f"fault {fault.kind} {whom} for {fault.for_ms} ms".replace("  ", " "))
     run.note("fault", fault.kind)
     KINDS[fault.kind](run, fault)
 
@@ -130,7 +130,7 @@
     name = old.entry.name
     if run.places[name] is not old:
         return
-    run.checker.event(f"{name} starts again")
+    run.checker.record_event(f"{name} starts again")
     new = run.box_again(old)
     run.after(1600 * fault.amount, _announce, run, new)
 
@@ -294,7 +294,7 @@
 def _moved(run: Stage, seat: Seat) -> None:
     seat.agent.retire_oldest_address(MOVED_S)
     if run.running(seat) and not seat.stopping:
-        run.checker.event(f"{seat.name} gets SIGHUP")
+        run.checker.record_event(f"{seat.name} gets SIGHUP")
         run.reload(seat)
 
 
--- a/zincstile/simulation/places.py
+++ b/zincstile/simulation/places.py
@@ -110,10 +110,10 @@
         self.run = run
         self.sent: list[tuple[float, int, int]] = []  # seconds, zone, the gateway's own
         self.served: list[float] = []
-        sent, answered = run.checker.sent, run.checker.request_answered
+        sent, answered = run.checker.attempt_started, run.checker.request_answered
 
         def went(gateway: str, box: str, request: bytes, first_ns: int):
-            self.sent.append((self.now_s(), run.checker.boxes[box][0], int(gateway[1:]) % ZONES))
+            self.sent.append((self.now_s(), run.checker.locations[box][0], int(gateway[1:]) % ZONES))
             return sent(gateway, box, request, first_ns)
 
         def heard(request: bytes, kind: str, value: bytes) -> None:
@@ -121,7 +121,7 @@
                 self.served.append(self.now_s())
             answered(request, kind, value)
 
-        run.checker.sent, run.checker.request_answered = went, heard  # type: ignore[method-assign]
+        run.checker.attempt_started, run.checker.request_answered = went, heard  # type: ignore[method-assign]
 
     def now_s(self) -> float:
         return (self.run.scheduler.now_ns - self.run.began_ns) / 1e9
@@ -168,7 +168,7 @@
         watch.until(zone, begin, end, True),
         watch.until(zone, end, LAST_MS / 1000 - SPAN_S, False),
         changes,
-        run.checker.cold.nearest,
+        run.checker.cold.peak_ratio,
     )
 
 
--- a/zincstile/simulation/shared_trials.py
+++ b/zincstile/simulation/shared_trials.py
@@ -50,7 +50,7 @@
         def heard(request: bytes, kind: str, value: bytes) -> None:
             if kind == "served":
                 at = (run.scheduler.now_ns - run.began_ns) / self.SECOND
-                self.served.append((at, run.checker.cases[request].gateway))
+                self.served.append((at, run.checker.histories[request].gateway))
             answered(request, kind, value)
 
         run.checker.request_answered = heard  # type: ignore[method-assign]
@@ -107,8 +107,8 @@
     quotas = run.checker.quotas
     minute = max(
         (
-            -s.lowest / (quotas.stated[plan][1] + 60 * quotas.stated[plan][0])
-            for (plan, _), s in quotas.stores.items()
+            -s.lowest_level / (quotas.stated[plan].burst + 60 * quotas.stated[plan].rate)
+            for (plan, _), s in quotas.customers.items()
         ),
         default=0.0,
     )
@@ -117,10 +117,10 @@
         failure,
         seed,
         f"{result.breach.rule}: {result.breach.text}" if result.breach else "",
-        quotas.worst,
-        quotas.nearest,
+        quotas.worst_excess,
+        quotas.peak_ratio,
         quotas.sent,
-        quotas.best,
+        quotas.ideal,
         result.tally.get("served", 0),
         sent,
         minute,
--- a/zincstile/simulation/shrink.py
+++ b/zincstile/simulation/shrink.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from ..checkers.cases import NAMES
+from ..checkers.rules import RULE_NAMES
 from .plan import Plan
 from .world import Result, Run
 
@@ -78,7 +78,7 @@
 
 
 def smallest(
-    plan: Plan, most: int, tell: Callable[[str], None], rules: tuple[str, ...] = NAMES
+    plan: Plan, most: int, tell: Callable[[str], None], rules: tuple[str, ...] = RULE_NAMES
 ) -> Smallest | None:
     """None where the plan breaks none of these rules."""
     first = Run(plan, rules=rules).play()
--- a/zincstile/simulation/starts.py
+++ b/zincstile/simulation/starts.py
@@ -108,7 +108,7 @@
         self.sent: list[tuple[float, float]] = []
         self.opened: list[float] = []
         self.served: list[float] = []
-        log, sent, answered = run._log, run.checker.sent, run.checker.request_answered
+        log, sent, answered = run._log, run.checker.attempt_started, run.checker.request_answered
         connected = run._connected
 
         def hear(seat, line: str) -> None:
@@ -117,7 +117,7 @@
             log(seat, line)
 
         def went(gateway: str, box: str, request: bytes, first_ns: int):
-            case = run.checker.cases.get(request)
+            case = run.checker.histories.get(request)
             if case is not None:
                 self.sent.append((self.now_s(), case.units))
             return sent(gateway, box, request, first_ns)
@@ -133,7 +133,7 @@
             connected(opener, taker)
 
         run._log = hear  # type: ignore[method-assign]
-        run.checker.sent, run.checker.request_answered = went, heard  # type: ignore[method-assign]
+        run.checker.attempt_started, run.checker.request_answered = went, heard  # type: ignore[method-assign]
         run.network.on_connected = opened
 
     def now_s(self) -> float:
@@ -188,7 +188,7 @@
         max(0, counts.snapshots - before) / len(killed),
         most_in(watch.sent, back, back + 2) / boxes,
         int(opened / boxes * 100) / 100,  # type: ignore[arg-type]
-        run.checker.cold.nearest,
+        run.checker.cold.peak_ratio,
         served,
         result.tally.get("failed", 0),
     )
--- a/zincstile/simulation/sweep.py
+++ b/zincstile/simulation/sweep.py
@@ -8,14 +8,14 @@
 from collections.abc import Iterator
 from functools import partial
 
-from ..checkers.cases import NAMES
+from ..checkers.rules import RULE_NAMES
 from . import plan
 from .world import Result, Run
 
 EVERY = 16  # worlds between two collections
 
 
-def play(seed: int, rules: tuple[str, ...] = NAMES) -> Result:
+def play(seed: int, rules: tuple[str, ...] = RULE_NAMES) -> Result:
     """The world of one seed."""
     return Run(plan.draw(seed), rules=rules).play()
 
@@ -34,7 +34,7 @@
     return play(seed, rules)
 
 
-def play_all(seeds: range, jobs: int, rules: tuple[str, ...] = NAMES) -> Iterator[Result]:
+def play_all(seeds: range, jobs: int, rules: tuple[str, ...] = RULE_NAMES) -> Iterator[Result]:
     """In the order of the seeds."""
     if jobs == 1 or len(seeds) == 1:
         yield from (play(seed, rules) for seed in seeds)
--- a/zincstile/simulation/traffic.py
+++ b/zincstile/simulation/traffic.py
@@ -12,7 +12,7 @@
 import random
 from typing import Any
 
-from ..checkers.cases import ClassRule, Figures, PlanRule
+from ..checkers.rules import ClassRule, DeduplicationScope, Idempotency, PlanRule, RuleLimits
 from ..decisions.quota_bounds import Quota
 from ..emulators.client_requests import PlannedRequest
 from ..quota_service.overshoot_bound import overshoot_bounds
@@ -44,11 +44,17 @@
 }
 
 
-def figures() -> Figures:
+def figures() -> RuleLimits:
     """The rules' figures of these worlds."""
-    effects = {"free": "safe", "guarded": "keyed", "single_shot": "unsafe"}
-    return Figures(
-        classes={n: ClassRule(effects[c[2]], "cell", KEYED_MS * MS) for n, c in CLASSES.items()},
+    effects = {
+        "free": Idempotency.ALWAYS,
+        "guarded": Idempotency.BY_KEY,
+        "single_shot": Idempotency.NEVER,
+    }
+    return RuleLimits(
+        classes={
+            n: ClassRule(effects[c[2]], DeduplicationScope.CELL, KEYED_MS * MS) for n, c in CLASSES.items()
+        },
         plans={
             n: PlanRule(p[1] * p[4], p[1] * p[2] * p[4], max(0.1 * p[1] * p[2] * p[4], MOST_UNITS))
             for n, p in PLANS.items()
--- a/zincstile/simulation/world.py
+++ b/zincstile/simulation/world.py
@@ -13,9 +13,10 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-from ..checkers.cases import NAMES, Breach
 from ..checkers.checker import Checker
+from ..checkers.history import Violation
 from ..checkers.quotas import Quotas
+from ..checkers.rules import RULE_NAMES, Rule
 from ..cold_start.settings import ColdStartSettings
 from ..emulators import codec
 from ..emulators.backend import BackendEmulator, BackendModel, Rack
@@ -63,7 +64,7 @@
     attempts: int
     faults: int
     digest: str
-    breach: Breach | None
+    breach: Violation | None
     tally: dict[str, int] = field(default_factory=dict)
     nearest: dict[str, float] = field(default_factory=dict)  # to the rules that have a measure: 1 is at it
 
@@ -109,7 +110,7 @@
 class Run:
     """A world from its plan."""
 
-    def __init__(self, plan: Plan, keep_trace: bool = False, rules: tuple[str, ...] = NAMES) -> None:
+    def __init__(self, plan: Plan, keep_trace: bool = False, rules: tuple[str, ...] = RULE_NAMES) -> None:
         self.plan = plan
         self.scheduler = Scheduler(START_NS)
         self.rng = random.Random(f"world {plan.seed}")  # of faults and stand-ins, in the order of events
@@ -241,8 +242,8 @@
         self.do(process, box.start(host, port))
         since = (self.scheduler.now_ns + UNIX_NS) // MS if cold else 0
         entry = EndpointEntry(name, f"{host}:{port}", traffic.ZONES[zone], "std", cell, "Ready", 1.0, since)
-        self.checker.boxes[name] = zone, cell
-        self.checker.cold.began(name, since, box.capacity, lambda: box.warmth() >= 1)
+        self.checker.add_backend(name, zone, cell)
+        self.checker.cold.backend_started(name, since, box.capacity, lambda: box.warmth() >= 1)
         self.places[name] = Place(entry, process, box, host, port, zone, model)
         return self.places[name]
 
@@ -296,10 +297,10 @@
         )
         machine = VirtualHost(process, lambda: self.config(seat), UNIX_NS + seat.skew_ns)
         machine.log = lambda line: self._log(seat, line)
-        self.checker.started(seat.name)
+        self.checker.gateway_started(seat.name)
         self.network.note("start", seat.name)
         gateway = Gateway(self.config(seat), process.loop, machine)
-        gateway.dispatcher.guard.observer = lambda which, text: self.checker.violated(
+        gateway.dispatcher.guard.observer = lambda which, text: self.checker.report_invariant(
             seat.name, f"{which.value} {text}"
         )
         seat.process, seat.gateway, seat.machine = process, gateway, machine
@@ -310,12 +311,12 @@
     def _log(self, seat: Seat, line: str) -> None:
         self.logs.append(line)
         if " fault " in line:
-            self.checker.fault(seat.name, line.split(" fault ", 1)[1].strip())
+            self.checker.report_fault(seat.name, line.split(" fault ", 1)[1].strip())
 
     def _ended(self, seat: Seat, process: Process) -> None:
         """Its own end after SIGTERM: what it took and did not answer is lost, so it is not taken for dead."""
         if process.alive:
-            self.checker.event(f"{seat.name} ended by itself")
+            self.checker.record_event(f"{seat.name} ended by itself")
             self.network.note("ended", seat.name)
             self._check_process(seat)
             process.kill()
@@ -333,7 +334,7 @@
 
     def pause(self, seat: Seat, ms: float) -> None:
         seat.process.pause(int(ms * MS))
-        self.checker.paused(seat.name, int(ms * MS))
+        self.checker.gateway_paused(seat.name, int(ms * MS))
 
     def reload(self, seat: Seat) -> None:
         seat.process.signal(signal.SIGHUP)
@@ -355,7 +356,7 @@
         place.process.kill()
 
     def box_again(self, old: Place) -> Place:
-        zone, cell = self.checker.boxes[old.entry.name]
+        zone, cell = self.checker.locations[old.entry.name]
         return self.place(
             old.entry.name, old.host, old.port, zone, cell, replace(old.model, hangs=False), True
         )
@@ -393,19 +394,19 @@
     def kill(self, seat: Seat) -> None:
         if seat.process.alive:
             self._check_process(seat)
-            self.checker.ended(seat.name)
+            self.checker.gateway_ended(seat.name)
             seat.process.kill()
 
     def terminate(self, seat: Seat) -> None:
         if seat.process.alive and not seat.stopping:
             seat.stopping = True
-            self.checker.event(f"{seat.name} gets SIGTERM")
+            self.checker.record_event(f"{seat.name} gets SIGTERM")
             seat.process.signal(signal.SIGTERM)
 
     def _check_process(self, seat: Seat) -> None:
-        self.checker.descriptors(seat.name, seat.process.most_opened, self.plan.sockets)
+        self.checker.check_descriptors(seat.name, seat.process.most_opened, self.plan.sockets)
         for fault in seat.process.loop.faults:
-            self.checker.fault(seat.name, fault)
+            self.checker.report_fault(seat.name, fault)
 
     # ---- what crosses the network
 
@@ -424,18 +425,18 @@
         enabled = gc.isenabled()
         gc.disable()  # what a run drops goes at once or with the run; the collector's times are not its own
         try:
-            until, broken = end + CALM_NS, self.scheduler.run(end + CALM_NS, self.checker.watch)
+            until, broken = end + CALM_NS, self.scheduler.run(end + CALM_NS, self.checker.check_due)
             while not broken and until < end + MOST_CALM_NS and not self._calm():
                 until += LOOK_NS
-                broken = self.scheduler.run(until, self.checker.watch)
+                broken = self.scheduler.run(until, self.checker.check_due)
             if not broken:
                 self._finish()
         except StuckError as err:
-            self.checker.breach("progress", str(err))
+            self.checker.report_violation(Rule.PROGRESS, str(err))
         finally:
             if enabled:
                 gc.enable()
-        breach = self.checker.breaches[0] if self.checker.breaches else None
+        breach = self.checker.violations[0] if self.checker.violations else None
         counts, tally = self.checker.counts, {}
         for (_, kind), n in self.front.outcomes.items():
             tally[kind] = tally.get(kind, 0) + n
@@ -443,16 +444,16 @@
             plan.seed,
             self.scheduler.steps,
             (self.scheduler.now_ns - START_NS) / 1e9,
-            counts["asked"],
-            counts["attempts"],
+            counts.requests,
+            counts.attempts,
             len(plan.faults),
             self.network.digest(),
             breach,
             tally,
             {
-                "cold": round(self.checker.cold.nearest, 4),
-                "ceiling": round(self.checker.ceilings.nearest, 4),
-                "quota": round(self.checker.quotas.nearest, 4) if self.checker.quotas else 0.0,
+                "cold": round(self.checker.cold.peak_ratio, 4),
+                "ceiling": round(self.checker.ceilings.peak_ratio, 4),
+                "quota": round(self.checker.quotas.peak_ratio, 4) if self.checker.quotas else 0.0,
             },
         )
 
@@ -484,7 +485,7 @@
             if seat.stopping:
                 continue
             module, pool, tasks = gateway.dispatcher.policy, gateway.pool, seat.process.loop.tasks
-            self.checker.left_over(
+            self.checker.check_leftovers(
                 seat.name,
                 {
                     "sessions": len(gateway.dispatcher.sessions),
@@ -567,8 +568,8 @@
             return
         words = whole[0] if whole else self._commands.arguments
         if self._try is None and len(words) > 2:
-            self._try = self.checker.sent(self.gateway, self.box, words[2], self._first_ns)
+            self._try = self.checker.attempt_started(self.gateway, self.box, words[2], self._first_ns)
         if whole:
             if self._try is not None:
-                self.checker.whole(words[2], self._try, codec.forwarded_timeout_ms(words))
+                self.checker.attempt_complete(words[2], self._try, codec.forwarded_timeout_ms(words))
             self._try = None
--- a/zincstile/testbed/emulated.py
+++ b/zincstile/testbed/emulated.py
@@ -76,14 +76,14 @@
         self._spawn(box.start(""))
         since = int(time.time() * 1000) if cold else 0
         entry = EndpointEntry(name, "", traffic.ZONES[zone], "std", cell, "Ready", 1.0, since)
-        self.checker.boxes[name] = zone, cell
-        self.checker.cold.began(name, since, box.capacity, lambda: box.warmth() >= 1)
+        self.checker.add_backend(name, zone, cell)
+        self.checker.cold.backend_started(name, since, box.capacity, lambda: box.warmth() >= 1)
         self.places[name] = Place(entry, box, proxy, zone, model, number)
         return self.places[name]
 
     def box_again(self, old: Place) -> Place:
         """The same backend, started again and cold."""
-        zone, cell = self.checker.boxes[old.entry.name]
+        zone, cell = self.checker.locations[old.entry.name]
         return self._start_backend(old.entry.name, zone, cell, replace(old.model, hangs=False), True, old)
 
     def box_runs(self, place: Place) -> bool:
--- a/zincstile/testbed/gateways.py
+++ b/zincstile/testbed/gateways.py
@@ -76,8 +76,8 @@
         seat.starts += 1
         seat.stopping, seat.may_die = False, bool(seat.shim.get(Knob.KILL_IN_WRITE))
         if seat.socket is not None:  # the platform's: it has taken connections on
-            self.checker.excuse(seat.name)
-        self.checker.started(seat.name)
+            self.checker.excuse_gateway(seat.name)
+        self.checker.gateway_started(seat.name)
         seat.program = self._start_program(seat)
 
     def _start_program(self, seat: Seat) -> Program:
@@ -123,19 +123,19 @@
     def kill(self, seat: Seat) -> None:
         """SIGKILL."""
         if self.running(seat):
-            self.checker.ended(seat.name)
+            self.checker.gateway_ended(seat.name)
             seat.program.kill()
 
     def terminate(self, seat: Seat) -> None:
         """SIGTERM, once for each process."""
         if self.running(seat) and not seat.stopping:
             seat.stopping = True
-            self.checker.event(f"{seat.name} gets SIGTERM")
+            self.checker.record_event(f"{seat.name} gets SIGTERM")
             seat.program.terminate()
 
     def pause(self, seat: Seat, ms: float) -> None:
         """It gets no processor time for so long."""
-        self.checker.paused(seat.name, int(ms * MS))
+        self.checker.gateway_paused(seat.name, int(ms * MS))
         seat.program.signal(signal.SIGSTOP)
         self.after(ms, seat.program.signal, signal.SIGCONT)
 
@@ -148,7 +148,7 @@
 
     def step_clock(self, seat: Seat, seconds: float) -> None:
         """The wall clock of its machine is off by so much from now on, for later processes too."""
-        self.checker.event(f"the wall clock of {seat.name} is {seconds:+g} s off")
+        self.checker.record_event(f"the wall clock of {seat.name} is {seconds:+g} s off")
         seat.shim.set(Knob.WALL_OFFSET_S, seconds)
 
     def set_knob(self, seat: Seat, name: str, value: float) -> None:
@@ -201,16 +201,23 @@
         for seat in self.seats:
             program = seat.program
             gone = program is not None and not program.alive
-            if seat.socket is not None and seat.stopping and gone and seat.name not in self.checker.dead:
-                self.checker.ended(seat.name)  # the platform's socket takes connections on, for nobody
+            if (
+                seat.socket is not None
+                and seat.stopping
+                and gone
+                and seat.name not in self.checker.ended_gateways
+            ):
+                self.checker.gateway_ended(
+                    seat.name
+                )  # the platform's socket takes connections on, for nobody
             if program is not None and not program.alive and not program.asked_to_end:
                 program.asked_to_end = True
                 if self.died_as_planned(seat.name):
-                    self.checker.ended(seat.name)
+                    self.checker.gateway_ended(seat.name)
                     continue
                 code = program.process.returncode
-                self.checker.fault(seat.name, f"the process ended by itself, exit {code}")
-                self.checker.ended(seat.name)
+                self.checker.report_fault(seat.name, f"the process ended by itself, exit {code}")
+                self.checker.gateway_ended(seat.name)
 
     def _read_log(self, seat: Seat) -> None:
         """Takes in what its processes have logged since the last time: faults, counters, state."""
@@ -218,11 +225,13 @@
             for line in program.news() if program is not None else ():
                 program.up = program.up or " start listening on " in line
                 if " fault " in line:
-                    self.checker.fault(seat.name, line.split(" fault ", 1)[1])
+                    self.checker.report_fault(seat.name, line.split(" fault ", 1)[1])
                 if " late held up " in line:
-                    self.checker.event(f"{seat.name} says at {line.split()[0]}: {line.split(' late ', 1)[1]}")
+                    self.checker.record_event(
+                        f"{seat.name} says at {line.split()[0]}: {line.split(' late ', 1)[1]}"
+                    )
                 if " violated " in line:
-                    self.checker.violated(seat.name, line.split(" violated ", 1)[1])
+                    self.checker.report_invariant(seat.name, line.split(" violated ", 1)[1])
                 found = told(line, "counters")
                 if found is not None and program is seat.program:
                     seat.latest = by_stored_name(found)
--- a/zincstile/testbed/operators.py
+++ b/zincstile/testbed/operators.py
@@ -21,12 +21,12 @@
 
     async def _maintain(self, seat: Seat, name: str, out: bool) -> None:
         if not out:  # from the call on it may be sent to again, whatever is answered
-            self.checker.maintenance.put_back(seat.name, name)
+            self.checker.maintenance.ended(seat.name, name)
         act = "enter" if out else "exit"
         status = await self._call(seat, f"/maintenance/{act}", name)
-        self.checker.event(f"{seat.name} answers {status} to {act} {name}")
+        self.checker.record_event(f"{seat.name} answers {status} to {act} {name}")
         if out and status == YES:
-            self.checker.maintenance.entered(time.monotonic_ns(), seat.name, name)
+            self.checker.maintenance.confirmed(time.monotonic_ns(), seat.name, name)
 
     async def _call(self, seat: Seat, path: str, body: str) -> int:
         """The status; 0 where there is no answer."""
--- a/zincstile/testbed/probe.py
+++ b/zincstile/testbed/probe.py
@@ -91,7 +91,7 @@
 
     def _whose(self, gateway: str, request: bytes) -> str:
         """Where a box has one address for all, a gateway is known by the request that it was asked."""
-        case = self.checker.cases.get(request) if gateway == "?" else None
+        case = self.checker.histories.get(request) if gateway == "?" else None
         return gateway if case is None else case.gateway
 
     def _second(self) -> int:
@@ -100,25 +100,25 @@
     def request_sent(self, what: Any) -> None:
         """Counts what one all-seeing store would let in of it."""
         quotas = self.checker.quotas
-        before = quotas.best if quotas else 0.0
+        before = quotas.ideal if quotas else 0.0
         self.checker.request_sent(what)
         if quotas:
             second = self._second()
-            self.series.best[second] = self.series.best.get(second, 0.0) + quotas.best - before
+            self.series.best[second] = self.series.best.get(second, 0.0) + quotas.ideal - before
 
     def request_answered(self, request: bytes, kind: str, value: bytes) -> None:
         """Counts the answer by its kind."""
-        self.series.answer(self._second(), self.checker.cases[request].gateway, kind)
+        self.series.answer(self._second(), self.checker.histories[request].gateway, kind)
         self.checker.request_answered(request, kind, value)
 
     def let_out(self, gateway: str, box: str, request: bytes, first_ns: int) -> Any:
         """The head of an attempt has come."""
-        case = self.checker.cases.get(request)
+        case = self.checker.histories.get(request)
         gateway = self._whose(gateway, request)
-        if case is not None and not case.tries:
+        if case is not None and not case.attempts:
             key = self._second(), gateway
             self.series.units[key] = self.series.units.get(key, 0.0) + case.units
-        return self.checker.sent(gateway, box, request, first_ns)
+        return self.checker.attempt_started(gateway, box, request, first_ns)
 
     # what needs no more than the checker
 
@@ -127,7 +127,7 @@
 
     def request_dropped(self, request: bytes) -> None:
         """Its connection was ended after it was read, without an answer."""
-        if self.died_as_planned(self.checker.cases[request].gateway):
+        if self.died_as_planned(self.checker.histories[request].gateway):
             self.checker.request_voided(request)
             return
         self.checker.request_dropped(request)
@@ -135,8 +135,8 @@
     def was_sent_on(self, request: bytes) -> bool:
         """It has been sent on since it was asked: the gateway had read it, and owes its answer on the very
         connection. Of one that is sent on later it can't be told between processes where it was read."""
-        case = self.checker.cases[request]
-        return len(case.tries) > case.tries_before
+        case = self.checker.histories[request]
+        return case.attempted
 
     def request_unread(self, request: bytes) -> None:
         """Its connection was ended before it was read."""
@@ -195,5 +195,5 @@
             if self._try is None and len(words) > 2:
                 self._try = self.probe.let_out(self.gateway, self.box, words[2], self._first_ns)
             if whole and self._try is not None:
-                self.probe.checker.whole(words[2], self._try, codec.forwarded_timeout_ms(words))
+                self.probe.checker.attempt_complete(words[2], self._try, codec.forwarded_timeout_ms(words))
                 self._try = None
--- a/zincstile/testbed/run.py
+++ b/zincstile/testbed/run.py
@@ -15,6 +15,7 @@
 from typing import Any
 
 from ..checkers.quotas import Quotas
+from ..checkers.rules import Rule
 from ..emulators.clients import ClientLoadBalancer
 from ..emulators.discovery import DiscoveryAgent
 from ..simulation import faults, traffic
@@ -158,7 +159,7 @@
         while self.loop.time() < until:
             await asyncio.sleep(LOOK_S)
             now = self.loop.time()
-            self.checker.watch(time.monotonic_ns())
+            self.checker.check_due(time.monotonic_ns())
             self._check_exits()
             if now - sampled > SAMPLE_S:
                 sampled = now
@@ -204,13 +205,13 @@
             if seat.program is not None:
                 self._check_end(seat, seat.program)
         if left:
-            self.checker.breach("answer", f"{left} requests were never answered")
+            self.checker.report_violation(Rule.ANSWER, f"{left} requests were never answered")
 
     async def _check_ready(self) -> None:
         """Whoever runs says yes to the front, or does so within the time that a start may take."""
         await self._wait_for(lambda: not self._not_ready(), RESTART_S)
         for name in self._not_ready():
-            self.checker.breach("ready", f"{name} runs, and is not ready within {RESTART_S:g} s")
+            self.checker.report_violation(Rule.READY, f"{name} runs, and is not ready within {RESTART_S:g} s")
 
     def _not_ready(self) -> list[str]:
         running = [s for s in self.seats if self.running(s) and not s.stopping]
@@ -220,11 +221,13 @@
         """The process ended in time, as it was told to, and counted no fault."""
         code = program.process.returncode
         if program.alive:
-            self.checker.breach("resources", f"{seat.name} did not end within {GONE_S:g} s of SIGTERM")
+            self.checker.report_violation(
+                Rule.RESOURCES, f"{seat.name} did not end within {GONE_S:g} s of SIGTERM"
+            )
         elif code and code != -signal.SIGKILL and (program.up or code != -signal.SIGTERM):
-            self.checker.fault(seat.name, f"exit {code}")
+            self.checker.report_fault(seat.name, f"exit {code}")
         if seat.latest.get("faults"):
-            self.checker.fault(seat.name, f"{seat.latest['faults']:g} faults counted")
+            self.checker.report_fault(seat.name, f"{seat.latest['faults']:g} faults counted")
 
     def _clean_up(self) -> None:
         """Whatever came: nothing that was started here is left."""
--- a/zincstile/testbed/start.py
+++ b/zincstile/testbed/start.py
@@ -96,8 +96,8 @@
                 await self._places()
                 for name in names:
                     await getattr(self, "_" + name.replace("-", "_"))(name)
-                if self.checker.breaches:
-                    raise NotReadyError(self.checker.breaches[0].text)
+                if self.checker.violations:
+                    raise NotReadyError(self.checker.violations[0].text)
             finally:
                 self._clean_up()
         return self.rows
@@ -201,7 +201,7 @@
                 mark.ready_s = float(at) - self.wave.begun_s
                 mark.cpu_ms = seat.program.cpu_ms()
             elif " fault " in line:
-                self.checker.fault(seat.name, rest)
+                self.checker.report_fault(seat.name, rest)
 
     def _row(self, name: str, seats: list[Seat]) -> None:
         marks = [self.wave.marks[s.name] for s in seats]
--- a/zincstile/testbed/summary.py
+++ b/zincstile/testbed/summary.py
@@ -21,15 +21,15 @@
         faults=[f"{f.kind} at {f.at_ms} for {f.for_ms}" for f in run.plan.faults],
         seconds=round(run.lasted_s, 2),
         ok=not breaches,
-        requests=checker.counts["asked"],
-        attempts=checker.counts["attempts"],
+        requests=checker.counts.requests,
+        attempts=checker.counts.attempts,
         tally=_tally(run),
         plans=_plans(run),
         nearest={
-            "cold": round(checker.cold.nearest, 4),
-            "cold_calls": round(checker.cold.calls.nearest, 4),
-            "ceiling": round(checker.ceilings.nearest, 4),
-            "quota": round(checker.quotas.nearest, 4),
+            "cold": round(checker.cold.peak_ratio, 4),
+            "cold_calls": round(checker.cold.calls.peak_ratio, 4),
+            "ceiling": round(checker.ceilings.peak_ratio, 4),
+            "quota": round(checker.quotas.peak_ratio, 4),
         },
         rows=[_gateway(run, seat) for seat in run.seats],
         breaches=breaches,
@@ -87,5 +87,5 @@
             text=breach.text,
             history=breach.history,
         )
-        for breach in run.checker.breaches
+        for breach in run.checker.violations
     ]
--- a/zincstile/testbed/testbed.py
+++ b/zincstile/testbed/testbed.py
@@ -15,6 +15,7 @@
 from typing import Any
 
 from ..checkers.checker import Checker
+from ..checkers.rules import Rule
 from ..emulators.backend import Rack
 from ..emulators.client_requests import PlannedRequest
 from ..emulators.clients import ClientLoadBalancer
@@ -63,10 +64,10 @@
         figures = replace(
             figures,
             answer_grace_ns=figures.answer_grace_ns + SLACK_NS,
-            drain_ns=figures.drain_ns + SLACK_NS,
-            left_ns=figures.left_ns + NEAR_SLACK_NS,
-            deadline_ns=figures.deadline_ns + NEAR_SLACK_NS,
-            told_at_most_ns=figures.told_at_most_ns + SLACK_NS,
+            drain_grace_ns=figures.drain_grace_ns + SLACK_NS,
+            disconnect_grace_ns=figures.disconnect_grace_ns + NEAR_SLACK_NS,
+            deadline_slack_ns=figures.deadline_slack_ns + NEAR_SLACK_NS,
+            max_notification_ns=figures.max_notification_ns + SLACK_NS,
             cold_slack_ns=2 * figures.cold_slack_ns,
         )
         self.stated, self.opening = stated or traffic.quotas(), opening
@@ -99,7 +100,9 @@
     def _on_loop_error(self, _: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
         """An error of the testbed itself: a run that has one proves nothing."""
         err = context.get("exception")
-        self.checker.breach("progress", f"the field: {type(err).__name__}: {err} ({context.get('message')})")
+        self.checker.report_violation(
+            Rule.PROGRESS, f"the field: {type(err).__name__}: {err} ({context.get('message')})"
+        )
 
     async def _wait_for(self, condition: Callable[[], Any], seconds: float) -> bool:
         """True once the condition holds, False where it does not within the time."""
