--- a/tests/endpoint_lists.py
+++ b/tests/endpoint_lists.py
@@ -45,7 +45,7 @@
     )
 
 
-def endpoint_table(dispatcher, update=lambda endpoints, complete: None, wall_ns=lambda: 0):
+def endpoint_table(dispatcher, update=lambda endpoints, *, complete: None, wall_ns=lambda: 0):
     """A table that reads lists by the dispatcher's clock and a wall clock."""
     clocks = SimpleNamespace(monotonic_ns=dispatcher.now_ns, unix_ns=wall_ns)
     return EndpointTable(dispatcher, EndpointReader([], [], clocks), update)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -17,6 +17,7 @@
 from zincstile.net.backends.attempts import Attempts
 from zincstile.net.backends.pool import ConnectionPool
 from zincstile.net.counters import Counters
+from zincstile.net.discovery.messages import ListedEndpoint
 from zincstile.net.dispatcher import Dispatcher
 from zincstile.net.limits import MS, SECOND, Limits
 from zincstile.net.log import Log
@@ -392,7 +393,7 @@
     dispatcher = Dispatcher(loop, Asked(), Limits(connect_ns=connect_ns), Counters(), Log("n0"))
     pool = ConnectionPool(dispatcher)
     attempts = Attempts(dispatcher, module_settings(), pool, buffer)
-    pool.update([(backend(1), listening.getsockname())], True)
+    pool.update([ListedEndpoint(backend(1), listening.getsockname())], complete=True)
     plain = loop.create_connection
 
     async def slow(factory, *where):
--- a/tests/test_incremental.py
+++ b/tests/test_incremental.py
@@ -1,5 +1,5 @@
-"""What is kept step by step (servers of the decisions, pools, endpoint table) is what a plain model works out
-from the whole list each time; and the work for a change or a tick does not grow with the list."""
+"""State kept step by step (endpoints of the decisions, connection pool, endpoint table) against a plain model
+that works it out from the complete list each time; the work for a change or a tick does not grow."""
 
 from __future__ import annotations
 
@@ -104,7 +104,7 @@
 
 @effort(max_examples=150, deadline=None, derandomize=True, database=None)
 @given(STEPS)
-def test_the_servers_are_what_a_plain_model_works_out_from_the_whole_list(steps):
+def test_the_endpoints_are_what_a_plain_model_works_out_from_the_complete_list(steps):
     g, plain = Gateway(COLD, backends=0, now=100 * SECOND), Plain()
     policy = g.policy
     for what, about in steps:
@@ -154,7 +154,7 @@
     assert not [s for s in policy.touched.values() if s.members is not None]  # all has faded
 
 
-# ---- the pools and the endpoint table
+# ---- the connection pool and the endpoint table
 
 
 class Wire:
@@ -185,8 +185,8 @@
     return None
 
 
-def address_of(b, moved):
-    return f"10.0.{moved}.{b.id % 200}", 6379
+def address_of(entry, moved):
+    return f"10.0.{moved}.{entry.id % 200}", 6379
 
 
 @effort(max_examples=150, deadline=None, derandomize=True, database=None)
@@ -194,26 +194,24 @@
 def test_the_pool_connects_to_what_was_listed_last_and_forgets_the_rest(steps):
     pool, listed, opened = ConnectionPool(dispatcher_at_100_s()), {}, []
     for (kind, entries), moved, used in steps:
-        whole = kind is EndpointListKind.FULL
-        pool.update([ListedEndpoint(b, address_of(b, moved)) for b in entries], whole)
-        told = {b.id: (b, address_of(b, moved)) for b in entries}
-        listed = {
-            k: e
-            for k, e in (({} if whole else listed) | told).items()
-            if e[0].mode is not EndpointState.REMOVED
-        }
-        ready = {k: e for k, e in listed.items() if e[0].mode is EndpointState.READY}
+        complete = kind is EndpointListKind.FULL
+        received = [ListedEndpoint(entry, address_of(entry, moved)) for entry in entries]
+        pool.update(received, complete=complete)
+        before = {} if complete else listed
+        latest = before | {one.entry.id: one for one in received}
+        listed = {k: one for k, one in latest.items() if one.entry.mode is not EndpointState.REMOVED}
+        ready = {k: one for k, one in listed.items() if one.entry.mode is EndpointState.READY}
         assert pool.listed == listed
         for connection in [c for c in opened if not c.transport.closed]:
-            found, entry = connection.backend, ready.get(connection.backend.id)
-            assert entry and (found.address, found.started_ns) == (entry[1], entry[0].started_ns)
+            found, expected = connection.backend, ready.get(connection.backend.id)
+            assert expected
+            assert (found.address, found.started_ns) == (expected.address, expected.entry.started_ns)
         for connection in [c for c in opened if c.transport.closed]:
             pool.lost(connection)
         opened = [c for c in opened if not c.transport.closed]
         assert list(pool.idle) == opened and pool.connections == set(opened)
-        assert pool.backends == {
-            c.backend.id: c.backend for c in opened
-        }  # no record of what is not connected
+        # No record of what is not connected.
+        assert pool.backends == {c.backend.id: c.backend for c in opened}
         connection = open_idle(pool, used)
         assert (connection is not None) == (used in ready)
         opened += [connection] if connection else []
@@ -228,33 +226,33 @@
     return [endpoint(name, status, since_ms=1) for name in names]
 
 
-def table_at_0_s(update=lambda endpoints, complete: None):
+def table_at_0_s(update=lambda endpoints, *, complete: None):
     """A table whose reader's clocks stand at nought."""
     dispatcher = dispatcher_at_100_s()
     clocks = SimpleNamespace(unix_ns=lambda: 0, monotonic_ns=lambda: 0)
     return EndpointTable(dispatcher, EndpointReader([], [], clocks), update)
 
 
-def send(table, endpoints_, kind=EndpointListKind.DELTA):
+def receive(table, endpoints_, kind=EndpointListKind.DELTA):
     table.take(change(1, *endpoints_), kind)
 
 
-def test_a_year_of_replaced_backends_leaves_no_trace_and_one_just_gone_may_still_be_banned():
+def test_a_year_of_replaced_backends_leaves_no_trace_and_one_just_gone_may_still_get_maintenance():
     table = table_at_0_s()
     for k in range(5000):
-        send(table, endpoints([f"s-{k}"]) + endpoints([f"s-{k - 10}"], "Gone"))
-    send(table, endpoints(["s-4999"]), EndpointListKind.FULL)  # leaves out the rest
+        receive(table, endpoints([f"s-{k}"]) + endpoints([f"s-{k - 10}"], "Gone"))
+    receive(table, endpoints(["s-4999"]), EndpointListKind.FULL)  # leaves out the rest
     assert list(table.endpoints) == [endpoint_id("s-4999")] and len(table.removed) == 1024
     assert table.maintain("s-4990", enter=True) and not table.maintain("s-17", enter=True)  # long gone
-    send(table, endpoints(["s-4990"]))
+    receive(table, endpoints(["s-4990"]))
     listed = table.endpoints[endpoint_id("s-4990")]
     assert table.maintenance.apply(listed).entry.mode is EndpointState.DRAINING
 
 
 def test_an_endpoint_is_read_with_its_own_text_and_one_that_is_known_is_kept():
-    """Whatever else stands in an object is left alone, and a wrong endpoint is told as ever."""
+    """Whatever else stands in an object is left alone, and a malformed endpoint raises as ever."""
     table = table_at_0_s()
-    send(table, endpoints(["s-a", "s-b"]), EndpointListKind.FULL)
+    receive(table, endpoints(["s-a", "s-b"]), EndpointListKind.FULL)
     kept = dict(table.endpoints)
     odd = {"note": {"name": "s-z", "status": "no such"}}
     whole = full_list(7, *endpoints(["s-a", "s-c"]))
@@ -271,7 +269,7 @@
     assert table.endpoints.keys() == {endpoint_id("s-a"), endpoint_id("s-c")}
 
 
-def test_the_list_in_the_file_is_told_once_by_a_start_and_read_by_no_reload(tmp_path):
+def test_the_list_in_the_file_is_taken_once_at_the_start_and_read_by_no_reload(tmp_path):
     """As JSON it takes more memory than all that is made of it."""
     table = traffic.configuration(
         Plan(seed=1, gateways=1), 0, "127.0.0.1:1", "127.0.0.1:2", ["127.0.0.1:3"], 1, {}
@@ -311,7 +309,7 @@
     g, pool = Gateway(COLD, backends=0, now=100 * SECOND), ConnectionPool(dispatcher_at_100_s())
     table = table_at_0_s(pool.update)
     names = [f"s-{k}" for k in range(size)]
-    send(table, endpoints(names), EndpointListKind.FULL)
+    receive(table, endpoints(names), EndpointListKind.FULL)
     known = [b for b, _ in pool.listed.values()]
     g.list(known)
     for s in known[:6]:
@@ -326,9 +324,9 @@
     return {
         "tick": steps_of(g.tick),
         "change": steps_of(change),
-        "change told": steps_of(lambda: send(table, endpoints(["s-9"], "Terminating"))),
-        "room": steps_of(pool.close_oldest_idle),
-        "tending": steps_of(pool.close_expired),
+        "change received": steps_of(lambda: receive(table, endpoints(["s-9"], "Terminating"))),
+        "capacity": steps_of(pool.close_oldest_idle),
+        "expiry": steps_of(pool.close_expired),
     }
 
 
--- a/tests/test_repeats.py
+++ b/tests/test_retries.py
@@ -1,4 +1,4 @@
-"""What may go out again, by the effect of its class and the outcome before: as a table, and on sockets."""
+"""What may be retried, by the effect of its class and the outcome before: in decisions, and on sockets."""
 
 from __future__ import annotations
 
@@ -15,52 +15,52 @@
 from zincstile.net.backends.connection import BackendConnection
 from zincstile.net.limits import Limits
 
-LOOK, BOOK, PUT = 0, 1, 2  # safe, unsafe to repeat, keyed: conftest's settings
+SAFE, UNSAFE, KEYED = 0, 1, 2  # safe, unsafe to repeat, keyed: conftest's settings
 NEVER_RAN = {AttemptResult.REJECTED, AttemptResult.CONNECT_FAILED, AttemptResult.NOT_SENT}
-OTHERS = [r for r in AttemptResult if r not in (AttemptResult.OK, AttemptResult.CANCELLED)]
+FAILED_RESULTS = [r for r in AttemptResult if r not in (AttemptResult.OK, AttemptResult.CANCELLED)]
 
 
-@pytest.mark.parametrize("result", OTHERS, ids=lambda r: r.name)
-@pytest.mark.parametrize("cls", [LOOK, BOOK, PUT])
-def test_the_table_of_repeats(gateway, cls, result):
+@pytest.mark.parametrize("result", FAILED_RESULTS, ids=lambda r: r.name)
+@pytest.mark.parametrize("cls", [SAFE, UNSAFE, KEYED])
+def test_what_is_retried_by_class_and_result(gateway, cls, result):
     """Safe: always. Keyed: inside its window. Unsafe: only what surely never ran. What goes out no more is
     refused where nothing has run, or nothing that matters, and fails else."""
-    g = gateway()
-    number, actions = g.ask(cls)
+    harness = gateway()
+    number, actions = harness.ask(cls)
     first = only(actions, ForwardRequest)[0].backend
-    actions = g.outcome(number, 0, first, result)
+    actions = harness.outcome(number, 0, first, result)
     sent, failed = only(actions, ForwardRequest), only(actions, FailRequest)
-    assert len(sent) == (cls in (LOOK, PUT) or result in NEVER_RAN)
+    assert len(sent) == (cls in (SAFE, KEYED) or result in NEVER_RAN)
     assert [s.backend for s in sent if s.backend == first] == []
     assert len(failed) == (not sent) and not only(actions, RejectRequest)
-    if sent and cls == PUT and result not in NEVER_RAN:
-        assert sent[0].by_ns == g.now - 10 * MS + 500 * MS  # its window, from when the first was sent
+    if sent and cls == KEYED and result not in NEVER_RAN:
+        assert sent[0].by_ns == harness.now - 10 * MS + 500 * MS  # its window, from when the first was sent
 
 
-@pytest.mark.parametrize("result", OTHERS, ids=lambda r: r.name)
-@pytest.mark.parametrize(("cls", "age"), [(PUT, 499 * MS), (PUT, 500 * MS), (LOOK, 500 * MS)])
-def test_a_keyed_repeat_is_decided_on_inside_its_window_only(gateway, cls, age, result):
-    g = gateway({"plans": [CustomerPlan("only", rate=1000.0, burst=2000.0)]})
-    number, actions = g.ask(cls, life=3 * SECOND)
-    actions = g.outcome(number, 0, only(actions, ForwardRequest)[0].backend, result, after=age)
-    again = cls == LOOK or result in NEVER_RAN or age < 500 * MS
+@pytest.mark.parametrize("result", FAILED_RESULTS, ids=lambda r: r.name)
+@pytest.mark.parametrize(("cls", "age"), [(KEYED, 499 * MS), (KEYED, 500 * MS), (SAFE, 500 * MS)])
+def test_a_keyed_request_is_retried_inside_its_window_only(gateway, cls, age, result):
+    harness = gateway({"plans": [CustomerPlan("only", rate=1000.0, burst=2000.0)]})
+    number, actions = harness.ask(cls, life=3 * SECOND)
+    actions = harness.outcome(number, 0, only(actions, ForwardRequest)[0].backend, result, after=age)
+    again = cls == SAFE or result in NEVER_RAN or age < 500 * MS
     assert (len(only(actions, ForwardRequest)), len(only(actions, FailRequest))) == (again, not again)
 
 
-@pytest.mark.parametrize("result", OTHERS, ids=lambda r: r.name)
-def test_a_keyed_repeat_stays_where_repeats_are_dropped(gateway, result):
+@pytest.mark.parametrize("result", FAILED_RESULTS, ids=lambda r: r.name)
+def test_a_keyed_retry_stays_where_duplicates_are_dropped(gateway, result):
     """Its group is its zone; where none of that is left, it goes nowhere once it may have run."""
-    g = gateway(backends=0)
-    g.list([backend(1, zone=0), backend(2, zone=1)])
-    number, actions = g.ask(PUT)
-    actions = g.outcome(number, 0, only(actions, ForwardRequest)[0].backend, result)
+    harness = gateway(backends=0)
+    harness.list([backend(1, zone=0), backend(2, zone=1)])
+    number, actions = harness.ask(KEYED)
+    actions = harness.outcome(number, 0, only(actions, ForwardRequest)[0].backend, result)
     assert bool(only(actions, ForwardRequest)) == (result in NEVER_RAN)
 
 
-@pytest.mark.parametrize(("cls", "copies"), [(LOOK, 1), (BOOK, 0), (PUT, 1)])
-def test_two_attempts_are_out_only_where_the_class_allows_a_repeat(gateway, cls, copies):
+@pytest.mark.parametrize(("cls", "copies"), [(SAFE, 1), (UNSAFE, 0), (KEYED, 1)])
+def test_a_hedged_request_goes_out_only_where_the_class_allows_a_retry(gateway, cls, copies):
     """The first stays silent: a second copy goes beside it, never of what is unsafe to repeat."""
-    g = gateway(
+    harness = gateway(
         {
             "classes": [
                 RequestClass(
@@ -76,30 +76,30 @@
             ]
         }
     )
-    number, _ = g.ask(cls)
-    sent = [s for _ in range(30) for s in only(g.tick(), ForwardRequest)]
+    number, _ = harness.ask(cls)
+    sent = [s for _ in range(30) for s in only(harness.tick(), ForwardRequest)]
     assert len(sent) == copies and all(s.request == number for s in sent)
 
 
 # ---- on sockets
 
-NEVER, MAYBE = True, False  # whether it surely never ran
-WAYS = {
-    "busy": ("send a1 -BUSY", NEVER),
-    "error": ("send a1 -ERR failed", MAYBE),
-    "ended": ("close a1", MAYBE),
-    "reset": ("reset a1", MAYBE),
-    "half an answer, then ended": (r"send a1 raw *3\r\n$5\r\nhe" + "\nclose a1", MAYBE),
-    "half an answer, then reset": (r"send a1 raw *3\r\n$5\r\nhe" + "\nreset a1", MAYBE),
-    "half an answer and no more": (r"send a1 raw *3\r\n$5\r\nhe", MAYBE),
-    "spoilt": (r"send a1 raw !what\r\n", MAYBE),
+NEVER_RAN_ON_SOCKET, MAY_HAVE_RUN = True, False  # whether it surely never ran
+FAILURES = {
+    "busy": ("send a1 -BUSY", NEVER_RAN_ON_SOCKET),
+    "error": ("send a1 -ERR failed", MAY_HAVE_RUN),
+    "ended": ("close a1", MAY_HAVE_RUN),
+    "reset": ("reset a1", MAY_HAVE_RUN),
+    "half an answer, then ended": (r"send a1 raw *3\r\n$5\r\nhe" + "\nclose a1", MAY_HAVE_RUN),
+    "half an answer, then reset": (r"send a1 raw *3\r\n$5\r\nhe" + "\nreset a1", MAY_HAVE_RUN),
+    "half an answer and no more": (r"send a1 raw *3\r\n$5\r\nhe", MAY_HAVE_RUN),
+    "malformed": (r"send a1 raw !what\r\n", MAY_HAVE_RUN),
 }
 
 
-@pytest.mark.parametrize("way", WAYS)
+@pytest.mark.parametrize("failure", FAILURES)
 @pytest.mark.parametrize("effect", ["look", "put", "book"])
-def test_what_goes_out_again_on_sockets(tmp_path, effect, way):
-    how, never_ran = WAYS[way]
+def test_what_is_retried_on_sockets(tmp_path, effect, failure):
+    script, never_ran = FAILURES[failure]
     world = World(tmp_path, {"limits": {"answer_ns": 100 * MS}})
     try:
         world.play(
@@ -109,7 +109,7 @@
             expect a1 {effect} 1
             send d1 change b=Ready
             wait gw tables=2
-            {how}"""
+            {script}"""
         )
         if effect != "book" or never_ran:
             world.play(f"expect b1 {effect} 1\nsend b1 ok second\nexpect c1 ok second\nwait gw attempts=2")
@@ -120,7 +120,7 @@
 
 
 @pytest.mark.parametrize("effect", ["look", "put", "book"])
-def test_what_met_nobody_goes_elsewhere(tmp_path, effect):
+def test_a_refused_connection_is_retried_elsewhere(tmp_path, effect):
     """Refused, then a server that is there: whatever the class, it never ran."""
     world = World(tmp_path)
     try:
@@ -140,7 +140,7 @@
         world.end()
 
 
-def test_a_short_window_ends_before_a_silent_attempt_is_given_up(tmp_path):
+def test_no_retry_after_a_short_window(tmp_path):
     """The first may have run, and is noticed to have ended only after its window: it is not sent again."""
     classes = [c | {"window_ns": 1} for c in settings()["classes"]]
     world = World(tmp_path, {"settings": {"classes": classes}})
@@ -191,7 +191,7 @@
         (["half"], True, AttemptResult.RESET),
     ],
 )
-def test_what_breaks_before_its_last_byte_is_written_never_ran(events, reused, result):
+def test_an_attempt_that_breaks_before_its_last_byte_is_written_never_ran(events, reused, result):
     """And a connection used before that breaks before a byte of its answer was closed beneath it."""
     owner = Owner()
     connection = BackendConnection(owner, Backend(1, ("", 0), 0, True), None)
--- a/tests/test_turn.py
+++ b/tests/test_turn.py
@@ -22,6 +22,7 @@
 from zincstile.net.backends.pool import ConnectionPool
 from zincstile.net.counters import Counters
 from zincstile.net.deadlines import every
+from zincstile.net.discovery.messages import ListedEndpoint
 from zincstile.net.dispatcher import Dispatcher
 from zincstile.net.limits import Limits
 from zincstile.net.log import Log
@@ -147,7 +148,7 @@
         pool = ConnectionPool(dispatcher)
         probed = settings(report_fields=["inflight", "queue"])
         Attempts(dispatcher, probed, pool, memoryview(bytearray(65536)))
-        pool.update([(backend(5), address)], True)
+        pool.update([ListedEndpoint(backend(5), address)], complete=True)
         dispatcher.post(Started())
         while not module.probed:
             await asyncio.sleep(0)
@@ -214,7 +215,7 @@
         dispatcher = Dispatcher(asyncio.get_running_loop(), module, Limits(), Counters(), Log("n0"))
         pool = ConnectionPool(dispatcher)
         attempts = Attempts(dispatcher, settings(), pool, memoryview(bytearray(65536)))
-        pool.update([(backend(5), ("127.0.0.1", 1))], True)
+        pool.update([ListedEndpoint(backend(5), ("127.0.0.1", 1))], complete=True)
         session = Session(1, Call(True, b"c", b"id", [b"d=1"], 0, None), Client(), 10**18)
         dispatcher.sessions[1] = session
         session.attempts = 1
--- /dev/null
+++ b/tests/test_unanswered_attempts.py
@@ -0,0 +1,114 @@
+"""Attempts without an answer though backends are well: idle connections, no time left, overload signal."""
+
+from conftest import MS, SECOND, Gateway, only
+
+from zincstile.decisions.messages import AttemptResult, CloseIdleConnections, ForwardRequest, RejectRequest
+
+
+def request_after_pause(harness, result, latency=50 * MS):
+    """One request after a pause of three seconds; whether its backend's connections were closed before."""
+    request, actions = harness.ask(cls=1, after=3 * SECOND)
+    kinds = [type(a) for a in actions if isinstance(a, CloseIdleConnections | ForwardRequest)]
+    harness.outcome(request, 0, only(actions, ForwardRequest)[0].backend, result, after=0, latency=latency)
+    assert kinds in ([ForwardRequest], [CloseIdleConnections, ForwardRequest])
+    return kinds[0] is CloseIdleConnections
+
+
+def test_idle_connections_are_closed_where_reused_ones_stay_without_an_answer():
+    harness = Gateway(backends=1)
+    assert request_after_pause(harness, AttemptResult.OK)  # the first is new in any case
+    assert not request_after_pause(harness, AttemptResult.OK)
+    assert not request_after_pause(harness, AttemptResult.TIMEOUT, SECOND)  # a path forgot it
+    assert [request_after_pause(harness, AttemptResult.OK) for _ in range(4)] == [True] * 4
+    for _ in range(10):
+        harness.tick(after=10 * SECOND)
+    assert not request_after_pause(harness, AttemptResult.OK)  # it does not latch
+
+
+def test_idle_connections_are_kept_where_new_ones_fail():
+    harness = Gateway(backends=1)
+    request_after_pause(harness, AttemptResult.OK)
+    for _ in range(3):
+        harness.policy.broken = [0.3, 0.5, 0.0]
+        assert not request_after_pause(harness, AttemptResult.OK)
+    harness = Gateway(backends=40)
+    for _ in range(12):  # nothing but new connections, and all fail
+        request_after_pause(harness, AttemptResult.CONNECT_FAILED)
+    assert harness.policy.broken[1] > 0.5 and harness.policy.broken[0] == 0.0
+
+
+def test_a_connection_in_use_is_not_closed():
+    harness = Gateway(backends=1)
+    request_after_pause(harness, AttemptResult.OK)
+    harness.policy.broken = [0.9, 0.0, 0.0]
+    assert not only(harness.ask(after=300 * MS)[1], CloseIdleConnections)
+
+
+def test_no_retry_once_the_time_is_up():
+    harness = Gateway(backends=4)  # class 0 earns nothing after its aim of 1 s
+    request, actions = harness.ask(cls=0)
+    first = only(actions, ForwardRequest)[0]
+    actions = harness.outcome(
+        request, 0, first.backend, AttemptResult.TIMEOUT, after=first.until_ns - harness.now
+    )
+    assert not only(actions, ForwardRequest) and [a.request for a in only(actions, RejectRequest)] == [
+        request
+    ]
+    request, actions = harness.ask(cls=0)
+    actions = harness.outcome(
+        request, 0, only(actions, ForwardRequest)[0].backend, AttemptResult.RESET, after=300 * MS
+    )
+    assert [a.until_ns for a in only(actions, ForwardRequest)] == [harness.now + 700 * MS]
+
+
+def play_requests(harness, count=12, latency=50 * MS, silent=0):
+    """A stretch of requests, the last few of which nobody answers."""
+    for index in range(count):
+        request, actions = harness.ask(cls=1, after=20 * MS)
+        for send in only(actions, ForwardRequest):
+            result = AttemptResult.TIMEOUT if index >= count - silent else AttemptResult.OK
+            took = SECOND if index >= count - silent else latency
+            harness.outcome(request, 0, send.backend, result, after=0, latency=took)
+    harness.tick(after=0)
+
+
+def test_timeouts_beside_fast_answers_are_no_overload_signal():
+    harness = Gateway(backends=12)
+    for _ in range(20):
+        play_requests(harness)
+    for _ in range(10):  # now a quarter gets no answer, anywhere
+        play_requests(harness, silent=3)
+    assert harness.policy.strain < 1 and harness.policy.level == float("inf")
+
+
+def test_timeouts_beside_late_answers_and_timeouts_alone_are_an_overload_signal():
+    for latency, silent in ((700 * MS, 3), (50 * MS, 11)):
+        harness = Gateway(backends=12)
+        for _ in range(20):
+            play_requests(harness)
+        for _ in range(10):
+            play_requests(harness, latency=latency, silent=silent)
+        assert harness.policy.strain > 1 and harness.policy.level < float("inf")
+
+
+def test_a_few_attempts_above_the_limit_do_not_reject_all():
+    harness = Gateway({"gateways": 200}, backends=8)
+    policy = harness.policy
+    policy.level, policy.strain = 0.25, 0.9  # an even part of the level: two units out
+    for leaf in policy.leaves[:2]:
+        leaf.arrivals = 1.5
+    policy.out, policy.done_rate = 3.0, 2.0
+    harness.tick()
+    assert policy.leaves[1].rate > 0.5  # the best group; 2 a second may go, as many as were done
+
+
+def test_the_budget_does_not_sink_with_the_rate_of_answers():
+    rates = []
+    for part in (1.0, 0.5):  # half as much sent, half as much out and done: the same time in the back end
+        harness = Gateway({"gateways": 200}, backends=8)
+        policy = harness.policy
+        policy.level, policy.strain, policy.leaves[1].arrivals = 0.25, 0.9, 60.0
+        policy.out, policy.done_rate = 1.0 * part, 10.0 * part
+        harness.tick()
+        rates.append(policy.leaves[1].rate)
+    assert 0 < rates[0] < 1 and rates[1] > 0.9 * rates[0]
--- a/tests/test_lists.py
+++ b/tests/test_watch.py
@@ -1,4 +1,4 @@
-"""Lists and watches, cut, odd or in pieces, on real sockets; docs/crossings.md tells the rows."""
+"""Endpoint lists and watches, cut, malformed or in pieces, on real sockets: rows of docs/crossings.md."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from zincstile.net.limits import MS, Limits
 from zincstile.net.log import Log
 
-NEVER = 10**12
+NEVER_NS = 10**12
 
 
 def chunk(text):
@@ -51,7 +51,7 @@
         world.end()
 
 
-def test_a_whole_list_of_32000_endpoints_in_one_line_is_taken(tmp_path):
+def test_a_complete_list_of_32000_endpoints_in_one_line_is_taken(tmp_path):
     """4.6 MB, as discovery writes them: more than the 4 MiB that a line could have at any memory before."""
     entries = [
         {
@@ -99,7 +99,7 @@
 
 
 @pytest.mark.parametrize(
-    "odd",
+    "malformed",
     [
         "[1, 2]",
         "}",
@@ -110,12 +110,12 @@
     ],
     ids=["array", "closed twice", "infinite", "nonsense", "tail", "deep"],
 )
-def test_a_line_that_is_no_list_costs_the_watch_alone(tmp_path, odd):
+def test_a_malformed_line_ends_the_watch_alone(tmp_path, malformed):
     play(
         tmp_path,
         READY
         + f"""
-        send d1 say {odd}
+        send d1 say {malformed}
         expect d1 end
         send d2 full b=Ready
         send c1 look 1
@@ -127,7 +127,7 @@
 
 # ---- silence
 
-SILENT = {"table_silence_ns": 200 * MS, "table_answer_ns": 200 * MS}
+SHORT_SILENCE = {"table_silence_ns": 200 * MS, "table_answer_ns": 200 * MS}
 
 
 class Clock:
@@ -141,7 +141,7 @@
         return self.at
 
 
-async def told(sock, entries, index, first=True):
+async def send_list(sock, entries, index, first=True):
     loop = asyncio.get_running_loop()
     body = json.dumps({"index": index, "snapshot": first, "endpoints": entries}) + "\n"
     head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" if first else ""
@@ -158,12 +158,12 @@
             loop, SimpleNamespace(handle=lambda now, event: []), limits, Counters(), Log("n0"), clock
         )
         reader = EndpointReader(["z"], ["k"], clock)
-        table = EndpointTable(dispatcher, reader, lambda endpoints, complete: None)
+        table = EndpointTable(dispatcher, reader, lambda endpoints, *, complete: None)
         watcher = EndpointWatcher(dispatcher, table, listening.getsockname(), lambda: None, random.Random(1))
         watcher.open()
         first, _ = await loop.sock_accept(listening)
         ready = {"name": "s-a", "address": "127.0.0.1:1", "status": "Ready"}
-        await told(first, [ready], 1)
+        await send_list(first, [ready], 1)
         while not watcher.has_received:
             await asyncio.sleep(0)
         clock.at += limits.table_silence_ns
@@ -181,7 +181,7 @@
         dispatcher.wake()
         while not dialled:
             await asyncio.sleep(0)
-        await told(second, [ready | {"status": "Terminating"}], 2)
+        await send_list(second, [ready | {"status": "Terminating"}], 2)
         while table.version < 2:
             await asyncio.sleep(0)
         first.close()
@@ -193,7 +193,7 @@
         assert asyncio.run(asyncio.wait_for(play(listening), PATIENCE)) == 2
 
 
-def test_the_old_address_is_heard_while_the_new_one_is_down(tmp_path):
+def test_the_old_address_is_read_while_the_new_one_is_down(tmp_path):
     """Discovery is moved to where nobody listens yet: the old watch stands until the new one has spoken."""
     play(
         tmp_path,
@@ -209,7 +209,7 @@
     )
 
 
-def test_an_older_watch_that_speaks_after_it_was_silent_is_heard_until_the_new_one_has(tmp_path):
+def test_a_silent_watch_that_goes_on_is_read_until_the_new_one_is_answered(tmp_path):
     play(
         tmp_path,
         """
@@ -223,11 +223,11 @@
         expect d1 end
         send c1 look 1
         expect a1 look 1""",
-        limits=SILENT | {"table_answer_ns": NEVER},
+        limits=SHORT_SILENCE | {"table_answer_ns": NEVER_NS},
     )
 
 
-def test_a_silent_watch_is_followed_by_one_that_is_told_what_was_missed(tmp_path):
+def test_a_silent_watch_is_followed_by_one_that_gets_what_was_missed(tmp_path):
     """Silence right after the head, before any list: the next call gets it. Never two that both count."""
     play(
         tmp_path,
@@ -241,11 +241,11 @@
         expect a1 look 1
         send a1 ok hello
         expect c1 ok hello""",
-        limits=SILENT | {"table_silence_ns": NEVER},
+        limits=SHORT_SILENCE | {"table_silence_ns": NEVER_NS},
     )
 
 
-def test_a_reload_while_the_old_list_is_silent_moves_on_and_the_old_one_is_not_heard_after(tmp_path):
+def test_a_reload_beside_a_silent_watch_moves_on_and_the_old_one_is_not_read_after(tmp_path):
     play(
         tmp_path,
         """
@@ -260,7 +260,7 @@
         expect d2 end
         send c1 look 1
         expect b1 look 1""",
-        limits=SILENT | {"table_answer_ns": NEVER},
+        limits=SHORT_SILENCE | {"table_answer_ns": NEVER_NS},
     )
 
 
@@ -340,13 +340,14 @@
     )
 
 
-def test_what_waits_at_servers_that_drain_together_goes_straight_to_one_that_is_ready(tmp_path):
+def test_what_waits_at_backends_that_drain_together_goes_straight_to_a_ready_one(tmp_path):
     """Told in the first line after a reset of the watch, while attempts wait for connections: what comes next
     is decided on by the new list, not on the old one and refused at the next that drains. So few, alone and
     with so much time that none is refused or seconded for its wait, however long the clients take to ask."""
-    count, classes = 24, [c | {"aim_ns": NEVER, "deadline_ns": NEVER} for c in settings()["classes"]]
+    count, classes = 24, [c | {"aim_ns": NEVER_NS, "deadline_ns": NEVER_NS} for c in settings()["classes"]]
     world = World(
-        tmp_path, {"settings": {"limits": {"connect_timeout_ns": NEVER}, "classes": classes, "balancers": 1}}
+        tmp_path,
+        {"settings": {"limits": {"connect_timeout_ns": NEVER_NS}, "classes": classes, "balancers": 1}},
     )
     try:
         world.play(
--- a/tests/test_endpoint_table.py
+++ b/tests/test_watch_backoff.py
@@ -1,4 +1,4 @@
-"""When a fleet asks discovery: at moments drawn apart, for what changed, as often as one service can bear."""
+"""When a fleet opens watches of discovery: at drawn moments, for what changed, as often as it can bear."""
 
 from types import SimpleNamespace
 
@@ -8,17 +8,17 @@
 from zincstile.net.discovery.watch import Watch, WatchFailure
 from zincstile.net.limits import MS, SECOND, Limits
 
-WITHIN = 10 * SECOND
+ASK_WITHIN_NS = 10 * SECOND
 KNOWN = full_list(41, endpoint("s-1"))
 
 
-def limits(gateways, ask_within_ns=WITHIN):
+def limits(gateways, ask_within_ns=ASK_WITHIN_NS):
     return Limits.for_gateway(384, 80, 100, 1, 1, 3 * SECOND, {}, gateways, ask_within_ns)
 
 
-def watcher_of(number, lim):
+def watcher_of(number, limits_):
     """The watcher of one gateway of a fleet; the watches that it would open are noted instead."""
-    dispatcher = stub_dispatcher(limits=lim)
+    dispatcher = stub_dispatcher(limits=limits_)
     return endpoint_watcher(dispatcher, endpoint_table(dispatcher), seed=number)
 
 
@@ -33,20 +33,20 @@
 
 
 @pytest.mark.parametrize("gateways", [3, 10, 40])
-def test_lost_watches_are_asked_for_apart_and_no_more_often_than_the_fleet_can_be_served(gateways):
-    fleet = [backoffs_ns(watcher_of(n, limits(gateways)), 12) for n in range(gateways)]
-    first = [w[0] for w in fleet]
+def test_lost_watches_are_opened_again_apart_and_no_more_often_than_the_fleet_can_be_served(gateways):
+    fleet = [backoffs_ns(watcher_of(number, limits(gateways)), 12) for number in range(gateways)]
+    first = [waited[0] for waited in fleet]
     assert len(set(first)) == gateways and max(first) <= gateways * 50 * MS
     in_step = [sum(abs(a - b) <= 10 * MS for b in first) for a in first]
     assert max(in_step) <= 1 + gateways / 4
-    late = [w[-1] for w in fleet]
-    assert max(late) <= max(WITHIN, SECOND)  # else lists count as told that nobody asked for
+    late = [waited[-1] for waited in fleet]
+    assert max(late) <= max(ASK_WITHIN_NS, SECOND)  # else lists count as told that nobody asked for
     if gateways == 40:
         assert gateways * SECOND / (sum(late) / gateways) < 12  # asks a second by all of them
 
 
 def test_where_discovery_is_pushed_by_an_agent_a_lost_watch_is_opened_again_soon():
-    asked = [w for n in range(40) for w in backoffs_ns(watcher_of(n, limits(40, 0)), 12)]
+    asked = [waited for number in range(40) for waited in backoffs_ns(watcher_of(number, limits(40, 0)), 12)]
     assert max(asked) <= SECOND and limits(40, 0).table_answer_ns == 800 * MS
 
 
--- a/zincstile/net/backends/pool.py
+++ b/zincstile/net/backends/pool.py
@@ -37,7 +37,7 @@
 
     # ---- listed backends
 
-    def update(self, endpoints: list[ListedEndpoint], complete: bool) -> None:
+    def update(self, endpoints: list[ListedEndpoint], *, complete: bool) -> None:
         """Takes over an endpoint list (`complete`), or a change of it."""
         if complete:
             received = {entry.id for entry, _ in endpoints}
--- a/zincstile/net/discovery/table.py
+++ b/zincstile/net/discovery/table.py
@@ -2,9 +2,8 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
 from dataclasses import replace
-from typing import Any, Final
+from typing import Any, Final, Protocol
 
 from ...decisions.messages import EndpointEntry, EndpointList, EndpointListKind, EndpointState
 from ..dispatcher import Dispatcher
@@ -18,6 +17,14 @@
 NS_PER_S: Final = 1e9
 
 
+class UpdateEndpoints(Protocol):
+    """Takes over a list (`complete`), or a change of it: `ConnectionPool.update`."""
+
+    def __call__(self, endpoints: list[ListedEndpoint], *, complete: bool) -> None:
+        """Called in the order in which lists come."""
+        ...
+
+
 class EndpointTable:
     """Holds the last list of discovery, and passes every change of it on."""
 
@@ -25,9 +32,9 @@
         self,
         dispatcher: Dispatcher,
         reader: EndpointReader,
-        update: Callable[[list[ListedEndpoint], bool], None],
+        update: UpdateEndpoints,
     ) -> None:
-        """`update` gets each list (true) or change (false), after the decisions have."""
+        """`update` gets each list or change after the decisions have."""
         self.dispatcher = dispatcher
         self.reader = reader
         self.update = update
@@ -139,7 +146,7 @@
         # The decisions first: what the pool withdraws by the same change is then decided on by the new list,
         # and not sent to the next backend that the change takes out.
         self.dispatcher.post(EndpointList(kind, version, [entry for entry, _ in endpoints]))
-        self.update(endpoints, kind is not EndpointListKind.DELTA)
+        self.update(endpoints, complete=kind is not EndpointListKind.DELTA)
 
     # ---- what operators order
 
