--- a/tests/test_quota_service_client.py
+++ b/tests/test_quota_service_client.py
@@ -184,10 +184,12 @@
 
 
 def test_interim_answers_are_passed_over():
-    answers = http.Answers(Limits())
+    answers = http.PipelinedResponses(Limits())
     data = (
         b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n7"
         b"HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n1.5"
     )
     complete = [answer for at in range(len(data)) for answer in answers.feed(data[at : at + 1])]
-    assert complete == http.Answers(Limits()).feed(data) == [(200, b"7"), (503, b""), (200, b"1.5")]
+    assert (
+        complete == http.PipelinedResponses(Limits()).feed(data) == [(200, b"7"), (503, b""), (200, b"1.5")]
+    )
--- a/zincstile/net/backends/connection.py
+++ b/zincstile/net/backends/connection.py
@@ -185,7 +185,7 @@
             owner.streams.push(self, data)
             return
         if not self._form_known and attempt is not None and attempt.session is not None:
-            kept = parser.kept()
+            kept = parser.incomplete()
             limits = owner.dispatcher.limits
             head = resp.stream_head(kept[:HEAD_BYTES] + data[:HEAD_BYTES], limits.stream_bytes)
             self._form_known = head is None
--- a/zincstile/net/clients/answer_queue.py
+++ b/zincstile/net/clients/answer_queue.py
@@ -14,6 +14,7 @@
     __slots__ = ("pending", "truncated", "_ready")
 
     def __init__(self) -> None:
+        """Nothing is owed yet."""
         # In the order of the commands: sessions, and answers that needed no session
         self.pending: deque[Session | bytes] = deque()
         self.truncated = False  # the stream at the head can't be completed: nothing can follow it
--- a/zincstile/net/clients/connection.py
+++ b/zincstile/net/clients/connection.py
@@ -89,6 +89,7 @@
     )
 
     def __init__(self, listener: Listener) -> None:
+        """`listener`: the one that accepted it."""
         self.listener = listener
         self.dispatcher = listener.dispatcher
         self.counters = listener.counters
--- a/zincstile/net/counters.py
+++ b/zincstile/net/counters.py
@@ -76,6 +76,7 @@
     )
 
     def __init__(self) -> None:
+        """All are 0."""
         for name in self.__slots__:
             setattr(self, name, 0)
 
--- a/zincstile/net/deadlines.py
+++ b/zincstile/net/deadlines.py
@@ -16,10 +16,12 @@
     __slots__ = ("_items", "_number")
 
     def __init__(self) -> None:
+        """There are none."""
         self._items: list[DueDeadline] = []
         self._number = 0
 
     def __len__(self) -> int:
+        """How many are not due yet."""
         return len(self._items)
 
     def add(self, at_ns: int, callback: Callable[[Any], None], argument: Any = None) -> DeadlineKey:
--- a/zincstile/net/dispatcher.py
+++ b/zincstile/net/dispatcher.py
@@ -59,6 +59,7 @@
         log: Log,
         host: Host = HOST,
     ) -> None:
+        """`host`: the clocks, and what the connections ask of the machine."""
         self.loop = loop
         self.policy = policy
         self.limits = limits
--- a/zincstile/net/invariants.py
+++ b/zincstile/net/invariants.py
@@ -39,6 +39,7 @@
     __slots__ = ("_counters", "_log", "_trace", "observer")
 
     def __init__(self, counters: Counters, log: Log, trace: Trace) -> None:
+        """What is violated goes to all three."""
         self._counters = counters
         self._log = log
         self._trace = trace
--- a/zincstile/net/quota_service.py
+++ b/zincstile/net/quota_service.py
@@ -60,7 +60,7 @@
         self.transport: asyncio.Transport | None = None
         self.calls: deque[PendingCall] = deque()  # written and not answered, in their order
         self.idle_since_ns = 0
-        self._answers = http.Answers(client.dispatcher.limits)
+        self._answers = http.PipelinedResponses(client.dispatcher.limits)
 
     @property
     def usable(self) -> bool:
--- a/zincstile/net/trace.py
+++ b/zincstile/net/trace.py
@@ -43,10 +43,12 @@
     __slots__ = ("_ring",)
 
     def __init__(self, entries: int = RING_ENTRIES) -> None:
+        """`entries`: the most that it holds."""
         # Plain tuples with the fields of an Entry: an Entry is made only when it is described.
         self._ring: deque[tuple[int, Step, bytes | str | int, object]] = deque(maxlen=entries)
 
     def __len__(self) -> int:
+        """How many entries it holds."""
         return len(self._ring)
 
     def note(self, at_ns: int, step: Step, subject: bytes | str | int, detail: object = "") -> None:
--- a/zincstile/net/value_stream.py
+++ b/zincstile/net/value_stream.py
@@ -37,6 +37,7 @@
     __slots__ = ("_pieces", "pending_bytes", "complete", "truncated", "_source", "sink")
 
     def __init__(self, source: StreamSource) -> None:
+        """`source`: where the pieces come from."""
         self._pieces: list[bytes] = []
         self.pending_bytes = 0  # pushed and not yet taken
         self.complete = False
