--- a/tests/test_quota_service.py
+++ b/tests/test_quota_service.py
@@ -128,14 +128,14 @@
     for call in setup.accounts[0].calls():
         call.on_answer(setup.now, setup.add(call))
     setup.answer(0)  # there is no retry
-    assert setup.account(0).in_hand <= setup.account(0).max_in_hand + 1e-6
-    assert setup.leased() == pytest.approx(setup.account(0).in_hand)
+    assert setup.account(0).unspent <= setup.account(0).max_unspent + 1e-6
+    assert setup.leased() == pytest.approx(setup.account(0).unspent)
 
 
 def test_a_lease_that_is_not_answered_grants_nothing(setup):
     setup.take(0)
     setup.answer(0, lose=True)
-    assert setup.account(0).in_hand == 0 and not setup.take(0)
+    assert setup.account(0).unspent == 0 and not setup.take(0)
     setup.answer(0)
     assert setup.take(0)  # the next, which is answered, does
 
@@ -317,7 +317,7 @@
 
     def grant_all(accounts, now, request, total):
         request.account.requested = 0.0
-        request.account.in_hand += request.amount
+        request.account.unspent += request.amount
 
     monkeypatch.setattr(Accounts, "_lease_answered", grant_all)
     rules = {
--- a/zincstile/quota_service/account.py
+++ b/zincstile/quota_service/account.py
@@ -35,9 +35,9 @@
     quota: Quota
     gateways: list[int]  # of the customer's set
     max_carry: float  # from one epoch to the next
-    max_in_hand: float
-    in_hand: float = 0.0  # leased and not sent
-    requested: float = 0.0  # in calls on their way
+    max_unspent: float
+    unspent: float = 0.0  # leased and not sent
+    requested: float = 0.0  # in calls in flight
     use_per_s: float = 0.0  # lately
     used_at_ns: int = 0
     fallback: float = 0.0  # token bucket of the even part
@@ -45,7 +45,7 @@
     epochs: dict[int, Epoch] = field(default_factory=dict)  # by number: the current one and the one before
     past_totals: dict[int, float] = field(default_factory=dict)  # of epochs that are over
     opening_epoch: int = -1  # the epoch whose opening was worked out last, or is being worked out
-    pending_reads: int = 0  # calls on their way for that
+    pending_reads: int = 0  # calls in flight for that
 
     def note_use(self, now: int, units: float) -> None:
         """Adds an attempt to the recent use."""
--- a/zincstile/quota_service/accounts.py
+++ b/zincstile/quota_service/accounts.py
@@ -2,9 +2,9 @@
 
 For each customer and epoch the service holds one counter, the units leased in it. What may be leased by a
 time `s` into an epoch is `part x (opening + rate x s)`. An answer gives the total after the call; what of the
-call lies within the allowance is granted, and the rest is taken off again. The total is never less than what
-was granted: a call that is not answered grants nothing, and what is taken off again is taken off once. So the
-grants of all gateways never add up to more than the allowance.
+call lies within the allowance is granted, and the remainder is taken off again. The total is never less than
+what was granted: a call that is not answered grants nothing, and what is taken off again is taken off once.
+So the grants of all gateways never add up to more than the allowance.
 """
 
 from __future__ import annotations
@@ -39,7 +39,7 @@
 
 @dataclass(slots=True)
 class LeaseRequest:
-    """A call on its way that asks for `amount` units of a customer's epoch."""
+    """A call in flight that asks for `amount` units of a customer's epoch."""
 
     account: Account
     epoch_number: int
@@ -59,21 +59,21 @@
         self._opening_levels = OpeningLevels(settings, detector, self._make_call, self._service_forgot)
         self._calls: list[CounterCall] = []
         self._granted: dict[int, int] = {}  # customers that got a lease since the last calls, and its epoch
-        self._limits: dict[Quota, tuple[float, float]] = {}  # most carried over and most in hand
+        self._limits: dict[Quota, tuple[float, float]] = {}  # max_carry and max_unspent
 
     def account(self, key: int, quota: Quota, gateways: list[int], now: int) -> Account:
         """A customer's account, made where there is none."""
         found = self.accounts.get(key)
         if found is None:
-            max_carry, max_in_hand = self._limits_of(quota)
-            found = Account(key, quota, gateways, max_carry, max_in_hand, used_at_ns=now)
+            max_carry, max_unspent = self._limits_of(quota)
+            found = Account(key, quota, gateways, max_carry, max_unspent, used_at_ns=now)
             self.accounts[key] = found
         return found
 
     def calls(self) -> list[CounterCall]:
         """The calls to make since the last time; attempts that waited for an answer are retried before.
 
-        What was leased for a single attempt and is still in hand is returned.
+        What was leased for a single attempt and is still unspent is returned.
         """
         granted, self._granted = self._granted, {}
         for key, number in granted.items():
@@ -87,14 +87,14 @@
     # ---- attempts
 
     def take(self, now: int, account: Account, units: float, *, waited: bool = False) -> bool:
-        """Takes the units of an attempt: True where they are in hand. Asks for more ahead of need.
+        """Takes the units of an attempt: True where they are leased. Asks for more ahead of need.
 
         `waited`: it has asked before, and its use is counted.
         """
         if not waited:
             account.note_use(now, units)
-        if account.in_hand + NEGLIGIBLE_UNITS >= units:
-            account.in_hand -= units
+        if account.unspent + NEGLIGIBLE_UNITS >= units:
+            account.unspent -= units
             self._lease_ahead(now, account, 0.0)
             return True
         if self._take_fallback(now, account, units):
@@ -103,12 +103,12 @@
         return False
 
     def waits_for_answer(self, account: Account) -> bool:
-        """Whether a call is on its way that may bring what is lacking: the attempt may be deferred."""
+        """Whether a call is in flight that may bring what is lacking: the attempt may be deferred."""
         return account.requested > NEGLIGIBLE_UNITS or account.pending_reads > 0
 
     def give_back(self, account: Account, units: float) -> None:
-        """Puts units back in hand that were taken and never sent."""
-        account.in_hand += units
+        """Takes units back that were taken for an attempt and never sent."""
+        account.unspent += units
 
     def _take_fallback(self, now: int, account: Account, units: float) -> bool:
         """Takes from the even part, where no service is trusted and no peer counts on this gateway."""
@@ -152,9 +152,9 @@
         if account.pending_reads:
             return
         epoch.service_part = min(epoch.service_part, detector.service_part(now, account.gateways))
-        wanted = min(account.use_per_s * self.settings.lease_cover_ns / SECOND_NS, account.max_in_hand)
-        amount = max(shortfall, wanted) - account.in_hand
-        if amount <= NEGLIGIBLE_UNITS or account.in_hand > wanted / 2 and not shortfall:
+        wanted = min(account.use_per_s * self.settings.lease_cover_ns / SECOND_NS, account.max_unspent)
+        amount = max(shortfall, wanted) - account.unspent
+        if amount <= NEGLIGIBLE_UNITS or account.unspent > wanted / 2 and not shortfall:
             return
         self._request(LeaseRequest(account, number, amount, now))
 
@@ -180,7 +180,7 @@
             self._service_forgot(now)
             return
         granted = self._granted_units(now, request, epoch, total)
-        account.in_hand += granted
+        account.unspent += granted
         self._granted[account.key] = number
         self.counts.granted_units += granted
         refused = amount - granted
@@ -203,10 +203,10 @@
         return min(request.amount, max(0.0, request.amount - beyond))
 
     def _return_excess(self, account: Account, number: int) -> None:
-        """Returns what is in hand beyond the most that may be."""
-        excess = account.in_hand - account.max_in_hand
+        """Returns what is unspent beyond `max_unspent`."""
+        excess = account.unspent - account.max_unspent
         if excess > NEGLIGIBLE_UNITS:
-            account.in_hand -= excess
+            account.unspent -= excess
             # To the counter of the epoch that it was leased in: the total of another one would fall below
             # what was added there, which is the sign of a service that forgot.
             self._return(account, number, account.epochs.get(number), excess)
--- a/zincstile/quota_service/codec.py
+++ b/zincstile/quota_service/codec.py
@@ -20,7 +20,7 @@
 
 
 def pack(message: PeerHeartbeat) -> bytes:
-    """The datagram of a heartbeat whose totals are whole numbers below 2^32."""
+    """The datagram of a heartbeat whose totals are integers below 2^32."""
     header = HEADER.pack(
         FIRST_BYTE,
         message.trusts_service,
--- a/zincstile/quota_service/opening_level.py
+++ b/zincstile/quota_service/opening_level.py
@@ -1,7 +1,7 @@
 """The units with which an epoch opens: what the epochs before gave, less what was leased in them.
 
 A gateway reads the totals of as many past epochs as fill a bucket from nothing. It does so once they stand:
-whatever call of them is on its way then has been given up.
+whatever call of them is in flight then has timed out.
 """
 
 from __future__ import annotations
--- a/zincstile/quota_service/overshoot_bound.py
+++ b/zincstile/quota_service/overshoot_bound.py
@@ -15,7 +15,7 @@
 
 
 def max_lease_units(quota: Quota, settings: QuotaServiceSettings) -> float:
-    """Units that one gateway may keep in hand.
+    """Units that one gateway may hold leased and unspent.
 
     What a single attempt needs beyond that is leased for it alone, and returned at once if it is not sent.
     """
@@ -62,8 +62,8 @@
 def _bounds(quota: Quota, settings: QuotaServiceSettings, carry: float) -> list[Bound]:
     rate = quota.rate
     epoch = rate * settings.epoch_ns / SECOND_NS
-    in_hand = quota.spread * max_lease_units(quota, settings)
-    excess = max(0.0, carry + epoch + in_hand - quota.burst)  # beyond the burst at the end of an idle epoch
+    unspent = quota.spread * max_lease_units(quota, settings)
+    excess = max(0.0, carry + epoch + unspent - quota.burst)  # beyond the burst at the end of an idle epoch
     given_again = carry + epoch  # by the other service, or by the new one
     other_parts = settings.split_parts - 1
     unnoticed = rate * settings.split_detection_ns / SECOND_NS * other_parts
--- a/zincstile/quota_service/peers.py
+++ b/zincstile/quota_service/peers.py
@@ -75,7 +75,7 @@
 
 @dataclass(slots=True)
 class Peer:
-    """What one peer's heartbeats have told."""
+    """The state of one peer, by its heartbeats."""
 
     sent_ns: int  # of its latest heartbeat
     trusts_service: bool
@@ -122,7 +122,7 @@
         )
 
     def on_same_service(self, now: int, peer: int) -> bool:
-        """Whether that peer uses the same service, as far as its last messages tell."""
+        """Whether that peer uses the same service, as far as its last messages show."""
         found = self._peers.get(peer)
         return (
             found is not None
--- a/zincstile/subsetting/fleet.py
+++ b/zincstile/subsetting/fleet.py
@@ -1,4 +1,4 @@
-"""Which gateways share a zone's endpoints, as far as the settings tell, and this one's position there."""
+"""Which gateways share a zone's endpoints, as far as the settings show, and this one's position there."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
         return self.zones[zone] if zone < len(self.zones) else UNNAMED_ZONE
 
     def zone_of(self, gateway: int) -> int:
-        """A gateway's zone by the layout that the settings tell."""
+        """A gateway's zone by the settings' layout."""
         return zone_of(self.settings.layout, gateway, self.gateways, len(self.zones))
 
     def position(self, zone: int) -> FleetPosition:
--- a/zincstile/subsetting/widening.py
+++ b/zincstile/subsetting/widening.py
@@ -59,7 +59,7 @@
         return not self.active and not self._relapses(now)
 
     def _relapses(self, now: int) -> bool:
-        """Whether trouble now would be a relapse."""
+        """Whether widening now would be a relapse."""
         return self.shrunk_at_ns is not None and now - self.shrunk_at_ns < RELAPSE_NS
 
     def _widen(self, now: int, unhealthy: int, max_extra: int, *, at_limit: bool) -> None:
