--- a/tests/test_machine.py
+++ b/tests/test_machine.py
@@ -21,7 +21,9 @@
 from zincstile.testbed.shim_control import Knob, ShimControl
 
 CALLS = 20  # each goes to the one server that takes calls, unless that is out
-QUIET_S = 1.5  # after SIGTERM, how long no call comes until the door shuts: longer than a busy machine sleeps
+QUIET_S = (
+    1.5  # after SIGTERM, how long no call comes until the listener shuts: longer than a busy machine sleeps
+)
 YES, NO = 200, 503
 PATIENT = {
     "table_answer_ns": 60 * SECOND,
@@ -247,7 +249,7 @@
 
 
 def test_a_stop_takes_all_that_wait_in_the_queue_though_accept_fails_for_some(tmp_path):
-    """Both are due in one turn: the door shuts, and twenty have come with their requests."""
+    """Both are due in one turn: the listener shuts, and twenty have come with their requests."""
     with machine(tmp_path / "m", limits={"drain_quiet_ns": int(QUIET_S * SECOND)}) as world:
         world.send("gw", "TERM")
         world.logged("stop *")
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -1,4 +1,4 @@
-"""Backend servers under maintenance: told to the module and the pools as draining, whatever discovery says,
+"""Backend servers under maintenance: passed to the policy and the pools as draining, whatever discovery says,
 until the call back; then cold."""
 
 from __future__ import annotations
@@ -30,8 +30,8 @@
     made.table.maintain("s-a", enter=False)
 
 
-def told(posted, name):
-    """What the module heard last of a name."""
+def last_entry(posted, name):
+    """What the policy received last of a name."""
     number = endpoint_id(name)
     return [b for e in posted if isinstance(e, EndpointList) for b in e.entries if b.id == number][-1]
 
@@ -40,29 +40,32 @@
     made, clock, posted, pools = world()
     made.begin(full_list(1, endpoint("s-a"), endpoint("s-b")))
     assert made.table.maintain("s-a", enter=True)
-    assert told(posted, "s-a").mode is EndpointState.DRAINING and pools[-1] == [
+    assert last_entry(posted, "s-a").mode is EndpointState.DRAINING and pools[-1] == [
         (endpoint_id("s-a"), EndpointState.DRAINING)
     ]
     made.table.take(full_list(2, endpoint("s-a"), endpoint("s-b")), EndpointListKind.FULL)
     assert (
-        told(posted, "s-a").mode is EndpointState.DRAINING and told(posted, "s-b").mode is EndpointState.READY
+        last_entry(posted, "s-a").mode is EndpointState.DRAINING
+        and last_entry(posted, "s-b").mode is EndpointState.READY
     )
     made.table.maintain("s-a", enter=True)  # again: harmless
     clock[0] += 3 * SECOND
     made.table.maintain("s-a", enter=False)
-    back = told(posted, "s-a")
+    back = last_entry(posted, "s-a")
     assert back.mode is EndpointState.READY and back.started_ns == clock[0]  # cold: restarted while out
 
 
 def test_what_discovery_says_of_a_later_start_holds_after_the_call_back():
     made, clock, posted, _ = world()
     out_and_back(made, clock)
-    reborn = told(posted, "s-a").started_ns
+    reborn = last_entry(posted, "s-a").started_ns
     made.table.take(change(2, endpoint("s-a")), EndpointListKind.DELTA)
-    assert told(posted, "s-a").started_ns == reborn  # the old start that discovery still lists is not trusted
+    assert (
+        last_entry(posted, "s-a").started_ns == reborn
+    )  # the old start that discovery still lists is not trusted
     clock[0] = 201 * SECOND
     made.table.take(change(3, endpoint("s-a", since_ms=200_000)), EndpointListKind.DELTA)
-    assert told(posted, "s-a").started_ns == 200_000 * 1_000_000 + made.table.reader.clock.offset_ns
+    assert last_entry(posted, "s-a").started_ns == 200_000 * 1_000_000 + made.table.reader.clock.offset_ns
 
 
 def test_a_name_never_listed_is_no_and_a_ban_before_listing_holds_once_listed():
@@ -70,18 +73,18 @@
     made.begin(full_list(1, endpoint("s-a")))
     assert not made.table.maintain("s-z", enter=True)  # as another process of this gateway may have said
     made.table.take(change(2, endpoint("s-z")), EndpointListKind.DELTA)
-    assert told(posted, "s-z").mode is EndpointState.DRAINING
+    assert last_entry(posted, "s-z").mode is EndpointState.DRAINING
 
 
 def test_one_put_back_is_cold_to_a_new_version_too():
     """The new process is told how long ago that was."""
     old, clock, posted, _ = world()
     out_and_back(old, clock)
-    new, new_clock, heard, _ = world()
+    new, new_clock, new_posted, _ = world()
     new_clock[0] = clock[0] + 5 * SECOND
     new.table.restore_returned({name: new_clock[0] - at for name, at in old.table.returned_at_ns().items()})
     new.begin(full_list(1, endpoint("s-a")))
-    assert told(heard, "s-a").started_ns == told(posted, "s-a").started_ns == clock[0]
+    assert last_entry(new_posted, "s-a").started_ns == last_entry(posted, "s-a").started_ns == clock[0]
 
 
 def test_a_ban_holds_when_discovery_moves():
@@ -90,4 +93,4 @@
     made.table.maintain("s-a", enter=True)
     made.move(("10.2.0.9", 8500))
     made.table.take(full_list(1, endpoint("s-a")), EndpointListKind.FULL)
-    assert told(posted, "s-a").mode is EndpointState.DRAINING
+    assert last_entry(posted, "s-a").mode is EndpointState.DRAINING
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -1,5 +1,5 @@
 """The operators' days on loopback with the real program: a new version started beside the old one on an
-inherited listening socket, under load; drain to standby and back; the control door's callers that say
+inherited listening socket, under load; drain to standby and back; the admin endpoint's callers that say
 nothing. Backend server and discovery are stand-ins of this file."""
 
 from __future__ import annotations
@@ -56,7 +56,7 @@
 
 
 class Gateway:
-    """One process of the gateway, on the inherited socket, with a control door of its own."""
+    """One process of the gateway, on the inherited socket, with an admin endpoint of its own."""
 
     def __init__(
         self,
@@ -203,7 +203,7 @@
         old.program.send_signal(signal.SIGTERM)
         assert old.program.wait(5) == 0  # it ends by itself, before any SIGKILL
         assert http(new.control, "GET", "/status") == 200
-        assert http(new.control, "POST", "/maintenance/exit", b"s-a") == 200  # the ban came along
+        assert http(new.control, "POST", "/maintenance/exit", b"s-a") == 200  # the maintenance came along
         time.sleep(1.0)
         clients.stop()
         print(
@@ -310,9 +310,9 @@
             s.sendall(b"GET /status HTTP/1.1\r\n\r\n")
             return s.makefile("rb").read()
 
-    def until(gw: Gateway, banned: bool) -> float:
+    def until(gw: Gateway, under_maintenance: bool) -> float:
         began = time.monotonic()
-        while (b"s-a" in status(gw)) != banned:
+        while (b"s-a" in status(gw)) != under_maintenance:
             assert time.monotonic() - began < 5
         return time.monotonic() - began
 
@@ -459,7 +459,7 @@
         with socket.create_connection(gw.control, timeout=2) as s:
             s.sendall(b"GET /status HTTP/1.1\r\n\r\n")
             text = s.makefile("rb").read()
-        assert b"maintenance" not in text  # the foreign ban is not held
+        assert b"maintenance" not in text  # another gateway's maintenance is not adopted
         client = socket.create_connection(listening.getsockname(), timeout=3)
         client.sendall(request(1))
         assert client.makefile("rb").readline() == b"$2\r\n"  # s-a is used
--- a/zincstile/net/counters.py
+++ b/zincstile/net/counters.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import json
-from typing import Final
+from typing import TYPE_CHECKING, Final
 
 from .host import HOST, Host
 from .reasons import CloseReason, GatewayRejection, RetryReason
@@ -16,6 +16,14 @@
 class Counters:
     """All counters of one process by name, as whole numbers; docs/on-call.md explains each."""
 
+    if TYPE_CHECKING:  # type checkers don't read the names of the slots below
+
+        def __getattr__(self, name: str) -> int:
+            """Returns a counter."""
+
+        def __setattr__(self, name: str, value: int) -> None:
+            """Sets a counter."""
+
     __slots__ = (
         # clients
         "clients",
--- a/zincstile/net/feature_messages.py
+++ b/zincstile/net/feature_messages.py
@@ -26,7 +26,9 @@
     from ..quota_service import codec, module
     from .quota_service import QuotaServiceClient
 
-    client = QuotaServiceClient(dispatcher, config.quota_service_address, read_buffer)
+    address = config.quota_service_address
+    assert address is not None, "config.load takes no quota service without its address"
+    client = QuotaServiceClient(dispatcher, address, read_buffer)
 
     def call(_: int, action: module.KeeperCall) -> None:
         client.call(
--- a/zincstile/net/lifecycle.py
+++ b/zincstile/net/lifecycle.py
@@ -69,8 +69,9 @@
         administration = self._parts.administration
         if administration is not None:
             await self._unless_ended(administration.take_over())
-        if self._config.peer_listen:
-            await retry_while_exhausted(lambda: self._parts.peers.open(self._config.peer_listen))
+        peer_address = self._config.peer_listen
+        if peer_address is not None:
+            await retry_while_exhausted(lambda: self._parts.peers.open(peer_address))
         if not self._shutdown.begun:  # else no client was taken yet, and none is
             await self._serve()
         await self._shutdown.ended
@@ -108,9 +109,9 @@
         dispatcher.post(Started())
         known = self._begin_list()
         await retry_while_exhausted(lambda: parts.listener.listen(config.listen, config.socket_fd))
-        administration = parts.administration
-        if administration is not None:
-            await retry_while_exhausted(lambda: administration.open(config.control))
+        administration, admin_address = parts.administration, config.control
+        if administration is not None and admin_address is not None:
+            await retry_while_exhausted(lambda: administration.open(admin_address))
             administration.watch_files()
         if parts.starter is None and known:
             # Discovery may be down: then the known list must do.
