--- a/tests/test_field.py
+++ b/tests/test_field.py
@@ -18,7 +18,7 @@
 from zincstile.simulation.world import Run
 from zincstile.testbed import places, report, result, sweep
 from zincstile.testbed.fault_proxy import FaultProxy
-from zincstile.virtual.network_faults import CLEAR, Links, Trouble, between
+from zincstile.virtual.network_faults import NO_FAULT, NetworkFaults, PathFault, paths_between
 
 ROOT = Path(__file__).parent.parent
 PLANS = sorted((Path(__file__).parent / "plans" / "field").glob("*.yaml"))
@@ -141,23 +141,28 @@
     assert "r.json: not a result" in field("report", str(tmp_path / "r.json"), "--out", "x").stderr
 
 
-def test_ways_add_up_and_are_taken_away_once():
-    links = Links(random.Random(1))
+def test_path_faults_add_up_and_are_removed_once():
+    faults = NetworkFaults(random.Random(1))
     changed = []
-    links.changed.append(changed.append)
-    off = links.lay(between(["a"], ["b", "a"], "out"), Trouble(loss=0.5, delay_s=0.1))
-    other = links.lay(between(["a"], ["b"]), Trouble(loss=0.5, delay_s=0.2, per_s=2.0))
-    both = links.way("a", "b")
-    assert both.loss == 0.75 and both.delay_s == pytest.approx(0.3) and links.way("b", "a").loss == 0.5
-    off()
-    off()
-    assert links.way("a", "b").loss == 0.5 and links.way("a", "c") is CLEAR
-    passed = sum(bool(links.fates("a", "b", 1.0)) for _ in range(200))
+    faults.on_change.append(changed.append)
+    remove_first = faults.inject(
+        paths_between(["a"], ["b", "a"], "out"), PathFault(loss_ratio=0.5, delay_s=0.1)
+    )
+    remove_second = faults.inject(
+        paths_between(["a"], ["b"]), PathFault(loss_ratio=0.5, delay_s=0.2, datagrams_per_s=2.0)
+    )
+    both = faults.path("a", "b")
+    assert both.loss_ratio == 0.75 and both.delay_s == pytest.approx(0.3)
+    assert faults.path("b", "a").loss_ratio == 0.5
+    remove_first()
+    remove_first()
+    assert faults.path("a", "b").loss_ratio == 0.5 and faults.path("a", "c") is NO_FAULT
+    passed = sum(bool(faults.outcome("a", "b", 1.0)) for _ in range(200))
     assert passed <= 2  # a rate of two a second
-    other()
-    assert links.fates("a", "b", 1.0) == [0.0] and len(changed) == 4
-    with pytest.raises(ValueError, match="shares"):
-        Trouble(loss=1.5)
+    remove_second()
+    assert faults.outcome("a", "b", 1.0) == [0.0] and len(changed) == 4
+    with pytest.raises(ValueError, match="duplicate_ratio must be from 0 to 1"):
+        PathFault(loss_ratio=1.5)
 
 
 def test_addresses_tell_who_speaks_to_whom_and_a_hole_takes_no_connection():
@@ -201,7 +206,7 @@
                 heard.append(transport.gateway)
 
         loop = asyncio.get_running_loop()
-        proxy = FaultProxy(loop, Links(random.Random(1)), "s-01", places.BOX, 0, ["g0"])
+        proxy = FaultProxy(loop, NetworkFaults(random.Random(1)), "s-01", places.BOX, 0, ["g0"])
         server = await proxy.create_server(Emulator)
         host = places.seen(places.DISCOVERY, 0, 0)
         reader, _ = await asyncio.open_connection(host, proxy.port)
--- a/tests/test_quota_service.py
+++ b/tests/test_quota_service.py
@@ -22,13 +22,13 @@
 from zincstile.simulation.trial import Trial
 from zincstile.simulation.world import Run
 from zincstile.simulator import codec as gossip_codec
-from zincstile.virtual.clock import MS, SECOND
+from zincstile.virtual.clock import MS_NS, SECOND_NS
 
 ROOT = Path(__file__).parent.parent
 SETTINGS = QuotaServiceSettings()
 QUOTA = Quota("plus", 10.0, 30.0, 2, 3.0)
-START_NS = 3000 * SECOND
-INTO_EPOCH_NS = 300 * MS  # when the totals of the epochs before stand
+START_NS = 3000 * SECOND_NS
+INTO_EPOCH_NS = 300 * MS_NS  # when the totals of the epochs before stand
 
 
 class Setup:
@@ -65,7 +65,7 @@
             self.detectors[gateway].heartbeat_answered(self.now, 0, None)
 
     def pass_time(self, ms):
-        end = self.now + ms * MS
+        end = self.now + ms * MS_NS
         while self.now < end:
             self.now = min(end, self.now + SETTINGS.heartbeat_interval_ns)
             self.heartbeat()
@@ -143,7 +143,7 @@
 def test_totals_are_never_less_than_what_was_granted(setup):
     for gateway in (0, 1, 0, 1, 1, 0):
         setup.burst(gateway, attempts=9, units=2.0)
-        setup.now += 70 * MS
+        setup.now += 70 * MS_NS
         counts = [accounts.counts for accounts in setup.accounts]
         assert setup.leased() >= sum(c.granted_units - c.returned_units for c in counts) - 1e-6
 
@@ -152,11 +152,11 @@
     setup.lose_service(0)
     assert setup.detectors[0].state is ServiceState.LOST and not setup.take(0)
     begins = setup.detectors[0].fallback_from_ns()
-    setup.now = begins - MS
+    setup.now = begins - MS_NS
     assert not setup.take(0)
     # the other has stopped counting on it before it begins
     assert not setup.detectors[1].peers.on_same_service(setup.now, 0)
-    setup.now = begins + SECOND
+    setup.now = begins + SECOND_NS
     sent = sum(setup.take(0, 0.5) for _ in range(99)) * 0.5
     assert 0 < sent <= QUOTA.rate / 2 * 1.3
 
@@ -164,7 +164,7 @@
 def test_what_was_sent_without_a_service_is_reported_to_it_once(setup):
     detector = setup.detectors[0]
     setup.lose_service(0)
-    setup.now += SETTINGS.fallback_delay_ns + 2 * SECOND
+    setup.now += SETTINGS.fallback_delay_ns + 2 * SECOND_NS
     setup.now -= setup.now % SETTINGS.epoch_ns - INTO_EPOCH_NS
     assert setup.take(0, 2.0)
     due = detector.heartbeat_call(setup.now)
@@ -211,7 +211,7 @@
 @pytest.mark.parametrize(("late_ms", "received"), [(0, True), (149, True), (170, False), (-30, False)])
 def test_a_message_that_took_too_long_is_dropped(late_ms, received):
     detector = FailureDetector(SETTINGS, 0, START_NS)
-    detector.peers.receive(START_NS, PeerHeartbeat(1, START_NS - late_ms * MS, True, 0, ()))
+    detector.peers.receive(START_NS, PeerHeartbeat(1, START_NS - late_ms * MS_NS, True, 0, ()))
     assert detector.peers.on_same_service(START_NS, 1) is received
 
 
@@ -332,8 +332,8 @@
 
 
 def test_messages_survive_packing_and_damaged_ones_are_dropped():
-    last_answer_ns = 1_799_999_999 * SECOND
-    message = PeerHeartbeat(2, 1_800_000_000 * SECOND, True, 60_000_000, (7, 8, 2**32 - 1), last_answer_ns)
+    last_answer_ns = 1_799_999_999 * SECOND_NS
+    message = PeerHeartbeat(2, 1_800_000_000 * SECOND_NS, True, 60_000_000, (7, 8, 2**32 - 1), last_answer_ns)
     data = codec.pack(message)
     assert codec.unpack(2, data) == message and len(data) <= 64
     without = PeerHeartbeat(1, 5, False, -1, ())
--- a/tests/test_quota_service_client.py
+++ b/tests/test_quota_service_client.py
@@ -13,9 +13,9 @@
 from zincstile.net.limits import Limits
 from zincstile.net.log import Log
 from zincstile.net.quota_service import MalformedCallError, QuotaServiceClient
-from zincstile.virtual.clock import MS, SECOND, Scheduler
+from zincstile.virtual.clock import MS_NS, SECOND_NS, Scheduler
 from zincstile.virtual.host import VirtualHost
-from zincstile.virtual.network import Network, Ways
+from zincstile.virtual.network import Network, NetworkSettings
 from zincstile.virtual.process import Process
 
 
@@ -30,8 +30,8 @@
     """One client and one service on a virtual network, and the totals that the client was answered."""
 
     def __init__(self, limits=None, **behaviour):
-        self.scheduler = Scheduler(SECOND)
-        self.network = Network(self.scheduler, random.Random(1), Ways())
+        self.scheduler = Scheduler(SECOND_NS)
+        self.network = Network(self.scheduler, random.Random(1), NetworkSettings())
         self.gateway = Process(self.network, "g", "10.0.0.0")
         self.process = Process(self.network, "k", "10.0.0.1")
         host = VirtualHost(self.gateway, lambda: None)
@@ -47,7 +47,7 @@
         self.run(5)
 
     def run(self, ms):
-        self.scheduler.run(self.scheduler.now_ns + int(ms * MS))
+        self.scheduler.run(self.scheduler.now_ns + int(ms * MS_NS))
 
     def start_service(self, process, **behaviour):
         service = QuotaService(process.loop, **({"call_latency_s": 0.001} | behaviour))
@@ -119,7 +119,7 @@
     if how == "kill":
         environment.process.kill()
     else:
-        environment.network.hush(environment.process.host)
+        environment.network.isolate(environment.process.host)
     environment.call(count=5)
     environment.run(200)
     assert environment.answers == [None] * 10
@@ -130,11 +130,11 @@
 def test_a_stuck_connection_is_closed_and_the_next_call_gets_another(environment):
     environment.call()
     environment.run(60)
-    environment.network.hush(environment.process.host)
+    environment.network.isolate(environment.process.host)
     environment.call()
     environment.run(2000)
     assert not environment.client.connections  # no answer for a second: of no use
-    environment.network.mend(environment.process.host)
+    environment.network.reconnect(environment.process.host)
     environment.call(amount=0.0)
     environment.run(3000)
     environment.call(amount=0.0)
@@ -162,7 +162,7 @@
     environment.run(100)
     assert len(environment.client.connections) == 1
     environment.run(9000)
-    assert not environment.client.connections and environment.gateway.loop.faults == []
+    assert not environment.client.connections and environment.gateway.loop.unhandled_errors == []
 
 
 def test_more_calls_than_may_wait_are_not_made():
--- a/tests/test_virtual.py
+++ b/tests/test_virtual.py
@@ -1,4 +1,4 @@
-"""Virtual time and network: order, what TCP and UDP do to what is sent, and asyncio's manners."""
+"""Virtual time and network: order, what TCP and UDP do to what is sent, and asyncio's behaviour."""
 
 from __future__ import annotations
 
@@ -9,28 +9,30 @@
 import pytest
 
 from zincstile.virtual.base_process import OWN_DESCRIPTORS
-from zincstile.virtual.clock import MS, SECOND, Scheduler, StuckError
-from zincstile.virtual.network import Network, Ways
+from zincstile.virtual.clock import MS_NS, SECOND_NS, Scheduler, StuckError
+from zincstile.virtual.network import Network, NetworkSettings
 from zincstile.virtual.process import Process
 
 
 class Net:
     """A scheduler, a network and two machines."""
 
-    def __init__(self, **ways):
-        self.scheduler = Scheduler(SECOND)
-        self.network = Network(self.scheduler, random.Random(1), Ways(**({"jitter": 0.0} | ways)))
+    def __init__(self, **settings):
+        self.scheduler = Scheduler(SECOND_NS)
+        self.network = Network(
+            self.scheduler, random.Random(1), NetworkSettings(**({"jitter_ratio": 0.0} | settings))
+        )
         self.a, self.b = self.process("a"), self.process("b")
 
     def process(self, name, **more):
         return Process(self.network, name, f"10.0.0.{ord(name[0])}", **more)
 
     def run(self, ms=1000):
-        self.scheduler.run(self.scheduler.now_ns + ms * MS)
+        self.scheduler.run(self.scheduler.now_ns + ms * MS_NS)
 
 
 class Side(asyncio.Protocol):
-    """Keeps what happens to it."""
+    """Records what happens to it."""
 
     def __init__(self, first=b""):
         self.log, self.got, self.first, self.transport = [], b"", first, None
@@ -58,7 +60,7 @@
         self.log.append("room")
 
 
-def joined(net, server=None, client=None):
+def connected(net, server=None, client=None):
     """A connection from a to b that is up; both protocols."""
     server, client = server or Side(), client or Side()
     net.b.loop.create_task(net.b.loop.create_server(lambda: server, net.b.host, 80))
@@ -68,12 +70,12 @@
     return client, server
 
 
-def test_the_same_instant_keeps_the_order_of_asking():
+def test_the_same_instant_keeps_the_order_of_scheduling():
     scheduler, seen = Scheduler(), []
     for name in "abc":
-        scheduler.at(5, seen.append, name)
-    scheduler.at(4, lambda: scheduler.at(5, seen.append, "d"))
-    scheduler.at(5, seen.append, "e").cancel()
+        scheduler.call_at(5, seen.append, name)
+    scheduler.call_at(4, lambda: scheduler.call_at(5, seen.append, "d"))
+    scheduler.call_at(5, seen.append, "e").cancel()
     scheduler.run(10)
     assert seen == ["a", "b", "c", "d"] and scheduler.now_ns == 10
 
@@ -84,7 +86,7 @@
     loop.call_later(0.010, seen.append, "first")
     loop.call_later(0.020, seen.append, "second")
     net.b.loop.call_later(0.015, seen.append, "other")
-    net.a.pause(50 * MS)
+    net.a.pause(50 * MS_NS)
     net.run(40)
     assert seen == ["other"]
     net.run(20)
@@ -99,7 +101,7 @@
     assert not seen and not net.a.alive
 
 
-def test_what_asks_for_itself_for_ever_is_named():
+def test_what_schedules_itself_for_ever_is_named():
     net = Net()
 
     def again():
@@ -111,19 +113,19 @@
 
 
 @pytest.mark.parametrize(
-    "ways",
+    "settings",
     [
         {},
-        {"split": 0.8},
+        {"split_ratio": 0.8},
         {"window_bytes": 300},
-        {"window_bytes": 64, "split": 0.5},
-        {"read_bytes": 7},
-        {"jitter": 3.0, "split": 0.5},
+        {"window_bytes": 64, "split_ratio": 0.5},
+        {"max_read_bytes": 7},
+        {"jitter_ratio": 3.0, "split_ratio": 0.5},
     ],
 )
-def test_bytes_arrive_whole_and_in_order_however_they_are_cut_up(ways):
-    net = Net(**ways)
-    client, server = joined(net)
+def test_bytes_arrive_complete_and_in_order_however_they_are_split(settings):
+    net = Net(**settings)
+    client, server = connected(net)
     sent = bytes(random.Random(2).randbytes(5000))
     for at in range(0, 5000, 700):
         client.transport.write(sent[at : at + 700])
@@ -134,7 +136,7 @@
 
 def test_a_full_window_stops_the_writer_until_the_reader_goes_on():
     net = Net(window_bytes=100)
-    client, server = joined(net)
+    client, server = connected(net)
     client.transport.set_write_buffer_limits(high=0)
     server.transport.pause_reading()
     client.transport.write(b"x" * 150)
@@ -147,7 +149,7 @@
 
 def test_a_kill_resets_and_what_is_unread_is_gone():
     net = Net()
-    client, server = joined(net)
+    client, server = connected(net)
     client.transport.pause_reading()
     server.transport.write(b"never read")
     net.run()
@@ -160,26 +162,26 @@
 
 def test_what_is_read_after_the_end_was_sent_was_not_read_before_it():
     net = Net(window_bytes=100)
-    client, server = joined(net)
+    client, server = connected(net)
     client.transport.write(b"before")
     net.run(10)
-    assert server.transport.took_before_end(6) and not server.transport.took_before_end(7)
+    assert server.transport.had_read_before_end(6) and not server.transport.had_read_before_end(7)
     client.transport.pause_reading()
     server.transport.write(b"x" * 150)
     server.transport.write_eof()  # decided on, but sent only behind the rest of what was written
     client.transport.write(b"meanwhile")
     net.run(10)
-    assert server.got == b"beforemeanwhile" and server.transport.took_before_end(15)
+    assert server.got == b"beforemeanwhile" and server.transport.had_read_before_end(15)
     client.transport.resume_reading()  # the rest and the end are on their way
     client.transport.write(b"after")
     net.run(10)
     assert client.got == b"x" * 150 and client.log[-1] == "lost clean"
-    assert server.got == b"beforemeanwhileafter" and not server.transport.took_before_end(16)
+    assert server.got == b"beforemeanwhileafter" and not server.transport.had_read_before_end(16)
 
 
 def test_closing_with_bytes_unread_resets_the_other_side():
     net = Net()
-    client, server = joined(net)
+    client, server = connected(net)
     server.transport.pause_reading()
     client.transport.write(b"unread")
     net.run()
@@ -207,34 +209,34 @@
 def test_connects_are_refused_or_never_come_up():
     net = Net()
     assert connect(net) == "ConnectionRefusedError"
-    net.network.hush(net.b.host)
+    net.network.isolate(net.b.host)
     assert connect(net) == "TimeoutError"
-    net.network.mend(net.b.host)
+    net.network.reconnect(net.b.host)
     net.b.loop.create_task(net.b.loop.create_server(Side, net.b.host, 80))
     net.run()
     assert connect(net) == "up"
-    net.network.lag_ns[net.b.host] = 400 * MS
+    net.network.extra_delay_ns[net.b.host] = 400 * MS_NS
     assert connect(net) == "TimeoutError"
-    assert net.a.opened == OWN_DESCRIPTORS + 1  # what was given up holds nothing
+    assert net.a.open_descriptors == OWN_DESCRIPTORS + 1  # what was given up holds nothing
 
 
 def test_no_descriptor_left_is_an_error_and_nothing_leaks():
     net = Net()
     net.b.loop.create_task(net.b.loop.create_server(Side, net.b.host, 80))
-    net.a.descriptors = OWN_DESCRIPTORS + 1
+    net.a.max_descriptors = OWN_DESCRIPTORS + 1
     net.run()
     assert connect(net) == "up" and connect(net) == "OSError"
-    assert net.a.most_opened == OWN_DESCRIPTORS + 1
+    assert net.a.peak_descriptors == OWN_DESCRIPTORS + 1
 
 
-def test_a_cut_holds_bytes_back_until_it_is_mended():
+def test_a_cut_holds_bytes_back_until_it_is_reconnected():
     net = Net()
-    client, server = joined(net)
-    net.network.cut(net.a.host, net.b.host)
+    client, server = connected(net)
+    net.network.disconnect(net.a.host, net.b.host)
     client.transport.write(b"held")
     net.run()
     assert server.got == b"" and "lost" not in str(server.log)
-    net.network.mend(net.a.host, net.b.host)
+    net.network.reconnect(net.a.host, net.b.host)
     net.run()
     assert server.got == b"held"
 
@@ -245,7 +247,7 @@
             raise KeyError("bad")
 
     net = Net()
-    client, server = joined(net, server=Bad())
+    client, server = connected(net, server=Bad())
     other_client, other = Side(), Side()
     net.b.loop.create_task(net.b.loop.create_server(lambda: other, net.b.host, 81))
     net.run(1)
@@ -255,10 +257,10 @@
     other_client.transport.write(b"y")
     net.run()
     assert server.log[-1] == "lost KeyError" and other.got == b"y"
-    assert net.b.loop.faults and "KeyError" in net.b.loop.faults[0]
+    assert net.b.loop.unhandled_errors and "KeyError" in net.b.loop.unhandled_errors[0]
 
 
-class Heard(asyncio.DatagramProtocol):
+class DatagramRecorder(asyncio.DatagramProtocol):
     def __init__(self):
         self.got, self.transport = [], None
 
@@ -269,11 +271,13 @@
         self.got.append((data, addr))
 
 
-def datagrams(net, count, **ways):
-    one, two = Heard(), Heard()
-    for process, heard in ((net.a, one), (net.b, two)):
+def datagrams(net, count):
+    one, two = DatagramRecorder(), DatagramRecorder()
+    for process, recorder in ((net.a, one), (net.b, two)):
         process.loop.create_task(
-            process.loop.create_datagram_endpoint(lambda heard=heard: heard, local_addr=(process.host, 7))
+            process.loop.create_datagram_endpoint(
+                lambda recorder=recorder: recorder, local_addr=(process.host, 7)
+            )
         )
     net.run(1)
     for k in range(count):
@@ -283,17 +287,17 @@
     return [int(data) for data, _ in two.got]
 
 
-def test_datagrams_are_lost_doubled_and_reordered_by_the_draw():
-    assert datagrams(Net(udp_loss=1.0), 20) == []
+def test_datagrams_are_lost_duplicated_and_reordered_by_the_draw():
+    assert datagrams(Net(datagram_loss_ratio=1.0), 20) == []
     assert sorted(datagrams(Net(), 20)) == list(range(20))
-    assert len(datagrams(Net(udp_twice=1.0), 20)) == 40
-    lossy = datagrams(Net(udp_loss=0.5), 60)
-    assert 10 < len(lossy) < 50 and lossy == datagrams(Net(udp_loss=0.5), 60)
-    assert (got := datagrams(Net(udp_ns=(0, 200 * MS)), 60)) != sorted(got)
+    assert len(datagrams(Net(datagram_duplicate_ratio=1.0), 20)) == 40
+    lossy = datagrams(Net(datagram_loss_ratio=0.5), 60)
+    assert 10 < len(lossy) < 50 and lossy == datagrams(Net(datagram_loss_ratio=0.5), 60)
+    assert (got := datagrams(Net(datagram_delay_ns=(0, 200 * MS_NS)), 60)) != sorted(got)
 
 
-def test_a_process_takes_in_only_so_many_datagrams():
-    net = Net(udp_per_s=5.0)
+def test_a_process_receives_only_so_many_datagrams():
+    net = Net(datagrams_per_s=5.0)
     assert len(datagrams(net, 40)) < 12
 
 
@@ -333,7 +337,7 @@
     return seen
 
 
-def test_the_virtual_loop_tells_protocols_what_asyncio_tells_them():
+def test_the_virtual_loop_calls_protocols_as_asyncio_does():
     async def real():
         return await _play(asyncio.get_running_loop(), "127.0.0.1", asyncio.sleep)
 
--- a/tests/test_zone_failover.py
+++ b/tests/test_zone_failover.py
@@ -256,7 +256,7 @@
     run.checker.attempt_started = heard
     said = importlib.import_module(module).ZoneSaid
     for at, drained in ((3, True), (8, False)):
-        run.scheduler.at(
+        run.scheduler.call_at(
             run.began_ns + at * 10**9,
             lambda drained=drained: run.seats[0].gateway.dispatcher.post(said(1, drained)),
         )
--- a/zincstile/simulation/faults.py
+++ b/zincstile/simulation/faults.py
@@ -12,7 +12,7 @@
 
 from ..emulators.misbehaving_client import MisbehavingClient, draw_malformed_input
 from ..emulators.quota_service import QuotaService
-from ..virtual.network_faults import Trouble, between
+from ..virtual.network_faults import PathFault, paths_between
 from . import machine_faults
 from .plan import Fault
 from .stage import Place, Seat, Stage
@@ -217,35 +217,35 @@
     return ones, named or [s.name for s in run.seats if s.name not in ones]
 
 
-def _lay(run: Stage, fault: Fault, trouble: Trouble) -> None:
+def _lay(run: Stage, fault: Fault, trouble: PathFault) -> None:
     """On the datagrams between two groups of gateways; nobody named: between all."""
     names = [s.name for s in run.seats]
     ones, others = _others(run, fault) if fault.who else (names, names)
-    run.after(fault.for_ms, run.links.lay(between(ones, others, fault.way), trouble))
+    run.after(fault.for_ms, run.links.inject(paths_between(ones, others, fault.way), trouble))
 
 
 def _peers_cut(run: Stage, fault: Fault) -> None:
-    _lay(run, fault, Trouble(cut=True))
+    _lay(run, fault, PathFault(cut=True))
 
 
 def _peers_loss(run: Stage, fault: Fault) -> None:
-    _lay(run, fault, Trouble(loss=fault.amount))
+    _lay(run, fault, PathFault(loss_ratio=fault.amount))
 
 
 def _peers_late(run: Stage, fault: Fault) -> None:
-    _lay(run, fault, Trouble(delay_s=fault.amount / 1000))
+    _lay(run, fault, PathFault(delay_s=fault.amount / 1000))
 
 
 def _peers_shuffled(run: Stage, fault: Fault) -> None:
-    _lay(run, fault, Trouble(shuffle_s=fault.amount / 1000))
+    _lay(run, fault, PathFault(jitter_s=fault.amount / 1000))
 
 
 def _peers_twice(run: Stage, fault: Fault) -> None:
-    _lay(run, fault, Trouble(twice=fault.amount))
+    _lay(run, fault, PathFault(duplicate_ratio=fault.amount))
 
 
 def _peers_rate(run: Stage, fault: Fault) -> None:
-    _lay(run, fault, Trouble(per_s=fault.amount))
+    _lay(run, fault, PathFault(datagrams_per_s=fault.amount))
 
 
 def _peers_ring(run: Stage, fault: Fault) -> None:
@@ -253,7 +253,8 @@
     names = [s.name for s in run.seats]
     heard = {(names[k - 1], name) for k, name in enumerate(names)}
     run.after(
-        fault.for_ms, run.links.lay([p for p in between(names, names) if p not in heard], Trouble(cut=True))
+        fault.for_ms,
+        run.links.inject([p for p in paths_between(names, names) if p not in heard], PathFault(cut=True)),
     )
 
 
--- a/zincstile/simulation/place_model.py
+++ b/zincstile/simulation/place_model.py
@@ -94,7 +94,7 @@
             if table is not None and self.tables.setdefault(table.generation, table.weights) != table.weights:
                 self.disagreed += 1
         self._send(k)
-        self.scheduler.at(self.now + self.settings.beat_ns, self._beat, k)
+        self.scheduler.call_at(self.now + self.settings.beat_ns, self._beat, k)
 
     def _send(self, k: int) -> None:
         for to, message in self.seats[k].take_messages():
@@ -102,7 +102,7 @@
             self.sent[k, self.now // SECOND] += 1
             self.bytes += len(data)
             if self.rng.random() >= self.loss:
-                self.scheduler.at(
+                self.scheduler.call_at(
                     self.now + int(self.rng.uniform(NEAR_NS, FAR_NS)), self._hear, k, to, unpack(data)
                 )
 
@@ -135,7 +135,7 @@
     def play(self) -> Row:
         for k, seat in enumerate(self.seats):
             seat.start(0)
-            self.scheduler.at(self.rng.randrange(self.settings.beat_ns), self._beat, k)
+            self.scheduler.call_at(self.rng.randrange(self.settings.beat_ns), self._beat, k)
         first = self._until(LOSS_NS, self._one)
         self.scheduler.run(LOSS_NS)
         self.dead = True
--- a/zincstile/simulation/shared_trials.py
+++ b/zincstile/simulation/shared_trials.py
@@ -54,7 +54,7 @@
             answered(request, kind, value)
 
         run.checker.request_answered = heard  # type: ignore[method-assign]
-        run.scheduler.at(run.began_ns, self._look)
+        run.scheduler.call_at(run.began_ns, self._look)
 
     def _look(self) -> None:
         """Attempts of processes that are dead run on at the servers and are not theirs any more."""
@@ -66,7 +66,7 @@
         ready = sum(p.process.alive for p in self.run.places.values())
         self.out = max(self.out, out / max(1, ready))
         if self.run.scheduler.now_ns < self.run.began_ns + self.run.plan.last_ms * traffic.MS:
-            self.run.scheduler.at(self.run.scheduler.now_ns + self.EVERY_NS, self._look)
+            self.run.scheduler.call_at(self.run.scheduler.now_ns + self.EVERY_NS, self._look)
 
     def _count_open(self, modules: list[Policy]) -> None:
         """Requests out at once for a customer whose plan has a limit, over all gateways, in that limit."""
--- a/zincstile/simulation/stage.py
+++ b/zincstile/simulation/stage.py
@@ -16,7 +16,7 @@
 from ..emulators.discovery import DiscoveryAgent, EndpointEntry, EndpointList
 from ..emulators.misbehaving_client import MisbehavingClient
 from ..emulators.quota_service import QuotaService
-from ..virtual.network_faults import Links
+from ..virtual.network_faults import NetworkFaults
 
 if TYPE_CHECKING:
     from .plan import Plan
@@ -50,7 +50,7 @@
     plan: Plan
     checker: Checker
     rng: random.Random  # of faults and stand-ins, in the order of events
-    links: Links
+    links: NetworkFaults
     seats: list[Any]
     places: dict[str, Any]
     boxes: list[str]  # names in the plan's order; a deploy puts the new one in its place
--- a/zincstile/simulation/start_model.py
+++ b/zincstile/simulation/start_model.py
@@ -171,7 +171,7 @@
         return self.scheduler.now_ns
 
     def at(self, at_ns: int, then, *args) -> None:
-        self.scheduler.at(max(self.now, int(at_ns)), then, *args)
+        self.scheduler.call_at(max(self.now, int(at_ns)), then, *args)
 
     def post(self, sender: int, to: int, message: ListMessage) -> None:
         self.told[sender, self.now // SECOND] += 1
--- a/zincstile/simulation/trial.py
+++ b/zincstile/simulation/trial.py
@@ -19,11 +19,11 @@
 from ..quota_service.messages import CounterCall, PeerHeartbeat
 from ..quota_service.overshoot_bound import overshoot_bounds
 from ..quota_service.settings import FAILURES, QuotaServiceSettings
-from ..virtual.clock import MS, SECOND, Scheduler
+from ..virtual.clock import MS_NS, SECOND_NS, Scheduler
 
-START_NS = 1000 * SECOND
-CALM_NS, FAIL_NS, AFTER_NS = 6 * SECOND, 12 * SECOND, 12 * SECOND
-HELD_NS = 90 * MS  # a try waits so long for a lease
+START_NS = 1000 * SECOND_NS
+CALM_NS, FAIL_NS, AFTER_NS = 6 * SECOND_NS, 12 * SECOND_NS, 12 * SECOND_NS
+HELD_NS = 90 * MS_NS  # a try waits so long for a lease
 
 
 @dataclass(slots=True)
@@ -55,7 +55,7 @@
 
     def ask(self, now: int, units: float) -> None:
         quota = self.quota
-        self.best_level = min(quota.burst, self.best_level + quota.rate * (now - self.best_ns) / SECOND)
+        self.best_level = min(quota.burst, self.best_level + quota.rate * (now - self.best_ns) / SECOND_NS)
         self.best_ns = now
         if self.best_level >= units:
             self.best_level -= units
@@ -63,7 +63,7 @@
 
     def take(self, now: int, units: float) -> None:
         quota = self.quota
-        self.level = min(quota.burst, self.level + quota.rate * (now - self.at_ns) / SECOND) - units
+        self.level = min(quota.burst, self.level + quota.rate * (now - self.at_ns) / SECOND_NS) - units
         self.at_ns, self.sent = now, self.sent + units
         self.lowest = min(self.lowest, self.level)
 
@@ -159,7 +159,7 @@
         self.settings = settings or QuotaServiceSettings(
             max_overshoot_ratio=self.rng.choice((0.05, 0.05, 0.25))
         )
-        self.scheduler = Scheduler(START_NS + self.rng.randrange(30 * SECOND))
+        self.scheduler = Scheduler(START_NS + self.rng.randrange(30 * SECOND_NS))
         self.began_ns = self.scheduler.now_ns
         self.keepers = [Keeper()]
         self.loss = self.rng.choice((0.0, 0.03, 0.08))  # of words
@@ -183,7 +183,7 @@
             self.seats.append(Seat(self, number))
 
     def after(self, ns: int, then, *args) -> None:
-        self.scheduler.at(self.scheduler.now_ns + ns, then, *args)
+        self.scheduler.call_at(self.scheduler.now_ns + ns, then, *args)
 
     # ---- what travels
 
@@ -191,9 +191,9 @@
         """One call: there and back, or not."""
         self.calls += 1
         rng, life = self.rng, seat.life
-        there, back = rng.uniform(0.3, 2) * MS, rng.uniform(0.3, 2) * MS
+        there, back = rng.uniform(0.3, 2) * MS_NS, rng.uniform(0.3, 2) * MS_NS
         if self.slow and rng.random() < self.slow:
-            there += rng.uniform(20, 400) * MS
+            there += rng.uniform(20, 400) * MS_NS
         done = [False]
 
         def end(total: float | None) -> None:
@@ -217,7 +217,8 @@
         if (source.number, target.number) in self.deaf or self.rng.random() < self.loss:
             return
         self.after(
-            int(self.rng.uniform(1.9, 30) * MS), lambda: target.detector.peers.receive(target.now(), message)
+            int(self.rng.uniform(1.9, 30) * MS_NS),
+            lambda: target.detector.peers.receive(target.now(), message),
         )
 
     # ---- failures
@@ -246,7 +247,7 @@
         elif self.failure == "gateway dead":
             seat = self.seats[rng.randrange(count)]
             seat.life += 1
-            self.after(rng.randrange(3 * SECOND), seat.start)
+            self.after(rng.randrange(3 * SECOND_NS), seat.start)
 
     def heal(self) -> None:
         self.gone, self.slow, self.lost = False, 0.0, 0.0
@@ -261,15 +262,15 @@
         units = self.rng.choice((1.0, 1.0, 2.0, 3.0))
         self.seats[self.rng.choice(row)].ask(key, units)
         rate = per_s * (0.1 if self.rng.random() < 0.002 else 1.0)
-        self.after(int(self.rng.expovariate(rate) * SECOND), self._ask, key, per_s)
+        self.after(int(self.rng.expovariate(rate) * SECOND_NS), self._ask, key, per_s)
 
     def play(self) -> Outcome:
         for key, (quota, _, _) in self.customers.items():
             asked = self.rng.choice((0.6, 1.5, 4.0)) * quota.rate / 1.75
-            self.after(int(self.rng.random() * SECOND), self._ask, key, asked)
-        self.after(CALM_NS + self.rng.randrange(SECOND), self.fail)
+            self.after(int(self.rng.random() * SECOND_NS), self._ask, key, asked)
+        self.after(CALM_NS + self.rng.randrange(SECOND_NS), self.fail)
         self.after(CALM_NS + FAIL_NS, self.heal)
-        self.scheduler.run(self.began_ns + CALM_NS + FAIL_NS + AFTER_NS + SECOND)
+        self.scheduler.run(self.began_ns + CALM_NS + FAIL_NS + AFTER_NS + SECOND_NS)
         worst, outcome = -1.0, None
         for quota, _, ideal in self.customers.values():
             bound = next(b for b in overshoot_bounds(quota, self.settings) if b.failure == self.failure)
--- a/zincstile/simulation/world.py
+++ b/zincstile/simulation/world.py
@@ -32,24 +32,27 @@
 from ..net.gateway import Gateway
 from ..quota_service.settings import QuotaServiceSettings
 from ..subsetting.settings import SubsetSettings
-from ..virtual.clock import MS, SECOND, Scheduler, StuckError
+from ..virtual.clock import MS_NS, SECOND_NS, Scheduler, StuckError
 from ..virtual.host import VirtualHost
-from ..virtual.network import Network, Ways
-from ..virtual.network_faults import Links
+from ..virtual.network import Network, NetworkSettings
+from ..virtual.network_faults import NetworkFaults
 from ..virtual.process import Process
-from ..virtual.tcp import Endpoint
+from ..virtual.tcp import TcpTransport
 from ..zone_failover.settings import ZoneFailoverSettings
 from . import faults, shared, traffic
 from .plan import Plan
 
-START_NS = 1000 * SECOND  # of virtual time
-UNIX_NS = 1_800_000_000 * SECOND - START_NS  # Unix time less virtual time
-LEAD_NS = 700 * MS  # from the start until the first request
+START_NS = 1000 * SECOND_NS  # of virtual time
+UNIX_NS = 1_800_000_000 * SECOND_NS - START_NS  # Unix time less virtual time
+LEAD_NS = 700 * MS_NS  # from the start until the first request
 RACKS = 3
-CALM_NS, MOST_CALM_NS, LOOK_NS = 1000 * MS, 6500 * MS, 250 * MS  # after the last request or fault, how long
-# it goes on at least and at most, until all is answered and given back; and how often that is looked at
-LATE_NS = 400 * MS  # from a decision until its attempt has reached a box, at most
-BEAT_NS = 600 * MS  # the module looks after itself at least so often: timers that make timers
+# After the last request or fault, how long it goes on at least and at most, until all is answered and given
+# back; and how often that is looked at.
+CALM_NS = 1000 * MS_NS
+MOST_CALM_NS = 6500 * MS_NS
+LOOK_NS = 250 * MS_NS
+LATE_NS = 400 * MS_NS  # from a decision until its attempt has reached a box, at most
+BEAT_NS = 600 * MS_NS  # the module looks after itself at least so often: timers that make timers
 FACTOR = 1.3  # cores' speed differs by so much at most
 
 
@@ -114,17 +117,17 @@
         self.plan = plan
         self.scheduler = Scheduler(START_NS)
         self.rng = random.Random(f"world {plan.seed}")  # of faults and stand-ins, in the order of events
-        ways = Ways(
+        ways = NetworkSettings(
             window_bytes=plan.window_bytes,
-            read_bytes=plan.read_bytes,
-            split=plan.split,
-            udp_loss=plan.udp_loss,
-            udp_twice=plan.udp_twice,
+            max_read_bytes=plan.read_bytes,
+            split_ratio=plan.split,
+            datagram_loss_ratio=plan.udp_loss,
+            datagram_duplicate_ratio=plan.udp_twice,
         )
         self.network = Network(self.scheduler, random.Random(f"network {plan.seed}"), ways)
         self.network.on_connected = self._connected
-        self.links = Links(random.Random(f"links {plan.seed}"))
-        self.network.links = self.links
+        self.links = NetworkFaults(random.Random(f"links {plan.seed}"))
+        self.network.faults = self.links
         if keep_trace:
             self.network.trace = []
         self.quota_service = (
@@ -200,8 +203,8 @@
         for want in wants:
             self.clients.loop.call_at(want.at_s, self.front.send, want)
         for fault in plan.faults:
-            at = self.began_ns + fault.at_ms * MS
-            self.scheduler.at(at, faults.begin, self, fault)
+            at = self.began_ns + fault.at_ms * MS_NS
+            self.scheduler.call_at(at, faults.begin, self, fault)
 
     def do(self, process: Process, coro: Any) -> None:
         """Runs a coroutine of a stand-in in its process."""
@@ -218,7 +221,7 @@
             cores=1 + (number % 3 == 0),
             speed=rng.uniform(1 / FACTOR, FACTOR),
             queue_capacity=rng.randint(8, 24),
-            work_ns={n: ms * MS for n, ms in traffic.WORK_MS.items()},
+            work_ns={n: ms * MS_NS for n, ms in traffic.WORK_MS.items()},
             cold_share=0.25,
             warm_up_s=traffic.WARM_MS / 1000,
             drops_on_disconnect=self.plan.drops_left,
@@ -240,7 +243,7 @@
         )
         box.identify_gateway = _other
         self.do(process, box.start(host, port))
-        since = (self.scheduler.now_ns + UNIX_NS) // MS if cold else 0
+        since = (self.scheduler.now_ns + UNIX_NS) // MS_NS if cold else 0
         entry = EndpointEntry(name, f"{host}:{port}", traffic.ZONES[zone], "std", cell, "Ready", 1.0, since)
         self.checker.add_backend(name, zone, cell)
         self.checker.cold.backend_started(name, since, box.capacity, lambda: box.warmth() >= 1)
@@ -292,13 +295,13 @@
             seat.name,
             seat.host,
             seat.number % len(traffic.ZONES),
-            descriptors=self.plan.sockets,
+            max_descriptors=self.plan.sockets,
             quantum_ns=self.plan.quantum_us * 1000,
         )
         machine = VirtualHost(process, lambda: self.config(seat), UNIX_NS + seat.skew_ns)
         machine.log = lambda line: self._log(seat, line)
         self.checker.gateway_started(seat.name)
-        self.network.note("start", seat.name)
+        self.network.record("start", seat.name)
         gateway = Gateway(self.config(seat), process.loop, machine)
         gateway.dispatcher.guard.observer = lambda which, text: self.checker.report_invariant(
             seat.name, f"{which.value} {text}"
@@ -317,24 +320,24 @@
         """Its own end after SIGTERM: what it took and did not answer is lost, so it is not taken for dead."""
         if process.alive:
             self.checker.record_event(f"{seat.name} ended by itself")
-            self.network.note("ended", seat.name)
+            self.network.record("ended", seat.name)
             self._check_process(seat)
             process.kill()
 
     # ---- what faults do (`stage.Stage`)
 
     def note(self, what: str, where: str) -> None:
-        self.network.note(what, where)
+        self.network.record(what, where)
 
     def after(self, ms: float, then: Any, *args: object) -> None:
-        self.scheduler.at(self.scheduler.now_ns + int(ms * MS), then, *args)
+        self.scheduler.call_at(self.scheduler.now_ns + int(ms * MS_NS), then, *args)
 
     def running(self, seat: Seat) -> bool:
         return seat.process.alive
 
     def pause(self, seat: Seat, ms: float) -> None:
-        seat.process.pause(int(ms * MS))
-        self.checker.gateway_paused(seat.name, int(ms * MS))
+        seat.process.pause(int(ms * MS_NS))
+        self.checker.gateway_paused(seat.name, int(ms * MS_NS))
 
     def reload(self, seat: Seat) -> None:
         seat.process.signal(signal.SIGHUP)
@@ -366,19 +369,19 @@
             self.do(place.process, place.box.start(place.host, place.port))
 
     def reset_box(self, place: Place) -> None:
-        for endpoint in list(place.process.endpoints):
-            endpoint.refuse()
+        for endpoint in list(place.process.connections):
+            endpoint.break_path()
 
     def hush_box(self, place: Place, silent: bool) -> None:
-        (self.network.hush if silent else self.network.mend)(place.host)
+        (self.network.isolate if silent else self.network.reconnect)(place.host)
 
     def lag_box(self, place: Place, ms: float) -> None:
-        self.network.lag_ns.pop(place.host, None)
+        self.network.extra_delay_ns.pop(place.host, None)
         if ms:
-            self.network.lag_ns[place.host] = int(ms * MS)
+            self.network.extra_delay_ns[place.host] = int(ms * MS_NS)
 
     def part(self, seat: Seat, place: Place, apart: bool) -> None:
-        (self.network.cut if apart else self.network.mend)(seat.host, place.host)
+        (self.network.disconnect if apart else self.network.reconnect)(seat.host, place.host)
 
     def counter(self, number: int) -> QuotaService:
         return self.counters[number][1]
@@ -387,7 +390,7 @@
         self.counters[number][0].kill()
 
     def hush_counter(self, silent: bool) -> None:
-        (self.network.hush if silent else self.network.mend)("10.2.0.1")
+        (self.network.isolate if silent else self.network.reconnect)("10.2.0.1")
 
     # ---- gateways' ends
 
@@ -404,13 +407,13 @@
             seat.process.signal(signal.SIGTERM)
 
     def _check_process(self, seat: Seat) -> None:
-        self.checker.check_descriptors(seat.name, seat.process.most_opened, self.plan.sockets)
-        for fault in seat.process.loop.faults:
+        self.checker.check_descriptors(seat.name, seat.process.peak_descriptors, self.plan.sockets)
+        for fault in seat.process.loop.unhandled_errors:
             self.checker.report_fault(seat.name, fault)
 
     # ---- what crosses the network
 
-    def _connected(self, opener: Endpoint, taker: Endpoint) -> None:
+    def _connected(self, opener: TcpTransport, taker: TcpTransport) -> None:
         gateway, box = opener.process.name, taker.process.name
         if gateway[0] == "g" and box in self.places:
             opener.on_sent = Tap(self.checker, gateway, box, self.scheduler).feed
@@ -421,7 +424,7 @@
         self._build()
         plan = self.plan
         last = max([plan.last_ms, *(f.at_ms + f.for_ms for f in plan.faults)])
-        end = self.began_ns + last * MS
+        end = self.began_ns + last * MS_NS
         enabled = gc.isenabled()
         gc.disable()  # what a run drops goes at once or with the run; the collector's times are not its own
         try:
@@ -497,12 +500,12 @@
                     "held tries": len(module.admission.quotas.waiting),
                     "queued attempts": sum(len(backend.queued) for backend in pool.backends.values()),
                     "clients lost": len(gateway.listener.clients)
-                    - sum(c.transport in seat.process.endpoints for c in gateway.listener.clients),
+                    - sum(c.transport in seat.process.connections for c in gateway.listener.clients),
                     "connections lost": len(pool.connections)
-                    - sum(c.transport in seat.process.endpoints for c in pool.connections),
+                    - sum(c.transport in seat.process.connections for c in pool.connections),
                     "connections that nobody knows": sum(
                         e.remote[1] == 6379 and e not in {c.transport for c in pool.connections}
-                        for e in seat.process.endpoints
+                        for e in seat.process.connections
                         if e.local[1] != 6379
                     ),
                     "tasks": max(0, len(tasks) - 1 - (gateway.watcher.current is None)),
@@ -521,7 +524,7 @@
 
 def _was_read(transport: Any, request: Request) -> bool:
     """The gateway had read the request before it ended the connection."""
-    return transport.peer is None or transport.peer.took_before_end(request.end)
+    return transport.peer is None or transport.peer.had_read_before_end(request.end)
 
 
 def _other(transport: Any) -> str:
@@ -539,7 +542,7 @@
         self._wants = [replace(want, retries=0, disconnect_after_s=0.0) for want in wants]
         self._rng = random.Random(f"crossings {plan.seed}")
 
-    def ended(self, endpoint: Endpoint) -> None:
+    def ended(self, endpoint: TcpTransport) -> None:
         peer = endpoint.peer
         client = peer.protocol if peer is not None and peer.process is self._clients else None
         if isinstance(client, ClientConnection) and self._rng.random() < self._share:
--- a/zincstile/testbed/datagrams.py
+++ b/zincstile/testbed/datagrams.py
@@ -11,7 +11,7 @@
 import socket
 import struct
 
-from ..virtual.network_faults import Links
+from ..virtual.network_faults import NetworkFaults
 from . import places
 
 PKTINFO = getattr(socket, "IP_PKTINFO", 8)  # Linux's number; the module names it from Python 3.14 on
@@ -23,7 +23,9 @@
 class Datagrams:
     """`counts`: by ordered pair of numbers, how many came, and bytes of all."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, links: Links, block: int, names: list[str]) -> None:
+    def __init__(
+        self, loop: asyncio.AbstractEventLoop, links: NetworkFaults, block: int, names: list[str]
+    ) -> None:
         self.loop, self.links, self.block, self.names = loop, links, block, names
         self.sent = [0] * len(names)
         self.bytes = [0] * len(names)
@@ -69,7 +71,7 @@
                 continue
             self.sent[source] += 1
             self.bytes[source] += len(data)
-            for late_s in self.links.fates(self.names[source], self.names[target], self.loop.time()):
+            for late_s in self.links.outcome(self.names[source], self.names[target], self.loop.time()):
                 if late_s:
                     self.loop.call_later(late_s, self._pass, data, source, target)
                 else:
--- a/zincstile/testbed/emulated.py
+++ b/zincstile/testbed/emulated.py
@@ -11,7 +11,7 @@
 from ..emulators.discovery import EndpointEntry
 from ..emulators.quota_service import QuotaService
 from ..simulation import traffic
-from ..virtual.network_faults import Trouble, between
+from ..virtual.network_faults import PathFault, paths_between
 from . import places
 from .fault_proxy import FaultProxy, ProxiedConnection
 from .members import Place, Seat
@@ -106,17 +106,24 @@
 
     def hush_box(self, place: Place, silent: bool) -> None:
         """No gateway reaches it any more, or all do again."""
-        self._set_trouble(("hush", place), between(self.names, [place.entry.name]), Trouble(cut=True), silent)
+        self._set_trouble(
+            ("hush", place), paths_between(self.names, [place.entry.name]), PathFault(cut=True), silent
+        )
 
     def lag_box(self, place: Place, ms: float) -> None:
         """What passes between it and the gateways is late by so much; 0: no more."""
         self._set_trouble(
-            ("lag", place), between(self.names, [place.entry.name]), Trouble(delay_s=ms / 1000), ms > 0
+            ("lag", place),
+            paths_between(self.names, [place.entry.name]),
+            PathFault(delay_s=ms / 1000),
+            ms > 0,
         )
 
     def part(self, seat: Seat, place: Place, apart: bool) -> None:
         """One gateway and this backend reach each other no more, or do again."""
-        self._set_trouble((seat, place), between([seat.name], [place.entry.name]), Trouble(cut=True), apart)
+        self._set_trouble(
+            (seat, place), paths_between([seat.name], [place.entry.name]), PathFault(cut=True), apart
+        )
 
     # ---- quota services
 
@@ -141,4 +148,4 @@
 
     def hush_counter(self, silent: bool) -> None:
         """No gateway reaches a quota service any more, or all do again."""
-        self._set_trouble("keeper", between(self.names, ["keeper"]), Trouble(cut=True), silent)
+        self._set_trouble("keeper", paths_between(self.names, ["keeper"]), PathFault(cut=True), silent)
--- a/zincstile/testbed/fault_proxy.py
+++ b/zincstile/testbed/fault_proxy.py
@@ -18,7 +18,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from ..virtual.network_faults import Links, Pair
+from ..virtual.network_faults import NetworkFaults, NetworkPath
 from . import places
 
 QUEUE = 1024  # connections that wait to be taken
@@ -29,7 +29,7 @@
 
     __slots__ = ("loop", "links", "pair", "_waiting", "_alarm", "_due")
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, links: Links, pair: Pair) -> None:
+    def __init__(self, loop: asyncio.AbstractEventLoop, links: NetworkFaults, pair: NetworkPath) -> None:
         self.loop, self.links, self.pair = loop, links, pair
         self._waiting: deque[tuple[float, Callable[..., None], tuple[Any, ...]]] = deque()
         self._alarm: asyncio.TimerHandle | None = None
@@ -37,7 +37,7 @@
 
     def push(self, then: Callable[..., None], *args: Any) -> None:
         """then(*args) once what went before has passed."""
-        way = self.links.way(*self.pair)
+        way = self.links.path(*self.pair)
         if not self._waiting and not way.cut and not way.delay_s:
             then(*args)
             return
@@ -50,7 +50,7 @@
         if self._alarm is not None:
             self._alarm.cancel()
             self._alarm = None
-        while self._waiting and not self.links.way(*self.pair).cut:
+        while self._waiting and not self.links.path(*self.pair).cut:
             at, then, args = self._waiting[0]
             if at > self.loop.time() + 1e-4:
                 self._alarm = self.loop.call_at(at, self.poke)
@@ -81,7 +81,7 @@
         self.inwards = Direction(proxy.loop, proxy.links, (self.gateway, place))
         self.outwards = Direction(proxy.loop, proxy.links, (place, self.gateway))
         proxy.connections[self] = None
-        if proxy.links.way(*self.inwards.pair).reset:
+        if proxy.links.path(*self.inwards.pair).reset:
             self.abort()
             return
         self.told = True
@@ -114,7 +114,7 @@
 
     def changed(self) -> None:
         """Something is else on the ways of this connection."""
-        if self.proxy.links.way(*self.inwards.pair).reset:
+        if self.proxy.links.path(*self.inwards.pair).reset:
             self.abort()
         self.inwards.poke()
         self.outwards.poke()
@@ -154,7 +154,7 @@
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        links: Links,
+        links: NetworkFaults,
         place: str,
         kind: int,
         number: int,
@@ -169,7 +169,7 @@
         self.probe: Any = None  # for connections that tell what they see
         self._black_holes: dict[str, places.BlackHole] = {}
         self._server: asyncio.AbstractServer | None = None
-        links.changed.append(self._changed)
+        links.on_change.append(self._changed)
 
     def __getattr__(self, name: str) -> Any:
         return getattr(self.loop, name)
@@ -204,7 +204,7 @@
         """A server takes connections here."""
         return self._server is not None and self._server.is_serving()
 
-    def _changed(self, pairs: list[Pair]) -> None:
+    def _changed(self, pairs: list[NetworkPath]) -> None:
         """Something is else on these ways."""
         hit = {a if b == self.place else b for a, b in pairs if self.place in (a, b)}
         for name in hit:
@@ -217,7 +217,7 @@
         """New connections of that gateway never come up while the way there or back is cut."""
         if gateway not in self.gateways or not self.port:
             return
-        cut = self.links.way(gateway, self.place).cut or self.links.way(self.place, gateway).cut
+        cut = self.links.path(gateway, self.place).cut or self.links.path(self.place, gateway).cut
         if cut and gateway not in self._black_holes:
             host = places.seen(self.kind, self.gateways.index(gateway), self.number)
             self._black_holes[gateway] = places.BlackHole(host, self.port)
@@ -238,5 +238,5 @@
         for hole in self._black_holes.values():
             hole.close()
         self._black_holes.clear()
-        if self._changed in self.links.changed:
-            self.links.changed.remove(self._changed)
+        if self._changed in self.links.on_change:
+            self.links.on_change.remove(self._changed)
--- a/zincstile/testbed/run.py
+++ b/zincstile/testbed/run.py
@@ -20,7 +20,7 @@
 from ..emulators.discovery import DiscoveryAgent
 from ..simulation import faults, traffic
 from ..simulation.plan import Plan
-from ..virtual.network_faults import between
+from ..virtual.network_faults import paths_between
 from . import places
 from .datagrams import Datagrams
 from .emulated import EmulatedServices
@@ -69,8 +69,8 @@
         """Everything that takes part, from the services to the clients; with `start` the gateways run too."""
         plan = self.plan
         self.datagrams = Datagrams(self.loop, self.links, self.block, self.names)
-        if self.base.loss or self.base.twice:
-            self.links.lay(between(self.names, self.names), self.base)
+        if self.base.loss_ratio or self.base.duplicate_ratio:
+            self.links.inject(paths_between(self.names, self.names), self.base)
         await self._build_backends()
         for number in range(2 if plan.keeper else 0):
             self.start_counter(number)
--- a/zincstile/testbed/summary.py
+++ b/zincstile/testbed/summary.py
@@ -5,6 +5,7 @@
 import math
 
 from ..simulation import traffic
+from ..virtual.network_faults import DatagramCounts
 from .members import Seat
 from .result import BreachRow, FieldResult, GatewayRow, PlanRow, latencies
 from .testbed import Testbed
@@ -34,7 +35,7 @@
         rows=[_gateway(run, seat) for seat in run.seats],
         breaches=breaches,
         latency_ms=latencies(run.front.latencies_s),
-        links=dict(run.links.counts),
+        links=_datagram_counts(run.links.counts),
         series=run.series.rows(run.names),
         events=run.events,
         ready_s={seat.name: round(seat.ready_s, 3) for seat in run.seats},
@@ -55,6 +56,16 @@
     )
 
 
+def _datagram_counts(counts: DatagramCounts) -> dict[str, int]:
+    """What became of datagrams, by the names of stored results."""
+    return {
+        "passed": counts.passed,
+        "lost": counts.lost,
+        "twice": counts.duplicated,
+        "late": counts.delayed,
+    }
+
+
 def _tally(run: Testbed) -> dict[str, int]:
     """Requests by what became of them."""
     tally: dict[str, int] = {}
--- a/zincstile/testbed/testbed.py
+++ b/zincstile/testbed/testbed.py
@@ -23,7 +23,7 @@
 from ..emulators.quota_service import QuotaService
 from ..simulation import traffic
 from ..simulation.plan import SHIM, Plan
-from ..virtual.network_faults import Links, Trouble
+from ..virtual.network_faults import NetworkFaults, PathFault
 from .datagrams import Datagrams
 from .fault_proxy import FaultProxy
 from .members import Place, Seat
@@ -58,8 +58,8 @@
         self.plan, self.folder, self.name = plan, folder, name or f"seed {plan.seed}"
         self.features = features or {}
         self.rng = random.Random(f"field {plan.seed}")
-        self.links = Links(random.Random(f"links {plan.seed}"))
-        self.base = Trouble(loss=plan.udp_loss, twice=plan.udp_twice)
+        self.links = NetworkFaults(random.Random(f"links {plan.seed}"))
+        self.base = PathFault(loss_ratio=plan.udp_loss, duplicate_ratio=plan.udp_twice)
         figures = traffic.figures()
         figures = replace(
             figures,
@@ -119,12 +119,12 @@
         self._tasks[task] = None
         task.add_done_callback(lambda done: self._tasks.pop(done, None))
 
-    def _set_trouble(self, key: Any, pairs: Any, trouble: Trouble, on: bool) -> None:
+    def _set_trouble(self, key: Any, pairs: Any, trouble: PathFault, on: bool) -> None:
         """Lays a trouble on ways under this key, or takes away the one that lies there."""
         if key in self._active_troubles:
             self._active_troubles.pop(key)()
         if on:
-            self._active_troubles[key] = self.links.lay(pairs, trouble)
+            self._active_troubles[key] = self.links.inject(pairs, trouble)
 
     def after(self, ms: float, then: Callable[..., Any], *args: object) -> None:
         """Calls `then` that many milliseconds from now."""
--- a/zincstile/virtual/base_process.py
+++ b/zincstile/virtual/base_process.py
@@ -5,17 +5,19 @@
 import asyncio
 import errno
 import os
-from typing import Any
+from collections.abc import Callable
+from typing import Any, Final, Self
 
 from .network import Network
 
-OWN_DESCRIPTORS = 8  # descriptors that a Python process with a loop holds before it opens anything
+OWN_DESCRIPTORS: Final = 8  # that a Python process with a loop holds before it opens anything
+DEFAULT_MAX_DESCRIPTORS: Final = 1 << 20  # none that a run would reach
 
 
 class BaseProcess:
-    """A process without its event loop, which `process.Process` adds. It starts when it is made.
+    """A process whose event loop is made by a function that is handed in; `process.Process` hands in its own.
 
-    Its end is sudden: what it had planned never happens.
+    It starts when it is made. Its end is sudden: what it had scheduled never happens.
     """
 
     def __init__(
@@ -23,57 +25,61 @@
         network: Network,
         name: str,
         host: str,
-        zone: int = 0,
-        descriptors: int = 1 << 20,
-        quantum_ns: int = 1,
+        zone: int,
+        max_descriptors: int,
+        quantum_ns: int,
+        make_loop: Callable[[Self], asyncio.AbstractEventLoop],
     ) -> None:
-        self.network, self.scheduler, self.name, self.host = network, network.scheduler, name, host
-        self.zone, self.descriptors, self.quantum_ns = zone, descriptors, quantum_ns
+        """Start a process on a machine of that address; it looks for work once in `quantum_ns`."""
+        self.network = network
+        self.scheduler = network.scheduler
+        self.name = name
+        self.host = host
+        self.zone = zone
+        self.max_descriptors = max_descriptors
+        self.quantum_ns = quantum_ns
         self.alive = True
-        self.paused_ns = 0  # nothing of it happens before then
-        self.opened = self.most_opened = OWN_DESCRIPTORS
-        self.endpoints: dict[Any, None] = {}  # `tcp.Endpoint`
+        self.paused_until_ns = 0  # nothing happens in it before then
+        self.open_descriptors = OWN_DESCRIPTORS
+        self.peak_descriptors = OWN_DESCRIPTORS
+        self.connections: dict[Any, None] = {}  # `tcp.TcpTransport`
         self.listeners: dict[Any, None] = {}  # `tcp_listen.Listener`
-        self.datagrams: dict[Any, None] = {}  # `udp.Datagrams`
-        self.loop = self._make_loop()
+        self.datagram_sockets: dict[Any, None] = {}  # `udp.DatagramSocket`
+        self.loop = make_loop(self)
         network.processes[self.name] = self
 
-    def _make_loop(self) -> asyncio.AbstractEventLoop:
-        raise NotImplementedError
+    def next_quantum_ns(self, at_ns: int) -> int:
+        """When it gets to what is ready at that time: it looks once in a quantum."""
+        quantum_ns = self.quantum_ns
+        return -(-at_ns // quantum_ns) * quantum_ns if quantum_ns > 1 else at_ns
 
-    def ready_ns(self, at_ns: int) -> int:
-        """When it gets to what is ready at that time: it looks once a quantum, and so finds several
-        things."""
-        quantum = self.quantum_ns
-        return -(-at_ns // quantum) * quantum if quantum > 1 else at_ns
-
-    def take_descriptor(self) -> None:
-        """OSError with EMFILE where it holds as many as it may."""
-        if self.opened >= self.descriptors:
+    def acquire_descriptor(self) -> None:
+        """Count one more open descriptor; OSError with EMFILE where it holds as many as it may."""
+        if self.open_descriptors >= self.max_descriptors:
             raise OSError(errno.EMFILE, os.strerror(errno.EMFILE))
-        self.opened += 1
-        if self.opened > self.most_opened:
-            self.most_opened = self.opened
+        self.open_descriptors += 1
+        if self.open_descriptors > self.peak_descriptors:
+            self.peak_descriptors = self.open_descriptors
 
-    def give_descriptor(self) -> None:
-        """One that it held is closed."""
-        self.opened -= 1
+    def release_descriptor(self) -> None:
+        """Count one open descriptor less."""
+        self.open_descriptors -= 1
 
-    def pause(self, for_ns: int) -> None:
-        """It gets no CPU for so long, while its machine goes on taking what comes."""
-        self.paused_ns = max(self.paused_ns, self.scheduler.now_ns + for_ns)
+    def pause(self, pause_ns: int) -> None:
+        """Give it no CPU for so long, while its machine goes on receiving."""
+        self.paused_until_ns = max(self.paused_until_ns, self.scheduler.now_ns + pause_ns)
 
     def kill(self) -> None:
-        """Its connections are reset, its addresses refuse, and its machine forgets it."""
+        """End it at once: its connections are reset, its addresses refuse, and its machine forgets it."""
         if not self.alive:
             return
         self.alive = False
-        self.network.note("killed", self.name)
+        self.network.record("killed", self.name)
         for listener in list(self.listeners):
             listener.close()
-        for endpoint in list(self.endpoints):
-            endpoint.cut()
-        for datagrams in list(self.datagrams):
-            datagrams.cut()
+        for connection in list(self.connections):
+            connection.reset_by_machine()
+        for datagram_socket in list(self.datagram_sockets):
+            datagram_socket.unbind()
         if self.network.processes.get(self.name) is self:
             del self.network.processes[self.name]
--- a/zincstile/virtual/host.py
+++ b/zincstile/virtual/host.py
@@ -7,15 +7,18 @@
 
 from ..net.config import Address, Config
 from .process import Process
+from .tcp import TcpTransport
 from .tcp_listen import Listener
 
 
 class VirtualHost:
-    """The host of one process. Its Unix clock may be wrong; what it logs is kept."""
+    """The host of one process. Its Unix clock may be wrong; what it logs is kept in `lines`."""
 
-    def __init__(self, process: Process, config: Callable[[], Config], unix_ns: int = 0) -> None:
-        self._process, self._config = process, config
-        self.unix_apart_ns = unix_ns  # its Unix time less the virtual one
+    def __init__(self, process: Process, config: Callable[[], Config], unix_offset_ns: int = 0) -> None:
+        """`config` gives the configuration at present; the Unix time is the virtual one and the offset."""
+        self._process = process
+        self._config = config
+        self.unix_offset_ns = unix_offset_ns
         self.lines: list[str] = []
 
     def monotonic_ns(self) -> int:
@@ -23,33 +26,33 @@
         return self._process.scheduler.now_ns
 
     def unix_ns(self) -> int:
-        """Virtual time, off by what this machine's clock is wrong."""
-        return self._process.scheduler.now_ns + self.unix_apart_ns
+        """Unix time on this machine's clock."""
+        return self._process.scheduler.now_ns + self.unix_offset_ns
 
     def listen(self, address: Address, backlog: int) -> Listener:
         """A listening socket."""
         return Listener(self._process, address, backlog)
 
-    def readable(self, transport: Any) -> bool:
-        """Something has come on the connection that was not read."""
-        return transport.waiting
+    def readable(self, transport: TcpTransport) -> bool:
+        """Whether something has come on the connection that was not read."""
+        return transport.has_unread
 
-    def ended(self, transport: Any) -> bool:
-        """The other side's end has come, read or not."""
-        return transport.over
+    def ended(self, transport: TcpTransport) -> bool:
+        """Whether the other side's end has come, read or not."""
+        return transport.peer_has_ended
 
     def unread_ns(self, transport: Any) -> int:
-        """Not told here."""
+        """The age of what came last, which is not known here: always 0."""
         return 0
 
     def reload_config(self) -> Config:
-        """The configuration as it stands by now, for a reload."""
+        """The configuration at present, for a reload."""
         return self._config()
 
     def log(self, line: str) -> None:
-        """Keeps the line."""
+        """Keep the line."""
         self.lines.append(line)
 
     def usage(self) -> dict[str, int]:
-        """Nothing is measured here: the same in every run."""
+        """CPU and memory, which are not measured here: the same in every run."""
         return {"cpu_ms": 0, "memory_kb": 0}
--- a/zincstile/virtual/network_faults.py
+++ b/zincstile/virtual/network_faults.py
@@ -1,10 +1,8 @@
-"""What is wrong between two places at present: plans put it there, the networks ask for it. No I/O, no
-clock.
+"""Faults on the paths between named places: plans inject them, the networks ask for them. No I/O, no clock.
 
-A place is a name (`g0`, `s-03`, `discovery`, `keeper`). Troubles are laid on ordered pairs, so that a
-way may be cut in one direction only; they add up while they overlap, and each is taken away by what
-`lay` gave. Virtual time and real processes ask the same object, so that one plan means the same on
-both.
+A place is a name (`g0`, `s-03`, `discovery`, `keeper`), a path an ordered pair of two, so that it may be cut
+in one direction only. Faults add up while they overlap, and each is removed by what `inject` returned.
+Virtual time and real processes ask the same object, so that one plan means the same on both.
 """
 
 from __future__ import annotations
@@ -12,131 +10,160 @@
 import random
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
+from typing import Final
 
-Pair = tuple[str, str]
+NetworkPath = tuple[str, str]  # source and target
 
 
 @dataclass(frozen=True, slots=True)
-class Trouble:
-    """On one way. Times in seconds, shares from 0 to 1; `per_s`: datagrams that pass in a second."""
+class PathFault:
+    """What is wrong on one path. Ratios are from 0 to 1."""
 
-    cut: bool = False  # nothing passes, nothing is told
+    cut: bool = False  # nothing passes, and nobody learns it
     reset: bool = False  # connections break, and new ones are closed at once
-    loss: float = 0.0
-    twice: float = 0.0
+    loss_ratio: float = 0.0
+    duplicate_ratio: float = 0.0
     delay_s: float = 0.0
-    shuffle_s: float = 0.0  # up to so much more for each datagram by itself: they overtake each other
-    per_s: float = 0.0  # 0: as many as come
+    jitter_s: float = 0.0  # up to so much more for each datagram by itself: they overtake each other
+    datagrams_per_s: float = 0.0  # 0: as many as come
 
     def __post_init__(self) -> None:
-        if not (0 <= self.loss <= 1 and 0 <= self.twice <= 1):
-            raise ValueError("loss and twice: shares from 0 to 1")
-        if min(self.delay_s, self.shuffle_s, self.per_s) < 0:
-            raise ValueError("delay_s, shuffle_s and per_s must not be negative")
+        """Refuse values that can't be with ValueError."""
+        if not (0 <= self.loss_ratio <= 1 and 0 <= self.duplicate_ratio <= 1):
+            raise ValueError("loss_ratio and duplicate_ratio must be from 0 to 1")
+        if min(self.delay_s, self.jitter_s, self.datagrams_per_s) < 0:
+            raise ValueError("delay_s, jitter_s and datagrams_per_s must not be negative")
 
 
-CLEAR = Trouble()
+NO_FAULT: Final = PathFault()
 
 
-def joined(troubles: Iterable[Trouble]) -> Trouble:
-    """Of several at once: losses are independent, delays add up, the narrowest rate holds."""
+def combine(faults: Iterable[PathFault]) -> PathFault:
+    """Several faults at once: losses are independent, delays add up, the lowest rate holds."""
     cut = reset = False
-    passes, alone, delay, shuffle, rate = 1.0, 1.0, 0.0, 0.0, 0.0
-    for t in troubles:
-        cut, reset = cut or t.cut, reset or t.reset
-        passes, alone = passes * (1 - t.loss), alone * (1 - t.twice)
-        delay, shuffle = delay + t.delay_s, shuffle + t.shuffle_s
-        rate = min(rate or t.per_s, t.per_s or rate)
-    return Trouble(cut, reset, 1 - passes, 1 - alone, delay, shuffle, rate)
+    passing = single = 1.0
+    delay_s = jitter_s = datagrams_per_s = 0.0
+    for fault in faults:
+        cut = cut or fault.cut
+        reset = reset or fault.reset
+        passing *= 1 - fault.loss_ratio
+        single *= 1 - fault.duplicate_ratio
+        delay_s += fault.delay_s
+        jitter_s += fault.jitter_s
+        datagrams_per_s = min(
+            datagrams_per_s or fault.datagrams_per_s, fault.datagrams_per_s or datagrams_per_s
+        )
+    return PathFault(cut, reset, 1 - passing, 1 - single, delay_s, jitter_s, datagrams_per_s)
 
 
 @dataclass(slots=True)
-class _Store:
-    """Datagrams that may still pass on a way with a rate."""
+class RateBucket:
+    """Datagrams that may still pass on a path with a rate."""
 
     level: float
     at_s: float
 
 
 @dataclass(slots=True)
-class Links:
-    """All ways of one run. `changed` hears which pairs have changed: connections have to be told."""
+class DatagramCounts:
+    """What became of the datagrams on all paths."""
+
+    passed: int = 0
+    lost: int = 0
+    duplicated: int = 0
+    delayed: int = 0
+
+
+@dataclass(slots=True)
+class NetworkFaults:
+    """The faults on all paths of one run.
+
+    `on_change` is called with the paths whose faults have changed: open connections have to be told.
+    """
 
     rng: random.Random
-    changed: list[Callable[[list[Pair]], None]] = field(default_factory=list)
-    counts: dict[str, int] = field(default_factory=lambda: {"passed": 0, "lost": 0, "twice": 0, "late": 0})
-    _laid: dict[Pair, list[Trouble]] = field(default_factory=dict)
-    _now: dict[Pair, Trouble] = field(default_factory=dict)
-    _stores: dict[Pair, _Store] = field(default_factory=dict)
-
-    def lay(self, pairs: Iterable[Pair], trouble: Trouble) -> Callable[[], None]:
-        """Puts it on these ways; what is given takes it away again, once."""
-        chosen = list(dict.fromkeys(pairs))
-        for pair in chosen:
-            self._laid.setdefault(pair, []).append(trouble)
-        self._renew(chosen)
-        gone: list[bool] = []
-
-        def take_away() -> None:
-            if not gone:
-                gone.append(True)
-                for pair in chosen:
-                    self._laid[pair].remove(trouble)
-                self._renew(chosen)
-
-        return take_away
-
-    def _renew(self, pairs: list[Pair]) -> None:
-        for pair in pairs:
-            laid = self._laid.get(pair)
-            if laid:
-                self._now[pair] = joined(laid)
+    on_change: list[Callable[[list[NetworkPath]], None]] = field(default_factory=list)
+    counts: DatagramCounts = field(default_factory=DatagramCounts)
+    _injected: dict[NetworkPath, list[PathFault]] = field(default_factory=dict)
+    _combined: dict[NetworkPath, PathFault] = field(default_factory=dict)
+    _buckets: dict[NetworkPath, RateBucket] = field(default_factory=dict)
+
+    def inject(self, paths: Iterable[NetworkPath], fault: PathFault) -> Callable[[], None]:
+        """Put a fault on these paths; call the result to remove it, further calls do nothing."""
+        chosen = list(dict.fromkeys(paths))
+        for path in chosen:
+            self._injected.setdefault(path, []).append(fault)
+        self._update(chosen)
+        removed = False
+
+        def remove() -> None:
+            nonlocal removed
+            if removed:
+                return
+            removed = True
+            for path in chosen:
+                self._injected[path].remove(fault)
+            self._update(chosen)
+
+        return remove
+
+    def _update(self, paths: list[NetworkPath]) -> None:
+        for path in paths:
+            injected = self._injected.get(path)
+            if injected:
+                self._combined[path] = combine(injected)
             else:
-                self._laid.pop(pair, None)
-                self._now.pop(pair, None)
-                self._stores.pop(pair, None)
-        for hear in self.changed:
-            hear(pairs)
-
-    def way(self, source: str, target: str) -> Trouble:
-        """What is wrong on this way now."""
-        return self._now.get((source, target), CLEAR) if self._now else CLEAR
-
-    def fates(self, source: str, target: str, now_s: float) -> list[float]:
-        """Of one datagram: after how many seconds each copy of it arrives; none: it is lost."""
-        trouble = self.way(source, target)
-        if trouble is CLEAR:
-            self.counts["passed"] += 1
+                self._injected.pop(path, None)
+                self._combined.pop(path, None)
+                self._buckets.pop(path, None)
+        for notify in self.on_change:
+            notify(paths)
+
+    def path(self, source: str, target: str) -> PathFault:
+        """What is wrong on this path now."""
+        return self._combined.get((source, target), NO_FAULT) if self._combined else NO_FAULT
+
+    def outcome(self, source: str, target: str, now_s: float) -> list[float]:
+        """What becomes of one datagram: after how many seconds each copy arrives; none where it is lost."""
+        fault = self.path(source, target)
+        if fault is NO_FAULT:
+            self.counts.passed += 1
             return [0.0]
-        if (
-            trouble.cut
-            or trouble.loss
-            and self.rng.random() < trouble.loss
-            or not self._room((source, target), trouble, now_s)
-        ):
-            self.counts["lost"] += 1
+        if self._is_lost((source, target), fault, now_s):
+            self.counts.lost += 1
             return []
-        copies = 2 if trouble.twice and self.rng.random() < trouble.twice else 1
-        found = [trouble.delay_s + trouble.shuffle_s * self.rng.random() for _ in range(copies)]
-        self.counts["passed"] += 1
-        self.counts["twice"] += copies - 1
-        self.counts["late"] += found[0] > 0
-        return found
-
-    def _room(self, pair: Pair, trouble: Trouble, now_s: float) -> bool:
-        if not trouble.per_s:
+        copies = 2 if fault.duplicate_ratio and self.rng.random() < fault.duplicate_ratio else 1
+        delays_s = [fault.delay_s + fault.jitter_s * self.rng.random() for _ in range(copies)]
+        self.counts.passed += 1
+        self.counts.duplicated += copies - 1
+        self.counts.delayed += delays_s[0] > 0
+        return delays_s
+
+    def _is_lost(self, path: NetworkPath, fault: PathFault, now_s: float) -> bool:
+        if fault.cut:
+            return True
+        if fault.loss_ratio and self.rng.random() < fault.loss_ratio:
+            return True
+        return not self._passes_rate(path, fault, now_s)
+
+    def _passes_rate(self, path: NetworkPath, fault: PathFault, now_s: float) -> bool:
+        per_s = fault.datagrams_per_s
+        if not per_s:
             return True
-        store = self._stores.setdefault(pair, _Store(max(1.0, trouble.per_s), now_s))
-        store.level = min(max(1.0, trouble.per_s), store.level + trouble.per_s * (now_s - store.at_s))
-        store.at_s = now_s
-        if store.level < 1:
+        capacity = max(1.0, per_s)
+        bucket = self._buckets.setdefault(path, RateBucket(capacity, now_s))
+        bucket.level = min(capacity, bucket.level + per_s * (now_s - bucket.at_s))
+        bucket.at_s = now_s
+        if bucket.level < 1:
             return False
-        store.level -= 1
+        bucket.level -= 1
         return True
 
 
-def between(ones: Iterable[str], others: Iterable[str], way: str = "both") -> list[Pair]:
-    """The ordered pairs of two groups: `out` from the first to the second, `in` the other way, or both."""
-    pairs = [(a, b) for a in ones for b in others if a != b]
-    back = [(b, a) for a, b in pairs]
-    return {"out": pairs, "in": back, "both": pairs + back}[way]
+def paths_between(
+    sources: Iterable[str], targets: Iterable[str], direction: str = "both"
+) -> list[NetworkPath]:
+    """The paths between two groups: `out` from the first to the second, `in` the other way, or `both`."""
+    there = [(source, target) for source in sources for target in targets if source != target]
+    back = [(target, source) for source, target in there]
+    return {"out": there, "in": back, "both": there + back}[direction]
--- a/zincstile/virtual/process.py
+++ b/zincstile/virtual/process.py
@@ -1,25 +1,35 @@
-"""A program on a machine of its own: `base_process` with an event loop and signals."""
+"""A program on a machine of its own: a process with an event loop and signals."""
 
 from __future__ import annotations
 
-from .base_process import BaseProcess
+from .base_process import DEFAULT_MAX_DESCRIPTORS, BaseProcess
 from .loop import VirtualLoop
+from .network import Network
 
 
 class Process(BaseProcess):
-    """A process with its event loop."""
+    """A process with its event loop on virtual time."""
 
     loop: VirtualLoop
 
-    def _make_loop(self) -> VirtualLoop:
-        return VirtualLoop(self)
+    def __init__(
+        self,
+        network: Network,
+        name: str,
+        host: str,
+        zone: int = 0,
+        max_descriptors: int = DEFAULT_MAX_DESCRIPTORS,
+        quantum_ns: int = 1,
+    ) -> None:
+        """Start a process on a machine of that address; it looks for work once in `quantum_ns`."""
+        super().__init__(network, name, host, zone, max_descriptors, quantum_ns, VirtualLoop)
 
     def signal(self, number: int) -> None:
-        """Its handler runs in its loop; without one the signal ends it."""
+        """Send it a signal: its handler runs in its loop; without one the signal ends it."""
         if not self.alive:
             return
-        found = self.loop.signals.get(number)
-        if found is None:
+        handler = self.loop.signal_handlers.get(number)
+        if handler is None:
             self.kill()
         else:
-            self.loop.call_soon(found[0], *found[1])
+            self.loop.call_soon(handler.callback, *handler.args)
