--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -25,7 +25,7 @@
 from zincstile.cold_start.settings import MS, SECOND, ColdStartSettings
 from zincstile.net import features
 from zincstile.net.config import ConfigError, read
-from zincstile.serialization.typed_yaml import FileError
+from zincstile.serialization.errors import FileError
 from zincstile.simulation import starts, traffic
 from zincstile.simulation.plan import Plan
 
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -33,7 +33,7 @@
 from zincstile.leases.slot_messages import SlotGrant, SlotRelease, SlotRequest
 from zincstile.leases.slots import SlotManager
 from zincstile.net import config, features
-from zincstile.serialization import typed_yaml
+from zincstile.serialization.errors import FileError
 from zincstile.simulation import mutants_shared, plan, search, shared, shared_trials, traffic
 from zincstile.simulation.plan import Plan
 
@@ -305,5 +305,5 @@
         (tmp_path / "p.yaml").write_text(plan.dump(drawn))
         assert plan.load(tmp_path / "p.yaml") == drawn
     (tmp_path / "p.yaml").write_text("seed: 1\nfaults:\n- {kind: peers_cut, at_ms: 1, way: up}\n")
-    with pytest.raises(typed_yaml.FileError, match=r"p.yaml:3: \$.faults\[0\].way"):
+    with pytest.raises(FileError, match=r"p.yaml:3: \$.faults\[0\].way"):
         plan.load(tmp_path / "p.yaml")
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -21,7 +21,7 @@
 from zincstile.scale import charts, load, records, slopes, tables, topology
 from zincstile.scale.emulators import EndpointTable
 from zincstile.scale.records import Dimension, Figure, Kind
-from zincstile.serialization.typed_yaml import FileError
+from zincstile.serialization.errors import FileError
 
 ROOT = Path(__file__).parent.parent
 TARGET = ROOT / "deploy" / "scale" / "target.yaml"
--- a/tests/test_subsetting.py
+++ b/tests/test_subsetting.py
@@ -31,7 +31,7 @@
 from zincstile.net.discovery.messages import endpoint_id
 from zincstile.net.discovery.reader import EndpointReader
 from zincstile.net.host import HOST
-from zincstile.serialization.typed_yaml import FileError
+from zincstile.serialization.errors import FileError
 from zincstile.simulation import traffic
 from zincstile.simulation.plan import Plan, draw
 from zincstile.simulation.world import Run
--- a/tests/test_worlds.py
+++ b/tests/test_worlds.py
@@ -10,6 +10,7 @@
 import pytest
 
 from zincstile.serialization import typed_yaml
+from zincstile.serialization.errors import FileError
 from zincstile.simulation import mutants, plan, shrink, sweep
 from zincstile.simulation.plan import Fault, Plan
 from zincstile.simulation.world import Run
@@ -101,7 +102,7 @@
     ],
 )
 def test_a_plan_that_cannot_be_used_is_named_by_file_and_place(text, place):
-    with pytest.raises(typed_yaml.FileError) as err:
+    with pytest.raises(FileError) as err:
         typed_yaml.parse(text, "p.yaml", Plan)
     assert str(err.value).startswith(place) and "\n" not in str(err.value)
 
--- a/tests/test_zone_failover.py
+++ b/tests/test_zone_failover.py
@@ -14,7 +14,7 @@
 from zincstile.admin.operator_state import OperatorChange, OperatorState
 from zincstile.cli import main
 from zincstile.net import features
-from zincstile.serialization.typed_yaml import FileError
+from zincstile.serialization.errors import FileError
 from zincstile.simulation import mutants_place, place_search
 from zincstile.simulation.plan import Fault, Plan
 from zincstile.simulation.world import Run
--- a/zincstile/cli/bound.py
+++ b/zincstile/cli/bound.py
@@ -11,7 +11,7 @@
 from ..leases.concurrency_budget import MAX_FACTOR
 from ..net import features
 from ..quota_service.overshoot_bound import max_carry_units, max_lease_units, overshoot_bounds
-from ..serialization.typed_yaml import FileError
+from ..serialization.errors import FileError
 from .errors import BadInputError
 
 WAYS, CUT_S = 2, 10.0  # of the cut that today's gossip is stated for, beside the loans
--- a/zincstile/cli/field.py
+++ b/zincstile/cli/field.py
@@ -10,7 +10,7 @@
 
 import click
 
-from ..serialization.typed_yaml import FileError
+from ..serialization.errors import FileError
 from ..simulation import plan as plans
 from ..simulation.plan import Plan
 from .errors import BadInputError
--- a/zincstile/cli/place.py
+++ b/zincstile/cli/place.py
@@ -8,7 +8,7 @@
 
 from ..net import features
 from ..net.features import ZoneRow
-from ..serialization.typed_yaml import FileError
+from ..serialization.errors import FileError
 from ..zone_failover.routing_weights import ZoneLoad, route
 from ..zone_failover.settings import ZoneFailoverSettings
 from .errors import BadInputError
--- a/zincstile/cli/scale_capacity.py
+++ b/zincstile/cli/scale_capacity.py
@@ -6,7 +6,7 @@
 
 import click
 
-from ..serialization.typed_yaml import FileError
+from ..serialization.errors import FileError
 from .errors import BadInputError
 
 
--- a/zincstile/cli/scale_fleet.py
+++ b/zincstile/cli/scale_fleet.py
@@ -4,7 +4,7 @@
 
 import click
 
-from ..serialization.typed_yaml import FileError
+from ..serialization.errors import FileError
 from .errors import BadInputError
 
 TARGET = "deploy/scale/target.yaml"
--- a/zincstile/cli/scale_run.py
+++ b/zincstile/cli/scale_run.py
@@ -9,7 +9,7 @@
 
 import click
 
-from ..serialization.typed_yaml import FileError
+from ..serialization.errors import FileError
 from .errors import BadInputError
 from .scale_fleet import TARGET, fleet, sizes
 
--- a/zincstile/cli/sim.py
+++ b/zincstile/cli/sim.py
@@ -11,7 +11,7 @@
 import click
 
 from ..checkers.rules import RULE_NAMES
-from ..serialization.typed_yaml import FileError
+from ..serialization.errors import FileError
 from ..simulation import plan as plans
 from ..simulation.plan import Plan
 from .errors import BadInputError
--- a/zincstile/cold_start/codec.py
+++ b/zincstile/cold_start/codec.py
@@ -21,7 +21,7 @@
 AGE_UNIT_NS: Final = 10_000_000
 MAX_AGE: Final = 2**32 - 1
 OPEN_BIT: Final = 128  # beside the provenance: the sender's admission is open
-PART_ROOM_BYTES: Final = datagrams.LARGEST - datagrams.HEAD.size - PART.size  # of a datagram, for lines
+PART_ROOM_BYTES: Final = datagrams.MAX_BYTES - datagrams.HEADER.size - PART.size  # of a datagram, for lines
 LENGTH_BYTES: Final = 1  # before each line
 MAX_LINE_BYTES: Final = PART_ROOM_BYTES - LENGTH_BYTES
 
@@ -50,12 +50,12 @@
         kind = MessageKind.PART
         head = PART.pack(message.version % 2**64, message.bucket, message.part, message.parts)
         body = head + b"".join(bytes([len(line)]) + line for line in message.lines)
-    return datagrams.framed(MAGIC, kind, body)
+    return datagrams.encode(MAGIC, kind, body)
 
 
 def unpack(data: bytes) -> ListMessage | None:
     """Returns the message in a datagram; None where it is damaged or of another layout."""
-    return datagrams.unpacked(MAGIC, data, READERS)
+    return datagrams.decode(MAGIC, data, READERS)
 
 
 def split_bucket(version: int, bucket: int, lines: Iterable[bytes]) -> list[BucketPart]:
--- a/zincstile/net/config.py
+++ b/zincstile/net/config.py
@@ -209,7 +209,7 @@
 @contextlib.contextmanager
 def _config_errors() -> Iterator[None]:
     """Raises what is wrong with a feature's file as a ConfigError."""
-    from ..serialization.typed_yaml import FileError
+    from ..serialization.errors import FileError
 
     try:
         yield
--- a/zincstile/net/features.py
+++ b/zincstile/net/features.py
@@ -11,7 +11,8 @@
 
 import msgspec
 
-from ..serialization.typed_yaml import FileError, load
+from ..serialization.errors import FileError
+from ..serialization.typed_yaml import load
 
 if TYPE_CHECKING:  # a start loads what its own files need: each feature's modules are some 10 ms of its CPU
     from ..cold_start.settings import ColdStartSettings
--- a/zincstile/scale/charts.py
+++ b/zincstile/scale/charts.py
@@ -8,7 +8,7 @@
 import pygal
 from pygal.style import LightSolarizedStyle
 
-from ..serialization.typed_yaml import FileError
+from ..serialization.errors import FileError
 from .records import Dimension, Figure, Kind, SlopeResult
 from .tables import HEADINGS, SCALES
 
--- a/zincstile/scale/plan.py
+++ b/zincstile/scale/plan.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from ..serialization import typed_yaml
-from ..serialization.typed_yaml import FileError
+from ..serialization.errors import FileError
 from .topology import Count, Name, Rate, Topology
 
 LONGEST_S: Final = 540.0  # so that a run ends within 10 minutes, its start and end among them
@@ -102,16 +102,10 @@
     """Reads a file and checks it against the fleet. FileError names file, place and reason."""
     plan = typed_yaml.load(path, DayPlan)
     for place, reason in problems(plan, fleet):
-        raise FileError(f"{path}:{_line(path, place)}: {place}: {reason}")
+        raise FileError(f"{path}:{typed_yaml.line_of(path, place)}: {place}: {reason}")
     return plan
 
 
-def _line(path: str | Path, place: str) -> int:
-    """Where that place stands in a file of which it is known that it can be read."""
-    node = typed_yaml.yaml.compose(Path(path).read_text(encoding="utf-8"), Loader=typed_yaml.LOADER)
-    return typed_yaml.line_of(node, place)
-
-
 def problems(plan: DayPlan, fleet: Topology) -> list[tuple[str, str]]:
     """Places and reasons, in the plan's order, where it does not fit itself or the fleet."""
     found = []
--- a/zincstile/scale/slopes.py
+++ b/zincstile/scale/slopes.py
@@ -22,7 +22,7 @@
 from pathlib import Path
 from typing import Final
 
-from ..serialization.typed_yaml import FileError
+from ..serialization.errors import FileError
 from ..testbed.programs import ROOT
 from .point import Point, measure
 from .records import Dimension, Kind, Machine, Sample, SlopeResult
--- a/zincstile/scale/topology.py
+++ b/zincstile/scale/topology.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from ..serialization import typed_yaml
-from ..serialization.typed_yaml import FileError
+from ..serialization.errors import FileError
 
 Count = Annotated[int, msgspec.Meta(ge=1, le=10_000_000)]
 Rate = Annotated[float, msgspec.Meta(ge=0, le=1e9)]
--- a/zincstile/serialization/datagrams.py
+++ b/zincstile/serialization/datagrams.py
@@ -1,4 +1,4 @@
-"""A datagram between gateways of one kind: a byte that no other begins with, what it holds, a check.
+"""Frames of messages between gateways: a first byte of their own, the kind, a checksum, the body.
 
 No I/O.
 """
@@ -8,39 +8,48 @@
 import struct
 import zlib
 from collections.abc import Callable
-from typing import TypeVar
+from typing import Final, NamedTuple, TypeVar
 
 Message = TypeVar("Message")
 
-LARGEST = 256  # bytes of a datagram
-HEAD = struct.Struct("<BBH")  # the kind of datagram, of the message in it, and the check
+MAX_BYTES: Final = 256  # of a datagram (PROTOCOL)
+HEADER: Final = struct.Struct("<BBH")  # magic byte, kind of the message, checksum
+CHECKSUM_MASK: Final = 0xFFFF  # the lower half of the CRC: two bytes are enough beside the checks of UDP
 
 
-def framed(magic: int, kind: int, body: bytes) -> bytes:
+class Frame(NamedTuple):
+    """What a datagram holds: the kind of its message, and the message's bytes."""
+
+    kind: int
+    body: bytes
+
+
+def encode(magic: int, kind: int, body: bytes) -> bytes:
     """A datagram that holds one message."""
-    return HEAD.pack(magic, kind, zlib.crc32(body, kind) & 0xFFFF) + body
+    return HEADER.pack(magic, kind, _checksum(kind, body)) + body
 
 
-def read(magic: int, data: bytes) -> tuple[int, bytes] | None:
-    """The message's kind and its body; None for what is damaged, too long, or of another kind of datagram."""
-    if not HEAD.size <= len(data) <= LARGEST:
+def decode_frame(magic: int, data: bytes) -> Frame | None:
+    """The frame in a datagram; None where it is damaged, too long, or has another first byte."""
+    if not HEADER.size <= len(data) <= MAX_BYTES:
         return None
-    found, kind, check = HEAD.unpack_from(data)
-    body = data[HEAD.size :]
-    if found != magic or check != zlib.crc32(body, kind) & 0xFFFF:
+    found_magic, kind, checksum = HEADER.unpack_from(data)
+    body = data[HEADER.size :]
+    if found_magic != magic or checksum != _checksum(kind, body):
         return None
-    return kind, body
+    return Frame(kind, body)
 
 
-def unpacked(
-    magic: int, data: bytes, readers: dict[int, Callable[[bytes], Message | None]]
-) -> Message | None:
-    """The message in a datagram, by the reader of its kind; None for what is damaged or of another layout."""
-    found = read(magic, data)
-    if found is None or found[0] not in readers:
+def decode(magic: int, data: bytes, decoders: dict[int, Callable[[bytes], Message | None]]) -> Message | None:
+    """The message in a datagram, by the decoder of its kind; None where it is none of these."""
+    frame = decode_frame(magic, data)
+    if frame is None or frame.kind not in decoders:
         return None
-    kind, body = found
     try:
-        return readers[kind](body)
+        return decoders[frame.kind](frame.body)
     except struct.error:
         return None
+
+
+def _checksum(kind: int, body: bytes) -> int:
+    return zlib.crc32(body, kind) & CHECKSUM_MASK
--- a/zincstile/serialization/typed_yaml.py
+++ b/zincstile/serialization/typed_yaml.py
@@ -1,27 +1,26 @@
-"""YAML files to typed settings, with errors that name file, line, place and reason.
+"""YAML files to typed records; errors name file, line, place and reason.
 
-Reads one file and nothing else. Stands on PyYAML (its marks tell the lines) and msgspec (its paths tell the
-places); only commands and installations that switch such a file on load it.
+Reads one file and nothing else. Uses PyYAML, whose marks give the lines, and msgspec, whose paths give the
+places; only commands and installations that need such a file load this module.
 """
 
 from __future__ import annotations
 
 from pathlib import Path
-from typing import TypeVar
+from typing import Final, TypeVar
 
 import msgspec
 import yaml
 
-T = TypeVar("T")
-LOADER = getattr(yaml, "CSafeLoader", yaml.SafeLoader)  # by libyaml where it is there: a start waits for it
+from .errors import FileError, split_place
 
+Record = TypeVar("Record")
 
-class FileError(ValueError):
-    """The file can't be used; the text says where and why in one line."""
+LOADER: Final = getattr(yaml, "CSafeLoader", yaml.SafeLoader)  # libyaml's where it is there: a start waits
 
 
-def load(path: str | Path, kind: type[T]) -> T:
-    """The file as that type. FileError where it can't be read or does not fit."""
+def load(path: str | Path, kind: type[Record]) -> Record:
+    """Read the file as that type; FileError where it can't be read or does not fit."""
     try:
         text = Path(path).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as err:
@@ -29,36 +28,43 @@
     return parse(text, str(path), kind)
 
 
-def parse(text: str, path: str, kind: type[T]) -> T:
-    """A text as that type; `path` is for the messages."""
+def parse(text: str, path: str, kind: type[Record]) -> Record:
+    """Read a text as that type; `path` is for the messages of the FileError."""
     try:
         node = yaml.compose(text, Loader=LOADER)
-        table = yaml.load(text, Loader=LOADER)
+        value = yaml.load(text, Loader=LOADER)
     except yaml.MarkedYAMLError as err:
         line = err.problem_mark.line + 1 if err.problem_mark else 1
         raise FileError(f"{path}:{line}: not YAML: {err.problem}") from None
     except (yaml.YAMLError, RecursionError, ValueError) as err:
         raise FileError(f"{path}: not YAML: {' '.join(str(err).split())}") from None
     try:
-        return msgspec.convert(table, kind)
+        return msgspec.convert(value, kind)
     except msgspec.ValidationError as err:
-        reason, _, place = str(err).partition(" - at `")
-        place = place.rstrip("`")
-        raise FileError(f"{path}:{line_of(node, place)}: {place or '$'}: {reason}") from None
+        reason, place = split_place(str(err))
+        raise FileError(f"{path}:{_line_of(node, place)}: {place or '$'}: {reason}") from None
 
 
-def line_of(node: yaml.Node | None, place: str) -> int:
-    """Line of a place as msgspec names it (`$.faults[2].kind`), or of the nearest one that is there."""
+def line_of(path: str | Path, place: str) -> int:
+    """The line of a place (`$.faults[2].kind`) in a file that was loaded, or of the nearest one in it."""
+    return _line_of(yaml.compose(Path(path).read_text(encoding="utf-8"), Loader=LOADER), place)
+
+
+def _line_of(node: yaml.Node | None, place: str) -> int:
     line = 1
     for part in place.removeprefix("$").replace("[", ".[").strip(".").split("."):
         if node is None or not part:
             break
         line = node.start_mark.line + 1
-        found = None
-        if part.startswith("[") and isinstance(node, yaml.SequenceNode):
-            number = part[1:-1]
-            found = node.value[int(number)] if number.isdigit() and int(number) < len(node.value) else None
-        elif isinstance(node, yaml.MappingNode):
-            found = next((v for k, v in node.value if k.value == part), None)
-        node = found
+        node = _child(node, part)
     return node.start_mark.line + 1 if node is not None else line
+
+
+def _child(node: yaml.Node, part: str) -> yaml.Node | None:
+    """The value under a key, or under an index in brackets; None where there is none."""
+    if part.startswith("[") and isinstance(node, yaml.SequenceNode):
+        index = part[1:-1]
+        return node.value[int(index)] if index.isdigit() and int(index) < len(node.value) else None
+    if isinstance(node, yaml.MappingNode):
+        return next((value for key, value in node.value if key.value == part), None)
+    return None
--- a/zincstile/testbed/report.py
+++ b/zincstile/testbed/report.py
@@ -12,7 +12,7 @@
 import pygal
 from pygal.style import CleanStyle
 
-from ..serialization.typed_yaml import FileError
+from ..serialization.errors import FileError
 from .result import BreachRow, FieldResult, GatewayRow
 
 STYLE = CleanStyle(title_font_size=15, legend_font_size=11, label_font_size=11, major_label_font_size=11)
--- a/zincstile/testbed/sweep.py
+++ b/zincstile/testbed/sweep.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 
 from ..net import features as features_files
-from ..serialization.typed_yaml import FileError
+from ..serialization.errors import FileError
 from ..simulation import places, shared, soak, traffic
 from ..simulation.plan import Plan
 from . import run
--- a/zincstile/zone_failover/codec.py
+++ b/zincstile/zone_failover/codec.py
@@ -63,12 +63,12 @@
     else:
         kind = MessageKind.REPORT
         body = _pack_report(message)
-    return datagrams.framed(MAGIC, kind, body)
+    return datagrams.encode(MAGIC, kind, body)
 
 
 def unpack(data: bytes) -> ZoneMessage | None:
     """Returns the message in a datagram; None where it is damaged or of another layout."""
-    return datagrams.unpacked(MAGIC, data, READERS)
+    return datagrams.decode(MAGIC, data, READERS)
 
 
 def _pack_table(table: RoutingTable) -> bytes:
