--- a/zincstile/net/backends/attempts.py
+++ b/zincstile/net/backends/attempts.py
@@ -141,9 +141,9 @@
                 return
         elif backend.idle:  # the new one replaces the one idle for longest, so that they don't add up
             self.pool.close_idle(backend.idle[0])
-        if not self.pool.make_capacity():
+        count = len(self.pool.connections)
+        if count >= self.dispatcher.limits.backend_connections and not self.pool.close_oldest_idle():
             # Descriptors are scarce. It was never sent, and the backend is not to blame.
-            count = len(self.pool.connections)
             self.dispatcher.log.often("full", f"{count} backend connections: no more for now")
             self.finish(attempt, AttemptResult.NOT_SENT)
             self.pool.release(backend)
--- a/zincstile/net/backends/pool.py
+++ b/zincstile/net/backends/pool.py
@@ -127,10 +127,6 @@
                 connection.transport.abort()
         return None
 
-    def make_capacity(self) -> bool:
-        """Closes the connection idle for longest where no more may be open; False where none is idle."""
-        return len(self.connections) < self.dispatcher.limits.backend_connections or self.close_oldest_idle()
-
     def add_idle(self, connection: BackendConnection, *, unused: bool = False) -> None:
         """Keeps a connection for further attempts, or closes it where its backend takes none.
 
