--- a/tests/test_emulators.py
+++ b/tests/test_emulators.py
@@ -186,11 +186,11 @@
         endpoints.put(EndpointEntry("s-1", "127.0.0.1:1", status="Terminating"))
         change = await chunk()
         assert not change["snapshot"] and change["endpoints"][0]["status"] == "Terminating"
-        agent.set_silent(True)
+        agent.silence()
         endpoints.put(EndpointEntry("s-1", "127.0.0.1:1", status="Gone"))
         with pytest.raises(TimeoutError):
             await asyncio.wait_for(chunk(), 0.1)
-        agent.set_silent(False)
+        agent.resume()
         again = await (await watch(change["index"]))()  # what was missed, as a change
         assert not again["snapshot"] and again["endpoints"][0]["status"] == "Gone"
         assert [event[3] for event in observer.events if event[0] == "gateway_notified"][:2] == [
--- a/zincstile/checkers/checker.py
+++ b/zincstile/checkers/checker.py
@@ -64,8 +64,6 @@
         self._deadlines = AnswerDeadlines(limits)
         self._values: dict[bytes, dict[bytes, None]] = {}  # by request: what backends produced for it
 
-    # ---- records
-
     @property
     def violations(self) -> list[Violation]:
         """The violations so far, in their order."""
@@ -266,7 +264,7 @@
         history.counted_in_quota = True
         excess = self.quotas.request_forwarded(now_ns, history.plan, history.customer, history.units)
         if excess > 0:
-            text = f"{_customer(history)} is {excess:.2f} units past the stated bound"
+            text = f"{history.customer_name} is {excess:.2f} units past the stated bound"
             self.report_violation(Rule.QUOTA, text, history)
 
     # ---- backends
@@ -297,7 +295,7 @@
         history.reached_backend = True
         excess = self.ceilings.consume(now_ns, history.plan, history.customer, history.units)
         if excess > 0:
-            text = f"{_customer(history)} is {excess:.2f} units past the slack"
+            text = f"{history.customer_name} is {excess:.2f} units past the slack"
             self.report_violation(Rule.CEILING, text, history)
 
     def _check_cold_start(
@@ -399,7 +397,3 @@
     def report_fault(self, gateway: str, text: str) -> None:
         """Report an exception of a gateway, or an end that nobody asked for."""
         self.report_violation(Rule.RESOURCES, f"{gateway}: exception {text}")
-
-
-def _customer(history: RequestHistory) -> str:
-    return f"customer {history.customer.decode()} of {history.plan}"
--- a/zincstile/checkers/history.py
+++ b/zincstile/checkers/history.py
@@ -91,6 +91,11 @@
     attempts: list[Attempt] = field(default_factory=list)
     events: list[Event] = field(default_factory=list)
 
+    @property
+    def customer_name(self) -> str:
+        """The customer and its plan, as violations name them."""
+        return f"customer {self.customer.decode()} of {self.plan}"
+
     @property
     def attempted(self) -> bool:
         """Whether a gateway has begun an attempt since the request was sent last."""
--- a/zincstile/emulators/backend.py
+++ b/zincstile/emulators/backend.py
@@ -27,6 +27,9 @@
 }
 CALL_FIELDS: Final = ("c", "t", "d", "units", "spread", "first")  # that each call has to bring (PROTOCOL)
 WARM_SINCE_S: Final = -1e9  # start of a backend that has long been warm
+MIN_CALL_ARGUMENTS: Final = 4  # verb, customer, id and fields
+MAX_CALL_ARGUMENTS: Final = {b"CALL.GET": 4, b"CALL.POST": 5}  # the latter with a body
+COPY_RATIO: Final = 0.5  # of extra answers that are a second copy; the others are noise
 SERVICE_TIME_WEIGHT: Final = 0.2  # of the latest call in the reported service time: a mean of about five
 
 
@@ -257,7 +260,7 @@
         report = self.load_report()
         data = b"*3\r\n$%d\r\n%b\r\n$-1\r\n$%d\r\n%b\r\n" % (len(value), value, len(report), report)
         if model.extra_ratio and rng.random() < model.extra_ratio:
-            data += data if rng.random() < 0.5 else CORRUPT_ANSWERS["noise"]
+            data += data if rng.random() < COPY_RATIO else CORRUPT_ANSWERS["noise"]
         call.connection.write(call, data)
 
     def _reject(self, call: Call) -> None:
@@ -310,8 +313,9 @@
             self.transport.close()
 
     def _handle(self, arguments: list[bytes]) -> None:
-        if arguments[0] in (b"CALL.GET", b"CALL.POST"):
-            if not 4 <= len(arguments) <= (4 if arguments[0] == b"CALL.GET" else 5):
+        max_arguments = MAX_CALL_ARGUMENTS.get(arguments[0])
+        if max_arguments is not None:
+            if not MIN_CALL_ARGUMENTS <= len(arguments) <= max_arguments:
                 raise codec.ProtocolError(f"{len(arguments)} arguments in a call")
             self.backend.receive_call(self, arguments)
         elif arguments == [b"PING"]:
--- a/zincstile/emulators/codec.py
+++ b/zincstile/emulators/codec.py
@@ -5,7 +5,11 @@
 
 from __future__ import annotations
 
-NOTHING_OPEN = -1  # no bulk string has begun
+from typing import Final
+
+NOTHING_OPEN: Final = -1  # no bulk string has begun
+CALL_FIELDS_INDEX: Final = 3  # of a call: after its verb, customer and id
+REQUEST_LINE_PARTS: Final = 3  # method, target and version (RFC 9112)
 
 
 class ProtocolError(ValueError):
@@ -168,7 +172,7 @@
 def parse_request_head(head: bytes) -> tuple[str, str, dict[str, str]]:
     """Method, path and query of an HTTP request's head, given without its empty line."""
     parts = head.split(b"\r\n", 1)[0].decode("latin-1").split(" ")
-    if len(parts) != 3 or not parts[2].startswith("HTTP/1."):
+    if len(parts) != REQUEST_LINE_PARTS or not parts[2].startswith("HTTP/1."):
         raise ProtocolError(f"not a request: {head[:40]!r}")
     path, _, query = parts[1].partition("?")
     return parts[0], path, dict(p.split("=", 1) for p in query.split("&") if "=" in p)
@@ -176,5 +180,7 @@
 
 def forwarded_timeout_ms(arguments: list[bytes]) -> int:
     """The client's remaining time as a gateway passes it to a backend, in milliseconds; 0: none given."""
-    fields = arguments[3].split(b",") if len(arguments) > 3 else []
+    if len(arguments) <= CALL_FIELDS_INDEX:
+        return 0
+    fields = arguments[CALL_FIELDS_INDEX].split(b",")
     return next((int(f[2:]) for f in fields if f.startswith(b"d=") and f[2:].isdigit()), 0)
--- a/zincstile/emulators/discovery.py
+++ b/zincstile/emulators/discovery.py
@@ -125,13 +125,16 @@
             if connection.served:  # else its request still waits for its turn
                 connection.send_news()
 
-    def set_silent(self, silent: bool) -> None:
-        """Send nothing any more, or send everything that was missed."""
-        self.silent = silent
-        if not silent:
-            for connection in list(self.connections):
-                if not connection.queued:
-                    connection.send_news()
+    def silence(self) -> None:
+        """Send nothing any more, while connections stay open."""
+        self.silent = True
+
+    def resume(self) -> None:
+        """Send everything that was missed, and go on."""
+        self.silent = False
+        for connection in list(self.connections):
+            if not connection.queued:
+                connection.send_news()
 
     def abandon_connections(self) -> None:
         """Keep what is open open and send nothing more on it, as a path does that forgot it."""
--- a/zincstile/simulation/faults.py
+++ b/zincstile/simulation/faults.py
@@ -274,8 +274,8 @@
 
 def _discovery_silent(run: Stage, fault: Fault) -> None:
     for seat in _seats(run, fault):
-        seat.agent.set_silent(True)
-        run.after(fault.for_ms, seat.agent.set_silent, False)
+        seat.agent.silence()
+        run.after(fault.for_ms, seat.agent.resume)
 
 
 def _watch_lost(run: Stage, fault: Fault) -> None:
