--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -26,8 +26,8 @@
 )
 from zincstile.leases.concurrency_budget import ConcurrencyBudget, ConcurrencyReport
 from zincstile.leases.failure_detector import ALL_CLASSES, FailureDetector, Suspicion
+from zincstile.leases.feature import covered_plans
 from zincstile.leases.lease_messages import LeaseGrant, LeaseRelease, LeaseRequest
-from zincstile.leases.module import covered_plans
 from zincstile.leases.rendezvous import choose_holders
 from zincstile.leases.settings import FAILURES, MS, SECOND, SharedSettings
 from zincstile.leases.slot_messages import SlotGrant, SlotRelease, SlotRequest
--- a/tests/test_subsetting.py
+++ b/tests/test_subsetting.py
@@ -35,8 +35,8 @@
 from zincstile.simulation import traffic
 from zincstile.simulation.plan import Plan, draw
 from zincstile.simulation.world import Run
+from zincstile.subsetting.feature import SubsettingFeature
 from zincstile.subsetting.fleet import Fleet, zone_of
-from zincstile.subsetting.module import SubsettingFeature
 from zincstile.subsetting.placement import first_rank, ring_key, slice_size, stable_hash
 from zincstile.subsetting.settings import Layout, Reach, ServiceBy, SubsetSettings
 
--- a/tests/test_zone_failover.py
+++ b/tests/test_zone_failover.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-import importlib
 import math
 import random
 
@@ -19,6 +18,8 @@
 from zincstile.simulation.plan import Fault, Plan
 from zincstile.simulation.world import Run
 from zincstile.zone_failover import codec
+from zincstile.zone_failover.events import ZoneOverridden
+from zincstile.zone_failover.feature import ZoneRoutingFeature
 from zincstile.zone_failover.messages import (
     Generation,
     RoutingTable,
@@ -27,7 +28,6 @@
     ZoneObservation,
     ZoneReport,
 )
-from zincstile.zone_failover.module import ZoneRoutingFeature
 from zincstile.zone_failover.routing_weights import WEIGHT_TOTAL, ZoneLoad, route, to_weights
 from zincstile.zone_failover.settings import ZoneFailoverSettings, parse_duration
 from zincstile.zone_failover.zone_view import ZoneView
@@ -247,18 +247,18 @@
             seed=8, gateways=6, boxes=18, requests=1300, last_ms=15000, place=True, greedy=0.1, anchored=False
         )
     )
-    sent, went, module = [], run.checker.attempt_started, "zincstile.zone_failover.module"
+    sent = []
+    went = run.checker.attempt_started
 
     def heard(gateway, box, request, first_ns):
         sent.append(((run.scheduler.now_ns - run.began_ns) / 1e9, run.checker.locations[box][0]))
         return went(gateway, box, request, first_ns)
 
     run.checker.attempt_started = heard
-    said = importlib.import_module(module).ZoneSaid
     for at, drained in ((3, True), (8, False)):
         run.scheduler.call_at(
             run.began_ns + at * 10**9,
-            lambda drained=drained: run.seats[0].gateway.dispatcher.post(said(1, drained)),
+            lambda drained=drained: run.seats[0].gateway.dispatcher.post(ZoneOverridden(1, drained=drained)),
         )
     assert run.play().breach is None
 
--- a/zincstile/cold_start/__init__.py
+++ b/zincstile/cold_start/__init__.py
@@ -12,5 +12,5 @@
 - `message_rate`: the limit on datagrams in a second
 - `readiness`: from when on a gateway says that it is ready
 - `admission_ramp`: the way up to full admission after a start
-- `policy`: the decision module with that ramp
+- `feature`, `events`: what joins a policy: that ramp, and its event
 """
--- a/zincstile/cold_start/policy.py
+++ b/zincstile/cold_start/feature.py
@@ -7,7 +7,6 @@
 
 import math
 import random
-from dataclasses import dataclass
 
 from ..decisions.endpoints import Endpoint
 from ..decisions.load_balancing import EndpointChooser
@@ -16,14 +15,10 @@
 from ..decisions.records import Attempt, PendingRequest
 from ..decisions.settings import Settings
 from .admission_ramp import AdmissionRamp
+from .events import FleetServes
 from .settings import ColdStartSettings
 
 
-@dataclass(slots=True)
-class Running:
-    """An event: the fleet serves with open admission, this gateway starts into it."""
-
-
 class AdmissionRampFeature:
     """Owner of the pace of a start; there is none any more once admission is open."""
 
@@ -40,7 +35,7 @@
         self.parts.admission.choose = self.choose
         self.parts.outcomes.listeners.append(self.on_outcome)
         policy.ticker.limited.append(self.on_limit_updated)
-        policy.handlers[Running] = self.on_running
+        policy.handlers[FleetServes] = self.on_fleet_serves
 
     @property
     def is_open(self) -> bool:
@@ -92,7 +87,7 @@
         if limited or self.ramp.is_over(now):
             self._open(now, "by the budget's own bound" if limited else "by what was seen")
 
-    def on_running(self, now: int, _: Running) -> None:
+    def on_fleet_serves(self, now: int, _: FleetServes) -> None:
         """The fleet serves with open admission: so does this gateway."""
         if self.ramp is not None:
             self._open(now, "as the fleet's is")
--- a/zincstile/leases/__init__.py
+++ b/zincstile/leases/__init__.py
@@ -14,7 +14,7 @@
     concurrency_budget   the units that all gateways together may have in flight
     lease_messages,
     slot_messages, codec the messages between gateways, and their datagrams
-    module               the decisions with their shared state held so
+    feature, events      what joins a policy: its shared state held so, its events and actions
 
 No I/O and no clock: times are handed in, messages are returned. docs/shared.md derives the bounds and says
 which ways were weighed. Switched on by `features.shared: deploy/shared.yaml`.
--- a/zincstile/leases/module.py
+++ b/zincstile/leases/feature.py
@@ -11,7 +11,6 @@
 import math
 import random
 from collections.abc import Iterable
-from dataclasses import dataclass, field
 from typing import Final
 
 from ..decisions.deferred_admission import DeferredQuotas, Reservation
@@ -27,6 +26,7 @@
 from .bound import bounds
 from .codec import SharedMessage
 from .concurrency_budget import ConcurrencyBudget, ConcurrencyReport
+from .events import SendSharedMessages, SharedMessagesReceived
 from .failure_detector import ALL_CLASSES, FailureDetector
 from .lease_manager import LeaseManager
 from .lease_messages import LeaseGrant, LeaseRelease, LeaseRequest
@@ -46,24 +46,6 @@
 NEVER_RESEND_NS: Final = -1
 
 
-@dataclass(slots=True)
-class SharedTell:
-    """An action: words for one peer, from this process."""
-
-    peer: int
-    process: int
-    words: list[SharedMessage]
-
-
-@dataclass(slots=True)
-class SharedWords:
-    """An event: a peer's words."""
-
-    sender: int
-    process: int
-    words: list[SharedMessage] = field(default_factory=list)
-
-
 def covered_plans(settings: Settings, shared: SharedSettings) -> list[bool]:
     """For each plan:
 
@@ -127,7 +109,7 @@
         policy.ticker.limited.append(self.on_limit_updated)
         policy.timers[LEASE_HEARTBEAT_TOKEN] = self._heartbeat
         policy.timers[LEASE_RESEND_TOKEN] = self._resend
-        policy.handlers[SharedWords] = self.on_shared_words
+        policy.handlers[SharedMessagesReceived] = self.on_messages_received
 
     def before_start(self, now: int) -> None:
         """Builds what needs the start time."""
@@ -197,7 +179,7 @@
             *self.budget.reports_to_send(now, self.units_in_flight, wanted_per_s, self.rng),
         ]
         for peer in self.budget.draw_recipients(self.rng) if self.settings.peers else ():
-            self.parts.actions.append(SharedTell(peer, self.process, messages))
+            self.parts.actions.append(SendSharedMessages(peer, self.process, messages))
 
     def _resend(self, now: int) -> None:
         self.resend_ns = NEVER_RESEND_NS
@@ -206,12 +188,12 @@
 
     # ---- messages
 
-    def on_shared_words(self, now: int, event: SharedWords) -> None:
+    def on_messages_received(self, now: int, event: SharedMessagesReceived) -> None:
         """Each kind goes to where it belongs; what doesn't fit is counted and dropped."""
         if not 0 <= event.sender < self.settings.gateways or event.sender == self.settings.me:
             return
         customers: dict[int, None] = {}  # for whom something has come, in order
-        for word in event.words:
+        for word in event.messages:
             if isinstance(word, LeaseRequest | SlotRequest):
                 self._on_query(now, event, word)
             elif isinstance(word, SlotGrant):
@@ -234,7 +216,7 @@
         self.deferred.retry_waiting(now, [key for key in customers if key in self.deferred.waiting])
         self.flush(now)
 
-    def _on_query(self, now: int, event: SharedWords, query: LeaseRequest | SlotRequest) -> None:
+    def _on_query(self, now: int, event: SharedMessagesReceived, query: LeaseRequest | SlotRequest) -> None:
         settings = self.settings
         if (
             query.plan >= len(settings.plans)
@@ -253,7 +235,7 @@
             return
         self.leases.lessor.on_request(now, event.sender, event.process, query, account)
 
-    def _on_slot_query(self, now: int, event: SharedWords, query: SlotRequest) -> None:
+    def _on_slot_query(self, now: int, event: SharedMessagesReceived, query: SlotRequest) -> None:
         slots = self._slot_account(query.customer, query.plan, query.set_size, query.first_gateway)
         if slots is None or not _is_row(slots.gateways, query):
             self.strange += 1
@@ -271,7 +253,9 @@
         for word in (*self.leases.drain_messages(), *self.slots.drain_messages()):
             by_peer.setdefault(word.recipient, []).append(word)
         if self.settings.peers:
-            self.parts.actions += [SharedTell(peer, self.process, words) for peer, words in by_peer.items()]
+            self.parts.actions += [
+                SendSharedMessages(peer, self.process, words) for peer, words in by_peer.items()
+            ]
 
     # ---- units of quotas
 
--- a/zincstile/net/administration.py
+++ b/zincstile/net/administration.py
@@ -130,12 +130,12 @@
         self.handover.save()
 
     def _change_zone(self, reply: OperatorReply) -> None:
-        from ..zone_failover.module import ZoneSaid
+        from ..zone_failover.events import ZoneOverridden
 
         zone = self._config.zones.index(reply.name)
         drain = reply.change is OperatorChange.ZONE_DRAIN
-        hold = reply.change is OperatorChange.ZONE_HOLD
-        self._dispatcher.post(ZoneSaid(zone, drain, hold))
+        freeze = reply.change is OperatorChange.ZONE_HOLD
+        self._dispatcher.post(ZoneOverridden(zone, drained=drain, frozen=freeze))
         self._dispatcher.log.line(f"zone {reply.text}")
 
     def _adopt_maintenance(self, change: MaintenanceChange) -> None:
--- a/zincstile/net/cold_start.py
+++ b/zincstile/net/cold_start.py
@@ -11,10 +11,10 @@
 from typing import Any, Final
 
 from ..cold_start import codec
+from ..cold_start.events import FleetServes
 from ..cold_start.list_search import FoundList
 from ..cold_start.messages import Provenance
 from ..cold_start.peer_lists import PeerLists
-from ..cold_start.policy import Running
 from ..cold_start.readiness import ListTrust, Readiness
 from ..cold_start.settings import ColdStartSettings
 from .discovery.watcher import EndpointWatcher
@@ -104,7 +104,7 @@
         self.lists.admission_open = self.admission_is_open()
         self.lists.receive(self.dispatcher.now_ns(), sender, message)
         if not self.lists.admission_open and self.lists.fleet_serves():
-            self.dispatcher.post(Running())
+            self.dispatcher.post(FleetServes())
         self._use_found()
         self._send()
         return HANDLED
--- a/zincstile/net/policy_assembly.py
+++ b/zincstile/net/policy_assembly.py
@@ -35,18 +35,18 @@
     describe_zones = None
     ramp = None
     if config.place:
-        from ..zone_failover.module import ZoneRoutingFeature
+        from ..zone_failover.feature import ZoneRoutingFeature
 
         zones = ZoneRoutingFeature(settings, config.seed, config.place, config.zones)
         features.append(zones)
         describe_zones = zones.describe
     if config.start:
-        from ..cold_start.policy import AdmissionRampFeature
+        from ..cold_start.feature import AdmissionRampFeature
 
         ramp = AdmissionRampFeature(settings, config.seed, config.start)
         features.append(ramp)
     if config.subset:
-        from ..subsetting.module import SubsettingFeature
+        from ..subsetting.feature import SubsettingFeature
 
         machine_types = [endpoint_id(name) for name in config.kinds]
         features.append(SubsettingFeature(settings, config.subset, config.zones, machine_types))
@@ -57,11 +57,11 @@
 def _quota_feature(config: Config, host: Host) -> list[Feature]:
     """Returns the feature that holds quotas; none where they are held by gossip."""
     if config.shared:
-        from ..leases.module import LeasesFeature
+        from ..leases.feature import LeasesFeature
 
         return [LeasesFeature(config.settings, config.seed, config.shared)]
     if config.quota_service:
-        from ..quota_service.module import QuotaServiceFeature
+        from ..quota_service.feature import QuotaServiceFeature
 
         unix_offset_ns = host.unix_ns() - host.monotonic_ns()
         return [QuotaServiceFeature(config.settings, config.quota_service, unix_offset_ns)]
--- a/zincstile/quota_service/__init__.py
+++ b/zincstile/quota_service/__init__.py
@@ -9,7 +9,7 @@
     account           what a gateway knows of one customer
     accounts          leases of units, taken from the service ahead of need; the even part where there is none
     opening_level     the units with which an epoch opens, from the totals of the epochs before
-    module            the decision module with its quotas held so, and its further events and actions
+    feature, events   what joins a policy: its quotas held so, its events and actions
 
 The quota service is the counter of PROTOCOL: it adds an amount to a named counter and returns the total. It
 may answer late, never, or with no number; it may vanish, be split in two that both answer, or be replaced by
--- a/zincstile/quota_service/module.py
+++ b/zincstile/quota_service/feature.py
@@ -8,7 +8,6 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from dataclasses import dataclass
 from typing import Final
 
 from ..decisions.deferred_admission import DeferredQuotas, Reservation
@@ -21,46 +20,13 @@
 from ..decisions.units import SECOND_NS
 from .account import Account
 from .accounts import Accounts
+from .events import CallQuotaService, PeerHeartbeatReceived, QuotaServiceAnswered, SendPeerHeartbeat
 from .failure_detector import FailureDetector, ServiceState
-from .messages import PeerHeartbeat
 from .settings import COUNTER_LIFETIME_MS, QuotaServiceSettings
 
 LEASE_WAIT_NS: Final = SECOND_NS // 12  # a request waits so long for a lease
 
 
-@dataclass(slots=True)
-class KeeperCall:
-    """An action: add the amount to the name; the answer bears the number."""
-
-    number: int
-    name: str
-    amount: float
-    ttl_ms: int
-
-
-@dataclass(slots=True)
-class KeeperAnswer:
-    """An event: what came of a call; None: nothing in time, or no number."""
-
-    number: int
-    total: float | None
-
-
-@dataclass(slots=True)
-class KeeperTell:
-    """An action: a word for one peer."""
-
-    peer: int
-    word: PeerHeartbeat
-
-
-@dataclass(slots=True)
-class KeeperWord:
-    """An event: a peer's word."""
-
-    word: PeerHeartbeat
-
-
 Answered = Callable[[int, float | None], None]  # common time, total
 
 
@@ -78,7 +44,7 @@
         self.accounts: Accounts | None = None
         self.calls: dict[int, Answered] = {}  # by number, until they are answered
         self.reported_state: ServiceState | None = None
-        self._last_number = 0
+        self._last_call_id = 0
 
     # ---- the feature
 
@@ -90,8 +56,8 @@
         )
         self.parts.use_quotas(self.deferred)
         policy.timers[QUOTA_SERVICE_TOKEN] = self._heartbeat
-        policy.handlers[KeeperAnswer] = self.on_answer
-        policy.handlers[KeeperWord] = self.on_peer_view
+        policy.handlers[QuotaServiceAnswered] = self.on_answer
+        policy.handlers[PeerHeartbeatReceived] = self.on_peer_heartbeat
 
     def before_start(self, now: int) -> None:
         """Nothing is called before the start."""
@@ -111,9 +77,9 @@
 
     # ---- the quota service
 
-    def on_answer(self, now: int, event: KeeperAnswer) -> None:
+    def on_answer(self, now: int, event: QuotaServiceAnswered) -> None:
         """The answer to one call, which may let requests go that wait for it."""
-        answered = self.calls.pop(event.number, None)
+        answered = self.calls.pop(event.call_id, None)
         if answered is None:
             return
         answered(self._common_ns(now), event.total)
@@ -124,10 +90,10 @@
             self.parts.actions.append(LogMessage(self.detector.log_line(self._common_ns(now))))
             self._report_to_peers(now)  # at once, where trust ends
 
-    def on_peer_view(self, now: int, event: KeeperWord) -> None:
+    def on_peer_heartbeat(self, now: int, event: PeerHeartbeatReceived) -> None:
         """A peer's view of its quota service."""
-        if 0 <= event.word.sender < self.settings.gateways:
-            self.detector.peers.receive(self._common_ns(now), event.word)
+        if 0 <= event.heartbeat.sender < self.settings.gateways:
+            self.detector.peers.receive(self._common_ns(now), event.heartbeat)
 
     def _common_ns(self, now: int) -> int:
         return now + self.clock_offset_ns
@@ -145,12 +111,14 @@
     def _report_to_peers(self, now: int) -> None:
         heartbeat = self.detector.peer_heartbeat(self._common_ns(now))
         own = self.settings.me
-        self.parts.actions += [KeeperTell(p, heartbeat) for p in range(self.settings.gateways) if p != own]
+        self.parts.actions += [
+            SendPeerHeartbeat(p, heartbeat) for p in range(self.settings.gateways) if p != own
+        ]
 
     def _call(self, name: str, amount: float, ttl_ms: int, answered: Answered) -> None:
-        self._last_number += 1
-        self.calls[self._last_number] = answered
-        self.parts.actions.append(KeeperCall(self._last_number, name, amount, ttl_ms))
+        self._last_call_id += 1
+        self.calls[self._last_call_id] = answered
+        self.parts.actions.append(CallQuotaService(self._last_call_id, name, amount, ttl_ms))
 
     # ---- the units of quotas
 
--- a/zincstile/subsetting/__init__.py
+++ b/zincstile/subsetting/__init__.py
@@ -6,7 +6,7 @@
     rings       all endpoints, and a ring of the ready ones for each service and zone
     selection   the slices of all services
     widening    how far a slice is widened while its endpoints are unhealthy
-    module      the decision module that gets the endpoints of the subset alone
+    feature     what joins a policy: it gets the endpoints of the subset alone
 
 docs/subset.md describes the method, and the ones that were compared with it.
 """
--- a/zincstile/zone_failover/__init__.py
+++ b/zincstile/zone_failover/__init__.py
@@ -10,5 +10,5 @@
 - `zone_view`: the reports of all gateways, merged
 - `leader_terms`: who may propose a routing table, and which table holds
 - `agreement`: one gateway's part in all of this
-- `module`: the decision module that routes by the agreed weights
+- `feature`, `events`: what joins a policy: routing by the agreed weights, and its events and actions
 """
--- a/zincstile/zone_failover/agreement.py
+++ b/zincstile/zone_failover/agreement.py
@@ -1,7 +1,7 @@
 """Agreement on zones, as one gateway takes part in it: its reports, the elections and the routing table.
 
-No I/O and no clock. Messages come in by `receive` and go out by `take_messages`. The decision module
-(`module`) and the model of any number of gateways (`simulation/place_model`) build on it.
+No I/O and no clock. Messages come in by `receive` and go out by `take_messages`. The feature
+(`feature`) and the model of any number of gateways (`simulation/place_model`) build on it.
 """
 
 from __future__ import annotations
--- a/zincstile/zone_failover/module.py
+++ b/zincstile/zone_failover/feature.py
@@ -23,7 +23,8 @@
 from ..decisions.settings import Idempotency, Settings
 from ..decisions.timers import ZONE_HEARTBEAT_TOKEN
 from .agreement import Agreement
-from .messages import ZoneMessage, ZoneObservation
+from .events import SendZoneMessage, ZoneMessageReceived, ZoneOverridden
+from .messages import ZoneObservation
 from .routing_weights import WEIGHT_TOTAL
 from .settings import SECOND, ZoneFailoverSettings
 from .zone_states import ZoneState
@@ -43,31 +44,6 @@
 )
 
 
-@dataclass(slots=True)
-class PlaceTell:
-    """An action: a word for one peer."""
-
-    peer: int
-    word: ZoneMessage
-
-
-@dataclass(slots=True)
-class PlaceWord:
-    """An event: a peer's word."""
-
-    sender: int
-    word: ZoneMessage
-
-
-@dataclass(slots=True)
-class ZoneSaid:
-    """An event: an operator's word on a zone: drain it, hold it where it is, or neither."""
-
-    zone: int
-    drained: bool = False
-    held: bool = False
-
-
 @dataclass(slots=True)
 class Tries:
     """Of one zone: connections that failed, and others, fading."""
@@ -159,8 +135,8 @@
         self.parts.outcomes.listeners.append(self.on_outcome)
         policy.ticker.decayed.append(self.on_decayed)
         policy.timers[ZONE_HEARTBEAT_TOKEN] = self._heartbeat
-        policy.handlers[PlaceWord] = self.on_place_word
-        policy.handlers[ZoneSaid] = self.on_zone_said
+        policy.handlers[ZoneMessageReceived] = self.on_message_received
+        policy.handlers[ZoneOverridden] = self.on_zone_overridden
 
     def before_start(self, now: int) -> None:
         """The agreement begins."""
@@ -216,16 +192,16 @@
     def _send_messages(self) -> None:
         messages = self.agreement.take_messages()
         if self.settings.peers:
-            self.parts.actions += [PlaceTell(peer, message) for peer, message in messages]
+            self.parts.actions += [SendZoneMessage(peer, message) for peer, message in messages]
 
-    def on_place_word(self, now: int, event: PlaceWord) -> None:
+    def on_message_received(self, now: int, event: ZoneMessageReceived) -> None:
         """A message of a peer."""
-        self.agreement.receive(now, event.sender, event.word)
+        self.agreement.receive(now, event.sender, event.message)
         self._send_messages()
 
-    def on_zone_said(self, now: int, event: ZoneSaid) -> None:
+    def on_zone_overridden(self, now: int, event: ZoneOverridden) -> None:
         """An operator drains a zone, holds it, or neither."""
-        self.agreement.override(event.zone, drained=event.drained, frozen=event.held)
+        self.agreement.override(event.zone, drained=event.drained, frozen=event.frozen)
 
     # ---- what is learnt
 
