--- /dev/null
+++ b/tests/gateway_parts.py
@@ -0,0 +1,49 @@
+"""Parts of a gateway for tests that run them without the program: a dispatcher, and a client that records."""
+
+from __future__ import annotations
+
+import asyncio
+
+from zincstile.decisions.messages import Request
+from zincstile.net.counters import Counters
+from zincstile.net.dispatcher import Dispatcher
+from zincstile.net.limits import SECOND, Limits
+from zincstile.net.log import Log
+from zincstile.net.session import Answer, AnswerKind, Call, Session
+
+CUSTOMER = 7
+UNTIL_LATER_NS = 9 * SECOND  # what a client waits, where a test says no more
+
+
+class RecordingClient:
+    """A client connection that keeps the answers and never leaves."""
+
+    def __init__(self) -> None:
+        self.answers: list[tuple[int, AnswerKind]] = []
+
+    def answer(self, session: Session, answer: Answer) -> None:
+        """Keeps the answer."""
+        self.answers.append((session.id, answer.kind))
+
+    def has_left(self) -> bool:
+        """Never."""
+        return False
+
+
+def make_dispatcher(policy: object, limits: Limits | None = None) -> Dispatcher:
+    """A dispatcher of the running loop."""
+    return Dispatcher(asyncio.get_running_loop(), policy, limits or Limits(), Counters(), Log("n0"))
+
+
+def make_session(dispatcher: Dispatcher, client: RecordingClient, number: int) -> Session:
+    """A session of a request that is idempotent."""
+    call = Call(True, b"0" * 16, b"%d" % number, [b"c=look", b"d=9000"], 1, None)
+    return Session(number, call, client, dispatcher.now_ns() + UNTIL_LATER_NS)
+
+
+def submit_request(dispatcher: Dispatcher, client: RecordingClient, number: int) -> Session:
+    """Hands a request to the dispatcher, as a client connection does."""
+    session = make_session(dispatcher, client, number)
+    request = Request(number, 0, 0, CUSTOMER, session.deadline_ns, 1.0, 1, 0)
+    dispatcher.submit(session, request)
+    return session
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -27,7 +27,10 @@
     open c1                     connects without a word; `open a1`: the next connection there is taken
     refuse a                    connections to a are refused; `listen a`: they are taken again
     fill a                      connections to a do not come up any more; `free a`: those on their way do
-    wait gw abandoned=1              until the counters say so
+    wait gw abandoned=1         until the counters say so
+    serve c1 look 1 a1 hello    the call of c1 comes at a1, which answers with that value, and c1 gets it
+    freeze gw                   stops the program by SIGSTOP; `thaw gw`: it goes on
+    finish c1                   c1 reads its end and closes, and the program exits as after a stop
 """
 
 from __future__ import annotations
@@ -58,6 +61,9 @@
 CUSTOMER = "00000000b4d65521"
 EFFECTS = {"look": "free", "book": "single_shot", "put": "guarded"}
 
+NEVER = 10**12  # ns: a time that no test lives to see
+LONG_DIAL = {"connect_timeout_ns": NEVER}  # settings by which an attempt waits for its connection
+
 # Texts that many scenarios share: a PING, the first list of servers, a call that is answered.
 PING = r"raw *1\r\n$4\r\nPING\r\n"
 READY = "send d1 full a=Ready\nexpect gw ready*told\n"
@@ -424,6 +430,29 @@
         self.program.send_signal(signal.SIGUSR1)
         return json.loads(self.logged("counters *").split(" ", 1)[1])
 
+    def serve(self, client, name, number, backend, value):
+        self.expect(backend, name, number)
+        self.send(backend, "ok", value)
+        self.expect(client, "ok", value)
+
+    def freeze(self, who):
+        self.send(who, "STOP")
+        self.expect(who, "stopped")
+
+    def thaw(self, who):
+        self.send(who, "CONT")
+
+    def finish(self, client):
+        self.expect(client, "eof")
+        self.close(client)
+        self.expect("gw", "exit", "0")
+
+    def __enter__(self):
+        return self
+
+    def __exit__(self, *_):
+        self.end()
+
     def end(self):
         self.program.kill()
         self.program.wait()
@@ -461,11 +490,8 @@
 def play(tmp_path, text, **config):
     """One scenario against a gateway of its own, which has to live to the end without a fault."""
     tmp_path.mkdir(exist_ok=True)
-    world = World(tmp_path, config)
-    try:
+    with World(tmp_path, config) as world:
         world.play(text)
         assert world.program.poll() in (None, 0)
         if world.program.poll() is None:
             assert world.counters()["faults"] == 0
-    finally:
-        world.end()
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -61,8 +61,7 @@
 
 
 def test_a_client_with_much_unanswered_is_read_no_further(tmp_path):
-    world = World(tmp_path, {"limits": {"pipelined": 2, "read_bytes": 512}})
-    try:
+    with World(tmp_path, {"limits": {"pipelined": 2, "read_bytes": 512}}) as world:
         calls = "".join(encode(call("look", k)).decode() for k in range(1, 41))
         world.play(READY)
         world.send("c1", "raw", calls)
@@ -70,8 +69,6 @@
             pass
         world.play(f"send c2 {PING}\nexpect c2 +PONG")
         assert world.counters()["requests"] <= 6
-    finally:
-        world.end()
 
 
 def test_more_clients_than_descriptors_wait_their_turn(tmp_path):
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -10,20 +10,16 @@
 import pytest
 from conftest import backend
 from conftest import settings as module_settings
-from scenario import PATIENCE, World, settings
-from test_scenarios import READY, play
+from gateway_parts import RecordingClient, make_dispatcher, submit_request
+from scenario import LONG_DIAL, NEVER, PATIENCE, READY, World, play, settings
 
 from zincstile.decisions.messages import AttemptOutcome, AttemptResult, ForwardRequest, Request
 from zincstile.net.backends.attempts import Attempts
 from zincstile.net.backends.pool import ConnectionPool
-from zincstile.net.counters import Counters
 from zincstile.net.discovery.messages import ListedEndpoint
-from zincstile.net.dispatcher import Dispatcher
 from zincstile.net.limits import MS, SECOND, Limits
-from zincstile.net.log import Log
-from zincstile.net.session import AnswerKind, Call, Session
+from zincstile.net.session import AnswerKind
 
-NEVER = 10**12
 # A dial that comes up after the client of its attempt has left
 LATE = """
         fill a
@@ -34,7 +30,6 @@
         free a
         open a1
         """
-LONG_DIAL = {"connect_timeout_ns": NEVER}
 
 
 # ---- what has ended is not sent on
@@ -86,19 +81,16 @@
         open c1
         open c2
         wait gw clients=2
-        send gw STOP
-        expect gw stopped
+        freeze gw
         send c1 look 1
         send c2 look 2
         send c2 look 3
         close c1
         close c2
-        send gw CONT
+        thaw gw
         wait gw abandoned=3
         send c9 look 99
-        expect a1 look 99
-        send a1 ok still
-        expect c9 ok still
+        serve c9 look 99 a1 still
         wait gw attempts=1""",
     )
 
@@ -135,9 +127,7 @@
         close c1
         wait gw abandoned=1
         send c2 look 1
-        expect a2 look 1
-        send a2 ok hello
-        expect c2 ok hello""",
+        serve c2 look 1 a2 hello""",
     )
 
 
@@ -147,14 +137,12 @@
     play(
         tmp_path,
         READY
-        + "send gw STOP\nexpect gw stopped\n"
+        + "freeze gw\n"
         + "".join(f"send c1 look {k}\n" for k in range(1, 301))
-        + f"{how} c1\nsend gw CONT\n"
+        + f"{how} c1\nthaw gw\n"
         + """
         send c9 look 999
-        expect a1 look 999
-        send a1 ok still
-        expect c9 ok still
+        serve c9 look 999 a1 still
         wait gw attempts=1""",
     )
 
@@ -168,9 +156,7 @@
         + "\n"
         + """
         send c9 look 999
-        expect a1 look 999
-        send a1 ok still
-        expect c9 ok still
+        serve c9 look 999 a1 still
         wait gw malformed=500
         """
         + "expect c1 -ERR*\n" * 500
@@ -182,7 +168,7 @@
 
 
 def in_one_turn(first, second):
-    return f"send gw STOP\nexpect gw stopped\n{first}\n{second}\nsend gw CONT\n"
+    return f"freeze gw\n{first}\n{second}\nthaw gw\n"
 
 
 @pytest.mark.parametrize("order", [0, 1])
@@ -195,15 +181,11 @@
         READY
         + """
         send c1 look 1
-        expect a1 look 1
-        send a1 ok hello
-        expect c1 ok hello
+        serve c1 look 1 a1 hello
         """
         + in_one_turn(both[order], both[1 - order])
         + """
-        expect b1 look 2
-        send b1 ok hello
-        expect c1 ok hello
+        serve c1 look 2 b1 hello
         expect a1 end
         wait gw attempts=2""",
     )
@@ -232,16 +214,13 @@
 
 def test_an_answer_and_the_deadline_in_one_turn_make_one_answer(tmp_path):
     """The program is held up past the request's time with the answer unread: one final answer, whichever."""
-    world = World(tmp_path)
-    try:
-        world.play(READY + "send c1 look 1 d=300\nexpect a1 look 1\nsend gw STOP\nexpect gw stopped")
+    with World(tmp_path) as world:
+        world.play(READY + "send c1 look 1 d=300\nexpect a1 look 1\nfreeze gw")
         world.play("send a1 ok late")
         time.sleep(0.31)  # past it for certain: both are due when it goes on
-        world.play("send gw CONT")
+        world.play("thaw gw")
         assert world.line("c1").message() in (b"late", "-ERR failed", "-BUSY", "-BUSY 700")
         world.play("send c1 raw *1\\r\\n$4\\r\\nPING\\r\\n\nexpect c1 +PONG\nwait gw faults=0")
-    finally:
-        world.end()
 
 
 def test_a_reset_and_the_next_request_in_one_turn_on_a_connection_that_rests(tmp_path):
@@ -250,15 +229,11 @@
         READY
         + """
         send c1 look 1
-        expect a1 look 1
-        send a1 ok hello
-        expect c1 ok hello
+        serve c1 look 1 a1 hello
         """
         + in_one_turn("reset a1", "send c1 book 2")
         + """
-        expect a2 book 2
-        send a2 ok hello
-        expect c1 ok hello
+        serve c1 book 2 a2 hello
         wait gw stale_connection=0
         wait gw reset=0""",
     )
@@ -304,9 +279,7 @@
         READY
         + f"""
         send c1 look 1
-        expect a1 look 1
-        send a1 ok first
-        expect c1 ok first
+        serve c1 look 1 a1 first
         send c1 look 2
         expect a2 look 2
         send a1 raw {SECOND_ANSWER}
@@ -326,9 +299,7 @@
         + LATE
         + """
         send c2 look 2
-        expect a1 look 2
-        send a1 ok hello
-        expect c2 ok hello
+        serve c2 look 2 a1 hello
         wait gw connects=1""",
         limits={"settled_ns": NEVER},
         settings={"limits": LONG_DIAL},
@@ -343,17 +314,12 @@
         READY
         + f"""
         send c1 look 1
-        expect a1 look 1
-        send a1 ok first
-        expect c1 ok first
-        send gw STOP
-        expect gw stopped
+        serve c1 look 1 a1 first
+        freeze gw
         send a1 raw {what}
         send c1 book 2
-        send gw CONT
-        expect a2 book 2
-        send a2 ok second
-        expect c1 ok second
+        thaw gw
+        serve c1 book 2 a2 second
         wait gw reset=0
         wait gw stale_connection=0""",
     )
@@ -375,22 +341,11 @@
         return []
 
 
-class Client:
-    def __init__(self):
-        self.answers = []
-
-    def answer(self, session, answer):
-        self.answers.append(answer.kind)
-
-    def has_left(self):
-        return False
-
-
 async def dialled(listening, between, connect_ns=100 * MS):
     """One request to a backend server whose connection comes up; `between` runs once it has, in the step of
     the loop that makes its transport."""
     loop, buffer = asyncio.get_running_loop(), memoryview(bytearray(65536))
-    dispatcher = Dispatcher(loop, Asked(), Limits(connect_ns=connect_ns), Counters(), Log("n0"))
+    dispatcher = make_dispatcher(Asked(), Limits(connect_ns=connect_ns))
     pool = ConnectionPool(dispatcher)
     attempts = Attempts(dispatcher, module_settings(), pool, buffer)
     pool.update([ListedEndpoint(backend(1), listening.getsockname())], complete=True)
@@ -405,11 +360,8 @@
         return await plain(made, *where)
 
     loop.create_connection = slow
-    client, now = Client(), dispatcher.now_ns()
-    call = Call(True, b"0" * 16, b"1", [b"c=look", b"d=9000"], 1, None)
-    dispatcher.submit(
-        Session(1, call, client, now + 9 * SECOND), Request(1, 0, 0, 7, now + 9 * SECOND, 1.0, 1, 0)
-    )
+    client = RecordingClient()
+    submit_request(dispatcher, client, 1)
     return dispatcher, attempts, client
 
 
@@ -433,7 +385,7 @@
     with socket.create_server(("127.0.0.1", 0)) as listening:
         listening.setblocking(False)
         got, outcomes, answers = asyncio.run(asyncio.wait_for(play(listening), PATIENCE))
-    assert (got, outcomes, answers) == (b"*4\r\n", [AttemptResult.OK], [AnswerKind.SERVED])
+    assert (got, outcomes, answers) == (b"*4\r\n", [AttemptResult.OK], [(1, AnswerKind.SERVED)])
 
 
 def test_a_connection_that_came_up_too_late_is_not_closed_beneath_the_next_attempt():
@@ -448,14 +400,7 @@
             attempts.finish(connection.attempt, AttemptResult.CANCELLED)
             plain(connection)
             if attempts.pool.backends[1].idle:  # taken again in the same step
-                now = dispatcher.now_ns()
-                session = Session(
-                    2,
-                    Call(True, b"0" * 16, b"2", [b"c=look", b"d=9000"], 1, None),
-                    Client(),
-                    now + 9 * SECOND,
-                )
-                dispatcher.submit(session, Request(2, 0, 0, 7, now + 9 * SECOND, 1.0, 1, 0))
+                submit_request(dispatcher, RecordingClient(), 2)
 
         attempts.connector.connected = connected
         taken, _ = await loop.sock_accept(listening)
--- a/tests/test_crowds.py
+++ b/tests/test_crowds.py
@@ -11,9 +11,7 @@
 import socket
 
 import pytest
-from scenario import PATIENCE, World
-from test_crossings import NEVER
-from test_scenarios import READY
+from scenario import NEVER, PATIENCE, READY, World
 
 from zincstile.net.limits import SECOND, Limits
 
--- a/tests/test_turn.py
+++ b/tests/test_dispatcher.py
@@ -1,9 +1,10 @@
-"""The loop's turn by itself: what a fault in one session does to the others."""
+"""The dispatcher by itself: what a fault in one session does to the others, and how attempts are reported."""
 
 import asyncio
 
 import pytest
 from conftest import backend, settings
+from gateway_parts import RecordingClient, make_dispatcher, make_session, submit_request
 
 from zincstile.decisions.messages import (
     AttemptOutcome,
@@ -20,17 +21,14 @@
 )
 from zincstile.net.backends.attempts import Attempts
 from zincstile.net.backends.pool import ConnectionPool
-from zincstile.net.counters import Counters
 from zincstile.net.deadlines import every
 from zincstile.net.discovery.messages import ListedEndpoint
-from zincstile.net.dispatcher import Dispatcher
 from zincstile.net.limits import Limits
-from zincstile.net.log import Log
-from zincstile.net.session import AnswerKind, Call, Session
+from zincstile.net.session import AnswerKind
 
 
 class Failing:
-    """A module that can't bear request 1 nor the end of it, and fails every other request."""
+    """A policy that can't bear request 1 nor the end of it, and fails every other request."""
 
     def handle(self, now, event):
         if isinstance(event, RequestAbandoned | Request) and getattr(event, "id", 0) == 1:
@@ -38,26 +36,12 @@
         return [FailRequest(event.id)] if isinstance(event, Request) else []
 
 
-class Client:
-    def __init__(self):
-        self.answers = []
-
-    def answer(self, session, answer):
-        self.answers.append((session.id, answer.kind))
-
-    def has_left(self):
-        return False
-
-
 def test_a_fault_in_one_session_fails_that_session_alone(capsys):
     async def play():
-        client = Client()
-        dispatcher = Dispatcher(asyncio.get_running_loop(), Failing(), Limits(), Counters(), Log("n0"))
+        client = RecordingClient()
+        dispatcher = make_dispatcher(Failing())
         for number in (1, 2):
-            call = Call(True, b"c", b"id", [b"d=1"], 0, None)
-            dispatcher.submit(
-                Session(number, call, client, 10**18), Request(number, 0, 0, 7, 10**18, 1.0, 1, 0)
-            )
+            submit_request(dispatcher, client, number)
         while len(client.answers) < 2:
             await asyncio.sleep(0)
         return client.answers, dispatcher
@@ -70,10 +54,8 @@
 
 def test_a_deadline_that_fails_does_not_stop_the_next(capsys):
     async def play():
-        dispatcher, done = (
-            Dispatcher(asyncio.get_running_loop(), Failing(), Limits(), Counters(), Log("n0")),
-            [],
-        )
+        dispatcher = make_dispatcher(Failing())
+        done = []
         dispatcher.deadlines.add(0, lambda _: 1 // 0)
         dispatcher.deadlines.add(1, done.append, "next")
         dispatcher.wake()
@@ -87,51 +69,49 @@
 
 
 class Stumbling:
-    """A module that can't bear its timer the first time."""
+    """A policy that can't bear its timer the first time."""
 
     def __init__(self):
-        self.rung = []
+        self.fired = []
 
     def handle(self, now, event):
         if isinstance(event, TimerFired):
-            self.rung.append(event.token)
-            if len(self.rung) == 1:
+            self.fired.append(event.token)
+            if len(self.fired) == 1:
                 raise KeyError("tick")
         return [SetTimer(now, 7)] if isinstance(event, Started) else []
 
 
-def test_a_timer_that_the_module_fails_at_rings_again(capsys):
+def test_a_timer_that_the_policy_fails_at_fires_again(capsys):
     async def play():
-        module = Stumbling()
-        dispatcher = Dispatcher(
-            asyncio.get_running_loop(), module, Limits(backoff_ns=1), Counters(), Log("n0")
-        )
+        policy = Stumbling()
+        dispatcher = make_dispatcher(policy, Limits(backoff_ns=1))
         dispatcher.post(Started())
-        while len(module.rung) < 2:
+        while len(policy.fired) < 2:
             await asyncio.sleep(0)
-        return module.rung
+        return policy.fired
 
     assert asyncio.run(asyncio.wait_for(play(), 20)) == [7, 7]
     assert "fault KeyError" in capsys.readouterr().err
 
 
-class Probing:
-    """A module that probes server 5 at the start and keeps what came of it."""
+class Checking:
+    """A policy that checks server 5 at the start and keeps what came of it."""
 
     def __init__(self):
-        self.probed = []
+        self.results = []
 
     def handle(self, now, event):
         if isinstance(event, HealthCheckResult):
-            self.probed.append(event)
+            self.results.append(event)
         return [CheckHealth(5)] if isinstance(event, Started) else []
 
 
-def probe(answer):
-    """What the module hears of one probe of a backend server that answers so; None: nobody listens."""
+def check_health(answer):
+    """What a health check of a backend server that answers so brings; None: nobody listens."""
 
     async def play():
-        asked, module = [], Probing()
+        asked, policy = [], Checking()
 
         async def serve(reader, writer):
             asked.append(await reader.readexactly(len(b"*2\r\n$4\r\nINFO\r\n$4\r\nload\r\n")))
@@ -144,28 +124,28 @@
         if answer is None:
             server.close()
             await server.wait_closed()
-        dispatcher = Dispatcher(asyncio.get_running_loop(), module, Limits(), Counters(), Log("n0"))
+        dispatcher = make_dispatcher(policy)
         pool = ConnectionPool(dispatcher)
-        probed = settings(report_fields=["inflight", "queue"])
-        Attempts(dispatcher, probed, pool, memoryview(bytearray(65536)))
+        figures = settings(report_fields=["inflight", "queue"])
+        Attempts(dispatcher, figures, pool, memoryview(bytearray(65536)))
         pool.update([ListedEndpoint(backend(5), address)], complete=True)
         dispatcher.post(Started())
-        while not module.probed:
+        while not policy.results:
             await asyncio.sleep(0)
         while pool.close_oldest_idle():
             pass
         server.close()
-        return asked, module.probed
+        return asked, policy.results
 
     return asyncio.run(asyncio.wait_for(play(), 20))
 
 
 @pytest.mark.parametrize("report", [b"inflight=7,queue=2", b"rif=7,q=2", b"q=2,rif=7,lat_ms=3"])
-def test_a_probe_asks_for_the_load_and_its_report_comes_back(report):
+def test_a_health_check_asks_for_the_load_and_its_report_comes_back(report):
     """Also by the names that the settings use on the wire: those are what backend servers send."""
-    asked, probed = probe(b"$%d\r\n%b\r\n" % (len(report), report))
+    asked, results = check_health(b"$%d\r\n%b\r\n" % (len(report), report))
     assert asked == [b"*2\r\n$4\r\nINFO\r\n$4\r\nload\r\n"]
-    assert [(p.backend, p.result, p.report) for p in probed] == [(5, AttemptResult.OK, [7.0, 2.0])]
+    assert [(p.backend, p.result, p.report) for p in results] == [(5, AttemptResult.OK, [7.0, 2.0])]
 
 
 @pytest.mark.parametrize(
@@ -179,25 +159,25 @@
         b"\xff",
     ],
 )
-def test_a_report_that_can_not_be_is_none(report):
-    _, probed = probe(b"$%d\r\n%b\r\n" % (len(report), report))
-    assert [(p.result, p.report) for p in probed] == [(AttemptResult.OK, [])]
+def test_an_impossible_load_report_is_none(report):
+    _, results = check_health(b"$%d\r\n%b\r\n" % (len(report), report))
+    assert [(p.result, p.report) for p in results] == [(AttemptResult.OK, [])]
 
 
-def test_a_probe_of_nobody_fails_to_connect():
-    asked, probed = probe(None)
-    assert not asked and [p.result for p in probed] == [AttemptResult.CONNECT_FAILED]
+def test_a_health_check_of_a_closed_port_fails_to_connect():
+    asked, results = check_health(None)
+    assert not asked and [p.result for p in results] == [AttemptResult.CONNECT_FAILED]
 
 
 class Leaving:
-    """A module that tries again when an attempt was turned away, and keeps what it is told of attempts."""
+    """A policy that retries what was rejected, and keeps the outcomes."""
 
     def __init__(self):
-        self.sent, self.told = 0, []
+        self.sent, self.outcomes = 0, []
 
     def handle(self, now, event):
         if isinstance(event, AttemptOutcome):
-            self.told.append((event.attempt, event.result))
+            self.outcomes.append((event.attempt, event.result))
         if isinstance(event, Request) or (
             isinstance(event, AttemptOutcome) and event.result is AttemptResult.REJECTED
         ):
@@ -206,38 +186,36 @@
         return []
 
 
-def test_an_attempt_of_a_client_that_left_in_the_same_turn_is_told_to_have_ended():
-    """Guards the module's count of what is out: a client left in the very turn that begins the next
+def test_an_attempt_of_a_client_that_left_in_the_same_batch_is_reported_as_not_sent():
+    """Else the policy would count it in flight for good: a client left in the very batch that begins the next
     attempt."""
 
     async def play():
-        module = Leaving()
-        dispatcher = Dispatcher(asyncio.get_running_loop(), module, Limits(), Counters(), Log("n0"))
+        policy = Leaving()
+        dispatcher = make_dispatcher(policy)
         pool = ConnectionPool(dispatcher)
         attempts = Attempts(dispatcher, settings(), pool, memoryview(bytearray(65536)))
         pool.update([ListedEndpoint(backend(5), ("127.0.0.1", 1))], complete=True)
-        session = Session(1, Call(True, b"c", b"id", [b"d=1"], 0, None), Client(), 10**18)
+        session = make_session(dispatcher, RecordingClient(), 1)
         dispatcher.sessions[1] = session
         session.attempts = 1
         dispatcher.post(AttemptOutcome(1, 0, 5, AttemptResult.REJECTED, 1, False))
         dispatcher.abandon(session)
-        while len(module.told) < 2:
+        while len(policy.outcomes) < 2:
             await asyncio.sleep(0)
         assert not attempts.in_flight and not dispatcher.ended_sessions
-        return module
+        return policy
 
-    module = asyncio.run(asyncio.wait_for(play(), 20))
-    assert module.sent == 1 and module.told == [(0, AttemptResult.REJECTED), (1, AttemptResult.NOT_SENT)]
+    policy = asyncio.run(asyncio.wait_for(play(), 20))
+    assert policy.sent == 1 and policy.outcomes == [(0, AttemptResult.REJECTED), (1, AttemptResult.NOT_SENT)]
 
 
-def test_a_process_that_got_no_processor_says_so(capsys):
-    """Its alarm rings late by more than it is made for; one that rings in time is no word worth."""
+def test_a_process_that_was_held_up_logs_it(capsys):
+    """Its alarm rings late by more than it is made for; one that rings in time is not logged."""
 
     async def play(late_ns):
         now = [0]
-        dispatcher = Dispatcher(
-            asyncio.get_running_loop(), Stumbling(), Limits(held_up_ns=10), Counters(), Log("n0")
-        )
+        dispatcher = make_dispatcher(Stumbling(), Limits(held_up_ns=10))
         dispatcher.now_ns = lambda: now[0]
         dispatcher._alarm_ns, now[0] = 100, 100 + late_ns
         dispatcher._on_alarm()
@@ -252,7 +230,7 @@
     """The next round is set before the act."""
 
     async def play():
-        dispatcher = Dispatcher(asyncio.get_running_loop(), Stumbling(), Limits(), Counters(), Log("n0"))
+        dispatcher = make_dispatcher(Stumbling())
         rounds = []
 
         def act():
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+import contextlib
 import errno
 import json
 import os
@@ -16,19 +17,15 @@
 
 import pytest
 from conftest import settings as module_settings
-from scenario import PATIENCE, ROOT, World, call, encode, where
-from test_scenarios import PING, READY, play
+from gateway_parts import make_dispatcher
+from scenario import LONG_DIAL, NEVER, PATIENCE, PING, READY, ROOT, World, call, encode, play, where
 
 from zincstile.net.acceptor import Acceptor, AcceptResult
 from zincstile.net.clients.connection import ClientConnection
 from zincstile.net.clients.listener import ClientListener
-from zincstile.net.counters import Counters
-from zincstile.net.dispatcher import Dispatcher
 from zincstile.net.host import HOST
 from zincstile.net.limits import MS, SECOND, Limits
-from zincstile.net.log import Log
 
-NEVER = 10**12
 SHUT_AT_ONCE = {"drain_quiet_ns": 1}
 
 
@@ -68,11 +65,10 @@
         send gw TERM
         expect gw shut
         send c1 look 3
-        send gw STOP
-        expect gw stopped
+        freeze gw
         send a1 ok same
         send a2 ok same
-        send gw CONT
+        thaw gw
         expect c1 ok same
         expect c1 ok same
         expect c1 eof
@@ -104,22 +100,15 @@
 
 def test_what_a_stop_finds_half_written_is_read_to_its_end_and_answered(tmp_path):
     whole = encode(call("look", 1)).decode()
-    world = World(tmp_path, {"limits": SHUT_AT_ONCE})
-    try:
+    with World(tmp_path, {"limits": SHUT_AT_ONCE}) as world:
         world.play(READY)
         world.asked["1"] = call("look", 1)
         world.send("c1", "raw", PING[4:] + whole[:30])
         world.play("expect c1 +PONG\nsend gw TERM\nexpect gw shut")
         world.send("c1", "raw", whole[30:])
         world.play("""
-            expect a1 look 1
-            send a1 ok hello
-            expect c1 ok hello
-            expect c1 eof
-            close c1
-            expect gw exit 0""")
-    finally:
-        world.end()
+            serve c1 look 1 a1 hello
+            finish c1""")
 
 
 def test_who_came_last_before_the_door_shuts_may_still_ask(tmp_path):
@@ -132,12 +121,8 @@
         send gw TERM
         expect gw shut
         send c1 look 1
-        expect a1 look 1
-        send a1 ok hello
-        expect c1 ok hello
-        expect c1 eof
-        close c1
-        expect gw exit 0""",
+        serve c1 look 1 a1 hello
+        finish c1""",
         limits=SHUT_AT_ONCE | {"newcomer_ns": NEVER},
     )
 
@@ -157,9 +142,7 @@
         send e1 full b=Ready
         send a1 ok hello
         expect c1 ok hello
-        expect c1 eof
-        close c1
-        expect gw exit 0""",
+        finish c1""",
         limits=SHUT_AT_ONCE,
     )
 
@@ -170,9 +153,9 @@
     play(
         tmp_path,
         READY
-        + "send gw STOP\nexpect gw stopped\n"
+        + "freeze gw\n"
         + "".join(f"send c{k} look {k} c=none\n" for k in numbers)
-        + "send gw TERM\nsend gw CONT\n"
+        + "send gw TERM\nthaw gw\n"
         + "".join(f"expect c{k} -ERR*\nexpect c{k} eof\nclose c{k}\n" for k in numbers)
         + "expect gw exit 0",
         limits=SHUT_AT_ONCE,
@@ -182,8 +165,8 @@
 def test_a_request_that_is_whole_only_after_the_last_answers_is_refused_at_once(tmp_path):
     """Between the answers that a stop owes and the end there is time for no other: it is not sent on."""
     whole = encode(call("look", 1)).decode()
-    world = World(tmp_path, {"limits": SHUT_AT_ONCE | {"drain_most_ns": NEVER, "drain_margin_ns": NEVER - 1}})
-    try:
+    limits = SHUT_AT_ONCE | {"drain_most_ns": NEVER, "drain_margin_ns": NEVER - 1}
+    with World(tmp_path, {"limits": limits}) as world:
         world.play(READY)
         world.send("c1", "raw", PING[4:] + whole[:30])
         world.play("""
@@ -200,16 +183,13 @@
             close c2
             expect gw counters*"attempts": 1*
             expect gw exit 0""")
-    finally:
-        world.end()
 
 
 @pytest.mark.parametrize("taken", ["while it comes", "after it has come"])
 def test_a_value_half_passed_on_at_a_stop_comes_whole(tmp_path, taken):
     """400 KB, of which the client reads nothing before the door is shut, or reads as it comes."""
     size = 400_000
-    world = World(tmp_path, {"limits": SHUT_AT_ONCE | {"drain_most_ns": NEVER}})
-    try:
+    with World(tmp_path, {"limits": SHUT_AT_ONCE | {"drain_most_ns": NEVER}}) as world:
         world.play(READY + "send c1 look 1\nexpect a1 look 1")
         data = world._bytes("ok", [str(size)])
         world.line("a1").sock.sendall(data[:200_000])
@@ -219,45 +199,34 @@
         world.line("a1").sock.sendall(data[200_000:])
         left = len(b"$%d\r\n" % size) + size + 2 - 100_000 * (taken == "while it comes")
         assert len(world.line("c1").file.read(left)) == left
-        world.play("expect c1 eof\nclose c1\nexpect gw exit 0")
-    finally:
-        world.end()
+        world.play("finish c1")
 
 
+@contextlib.contextmanager
 def stopped_under_an_answer(tmp_path, **limits):
     """A program that is told to end, and writes an answer that no system holds whole to a client that reads
     nothing; with the answer's length."""
     size = 24_000_000
     large = {"stream_bytes": 2 * size, "answer_bytes": 2 * size, "written_bytes": 2 * size}
-    world = World(tmp_path, {"limits": SHUT_AT_ONCE | large | {"drain_most_ns": NEVER} | limits})
-    world.play(READY + "send c1 look 1\nexpect a1 look 1\nsend gw TERM\nexpect gw shut")
-    world.send("a1", "ok", str(size))
-    world.play("wait gw served=1")
-    return world, len(b"$%d\r\n" % size) + size + 2
+    with World(tmp_path, {"limits": SHUT_AT_ONCE | large | {"drain_most_ns": NEVER} | limits}) as world:
+        world.play(READY + "send c1 look 1\nexpect a1 look 1\nsend gw TERM\nexpect gw shut")
+        world.send("a1", "ok", str(size))
+        world.play("wait gw served=1")
+        yield world, len(b"$%d\r\n" % size) + size + 2
 
 
 def test_what_is_asked_while_the_last_answer_is_still_being_written_is_answered(tmp_path):
-    world, size = stopped_under_an_answer(tmp_path, silent_ns=NEVER, answer_ns=NEVER)
-    try:
+    with stopped_under_an_answer(tmp_path, silent_ns=NEVER, answer_ns=NEVER) as (world, size):
         world.play("send c1 look 2")
         assert len(world.line("c1").file.read(size)) == size
         world.play("""
-            expect a1 look 2
-            send a1 ok hello
-            expect c1 ok hello
-            expect c1 eof
-            close c1
-            expect gw exit 0""")
-    finally:
-        world.end()
+            serve c1 look 2 a1 hello
+            finish c1""")
 
 
 def test_who_takes_nothing_of_its_last_answer_does_not_keep_a_stop_waiting(tmp_path):
-    world, _ = stopped_under_an_answer(tmp_path, silent_ns=200 * MS)
-    try:
+    with stopped_under_an_answer(tmp_path, silent_ns=200 * MS) as (world, _):
         world.play("expect gw exit 0")
-    finally:
-        world.end()
 
 
 def test_an_attempt_that_waits_for_its_connection_at_a_stop_is_still_made(tmp_path):
@@ -271,14 +240,10 @@
         send gw TERM
         expect gw shut
         free a
-        expect a1 look 1
-        send a1 ok hello
-        expect c1 ok hello
-        expect c1 eof
-        close c1
-        expect gw exit 0""",
+        serve c1 look 1 a1 hello
+        finish c1""",
         limits=SHUT_AT_ONCE,
-        settings={"limits": {"connect_timeout_ns": NEVER}},
+        settings={"limits": LONG_DIAL},
     )
 
 
@@ -292,17 +257,12 @@
         expect a1 look 1
         send d1 change b=Ready
         wait gw tables=2
-        send gw STOP
-        expect gw stopped
+        freeze gw
         reset a1
         send gw TERM
-        send gw CONT
-        expect b1 look 1
-        send b1 ok hello
-        expect c1 ok hello
-        expect c1 eof
-        close c1
-        expect gw exit 0""",
+        thaw gw
+        serve c1 look 1 b1 hello
+        finish c1""",
         limits=SHUT_AT_ONCE,
     )
 
@@ -359,23 +319,19 @@
 def test_standby_spares_who_has_just_come(tmp_path):
     """As a stop does: what it came for is on its way. It is answered, and then its connection is ended."""
     port = socket.create_server(("127.0.0.1", 0))
-    door = "{}:{}".format(*port.getsockname())
+    operators = where(port)
     port.close()
-    world = World(tmp_path, {"control": door, "limits": {"newcomer_ns": NEVER, "standby_rest_ns": NEVER}})
-    try:
+    limits = {"newcomer_ns": NEVER, "standby_rest_ns": NEVER}
+    with World(tmp_path, {"control": operators, "limits": limits}) as world:
         world.play(READY + "open c1\nwait gw clients=1")
-        host, _, number = door.rpartition(":")
+        host, _, number = operators.rpartition(":")
         with socket.create_connection((host, int(number)), PATIENCE) as operator:
             operator.sendall(b"POST /standby HTTP/1.1\r\nContent-Length: 0\r\n\r\n")
             assert operator.recv(4096).startswith(b"HTTP/1.1 200")
         world.play("""
             send c1 look 1
-            expect a1 look 1
-            send a1 ok hello
-            expect c1 ok hello
+            serve c1 look 1 a1 hello
             expect c1 eof""")
-    finally:
-        world.end()
 
 
 def test_connections_that_were_ended_make_room_before_others(tmp_path):
@@ -469,15 +425,15 @@
             self.aborted = True
 
     async def play():
-        dispatcher = Dispatcher(asyncio.get_running_loop(), None, Limits(), Counters(), Log("n0"))
+        dispatcher = make_dispatcher(None)
         dispatcher.readable = dispatcher.has_ended = lambda transport: False
-        door = ClientListener(dispatcher, module_settings(), memoryview(bytearray(64)), HOST)
+        listener = ClientListener(dispatcher, module_settings(), memoryview(bytearray(64)), HOST)
         wires = [Wire(gone=k == 0) for k in range(3)]
         for wire in wires:
-            client = ClientConnection(door)
+            client = ClientConnection(listener)
             client.connection_made(wire)
             client.commands = 1
-        door.shut_down()
+        listener.shut_down()
         return wires
 
     wires = asyncio.run(play())
--- a/tests/test_leavers.py
+++ b/tests/test_leavers.py
@@ -11,9 +11,7 @@
 import time
 
 import pytest
-from scenario import HOME, PATIENCE, World, call, encode, settings, where
-from test_crossings import LONG_DIAL, NEVER
-from test_scenarios import READY, play
+from scenario import HOME, LONG_DIAL, NEVER, PATIENCE, READY, World, call, encode, play, settings, where
 
 from zincstile.decisions.messages import CustomerUsage, SendGossip
 from zincstile.decisions.records import scatter
@@ -123,10 +121,10 @@
             settled(world, before, GONE, len(BURST))
             steps[1]()
         else:
-            world.play("send gw STOP\nexpect gw stopped")
+            world.play("freeze gw")
             for step in steps if order == "granted behind its end" else reversed(steps):
                 step()
-            world.play("send gw CONT")
+            world.play("thaw gw")
         found = settled(world, before, GONE, len(BURST))
         settled(world, before, ("messages_in",), len(BURST))
         assert world.counters()["attempts"] == 0
@@ -185,19 +183,14 @@
         send d1 change a=Terminating b=Ready
         wait gw tables=2
         send c2 look 2
-        expect b1 look 2
-        send b1 ok hello
-        expect c2 ok hello
-        send gw STOP
-        expect gw stopped
+        serve c2 look 2 b1 hello
+        freeze gw
         {both[order]}
         {both[1 - order]}
-        send gw CONT
+        thaw gw
         wait gw abandoned=1
         send c2 look 3
-        expect b1 look 3
-        send b1 ok still
-        expect c2 ok still
+        serve c2 look 3 b1 still
         wait gw attempts=3""",
     )
 
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -15,9 +15,7 @@
         send gw TERM
         expect gw stop with 0 sessions
         send c1 look 1
-        expect a1 look 1
-        send a1 ok hello
-        expect c1 ok hello
+        serve c1 look 1 a1 hello
         expect c1 end
         expect gw exit 0""",
         limits={"drain_quiet_ns": 2 * 10**9},
@@ -30,8 +28,7 @@
         {"drain_quiet_ns": 10**12, "drain_ns": 15 * 10**8},
     ):
         tmp_path.mkdir(exist_ok=True)
-        world = World(tmp_path, {"limits": limits})
-        try:
+        with World(tmp_path, {"limits": limits}) as world:
             world.play(READY + "send gw TERM\nexpect gw stop with 0 sessions")
             end, number = time.monotonic() + 1.2, 0
             while time.monotonic() < end:
@@ -41,8 +38,6 @@
                     "send a1 ok x\nexpect c1 ok x"
                 )
             world.play("expect c1 end\nexpect gw exit 0")
-        finally:
-            world.end()
 
 
 def test_a_stop_answers_what_can_not_be_waited_for(tmp_path):
--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -7,9 +7,11 @@
 import threading
 import time
 
-from scenario import World
+from scenario import READY, World
+
+from zincstile.net.resp import stream_head
+from zincstile.net.value_stream import ValueStream
 
-READY = "send d1 full a=Ready\nexpect gw ready*told\n"
 MIB = 1 << 20
 
 
@@ -37,8 +39,7 @@
 
 
 def test_a_4_mib_value_in_small_pieces_goes_on_at_once_and_is_not_held_whole(tmp_path):
-    world = World(tmp_path, {"limits": {"memory_mb": 96}})
-    try:
+    with World(tmp_path, {"limits": {"memory_mb": 96}}) as world:
         world.play(READY + "send c1 look 1\nexpect a1 look 1")
         before = world.counters()["memory_kb"]
         size = 4 * MIB
@@ -60,21 +61,16 @@
         print(f"first bytes after {1000 * lag:.1f} ms; most memory grew by {held_kb} KB for a 4096 KB value")
         assert held_kb < 3 * 1024  # not held whole: at most what the client has not read, and the pieces
         world.play("send c1 look 2\nexpect a1 look 2\nsend a1 ok after\nexpect c1 ok after")  # kept, in order
-    finally:
-        world.end()
 
 
 @contextlib.contextmanager
 def half_sent(tmp_path):
     """A world in which a 1 MiB value is begun: its head has reached the client, 100,000 bytes of it sent."""
-    world = World(tmp_path)
-    try:
+    with World(tmp_path) as world:
         world.play(READY + "send c1 look 1\nexpect a1 look 1")
         world.line("a1").sock.sendall(head(MIB) + b"v" * 100_000)
         assert world.line("c1").file.readline() == b"$%d\r\n" % MIB
         yield world
-    finally:
-        world.end()
 
 
 def test_a_value_cut_by_its_backend_server_ends_the_clients_connection(tmp_path):
@@ -94,8 +90,6 @@
 
 
 def test_the_head_of_a_large_value_is_found_in_any_piece():
-    from zincstile.net.resp import stream_head
-
     whole = b"*3\r\n$70000\r\n" + b"v" * 10
     for cut in range(len(whole)):
         got = stream_head(whole[:cut], 65536)
@@ -114,8 +108,6 @@
 
 
 def test_a_stream_tells_each_side_and_is_cut_once():
-    from zincstile.net.value_stream import ValueStream
-
     told = []
 
     class Side:
