--- a/tests/test_crowds.py
+++ b/tests/test_crowds.py
@@ -13,7 +13,7 @@
 import pytest
 from scenario import NEVER, PATIENCE, READY, World
 
-from zincstile.net.limits import SECOND, Limits
+from zincstile.net.limits import SECOND, Limits, Machine
 
 DESCRIPTORS = 60  # of a process: clients, backend servers and the rest have a part each
 ASKED = "send c1 look 1\nexpect a1 look 1\nsend a1 ok hello\nexpect c1 ok hello\n"
@@ -48,7 +48,7 @@
     """Idle clients that never go, with more that wait, and attempts that are not answered. What the new watch
     tells holds for who asks next, on a connection that it has."""
     world = narrow(tmp_path, newcomer_ns=NEVER, silent_ns=NEVER)
-    parts = Limits.for_gateway(DESCRIPTORS, 192, 20000, 1, 1, 30 * SECOND, {})
+    parts = Limits.for_gateway(Machine(DESCRIPTORS, 192, 20000, 1, 1, 30 * SECOND), {})
     crowd, out = None, range(1, parts.backend_connections + 1)
     try:
         world.play("send d1 full a=Ready b=Ready c=Ready\nexpect gw ready*told\n" + DOWN)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -24,7 +24,7 @@
 from zincstile.net.clients.connection import ClientConnection
 from zincstile.net.clients.listener import ClientListener
 from zincstile.net.host import HOST
-from zincstile.net.limits import MS, SECOND, Limits
+from zincstile.net.limits import MS, SECOND, Limits, Machine
 
 SHUT_AT_ONCE = {"drain_quiet_ns": 1}
 
@@ -364,7 +364,7 @@
 @pytest.mark.parametrize("longest_ms", [50, 150, 300, 500, 900, 1500, 3000, 6000, 60000])
 def test_after_a_stop_clients_may_come_for_as_long_as_the_front_sends_them(longest_ms):
     """Up to 0.4 s, however short the deadlines; and what comes last has its time before the end, or 0.6 s."""
-    limits = Limits.for_gateway(512, 88, 100, 250 * MS, 30 * SECOND, longest_ms * MS, {})
+    limits = Limits.for_gateway(Machine(512, 88, 100, 250 * MS, 30 * SECOND, longest_ms * MS), {})
     longest = min(longest_ms, 3000) * MS
     assert 400 * MS < limits.drain_ns < limits.drain_most_ns - limits.drain_margin_ns + 1
     assert limits.drain_most_ns <= longest + 700 * MS - 100 * MS
--- a/tests/test_watch_backoff.py
+++ b/tests/test_watch_backoff.py
@@ -6,14 +6,14 @@
 from endpoint_lists import change, endpoint, endpoint_table, endpoint_watcher, full_list, stub_dispatcher
 
 from zincstile.net.discovery.watch import Watch, WatchFailure
-from zincstile.net.limits import MS, SECOND, Limits
+from zincstile.net.limits import MS, SECOND, Limits, Machine
 
 ASK_WITHIN_NS = 10 * SECOND
 KNOWN = full_list(41, endpoint("s-1"))
 
 
 def limits(gateways, ask_within_ns=ASK_WITHIN_NS):
-    return Limits.for_gateway(384, 80, 100, 1, 1, 3 * SECOND, {}, gateways, ask_within_ns)
+    return Limits.for_gateway(Machine(384, 80, 100, 1, 1, 3 * SECOND, gateways, ask_within_ns), {})
 
 
 def watcher_of(number, limits_):
