--- a/tests/test_worlds.py
+++ b/tests/test_worlds.py
@@ -149,7 +149,7 @@
 
 
 def test_shrinking_keeps_the_rule_and_drops_what_does_not_matter():
-    undo = mutants.MUTANTS["drain-unseen"].put()
+    undo = mutants.MUTANTS["drain-unseen"].inject()
     try:
         big = plan.draw(1)
         assert any(f.kind in ("deploy", "drain") for f in big.faults)
--- a/zincstile/simulation/mutants_place.py
+++ b/zincstile/simulation/mutants_place.py
@@ -13,7 +13,7 @@
 from ..zone_failover.settings import SECOND, ZoneFailoverSettings
 from ..zone_failover.zone_states import ZoneState, ZoneTracker
 from . import place_search, start_model
-from .mutants import Undo, _swap
+from .mutation import Undo, replace_attribute
 
 DEPTH = 3
 SETTINGS = ZoneFailoverSettings()
@@ -31,12 +31,12 @@
                 candidacy.votes[1000 + len(candidacy.votes)] = None
         self._complete_renewal()
 
-    return _swap(leader_terms.LeaderTerms, "_count_vote", count)
+    return replace_attribute(leader_terms.LeaderTerms, "_count_vote", count)
 
 
 def _no_end() -> Undo:
     """A term does not end for who holds it."""
-    return _swap(
+    return replace_attribute(
         leader_terms.LeaderTerms,
         "is_leader",
         lambda self, now: self.candidacy is not None and len(self.candidacy.votes) >= self.majority,
@@ -51,12 +51,12 @@
         old(self, *args)
         self.no_vote_before_ns = 0
 
-    return _swap(leader_terms.LeaderTerms, "__init__", init)
+    return replace_attribute(leader_terms.LeaderTerms, "__init__", init)
 
 
 def _bound_to_none() -> Undo:
     """An elector gives its voice to whoever calls a later term."""
-    return _swap(
+    return replace_attribute(
         leader_terms.LeaderTerms,
         "_may_grant",
         lambda self, now, proposer, process, term: self.granted is None or term > self.granted.term,
@@ -65,7 +65,9 @@
 
 def _no_hysteresis() -> Undo:
     """A zone is back as soon as one try says so."""
-    return _swap(ZoneTracker, "_contradicted_for", lambda self, now, contradicts, span_ns: contradicts)
+    return replace_attribute(
+        ZoneTracker, "_contradicted_for", lambda self, now, contradicts, span_ns: contradicts
+    )
 
 
 def _full_return() -> Undo:
@@ -75,22 +77,22 @@
     def ratio(self, now):
         return 1.0 if self.state is ZoneState.RETURNING else old(self, now)
 
-    return _swap(ZoneTracker, "usable_ratio", ratio)
+    return replace_attribute(ZoneTracker, "usable_ratio", ratio)
 
 
 def _fixed_give_up() -> Undo:
     """A call is given up after a fixed time, however long the line is."""
-    return _swap(list_polling.ListPolling, "timeout_ns", lambda self: 2600 * MS)
+    return replace_attribute(list_polling.ListPolling, "timeout_ns", lambda self: 2600 * MS)
 
 
 def _in_step() -> Undo:
     """Failed calls are made again after the whole span, by all."""
-    return _swap(list_polling.ListPolling, "failed", lambda self, *_: self.first_backoff_ns)
+    return replace_attribute(list_polling.ListPolling, "failed", lambda self, *_: self.first_backoff_ns)
 
 
 def _all_for_itself() -> Undo:
     """Each opens as if it were alone."""
-    return _swap(
+    return replace_attribute(
         admission_ramp.AdmissionRamp,
         "pace",
         lambda self, endpoints: self.settings.first_per_s * endpoints + self.earned_per_s,
@@ -99,7 +101,7 @@
 
 def _peers_outlive() -> Undo:
     """A list of peers' goes on being sought and taken after discovery has spoken."""
-    return _swap(list_search.ListSearch, "stop", lambda self: None)
+    return replace_attribute(list_search.ListSearch, "stop", lambda self: None)
 
 
 def _tells_on() -> Undo:
@@ -112,7 +114,7 @@
             self.copy.replace(0, found.version, Provenance.CACHED, found.entries)
         return found
 
-    return _swap(peer_lists.PeerLists, "take_found", take)
+    return replace_attribute(peer_lists.PeerLists, "take_found", take)
 
 
 def _reach_forgotten() -> Undo:
@@ -123,7 +125,7 @@
         self.unreachable.clear()
         old(self, now, tries)
 
-    return _swap(zone_view.ZoneView, "_update_unreachable", update)
+    return replace_attribute(zone_view.ZoneView, "_update_unreachable", update)
 
 
 # ---- checkers
--- a/zincstile/simulation/mutants_shared.py
+++ b/zincstile/simulation/mutants_shared.py
@@ -23,7 +23,7 @@
 from ..leases.running_clock import RunningClock
 from ..leases.settings import MS, SECOND, SharedSettings
 from . import search, shared, shared_trials
-from .mutants import Undo, _swap
+from .mutation import Undo, replace_attribute
 
 DEPTH = 4
 WORLDS, GATEWAYS = 39, 4
@@ -38,7 +38,7 @@
         old(self, now, sender, process, request, account)
         account.own_units = max(account.own_units, min(before, account.capacity_units))
 
-    return _swap(Lessor, "on_request", on_request)
+    return replace_attribute(Lessor, "on_request", on_request)
 
 
 def _wrong_clock() -> Undo:
@@ -52,7 +52,7 @@
             pending.requested_ns = now + self.state.settings.life_ns
         return old(self, now, sender, process, grant)
 
-    return _swap(Lessee, "on_grant", on_grant)
+    return replace_attribute(Lessee, "on_grant", on_grant)
 
 
 def _speaks_for_its_past() -> Undo:
@@ -73,7 +73,7 @@
             grant.process = self.state.process
         return old(self, now, sender, process, grant)
 
-    return _swap(Lessee, "on_grant", on_grant)
+    return replace_attribute(Lessee, "on_grant", on_grant)
 
 
 def _counted_twice() -> Undo:
@@ -88,7 +88,7 @@
             account.pending[grant.request_id] = pending
         return found
 
-    return _swap(Lessee, "on_grant", on_grant)
+    return replace_attribute(Lessee, "on_grant", on_grant)
 
 
 def _closed_twice() -> Undo:
@@ -97,12 +97,12 @@
     def end_grant(self, granted):
         self.lent_units = max(0.0, self.lent_units - granted.units)
 
-    return _swap(QuotaAccount, "end_grant", end_grant)
+    return replace_attribute(QuotaAccount, "end_grant", end_grant)
 
 
 def _never_ends() -> Undo:
     """A lessee goes on using a lease after its end."""
-    return _swap(QuotaAccount, "drop_expired_leases", lambda self, now: None)
+    return replace_attribute(QuotaAccount, "drop_expired_leases", lambda self, now: None)
 
 
 def _no_cap() -> Undo:
@@ -112,7 +112,7 @@
         self.own_units += self.rate_per_s * (running_ns - self.filled_ns) / SECOND
         self.filled_ns = running_ns
 
-    return _swap(QuotaAccount, "refill", refill)
+    return replace_attribute(QuotaAccount, "refill", refill)
 
 
 def _sleep_earns() -> Undo:
@@ -123,7 +123,7 @@
         self.observed_ns = max(now, self.observed_ns)
         return self.running_ns
 
-    return _swap(RunningClock, "observe", observe)
+    return replace_attribute(RunningClock, "observe", observe)
 
 
 def _out_forgotten() -> Undo:
@@ -134,7 +134,7 @@
         self.own_units = min(self.capacity_units, self.own_units + 4 * gained)
         self.filled_ns = running_ns
 
-    return _swap(QuotaAccount, "refill", refill)
+    return replace_attribute(QuotaAccount, "refill", refill)
 
 
 def _starts_full() -> Undo:
@@ -148,17 +148,17 @@
             found.own_units = found.capacity_units = quota.burst
         return found
 
-    return _swap(LeaseManager, "account", account)
+    return replace_attribute(LeaseManager, "account", account)
 
 
 def _no_witness() -> Undo:
     """The suspicions of one zone are enough."""
-    return _swap(FailureDetector, "zones_needed", lambda self, now: 1)
+    return replace_attribute(FailureDetector, "zones_needed", lambda self, now: 1)
 
 
 def _words_first() -> Undo:
     """Suspicions of others go before own attempts."""
-    return _swap(FailureDetector, "recent_samples", lambda self, now, endpoint, group: None)
+    return replace_attribute(FailureDetector, "recent_samples", lambda self, now, endpoint, group: None)
 
 
 def _no_end() -> Undo:
@@ -169,7 +169,7 @@
         suspicion.age_ns = 0
         return old(self, now, suspicion)
 
-    return _swap(FailureDetector, "merge", merge)
+    return replace_attribute(FailureDetector, "merge", merge)
 
 
 def _all_ruled_out() -> Undo:
@@ -185,7 +185,7 @@
             for endpoint, by_group in old(self, now, endpoints, groups).items()
         }
 
-    return _swap(FailureDetector, "suspected", suspected)
+    return replace_attribute(FailureDetector, "suspected", suspected)
 
 
 def _old_level_speaks() -> Undo:
@@ -201,7 +201,7 @@
         )
         return True
 
-    return _swap(ConcurrencyBudget, "merge", merge)
+    return replace_attribute(ConcurrencyBudget, "merge", merge)
 
 
 def _takes_all() -> Undo:
@@ -211,7 +211,7 @@
         self.factor = self.gateway_count / self.live_gateways(now)
         return self.factor
 
-    return _swap(ConcurrencyBudget, "tick", tick)
+    return replace_attribute(ConcurrencyBudget, "tick", tick)
 
 
 # ---- checkers
