--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -16,20 +16,20 @@
 
 from zincstile.decisions.quota_bounds import Quota
 from zincstile.leases import codec
-from zincstile.leases.bound import (
+from zincstile.leases.concurrency_budget import ConcurrencyBudget, ConcurrencyReport
+from zincstile.leases.failure_detector import ALL_CLASSES, FailureDetector, Suspicion
+from zincstile.leases.feature import covered_plans
+from zincstile.leases.lease_messages import LeaseGrant, LeaseRelease, LeaseRequest
+from zincstile.leases.overshoot_bound import (
     batch_limit_units,
-    bounds,
     gossip_bound,
     holder_count,
     initial_fill_ratio,
-    violation,
+    overshoot_bounds,
+    refusal_reason,
 )
-from zincstile.leases.concurrency_budget import ConcurrencyBudget, ConcurrencyReport
-from zincstile.leases.failure_detector import ALL_CLASSES, FailureDetector, Suspicion
-from zincstile.leases.feature import covered_plans
-from zincstile.leases.lease_messages import LeaseGrant, LeaseRelease, LeaseRequest
 from zincstile.leases.rendezvous import choose_holders
-from zincstile.leases.settings import FAILURES, MS, SECOND, SharedSettings
+from zincstile.leases.settings import FAILURES, MILLISECOND_NS, SECOND_NS, LeaseSettings
 from zincstile.leases.slot_messages import SlotGrant, SlotRelease, SlotRequest
 from zincstile.leases.slots import SlotManager
 from zincstile.net import config, features
@@ -38,7 +38,7 @@
 from zincstile.simulation.plan import Plan
 
 ROOT = Path(__file__).parent.parent
-SET = SharedSettings()
+SET = LeaseSettings()
 BRIEF = (
     [Quota("basic", r, r * b, n, 6.0) for r in (1.6, 2.8) for b in (3.3, 5.0) for n in (2, 3, 4)]
     + [Quota("standard", r, r * b, n, 6.0) for r in (5.3, 9.2) for b in (3.3, 4.9) for n in (2, 3, 4)]
@@ -93,10 +93,10 @@
 
 @pytest.mark.parametrize("quota", BRIEF, ids=lambda q: f"{q.name}-{q.rate:g}-{q.burst:g}-{q.spread}")
 def test_every_plan_of_the_brief_is_held_within_five_percent_of_a_minute(quota):
-    found = {b.failure: b for b in bounds(quota, SET)}
-    assert violation(quota, SET) is None and set(found) == set(FAILURES)
+    found = {b.failure: b for b in overshoot_bounds(quota, SET)}
+    assert refusal_reason(quota, SET) is None and set(found) == set(FAILURES)
     assert found["cut"].units == found["none"].units == pytest.approx(quota.rate * 0.2)
-    assert all(found[f].share <= 0.05 + 1e-9 for f in SET.endured)
+    assert all(found[f].share <= 0.05 + 1e-9 for f in SET.tolerated_failures)
     assert (
         batch_limit_units(quota, SET) + quota.burst / holder_count(quota, SET) >= 5.0
     )  # nearly the largest request
@@ -104,20 +104,20 @@
 
 
 def test_a_file_that_asks_for_too_much_is_refused_with_the_term_that_dominates():
-    tight = SharedSettings(flight_ns=5 * SECOND)
-    assert "most of it by flight" in violation(BRIEF[0], tight)
+    tight = LeaseSettings(max_send_delay_ns=5 * SECOND_NS)
+    assert "most of it by flight" in refusal_reason(BRIEF[0], tight)
     for name, value in (
-        ("gap_ns", MS),
-        ("life_ns", MS),
-        ("opening", 2.0),
-        ("least_good", 0.0),
-        ("most_overshoot", 1.0),
-        ("endured", ("rain",)),
-        ("paused", -1),
-        ("most_out", 0),
+        ("max_tick_gap_ns", MILLISECOND_NS),
+        ("lease_ns", MILLISECOND_NS),
+        ("max_initial_fill_ratio", 2.0),
+        ("min_unsuspected_ratio", 0.0),
+        ("max_overshoot_ratio", 1.0),
+        ("tolerated_failures", ("rain",)),
+        ("paused_gateways", -1),
+        ("units_per_endpoint", 0),
     ):
         with pytest.raises(ValueError, match=name):
-            SharedSettings(**{name: value})
+            LeaseSettings(**{name: value})
 
 
 def test_holders_are_the_same_wherever_they_are_asked_for_and_shared_out_evenly():
@@ -137,7 +137,7 @@
     SlotRequest(1, 2**40, 2, 3, 1, 5),
     SlotGrant(1, 7, 8, True, 9),
     SlotRelease(1, 7, 8, 9),
-    Suspicion(65535, ALL_CLASSES, 1.0, 199, 4, 30 * MS),
+    Suspicion(65535, ALL_CLASSES, 1.0, 199, 4, 30 * MILLISECOND_NS),
     ConcurrencyReport(9, 5, 6, 2.5, 8.0, 0),
 ]
 
@@ -162,7 +162,7 @@
 
 
 def test_a_gateway_that_is_cut_off_from_the_back_end_knows_it_and_accuses_nobody():
-    detector, now = FailureDetector(SET, 0, 0), 10 * SECOND
+    detector, now = FailureDetector(SET, 0, 0), 10 * SECOND_NS
     for server in range(1, 7):
         for _ in range(3):
             detector.record_attempt(now, server, ALL_CLASSES, 1.0, 0.8, unreachable=True)
@@ -182,8 +182,8 @@
 @pytest.mark.parametrize("seed", range(12))
 def test_no_more_requests_are_out_than_the_limit_whatever_becomes_of_the_words(seed):
     """Words lost, doubled, late by up to 5 s; requests that end; a gateway that starts anew."""
-    rng, now, process = random.Random(seed), SECOND, [100]
-    limit, row, longest = rng.randint(1, 7), tuple(range(rng.randint(2, 4))), 3 * SECOND
+    rng, now, process = random.Random(seed), SECOND_NS, [100]
+    limit, row, longest = rng.randint(1, 7), tuple(range(rng.randint(2, 4))), 3 * SECOND_NS
 
     def start(me):
         process[0] += 1
@@ -192,7 +192,7 @@
     seats, words, requests, number = [start(g) for g in row], [], {}, 0
     spare, until, most = 0, 0, 0
     for _ in range(4000):
-        now += rng.randint(1, 20) * MS
+        now += rng.randint(1, 20) * MILLISECOND_NS
         g = rng.choice(row)
         seat = seats[g]
         account = seat.account(9, 0, limit, row)
@@ -215,7 +215,7 @@
                 one.tick(now)
             for word in one.drain_messages():
                 words += [
-                    (now + rng.choice((1, 5, 30, 80, 900, 5000)) * MS, k, one.process, word)
+                    (now + rng.choice((1, 5, 30, 80, 900, 5000)) * MILLISECOND_NS, k, one.process, word)
                     for _ in range(rng.choice((0, 1, 1, 1, 1, 2)))
                 ]
         due = [w for w in words if w[0] <= now]
@@ -236,26 +236,26 @@
 
 
 def test_parts_of_the_silent_are_taken_over_by_steps_and_given_back_at_once():
-    one, now = ConcurrencyBudget(0, 10, 1, 40.0), SECOND
+    one, now = ConcurrencyBudget(0, 10, 1, 40.0), SECOND_NS
     factors = {}
     for step in range(120):
-        now += 100 * MS
+        now += 100 * MILLISECOND_NS
         heard = range(1, 10) if step < 30 or step >= 90 else range(1, 3)
         for k in heard:
             one.merge(now, ConcurrencyReport(k, 5, step, 1.0, 1.0, 0))
         factors[step] = one.tick(now)
     assert factors[29] == 1.0 and factors[45] == 1.0  # not before its silence is over
     assert factors[60] == pytest.approx(10 / 3) and factors[90] == 1.0
-    assert one.tick(now + 3 * SECOND) == 1.0  # who was asleep begins with its own part
+    assert one.tick(now + 3 * SECOND_NS) == 1.0  # who was asleep begins with its own part
 
 
 def test_the_module_begins_with_its_bound_stated_and_loads_by_a_file(tmp_path):
     table = traffic.configuration(Plan(seed=1), 0, "127.0.0.1:1", "127.0.0.1:2", ["127.0.0.1:3"] * 3, 1, {})
     table["features"] = {"shared": str(ROOT / "deploy" / "shared.yaml")}
     found = config.read(table, {})
-    assert found.shared == features.shared(str(ROOT / "deploy" / "shared.yaml"))[0]
+    assert found.leases == features.leases(str(ROOT / "deploy" / "shared.yaml"))[0]
     plans = [p.name for p in found.settings.plans]
-    covered = dict(zip(plans, covered_plans(found.settings, found.shared), strict=True))
+    covered = dict(zip(plans, covered_plans(found.settings, found.leases), strict=True))
     assert covered == dict.fromkeys(plans, False) | {"plus": True}  # its quota holds under its ceiling
     for text, said in (
         ("shared: {life_ms: fast}", "x.yaml:1: $.shared.life_ms"),
--- a/zincstile/cli/bound.py
+++ b/zincstile/cli/bound.py
@@ -7,7 +7,7 @@
 from rich.table import Table
 
 from ..decisions.quota_bounds import Bound, Quota
-from ..leases import bound as by_leases
+from ..leases import overshoot_bound as by_leases
 from ..leases.concurrency_budget import MAX_FACTOR
 from ..net import features
 from ..quota_service.overshoot_bound import max_carry_units, max_lease_units, overshoot_bounds
@@ -44,8 +44,8 @@
     console = Console()
     try:
         if features.kind(file) == "shared":
-            settings, quotas = features.shared(file)
-            most_overshoot = settings.most_overshoot
+            settings, quotas = features.leases(file)
+            most_overshoot = settings.max_overshoot_ratio
             for quota in quotas:
                 more = (
                     f"{by_leases.holder_count(quota, settings)} hold a part, a start opens with "
@@ -55,14 +55,17 @@
                 _shown(
                     console,
                     _title(quota, more),
-                    [*by_leases.bounds(quota, settings), by_leases.gossip_bound(quota, WAYS, CUT_S)],
+                    [
+                        *by_leases.overshoot_bounds(quota, settings),
+                        by_leases.gossip_bound(quota, WAYS, CUT_S),
+                    ],
                 )
             console.print(
-                f"budget: {settings.most_out:g} units out for each ready server by all gateways "
-                f"together, {MAX_FACTOR * settings.most_out:g} at most while parts of "
+                f"budget: {settings.units_per_endpoint:g} units out for each ready server by all gateways "
+                f"together, {MAX_FACTOR * settings.units_per_endpoint:g} at most while parts of "
                 "silent ones are taken over"
             )
-            features.check_shared(file, settings, quotas)
+            features.check_leases(file, settings, quotas)
         else:
             settings, quotas = features.quota_service(file)
             most_overshoot = settings.max_overshoot_ratio
--- a/zincstile/decisions/validation.py
+++ b/zincstile/decisions/validation.py
@@ -2,8 +2,6 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterable
-
 
 def require_above_zero(settings: object, *names: str) -> None:
     """Each of these fields is at least 1."""
@@ -18,8 +16,8 @@
         raise ValueError(f"{name}: must be above 0 and below 1")
 
 
-def require_known(endured: Iterable[str], failures: tuple[str, ...]) -> None:
-    """The failures that a bound has to endure are among those that there are."""
-    for name in endured:
-        if name not in failures:
-            raise ValueError(f"endured: no failure is called {name!r}; there are {', '.join(failures)}")
+def require_known(settings: object, name: str, failures: tuple[str, ...]) -> None:
+    """The failures that the field names are among those that there are."""
+    for failure in getattr(settings, name):
+        if failure not in failures:
+            raise ValueError(f"{name}: no failure is called {failure!r}; there are {', '.join(failures)}")
--- a/zincstile/leases/__init__.py
+++ b/zincstile/leases/__init__.py
@@ -1,7 +1,7 @@
 """State that gateways share, and that stays within stated bounds whichever of them can't reach each other.
 
     settings             times, sizes, and the failures that a bound has to cover
-    bound                the most units that may go out beyond a quota, for each failure
+    overshoot_bound      the most units that may go out beyond a quota, for each failure
     lease_manager        the customers' quotas at one gateway; its two sides of leases:
         lessee             requests units of other gateways' parts
         lessor             grants units of the own part
--- a/zincstile/leases/concurrency_budget.py
+++ b/zincstile/leases/concurrency_budget.py
@@ -18,14 +18,18 @@
 from dataclasses import dataclass, field
 from typing import Final
 
-from .settings import MS, SECOND
+from .settings import MILLISECOND_NS, SECOND_NS
 
-MIN_SILENCE_NS: Final = 2 * SECOND  # without a report for so long, a part may be taken over: four rounds
-SILENCE_PER_GATEWAY_NS: Final = 30 * MS  # and for so long for each gateway: reports take longer to come round
+MIN_SILENCE_NS: Final = 2 * SECOND_NS  # without a report for so long, a part may be taken over: four rounds
+SILENCE_PER_GATEWAY_NS: Final = (
+    30 * MILLISECOND_NS
+)  # and for so long for each gateway: reports take longer to come round
 FACTOR_DOUBLING_S: Final = 0.5  # in which the factor doubles at most: the back end's latency shows meanwhile
 MAX_FACTOR: Final = 3.4  # on the own part: three in ten gateways carry all
-SUSPENDED_NS: Final = 500 * MS  # between two ticks, from which this process counts as suspended: five ticks
-FORGET_NS: Final = 60 * SECOND  # after which a report is dropped: its origin is long silent
+SUSPENDED_NS: Final = (
+    500 * MILLISECOND_NS
+)  # between two ticks, from which this process counts as suspended: five ticks
+FORGET_NS: Final = 60 * SECOND_NS  # after which a report is dropped: its origin is long silent
 RECIPIENTS: Final = 3  # gateways that get a message in one round: all hear of it within a few rounds
 MAX_RELAYED_REPORTS: Final = 10  # in one message: they fit into one datagram with the own one
 AGE_STEPS: Final = 8  # of `silence_ns`, by which reports are ordered by age; within one the order is drawn
@@ -107,7 +111,7 @@
         if self.last_tick_ns < 0 or now - self.last_tick_ns > SUSPENDED_NS:
             self.running_since_ns = now
             self.factor = 1.0
-        elapsed_s = (now - self.last_tick_ns) / SECOND if self.last_tick_ns >= 0 else 0.0
+        elapsed_s = (now - self.last_tick_ns) / SECOND_NS if self.last_tick_ns >= 0 else 0.0
         self.last_tick_ns = now
         for origin in [key for key, report in self.known.items() if now - report.made_ns > FORGET_NS]:
             del self.known[origin]
--- a/zincstile/leases/failure_detector.py
+++ b/zincstile/leases/failure_detector.py
@@ -4,7 +4,7 @@
 * A suspicion of others counts once observers in several zones share it. Gateways of one zone fail together: a
   zone that is cut off takes all endpoints of the others for dead, and all of its gateways say so.
 * Suspicions of others never rule out more than a stated part of the endpoints, however many say it.
-* A suspicion ends `told_ns` after it was made, wherever it travels: its age goes with it, and only grows.
+* A suspicion ends `suspicion_ns` after it was made, wherever it travels: its age goes with it and only grows.
 * A gateway for which most endpoints are dead, while the gateways that reach it do not suspect them, takes
   itself for isolated: it keeps its suspicions to itself, and goes on trying.
 
@@ -19,7 +19,7 @@
 from operator import attrgetter
 from typing import Final
 
-from .settings import SharedSettings
+from .settings import LeaseSettings
 
 SUSPECT_ERROR_SCORE: Final = 0.3  # an endpoint is suspected from here: three in ten attempts failed
 MIN_ERROR_SCORE: Final = 0.1  # below, a suspicion of others is no news any more
@@ -82,7 +82,7 @@
 class FailureDetector:
     """What one gateway knows of all endpoints, by itself and from others."""
 
-    settings: SharedSettings
+    settings: LeaseSettings
     gateway: int  # this one
     zone: int  # of this one
     own: dict[tuple[int, int], OwnSamples] = field(default_factory=dict)  # by endpoint and group
@@ -118,7 +118,7 @@
 
     def merge(self, now: int, suspicion: Suspicion) -> bool:
         """Takes a suspicion of another gateway; returns whether it is news, as an own one never is."""
-        if suspicion.origin == self.gateway or suspicion.age_ns >= self.settings.told_ns:
+        if suspicion.origin == self.gateway or suspicion.age_ns >= self.settings.suspicion_ns:
             return False
         made_ns = now - suspicion.age_ns
         by_origin = self.received.setdefault((suspicion.endpoint, suspicion.group), {})
@@ -135,9 +135,9 @@
         zones = {
             observer.zone
             for observer in self.observers.values()
-            if now - observer.last_ns < self.settings.told_ns
+            if now - observer.last_ns < self.settings.suspicion_ns
         }
-        return max(1, min(self.settings.witnesses, len(zones | {self.zone})))
+        return max(1, min(self.settings.observer_zones, len(zones | {self.zone})))
 
     def received_error_score(self, now: int, endpoint: int, group: int) -> float:
         """Returns the error score by suspicions of others alone, from 0 to 1.
@@ -149,7 +149,7 @@
             return 0.0
         scores: dict[int, float] = {}  # by zone, the highest
         for suspicion in by_origin.values():
-            rest_ratio = 1 - (now - suspicion.made_ns) / self.settings.told_ns
+            rest_ratio = 1 - (now - suspicion.made_ns) / self.settings.suspicion_ns
             if rest_ratio > 0:
                 score = suspicion.error_score * rest_ratio
                 scores[suspicion.zone] = max(scores.get(suspicion.zone, 0.0), score)
@@ -170,7 +170,7 @@
     ) -> dict[int, dict[int, float]]:
         """Returns error scores by endpoint and group where suspicions of others count, as own attempts lack.
 
-        Of the endpoints, at most the part that `least_good` leaves is suspected by it: the worst ones.
+        At most the part of the endpoints that `min_unsuspected_ratio` leaves is suspected, the worst ones.
         """
         chosen = list(endpoints)
         found: dict[int, dict[int, float]] = {}
@@ -183,7 +183,7 @@
         worst = {endpoint: max(by_group.values()) for endpoint, by_group in found.items()}
         suspects = [endpoint for endpoint in found if worst[endpoint] >= SUSPECT_ERROR_SCORE]
         suspects.sort(key=lambda endpoint: -worst[endpoint])
-        max_suspects = int((1 - self.settings.least_good) * len(chosen))
+        max_suspects = int((1 - self.settings.min_unsuspected_ratio) * len(chosen))
         highest_score = SUSPECT_ERROR_SCORE * UNSUSPECTED_RATIO
         for endpoint in suspects[max_suspects:]:
             found[endpoint] = {group: min(score, highest_score) for group, score in found[endpoint].items()}
@@ -198,7 +198,7 @@
 
     def _drop_old(self, now: int) -> None:
         """Drops suspicions that have ended, and own attempts of long ago."""
-        ended_ns = now - self.settings.told_ns
+        ended_ns = now - self.settings.suspicion_ns
         for key, by_origin in list(self.received.items()):
             for origin in [origin for origin, one in by_origin.items() if one.made_ns <= ended_ns]:
                 del by_origin[origin]
@@ -218,7 +218,7 @@
         dead = [endpoint for endpoint, failed in is_dead.items() if failed]
         if len(is_dead) < MIN_TRIED_ENDPOINTS or len(dead) <= MAX_DEAD_RATIO * len(is_dead):
             return False
-        valid_ns = self.settings.told_ns
+        valid_ns = self.settings.suspicion_ns
         if not any(now - observer.last_ns < valid_ns for observer in self.observers.values()):
             return False
         agreed = sum(self._is_suspected_by_others(now, endpoint) for endpoint in dead)
@@ -244,7 +244,7 @@
 
     def _own_suspicions(self, now: int) -> list[Suspicion]:
         """Returns suspicions by own attempts."""
-        valid_ns = self.settings.told_ns
+        valid_ns = self.settings.suspicion_ns
         return [
             Suspicion(endpoint, group, one.error_score, self.gateway, self.zone, now - one.last_ns)
             for (endpoint, group), one in self.own.items()
--- a/zincstile/leases/feature.py
+++ b/zincstile/leases/feature.py
@@ -23,22 +23,22 @@
 from ..decisions.settings import CustomerPlan, Settings
 from ..decisions.timers import LEASE_HEARTBEAT_TOKEN, LEASE_RESEND_TOKEN
 from ..decisions.units import SECOND_NS
-from .bound import bounds
 from .codec import SharedMessage
 from .concurrency_budget import ConcurrencyBudget, ConcurrencyReport
 from .events import SendSharedMessages, SharedMessagesReceived
 from .failure_detector import ALL_CLASSES, FailureDetector
 from .lease_manager import LeaseManager
 from .lease_messages import LeaseGrant, LeaseRelease, LeaseRequest
+from .overshoot_bound import overshoot_bounds
 from .quota_account import QuotaAccount
-from .settings import MS, SharedSettings
+from .settings import MILLISECOND_NS, LeaseSettings
 from .slot_messages import SlotGrant, SlotRelease, SlotRequest
 from .slots import SlotAccount, SlotManager
 
-SPREAD_NS: Final = 500 * MS  # how often suspicions and budgets are sent to some others
+SPREAD_NS: Final = 500 * MILLISECOND_NS  # how often suspicions and budgets are sent to some others
 SWEEP_NS: Final = SECOND_NS  # how often customers are looked over
 IDLE_NS: Final = 15 * SECOND_NS  # a customer not asked for so long may go
-INCARNATION_UNIT_NS: Final = 10 * MS  # a process's incarnation is numbered by its start, in parts of this
+INCARNATION_UNIT_NS: Final = 10 * MILLISECOND_NS  # a process's incarnation is numbered by its start, in this
 DEAD_SCORE: Final = 0.99  # of a sample that found no connection, or no answer
 MARKED_SCORE: Final = (
     0.011  # a score that is just kept: the choice then asks for all that is known of an endpoint
@@ -46,7 +46,7 @@
 NEVER_RESEND_NS: Final = -1
 
 
-def covered_plans(settings: Settings, shared: SharedSettings) -> list[bool]:
+def covered_plans(settings: Settings, shared: LeaseSettings) -> list[bool]:
     """For each plan:
 
     its quota holds what goes out under the ceiling, whatever fails, as it is lower by more than what may go
@@ -55,22 +55,22 @@
     return [_is_covered(plan, settings, shared) for plan in settings.plans]
 
 
-def _is_covered(plan: CustomerPlan, settings: Settings, shared: SharedSettings) -> bool:
+def _is_covered(plan: CustomerPlan, settings: Settings, shared: LeaseSettings) -> bool:
     if not plan.rate or plan.over_worth > plan.over_cost or plan.ceiling_rate < plan.rate:
         return False
     quotas = [of_plan(plan, spread, settings.largest_units) for spread in range(1, settings.gateways + 1)]
     return all(
         bound.units <= quota.most + DIGITS
         for quota in quotas
-        for bound in bounds(quota, shared)
-        if bound.failure in shared.endured
+        for bound in overshoot_bounds(quota, shared)
+        if bound.failure in shared.tolerated_failures
     )
 
 
 class LeasesFeature:
     """Owner of the leases, slots, suspicions and budgets of this gateway. `shared`: times and sizes."""
 
-    def __init__(self, settings: Settings, seed: int, shared: SharedSettings) -> None:
+    def __init__(self, settings: Settings, seed: int, shared: LeaseSettings) -> None:
         self.settings = settings
         self.shared = shared
         self.rng = random.Random(f"shared {seed}")
@@ -78,7 +78,7 @@
         self.quotas: dict[tuple[int, int], Quota] = {}  # by plan and spread
         self.covered = covered_plans(settings, shared)
         self.failure_detector = FailureDetector(shared, settings.me, settings.zone)
-        self.budget = ConcurrencyBudget(settings.me, settings.gateways, 0, shared.most_out)
+        self.budget = ConcurrencyBudget(settings.me, settings.gateways, 0, shared.units_per_endpoint)
         self.suspected: dict[int, dict[int, float]] = {}  # endpoint's hash: scores by reports alone
         self.units_in_flight = 0.0
         self.resend_ns = NEVER_RESEND_NS  # when queries are looked at, whether to send them again
@@ -96,7 +96,7 @@
         """Holds quotas, judges endpoints and bounds what is in flight from now on."""
         self.parts = policy.parts
         self.deferred = DeferredQuotas(
-            self.parts, self, self.shared.held_ns, reports_usage=False, limits_in_flight=False
+            self.parts, self, self.shared.answer_timeout_ns, reports_usage=False, limits_in_flight=False
         )
         self.parts.use_quotas(self.deferred)
         self._choose: EndpointChooser = self.parts.admission.choose
@@ -146,10 +146,10 @@
             self._sweep_ns = now
             self.leases.forget_idle(now, IDLE_NS)
         if now - self._spread_ns >= SPREAD_NS:
-            self._spread_ns = now + self.rng.randrange(self.shared.beat_ns)
+            self._spread_ns = now + self.rng.randrange(self.shared.tick_interval_ns)
             self._spread(now)
         self.flush(now)
-        self.parts.actions.set_timer(now + self.shared.beat_ns, LEASE_HEARTBEAT_TOKEN)
+        self.parts.actions.set_timer(now + self.shared.tick_interval_ns, LEASE_HEARTBEAT_TOKEN)
 
     def _look_at_endpoints(self, now: int) -> None:
         endpoints = self.parts.endpoints
--- a/zincstile/leases/lease_manager.py
+++ b/zincstile/leases/lease_manager.py
@@ -6,7 +6,7 @@
 
 * The lessor takes them out of its token bucket first, then sends the grant. A grant that is lost loses the
   units, and no two gateways have them.
-* A lease ends `life_ns` after it was requested, by the lessee's clock. By the lessor's clock it ends later,
+* A lease ends `lease_ns` after it was requested, by the lessee's clock. By the lessor's clock it ends later,
   as it was granted later than it was requested. So both know the end without a message, and no two clocks
   are compared.
 * While a lease runs, the lessor's token bucket fills only up to its part less the lease. So token buckets and
@@ -25,15 +25,15 @@
 import random
 
 from ..decisions.quota_bounds import Quota
-from .bound import batch_limit_units, holder_count, initial_fill_ratio
 from .lease_messages import NEGLIGIBLE_UNITS, LeaseMessage
 from .lease_state import LeaseState
 from .lessee import Lessee
 from .lessor import Lessor
+from .overshoot_bound import batch_limit_units, holder_count, initial_fill_ratio
 from .quota_account import QuotaAccount
 from .rendezvous import choose_holders
 from .running_clock import RunningClock
-from .settings import SECOND, SharedSettings
+from .settings import SECOND_NS, LeaseSettings
 
 
 class LeaseManager:
@@ -43,10 +43,10 @@
     """
 
     def __init__(
-        self, settings: SharedSettings, gateway: int, process: int, now: int, rng: random.Random
+        self, settings: LeaseSettings, gateway: int, process: int, now: int, rng: random.Random
     ) -> None:
         """Starts without accounts; `process` is a number that no other process of this gateway had."""
-        clock = RunningClock(settings.gap_ns)
+        clock = RunningClock(settings.max_tick_gap_ns)
         clock.observe(now)
         self.settings = settings
         self.state = LeaseState(settings, gateway, process, clock)
@@ -82,7 +82,7 @@
             capacity_units=capacity_units,
             rate_per_s=rate_per_s,
             batch_limit_units=batch_limit_units(quota, self.settings),
-            own_units=min(capacity_units, initial_units + rate_per_s * running_ns / SECOND),
+            own_units=min(capacity_units, initial_units + rate_per_s * running_ns / SECOND_NS),
             filled_ns=running_ns,
             used_ns=now,
         )
--- a/zincstile/leases/lease_state.py
+++ b/zincstile/leases/lease_state.py
@@ -8,7 +8,7 @@
 from .lease_records import PeerState
 from .quota_account import QuotaAccount
 from .running_clock import RunningClock
-from .settings import SharedSettings
+from .settings import LeaseSettings
 
 
 @dataclass(slots=True)
@@ -47,7 +47,7 @@
 class LeaseState:
     """The accounts, peers and waiting messages of one gateway's leases."""
 
-    settings: SharedSettings
+    settings: LeaseSettings
     gateway: int  # this one
     process: int  # a number that no other process of this gateway had
     clock: RunningClock
--- a/zincstile/leases/lessee.py
+++ b/zincstile/leases/lessee.py
@@ -9,7 +9,7 @@
 from .lease_records import Availability, Lease, PendingRequest
 from .lease_state import LeaseState
 from .quota_account import QuotaAccount
-from .settings import SECOND
+from .settings import SECOND_NS
 
 MIN_REQUEST_S: Final = (
     0.05  # units that the quota gives in less are no request of their own: crumbs cost messages
@@ -83,7 +83,9 @@
         round_trip_ns = max(
             (peers[holder].round_trip_ns for holder in account.holders if holder in peers), default=0.0
         )
-        return account.recent_use_per_s(now) * (self.state.settings.ahead_ns + round_trip_ns) / SECOND
+        return (
+            account.recent_use_per_s(now) * (self.state.settings.request_ahead_ns + round_trip_ns) / SECOND_NS
+        )
 
     def _request(self, now: int, account: QuotaAccount, units: float, least_units: float) -> bool:
         """Requests leases of those who may have most; returns False where they have too few units together.
@@ -158,7 +160,9 @@
             last_answer=state.peer(holder).last_answer,
         )
         state.outbox.messages.append(request)
-        account.pending[request.request_id] = PendingRequest(request, now, now + state.settings.again_ns)
+        account.pending[request.request_id] = PendingRequest(
+            request, now, now + state.settings.resend_interval_ns
+        )
         self.resendable[request.request_id] = account
         state.expiring[account.customer] = None
         state.counters.requests += 1
@@ -173,12 +177,12 @@
         next_ns: int | None = None
         for request_id, account in list(self.resendable.items()):
             pending = account.pending.get(request_id)
-            if pending is None or pending.overdue or now - pending.requested_ns >= settings.held_ns:
+            if pending is None or pending.overdue or now - pending.requested_ns >= settings.answer_timeout_ns:
                 del self.resendable[request_id]
                 continue
             if now >= pending.resend_ns and pending.sends < MAX_SENDS:
                 pending.sends += 1
-                pending.resend_ns = now + settings.again_ns
+                pending.resend_ns = now + settings.resend_interval_ns
                 self.state.outbox.messages.append(pending.request)
                 self._late_customers[account.customer] = None
             if pending.sends < MAX_SENDS:
@@ -199,9 +203,9 @@
         settings = self.state.settings
         for request_id, pending in list(account.pending.items()):
             age_ns = now - pending.requested_ns
-            if age_ns >= settings.life_ns:
+            if age_ns >= settings.lease_ns:
                 del account.pending[request_id]
-            if pending.overdue or age_ns < settings.held_ns:
+            if pending.overdue or age_ns < settings.answer_timeout_ns:
                 continue
             pending.overdue = True
             self.resendable.pop(request_id, None)
@@ -209,8 +213,8 @@
             peer = self.state.peer(pending.request.recipient)
             peer.overdue_requests += 1
             if now >= peer.quiet_until_ns and peer.overdue_requests >= MAX_OVERDUE_REQUESTS:
-                doubled_ns = max(settings.quiet_ns, 2 * peer.backoff_ns)
-                peer.backoff_ns = min(settings.quiet_most_ns, doubled_ns)
+                doubled_ns = max(settings.backoff_ns, 2 * peer.backoff_ns)
+                peer.backoff_ns = min(settings.max_backoff_ns, doubled_ns)
                 peer.quiet_until_ns = now + int(peer.backoff_ns * (0.5 + self.rng.random()))
 
     # ---- what holders have
@@ -225,7 +229,7 @@
         last = account.availability.get(holder)
         if last is None:
             return account.quota.burst * part_ratio
-        age_s = (now - last.observed_ns) / SECOND
+        age_s = (now - last.observed_ns) / SECOND_NS
         said_units = last.gain_per_s * min(age_s, GAIN_VALID_S)
         assumed_units = account.quota.rate * part_ratio * max(0.0, age_s - GAIN_VALID_S)
         return min(account.quota.burst * part_ratio, last.units + (said_units + assumed_units))
@@ -265,7 +269,7 @@
         if pending.sends == 1:  # else it is unknown which of them was answered (Karn and Partridge 1987)
             sample_ns = now - pending.requested_ns
             peer.round_trip_ns += (sample_ns - peer.round_trip_ns) * ROUND_TRIP_WEIGHT
-        end_ns = pending.requested_ns + state.settings.life_ns
+        end_ns = pending.requested_ns + state.settings.lease_ns
         if grant.units > NEGLIGIBLE_UNITS and end_ns > now:
             units = min(grant.units, pending.request.units)
             account.leases.append(Lease(sender, process, grant.request_id, units, end_ns))
@@ -289,8 +293,8 @@
 
     def release_unneeded(self, now: int, account: QuotaAccount) -> None:
         """Gives back leases in the second half of their time that recent use will not use up."""
-        half_ns = self.state.settings.life_ns // 2
+        half_ns = self.state.settings.lease_ns // 2
         for lease in [lease for lease in account.leases if lease.end_ns - now < half_ns]:
             left_ns = lease.end_ns - now
-            if lease.units > account.recent_use_per_s(now) * left_ns / SECOND:
+            if lease.units > account.recent_use_per_s(now) * left_ns / SECOND_NS:
                 self.release(account, lease)
--- a/zincstile/leases/lessor.py
+++ b/zincstile/leases/lessor.py
@@ -82,7 +82,7 @@
         and is not confirmed, its requests are rejected, which costs nothing and tests the path.
         """
         peer.unconfirmed = [grant for grant in peer.unconfirmed if grant.answer_number > request.last_answer]
-        if peer.unconfirmed and now - peer.unconfirmed[0].sent_ns >= self.state.settings.held_ns:
+        if peer.unconfirmed and now - peer.unconfirmed[0].sent_ns >= self.state.settings.answer_timeout_ns:
             return 0.0
         units = rounded_down(min(request.units, available_units))
         too_few = units + NEGLIGIBLE_UNITS < min(request.least_units, request.units)
@@ -102,7 +102,7 @@
 
     def expire(self, now: int, account: QuotaAccount) -> None:
         """Ends granted leases whose time is up, and forgets those of which no duplicate can come any more."""
-        lease_ns = self.state.settings.life_ns
+        lease_ns = self.state.settings.lease_ns
         for key, granted in list(account.granted.items()):
             age_ns = now - granted.granted_ns
             if granted.active and age_ns >= lease_ns:
--- a/zincstile/leases/bound.py
+++ b/zincstile/leases/overshoot_bound.py
@@ -10,82 +10,86 @@
 from typing import Final
 
 from ..decisions.quota_bounds import Bound, Quota, first_refusal
-from .settings import FAILURES, SECOND, SharedSettings
+from .settings import FAILURES, SECOND_NS, Failure, LeaseSettings
 
 
-def holder_count(quota: Quota, settings: SharedSettings) -> int:
+def holder_count(quota: Quota, settings: LeaseSettings) -> int:
     """Returns how many gateways of a customer's set hold a part of the quota; the others lease units.
 
     A part too small for one request is of no use, so that a wide set has fewer holders than gateways.
     """
     max_parts = int(quota.burst / quota.largest)
-    return max(1, min(quota.spread, max(settings.holders, max_parts)))
+    return max(1, min(quota.spread, max(settings.min_holders, max_parts)))
 
 
-def _steady_terms(quota: Quota, settings: SharedSettings) -> dict[str, float]:
+def _steady_terms(quota: Quota, settings: LeaseSettings) -> dict[str, float]:
     """Returns the terms of any loss, delay, duplication or partition, none included, in units."""
-    return {"flight": quota.rate * settings.flight_ns / SECOND}  # what is decided is sent a little later
+    return {
+        "flight": quota.rate * settings.max_send_delay_ns / SECOND_NS
+    }  # what is decided is sent a little later
 
 
-def _allowed_units(quota: Quota, settings: SharedSettings) -> float:
-    """Returns the units beyond the steady terms that `most_overshoot` and the ceiling leave."""
-    allowed_units = min(settings.most_overshoot * quota.minute, quota.most)
+def _allowed_units(quota: Quota, settings: LeaseSettings) -> float:
+    """Returns the units beyond the steady terms that `max_overshoot_ratio` and the ceiling leave."""
+    allowed_units = min(settings.max_overshoot_ratio * quota.minute, quota.most)
     return max(0.0, allowed_units - sum(_steady_terms(quota, settings).values()))
 
 
-def initial_fill_ratio(quota: Quota, settings: SharedSettings) -> float:
+def initial_fill_ratio(quota: Quota, settings: LeaseSettings) -> float:
     """Returns the part of the burst with which a gateway starts that knows no past.
 
     It is as much as a restart of all gateways may cost.
     """
     if not quota.burst:
         return 0.0
-    return min(settings.opening, _allowed_units(quota, settings) / quota.burst)
+    return min(settings.max_initial_fill_ratio, _allowed_units(quota, settings) / quota.burst)
 
 
-def unnoticed_pause_units(quota: Quota, settings: SharedSettings) -> float:
+def unnoticed_pause_units(quota: Quota, settings: LeaseSettings) -> float:
     """Returns the units by which token buckets fill while a pause of their processes goes unnoticed."""
-    return quota.rate * settings.gap_ns / SECOND
+    return quota.rate * settings.max_tick_gap_ns / SECOND_NS
 
 
-def batch_limit_units(quota: Quota, settings: SharedSettings) -> float:
+def batch_limit_units(quota: Quota, settings: LeaseSettings) -> float:
     """Returns the leased units that one gateway may spend in one batch.
 
     If it is paused before they are sent, their lessors fill up again meanwhile.
     """
-    if not settings.paused:
+    if not settings.paused_gateways:
         return quota.burst
     rest_units = _allowed_units(quota, settings) - unnoticed_pause_units(quota, settings)
-    return max(0.0, min(quota.burst, rest_units / settings.paused))
+    return max(0.0, min(quota.burst, rest_units / settings.paused_gateways))
 
 
-def bounds(quota: Quota, settings: SharedSettings) -> list[Bound]:
+def overshoot_bounds(quota: Quota, settings: LeaseSettings) -> list[Bound]:
     """Returns the bound under each failure, in the order of `FAILURES`.
 
-    `cut`: any messages lost, late, duplicated or out of order, in one direction or both, for any time.
-    `restart`: every gateway starts once within the time that a token bucket takes to fill. `paused`: gateways
-    are stopped and run on, as many at once as the settings say. `all`: these one over the other.
+    A partition: any messages lost, late, duplicated or out of order, in one direction or both, for any time.
+    A restart: every gateway starts once within the time that a token bucket takes to fill. A pause: gateways
+    are stopped and run on, as many at once as the settings say.
     """
     steady = _steady_terms(quota, settings)
     restart = {"restart": initial_fill_ratio(quota, settings) * quota.burst}
     leased_units = batch_limit_units(quota, settings) if quota.spread > 1 else 0.0
     paused = {
         "asleep": unnoticed_pause_units(quota, settings),
-        "in a turn": settings.paused * leased_units,
+        "in a turn": settings.paused_gateways * leased_units,
     }
     terms = {
-        "none": steady,
-        "cut": steady,
-        "restart": steady | restart,
-        "paused": steady | paused,
-        "all": steady | restart | paused,
+        Failure.NONE: steady,
+        Failure.PARTITION: steady,
+        Failure.RESTART: steady | restart,
+        Failure.PAUSE: steady | paused,
+        Failure.ALL: steady | restart | paused,
     }
     return [Bound(failure, terms[failure], quota.minute) for failure in FAILURES]
 
 
-def violation(quota: Quota, settings: SharedSettings) -> str | None:
+def refusal_reason(quota: Quota, settings: LeaseSettings) -> str | None:
     """Returns why this quota can't be held as the settings ask; None where it can."""
-    return first_refusal(quota, bounds(quota, settings), settings.endured, settings.most_overshoot)
+    return first_refusal(
+        quota, overshoot_bounds(quota, settings), settings.tolerated_failures, settings.max_overshoot_ratio
+    )
 
 
 # ---- for comparison: quotas by gossip, the ordinary way
--- a/zincstile/leases/quota_account.py
+++ b/zincstile/leases/quota_account.py
@@ -10,7 +10,7 @@
 from ..decisions.quota_bounds import Quota
 from .lease_messages import NEGLIGIBLE_UNITS
 from .lease_records import Availability, GrantedLease, Lease, LeaseKey, PendingRequest
-from .settings import SECOND
+from .settings import SECOND_NS
 
 USE_MEMORY_S: Final = 1.0  # time constant of recent use: about as long as a lease lasts
 
@@ -56,7 +56,7 @@
         It holds its capacity less what is lent, so that buckets and leases never exceed the burst together.
         """
         room = max(0.0, self.capacity_units - self.lent_units)
-        gained = self.rate_per_s * (running_ns - self.filled_ns) / SECOND
+        gained = self.rate_per_s * (running_ns - self.filled_ns) / SECOND_NS
         self.own_units = min(room, self.own_units + gained)
         self.filled_ns = running_ns
 
@@ -127,10 +127,10 @@
 
     def record_use(self, now: int, units: float) -> None:
         """Adds units to the recent use."""
-        kept_ratio = math.exp(-(now - self.used_ns) / SECOND / USE_MEMORY_S)
+        kept_ratio = math.exp(-(now - self.used_ns) / SECOND_NS / USE_MEMORY_S)
         self.use_per_s = self.use_per_s * kept_ratio + units / USE_MEMORY_S
         self.used_ns = now
 
     def recent_use_per_s(self, now: int) -> float:
         """Returns the recent use in units per second."""
-        return self.use_per_s * math.exp(-(now - self.used_ns) / SECOND / USE_MEMORY_S)
+        return self.use_per_s * math.exp(-(now - self.used_ns) / SECOND_NS / USE_MEMORY_S)
--- a/zincstile/leases/slots.py
+++ b/zincstile/leases/slots.py
@@ -2,9 +2,9 @@
 
 A plan's limit is split among a customer's holders in whole slots, so that they sum up to it under any
 partition. A request holds a slot from its decision until it is over. A gateway that has none free requests
-one of another holder. The lease lasts for the longest deadline and `held_ns` from its request, and is used
-only for a request whose client gives up before that. So the lessor, which counts from its answer, may use the
-slot again after that time without a message; a release brings it back earlier.
+one of another holder. The lease lasts for the longest deadline and `answer_timeout_ns` from its request, and
+is used only for a request whose client gives up before that. So the lessor, which counts from its answer, may
+use the slot again after that time without a message; a release brings it back earlier.
 
 What may be in flight beyond a limit: after the restart of a lessor, the slots that it had leased out, until
 these leases end. Nothing else.
@@ -18,7 +18,7 @@
 
 from .lease_records import LeaseKey
 from .rendezvous import choose_holders
-from .settings import SharedSettings
+from .settings import LeaseSettings
 from .slot_messages import SlotGrant, SlotMessage, SlotRelease, SlotRequest
 
 REMEMBERED_LEASE_TERMS: Final = (
@@ -102,7 +102,7 @@
     """The slots of one gateway."""
 
     def __init__(
-        self, settings: SharedSettings, gateway: int, process: int, longest_ns: int, rng: random.Random
+        self, settings: LeaseSettings, gateway: int, process: int, longest_ns: int, rng: random.Random
     ) -> None:
         """Starts without accounts.
 
@@ -113,7 +113,7 @@
         self.gateway = gateway
         self.process = process
         self.rng = rng
-        self.lease_ns = longest_ns + settings.held_ns
+        self.lease_ns = longest_ns + settings.answer_timeout_ns
         self.accounts: dict[int, SlotAccount] = {}  # by customer
         self.outbox: list[SlotMessage] = []
         self.held_slots: dict[int, HeldSlot] = {}  # by request
@@ -168,7 +168,7 @@
 
     def request_slot(self, now: int, account: SlotAccount) -> bool:
         """Requests a slot of one holder that may have one; returns whether an answer may bring it."""
-        answer_wait_ns = self.settings.held_ns
+        answer_wait_ns = self.settings.answer_timeout_ns
         if any(now - pending.requested_ns < answer_wait_ns for pending in account.pending.values()):
             return True
         candidates = [
@@ -203,7 +203,7 @@
         if pending is None or pending.holder != sender:
             return False
         if not grant.granted:
-            account.empty_until_ns[sender] = now + self.settings.quiet_ns
+            account.empty_until_ns[sender] = now + self.settings.backoff_ns
             return False
         account.empty_until_ns.pop(sender, None)
         end_ns = pending.requested_ns + self.lease_ns
@@ -263,7 +263,7 @@
         """Gives back leased slots that no request took for some time."""
         for lease in [lease for lease in account.leases if not lease.used]:
             requested_ns = lease.end_ns - self.lease_ns
-            if now - requested_ns >= UNUSED_ANSWER_WAITS * self.settings.held_ns:
+            if now - requested_ns >= UNUSED_ANSWER_WAITS * self.settings.answer_timeout_ns:
                 self._release_lease(account, lease)
 
     def drain_messages(self) -> list[SlotMessage]:
--- a/zincstile/net/bound_report.py
+++ b/zincstile/net/bound_report.py
@@ -6,8 +6,8 @@
 from __future__ import annotations
 
 from ..decisions.quota_bounds import of_plan
-from ..leases import bound as lease_bounds
 from ..leases.concurrency_budget import MAX_FACTOR
+from ..leases.overshoot_bound import overshoot_bounds as lease_overshoot_bounds
 from ..quota_service.overshoot_bound import overshoot_bounds
 from .config import Config
 from .log import Log
@@ -20,9 +20,9 @@
         if not plan.rate:
             continue
         quota = of_plan(plan, settings.gateways, settings.largest_units)
-        if config.shared:
-            bounds = lease_bounds.bounds(quota, config.shared)
-            tolerated = config.shared.endured
+        if config.leases:
+            bounds = lease_overshoot_bounds(quota, config.leases)
+            tolerated = config.leases.tolerated_failures
         else:
             bounds = overshoot_bounds(quota, config.quota_service)
             tolerated = config.quota_service.tolerated_failures
@@ -31,9 +31,9 @@
             f"bound plan {plan.name}: {worst.units:.2f} units at most beyond a quota, "
             f"{100 * worst.share:.1f}% of a minute, by {worst.failure}"
         )
-    if config.shared:
+    if config.leases:
         log.line(
-            f"bound budget: {config.shared.most_out:g} units out for each ready server by all "
+            f"bound budget: {config.leases.units_per_endpoint:g} units out for each ready server by all "
             f"gateways, times {MAX_FACTOR:g} at most where parts of silent ones are "
             "taken over"
         )
--- a/zincstile/net/config.py
+++ b/zincstile/net/config.py
@@ -54,7 +54,7 @@
     start: Any = None  # where gateways start beside each other
     place: Any = None  # where zones are chosen in common
     subset: Any = None  # where a gateway uses a part of the endpoints
-    shared: Any = None  # where state is shared within stated bounds
+    leases: Any = None  # where state is shared within stated bounds
     socket_fd: int | None = None  # the clients' listening socket, inherited ($RELAY_SOCKET_FD)
     control: Address | None = None  # the admin endpoint ($RELAY_CONTROL)
 
@@ -148,7 +148,7 @@
         peers=peers,
         quota_service_address=_quota_service_address(table),
         quota_service=_quota_service(table, settings),
-        shared=_shared(table, settings),
+        leases=_leases(table, settings),
         start=_start(table, settings),
         place=_place(table, settings),
         subset=_subset(table, settings),
@@ -250,7 +250,7 @@
     return found
 
 
-def _shared(table: dict[str, Any], settings: Settings) -> Any:
+def _leases(table: dict[str, Any], settings: Settings) -> Any:
     """Reads the file of `features.shared`; ConfigError where a plan can't be held as it says."""
     path = _feature_path(table, "shared")
     if path is None:
@@ -262,8 +262,8 @@
     from . import features
 
     with _config_errors():
-        found, _ = features.shared(path)
-        features.check_shared(path, found, _quotas(settings))
+        found, _ = features.leases(path)
+        features.check_leases(path, found, _quotas(settings))
     return found
 
 
--- a/zincstile/net/features.py
+++ b/zincstile/net/features.py
@@ -18,7 +18,7 @@
     from ..cold_start.settings import ColdStartSettings
     from ..decisions.quota_bounds import Quota
     from ..decisions.settings import Settings
-    from ..leases.settings import SharedSettings
+    from ..leases.settings import LeaseSettings
     from ..quota_service.settings import QuotaServiceSettings
     from ..subsetting.settings import SubsetSettings
     from ..zone_failover.settings import ZoneFailoverSettings
@@ -54,27 +54,27 @@
     max_overshoot_ratio: float | None = msgspec.field(name="most_overshoot", default=None)
 
 
-class SharedRow(msgspec.Struct, forbid_unknown_fields=True, omit_defaults=True):
-    """`SharedSettings` in milliseconds; what is left out has its usual value."""
-
-    life_ms: int | None = None
-    held_ms: int | None = None
-    again_ms: int | None = None
-    flight_ms: int | None = None
-    gap_ms: int | None = None
-    beat_ms: int | None = None
-    ahead_ms: int | None = None
-    quiet_ms: int | None = None
-    quiet_most_ms: int | None = None
-    told_ms: int | None = None
-    holders: int | None = None
-    paused: int | None = None
-    opening: float | None = None
-    witnesses: int | None = None
-    least_good: float | None = None
-    most_out: float | None = None
-    endured: list[str] | None = None
-    most_overshoot: float | None = None
+class LeaseRow(msgspec.Struct, forbid_unknown_fields=True, omit_defaults=True):
+    """`LeaseSettings` in milliseconds, under the operators' keys; what is left out has its default."""
+
+    lease_ms: int | None = msgspec.field(name="life_ms", default=None)
+    answer_timeout_ms: int | None = msgspec.field(name="held_ms", default=None)
+    resend_interval_ms: int | None = msgspec.field(name="again_ms", default=None)
+    max_send_delay_ms: int | None = msgspec.field(name="flight_ms", default=None)
+    max_tick_gap_ms: int | None = msgspec.field(name="gap_ms", default=None)
+    tick_interval_ms: int | None = msgspec.field(name="beat_ms", default=None)
+    request_ahead_ms: int | None = msgspec.field(name="ahead_ms", default=None)
+    backoff_ms: int | None = msgspec.field(name="quiet_ms", default=None)
+    max_backoff_ms: int | None = msgspec.field(name="quiet_most_ms", default=None)
+    suspicion_ms: int | None = msgspec.field(name="told_ms", default=None)
+    min_holders: int | None = msgspec.field(name="holders", default=None)
+    paused_gateways: int | None = msgspec.field(name="paused", default=None)
+    max_initial_fill_ratio: float | None = msgspec.field(name="opening", default=None)
+    observer_zones: int | None = msgspec.field(name="witnesses", default=None)
+    min_unsuspected_ratio: float | None = msgspec.field(name="least_good", default=None)
+    units_per_endpoint: float | None = msgspec.field(name="most_out", default=None)
+    tolerated_failures: list[str] | None = msgspec.field(name="endured", default=None)
+    max_overshoot_ratio: float | None = msgspec.field(name="most_overshoot", default=None)
 
 
 class StartRow(msgspec.Struct, forbid_unknown_fields=True, omit_defaults=True):
@@ -168,10 +168,10 @@
     quota_service: QuotaServiceRow = msgspec.field(name="keeper", default_factory=QuotaServiceRow)
 
 
-class SharedFile(msgspec.Struct, forbid_unknown_fields=True):
+class LeaseFile(msgspec.Struct, forbid_unknown_fields=True):
     """deploy/shared.yaml, likewise."""
 
-    shared: SharedRow
+    leases: LeaseRow = msgspec.field(name="shared")
     plans: list[PlanRow] = []
 
 
@@ -217,12 +217,12 @@
     return _settings(path, table.quota_service, QuotaServiceSettings), _plans(path, table.plans)
 
 
-def shared(path: str) -> tuple[SharedSettings, list[Quota]]:
+def leases(path: str) -> tuple[LeaseSettings, list[Quota]]:
     """FileError where the file can't be used."""
-    from ..leases.settings import SharedSettings
+    from ..leases.settings import LeaseSettings
 
-    table = load(path, SharedFile)
-    return _settings(path, table.shared, SharedSettings), _plans(path, table.plans)
+    table = load(path, LeaseFile)
+    return _settings(path, table.leases, LeaseSettings), _plans(path, table.plans)
 
 
 def start(path: str) -> ColdStartSettings:
@@ -329,8 +329,8 @@
     _check(path, settings, quotas, refusal_reason)
 
 
-def check_shared(path: str, settings: SharedSettings, quotas: list[Quota]) -> None:
+def check_leases(path: str, settings: LeaseSettings, quotas: list[Quota]) -> None:
     """FileError where a quota can't be held as the settings ask."""
-    from ..leases.bound import violation
+    from ..leases.overshoot_bound import refusal_reason
 
-    _check(path, settings, quotas, violation)
+    _check(path, settings, quotas, refusal_reason)
--- a/zincstile/net/gateway.py
+++ b/zincstile/net/gateway.py
@@ -82,7 +82,7 @@
             from .feature_messages import connect_quota_service
 
             quota_client = connect_quota_service(config, self.dispatcher, self.peers, read_buffer)
-        if config.shared:
+        if config.leases:
             from .feature_messages import connect_leases
 
             connect_leases(self.dispatcher, self.peers)
--- a/zincstile/net/lifecycle.py
+++ b/zincstile/net/lifecycle.py
@@ -117,7 +117,7 @@
             # Discovery may be down: then the known list must do.
             dispatcher.deadlines.add(dispatcher.now_ns() + config.limits.table_first_ns, self.become_ready)
         dispatcher.wake()
-        if config.quota_service or config.shared:
+        if config.quota_service or config.leases:
             from .bound_report import log_quota_bounds
 
             log_quota_bounds(config, self._log)
--- a/zincstile/net/policy_assembly.py
+++ b/zincstile/net/policy_assembly.py
@@ -56,10 +56,10 @@
 
 def _quota_feature(config: Config, host: Host) -> list[Feature]:
     """Returns the feature that holds quotas; none where they are held by gossip."""
-    if config.shared:
+    if config.leases:
         from ..leases.feature import LeasesFeature
 
-        return [LeasesFeature(config.settings, config.seed, config.shared)]
+        return [LeasesFeature(config.settings, config.seed, config.leases)]
     if config.quota_service:
         from ..quota_service.feature import QuotaServiceFeature
 
--- a/zincstile/quota_service/settings.py
+++ b/zincstile/quota_service/settings.py
@@ -80,7 +80,7 @@
             )
         if self.epoch_ns < 2 * self.call_timeout_ns or self.epoch_ns > 20 * SECOND_NS:
             raise ValueError("epoch_ns: must be at least twice call_timeout_ns, and 20 s at most")
-        require_known(self.tolerated_failures, FAILURES)
+        require_known(self, "tolerated_failures", FAILURES)
 
     @property
     def fallback_delay_ns(self) -> int:
--- a/zincstile/scale/capacity_answers.py
+++ b/zincstile/scale/capacity_answers.py
@@ -10,7 +10,7 @@
 from typing import Final
 
 from ..decisions.load_balancing import CANDIDATES
-from ..leases.settings import SharedSettings
+from ..leases.settings import LeaseSettings
 from ..net.limits import Limits
 from . import capacity_load, capacity_messages
 from .capacity import Amount, Measured, Row, Unit, exact, missing, row
@@ -199,22 +199,22 @@
 
 
 def _leases(topology: Topology) -> list[Row]:
-    settings, size = SharedSettings(), topology.tenant_sets()[0]
-    life_s = settings.life_ns / 1e9
-    asks = size * settings.holders / life_s
+    settings, size = LeaseSettings(), topology.tenant_sets()[0]
+    life_s = settings.lease_ns / 1e9
+    asks = size * settings.min_holders / life_s
     return [
         Row(
             "leases: asks for the busiest tenant, in all",
-            f"{size} gateways, {settings.holders} holders, one loan each {life_s:g} s; off unless named",
+            f"{size} gateways, {settings.min_holders} holders, one loan each {life_s:g} s; off unless named",
             Unit.PER_S,
             exact(asks),
             "leases/lease_messages.LeaseGrant",
         ),
         Row(
             "leases: asks at each holder",
-            f"{settings.holders} holders",
+            f"{settings.min_holders} holders",
             Unit.PER_S,
-            exact(asks / settings.holders),
+            exact(asks / settings.min_holders),
             "leases/lease_messages.LeaseGrant",
             capacity_load.PEER_IN_PER_S,
         ),
--- a/zincstile/simulation/mutants_shared.py
+++ b/zincstile/simulation/mutants_shared.py
@@ -21,7 +21,7 @@
 from ..leases.lessor import Lessor
 from ..leases.quota_account import QuotaAccount
 from ..leases.running_clock import RunningClock
-from ..leases.settings import MS, SECOND, SharedSettings
+from ..leases.settings import MILLISECOND_NS, SECOND_NS, LeaseSettings
 from . import search, shared, shared_trials
 from .mutation import Undo, replace_attribute
 
@@ -49,7 +49,7 @@
         account = self.state.accounts.get(grant.customer)
         pending = account.pending.get(grant.request_id) if account else None
         if pending is not None:
-            pending.requested_ns = now + self.state.settings.life_ns
+            pending.requested_ns = now + self.state.settings.lease_ns
         return old(self, now, sender, process, grant)
 
     return replace_attribute(Lessee, "on_grant", on_grant)
@@ -109,7 +109,7 @@
     """A token bucket holds more than its part."""
 
     def refill(self, running_ns):
-        self.own_units += self.rate_per_s * (running_ns - self.filled_ns) / SECOND
+        self.own_units += self.rate_per_s * (running_ns - self.filled_ns) / SECOND_NS
         self.filled_ns = running_ns
 
     return replace_attribute(QuotaAccount, "refill", refill)
@@ -130,7 +130,7 @@
     """The lessor's token bucket fills up again while its lease runs."""
 
     def refill(self, running_ns):
-        gained = self.rate_per_s * (running_ns - self.filled_ns) / SECOND
+        gained = self.rate_per_s * (running_ns - self.filled_ns) / SECOND_NS
         self.own_units = min(self.capacity_units, self.own_units + 4 * gained)
         self.filled_ns = running_ns
 
@@ -239,16 +239,16 @@
 def by_suspicions(seed: int) -> str:
     """A gateway for which all servers are well gets suspicions of one zone's gateways, cut off; then two
     zones agree on some; then no more suspicions come."""
-    rng, settings = random.Random(f"judging {seed}"), SharedSettings()
+    rng, settings = random.Random(f"judging {seed}"), LeaseSettings()
     for _ in range(200):
         detector = FailureDetector(settings, 0, 0)
         servers = list(range(1, rng.randint(4, 13)))
-        now = 10 * SECOND
+        now = 10 * SECOND_NS
         for peer in range(1, 7):
             detector.record_observer(now, peer, peer % 3)
         liars = rng.choice((1, 2))
         lies = [
-            Suspicion(s, ALL_CLASSES, 1.0, peer, peer % 3, rng.randrange(500) * MS)
+            Suspicion(s, ALL_CLASSES, 1.0, peer, peer % 3, rng.randrange(500) * MILLISECOND_NS)
             for s in servers
             for peer in range(1, 7)
             if peer % 3 == liars
@@ -262,7 +262,7 @@
         for _ in range(3):
             detector.record_attempt(now, seen, ALL_CLASSES, 0.0, 0.4)
         shared_by_zones = [
-            Suspicion(s, ALL_CLASSES, 1.0, peer, peer % 3, rng.randrange(900) * MS)
+            Suspicion(s, ALL_CLASSES, 1.0, peer, peer % 3, rng.randrange(900) * MILLISECOND_NS)
             for s in servers
             for peer in range(1, 7)
         ]
@@ -273,15 +273,17 @@
         out = [s for s, by in found.items() if max(by.values()) >= SUSPECT_ERROR_SCORE]
         if seen in out:
             return "suspicions: those of others went before own attempts"
-        if len(out) > (1 - settings.least_good) * len(servers):
+        if len(out) > (1 - settings.min_unsuspected_ratio) * len(servers):
             return f"suspicions: those of others ruled out {len(out)} of {len(servers)}"
         if not out and len(servers) > 3:
             return "suspicions: what two zones agree on did not count"
-        late = Suspicion(servers[0], ALL_CLASSES, 1.0, 3, 0, settings.told_ns)
+        late = Suspicion(servers[0], ALL_CLASSES, 1.0, 3, 0, settings.suspicion_ns)
         detector.merge(now, late)
-        now += settings.told_ns
-        detector.merge(now, Suspicion(servers[0], ALL_CLASSES, 1.0, 4, 1, settings.told_ns))
-        detector.merge(now, Suspicion(servers[0], ALL_CLASSES, 1.0, 5, 2, settings.told_ns + MS))
+        now += settings.suspicion_ns
+        detector.merge(now, Suspicion(servers[0], ALL_CLASSES, 1.0, 4, 1, settings.suspicion_ns))
+        detector.merge(
+            now, Suspicion(servers[0], ALL_CLASSES, 1.0, 5, 2, settings.suspicion_ns + MILLISECOND_NS)
+        )
         detector.tick(now, servers)
         if detector.suspected(now, servers, range(256)):
             return "suspicions: they did not end"
@@ -299,7 +301,7 @@
         newest: dict[tuple[int, int, int], int] = {}  # who knows of whom: the newest process
         asleep = {k: rng.randint(20, 60) for k in range(count) if rng.random() < 0.3}
         for step in range(140):
-            now += 100 * MS
+            now += 100 * MILLISECOND_NS
             for k, one in enumerate(all_):
                 if k in dead or 0 < asleep.get(k, 0) - step < 15:
                     continue
--- a/zincstile/simulation/search.py
+++ b/zincstile/simulation/search.py
@@ -16,20 +16,25 @@
 from dataclasses import dataclass, field
 
 from ..decisions.quota_bounds import Quota
-from ..leases.bound import bounds, initial_fill_ratio
 from ..leases.lease_manager import LeaseManager
 from ..leases.lease_messages import LeaseGrant, LeaseMessage, LeaseRelease, LeaseRequest
 from ..leases.lease_records import PeerState
+from ..leases.overshoot_bound import initial_fill_ratio, overshoot_bounds
 from ..leases.quota_account import QuotaAccount
-from ..leases.settings import MS, SharedSettings
+from ..leases.settings import MILLISECOND_NS, LeaseSettings
 
 GATEWAYS, CUSTOMERS = 3, 2
 FLIGHT = 3  # words on their way at once at most; what would be more is lost
 DIGITS = 1e-6
-SETTINGS = SharedSettings(
-    life_ns=400 * MS, held_ns=100 * MS, gap_ns=200 * MS, beat_ns=100 * MS, quiet_ns=100 * MS, opening=1.0
+SETTINGS = LeaseSettings(
+    lease_ns=400 * MILLISECOND_NS,
+    answer_timeout_ns=100 * MILLISECOND_NS,
+    max_tick_gap_ns=200 * MILLISECOND_NS,
+    tick_interval_ns=100 * MILLISECOND_NS,
+    backoff_ns=100 * MILLISECOND_NS,
+    max_initial_fill_ratio=1.0,
 )
-STEP_NS = 150 * MS  # a tick: three of them end a loan, two are a sleep
+STEP_NS = 150 * MILLISECOND_NS  # a tick: three of them end a loan, two are a sleep
 QUOTAS = (Quota("a", 20.0, 6.0, GATEWAYS, 2.0), Quota("b", 2.0, 3.0, 2, 1.0))  # quick to fill, and slow
 ROWS = ((0, 1, 2), (1, 2))
 
@@ -191,7 +196,7 @@
             if state.clocks[g] == state.now - STEP_NS:  # its sleep begins
                 for c in range(CUSTOMERS):
                     if g in ROWS[c]:
-                        state.allowed[c] += QUOTAS[c].rate / len(ROWS[c]) * SETTINGS.gap_ns / 1e9
+                        state.allowed[c] += QUOTAS[c].rate / len(ROWS[c]) * SETTINGS.max_tick_gap_ns / 1e9
             continue
         state.clocks[g] = state.now
         if look:
@@ -318,7 +323,7 @@
         found.broken = f"{broken}: {'; '.join(state.path)}"
         return found
     level, known = [pickle.dumps(state)], {_key(state): None}
-    worst = [max(b.units for b in bounds(q, SETTINGS)) for q in QUOTAS]
+    worst = [max(b.units for b in overshoot_bounds(q, SETTINGS)) for q in QUOTAS]
     for _ in range(depth - bool(first)):
         following = []
         for packed in level:
--- a/zincstile/simulation/shared.py
+++ b/zincstile/simulation/shared.py
@@ -12,8 +12,8 @@
 from collections.abc import Callable
 
 from ..decisions.quota_bounds import of_plan
-from ..leases import bound
-from ..leases.settings import SharedSettings
+from ..leases.overshoot_bound import initial_fill_ratio, overshoot_bounds
+from ..leases.settings import LeaseSettings
 from ..simulator import codec
 from . import traffic
 from .plan import Fault, Plan
@@ -203,7 +203,7 @@
 
 
 def stated(
-    plan: Plan, settings: SharedSettings
+    plan: Plan, settings: LeaseSettings
 ) -> tuple[dict[str, tuple[float, float, float]], dict[str, float]]:
     """By plan of the customers: rate, burst and the bound under this plan's faults, in units; and the part of
     the burst that a start finds."""
@@ -215,7 +215,7 @@
     for name, (_, rate, burst, *_) in traffic.PLANS.items():
         spec = next(p for p in specs if p.name == name)
         quotas = [of_plan(spec, spread, traffic.MOST_UNITS) for spread in range(1, plan.gateways + 1)]
-        most = max(b.units for q in quotas for b in bound.bounds(q, settings) if b.failure == failure)
+        most = max(b.units for q in quotas for b in overshoot_bounds(q, settings) if b.failure == failure)
         found[name] = rate, rate * burst, most
-        opening[name] = bound.initial_fill_ratio(quotas[0], settings)
+        opening[name] = initial_fill_ratio(quotas[0], settings)
     return found, opening
--- a/zincstile/simulation/world.py
+++ b/zincstile/simulation/world.py
@@ -27,7 +27,7 @@
 from ..emulators.list_service import ListService, ListServiceBehaviour
 from ..emulators.misbehaving_client import MisbehavingClient
 from ..emulators.quota_service import QuotaService
-from ..leases.settings import SharedSettings
+from ..leases.settings import LeaseSettings
 from ..net import config
 from ..net.gateway import Gateway
 from ..quota_service.settings import QuotaServiceSettings
@@ -133,7 +133,7 @@
         self.quota_service = (
             QuotaServiceSettings(clock_skew_ns=1, max_overshoot_ratio=0.08) if plan.keeper else None
         )
-        self.shared = SharedSettings() if plan.share else None
+        self.lease_settings = LeaseSettings() if plan.share else None
         self.start = ColdStartSettings(peers=True) if plan.start else None
         self.place_settings = ZoneFailoverSettings() if plan.place else None
         self.subset = SubsetSettings(min_endpoints=2, min_gateways=2) if plan.subset else None
@@ -141,8 +141,8 @@
         quotas = None
         if self.quota_service:
             quotas = Quotas(traffic.stated_bounds(plan, self.quota_service), LATE_NS)
-        if self.shared:
-            stated, opening = shared.stated(plan, self.shared)
+        if self.lease_settings:
+            stated, opening = shared.stated(plan, self.lease_settings)
             quotas = Quotas(stated, 0, opening, START_NS)
         self.checker = Checker(
             traffic.figures(), lambda: (self.scheduler.steps, self.scheduler.now_ns), rules, quotas
@@ -266,7 +266,7 @@
     def config(self, seat: Seat) -> config.Config:
         """What the gateway reads of its file, with the features' settings put in as their files would be."""
         found = config.read(self.table(seat), {})
-        found.shared, found.start, found.place = self.shared, self.start, self.place_settings
+        found.leases, found.start, found.place = self.lease_settings, self.start, self.place_settings
         found.subset = self.subset
         if self.quota_service is not None:
             found.quota_service = self.quota_service
--- a/zincstile/testbed/sweep.py
+++ b/zincstile/testbed/sweep.py
@@ -45,7 +45,7 @@
     stated: dict[str, tuple[float, float, float]] = {}
     opening: dict[str, float] = {}
     if "shared" in files:
-        stated, opening = shared.stated(plan, features_files.shared(files["shared"])[0])
+        stated, opening = shared.stated(plan, features_files.leases(files["shared"])[0])
     elif "keeper" in files:
         stated = traffic.stated_bounds(plan, features_files.quota_service(files["keeper"])[0])
     return run.play(plan, folder, name=name, features=files, stated=stated, opening=opening)
