--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -23,16 +23,16 @@
 def settings(**over):
     """A small service: one safe, one unsafe and one keyed class, one plan."""
     base = {
-        "me": 0,
-        "gateways": 1,
-        "peers": True,
-        "cancel": True,
-        "second_copies": True,
+        "gateway_index": 0,
+        "gateway_count": 1,
+        "gossips": True,
+        "cancels_attempts": True,
+        "hedges": True,
         "retry_after": True,
         "max_attempts": 3,
         "max_retry_after_ns": 400 * MS,
-        "peer_in_per_s": 50.0,
-        "largest_units": 4.0,
+        "gossip_in_per_s": 50.0,
+        "max_request_units": 4.0,
         "classes": [
             RequestClass("look", SECOND, 4 * SECOND, Idempotency.ALWAYS, 1.0),
             RequestClass("book", SECOND, 4 * SECOND, Idempotency.NEVER, 3.0),
@@ -42,8 +42,8 @@
                 4 * SECOND,
                 Idempotency.BY_KEY,
                 2.0,
-                group=DeduplicationScope.ZONE,
-                window_ns=500 * MS,
+                deduplication_scope=DeduplicationScope.ZONE,
+                deduplication_window_ns=500 * MS,
             ),
         ],
         "plans": [CustomerPlan("only", rate=1000.0, burst=2000.0)],
@@ -81,7 +81,7 @@
     def outcome(self, rid, attempt, where, result, after=10 * MS, finished=None, latency=None, units=0.0):
         done = result is AttemptResult.OK if finished is None else finished
         event = AttemptOutcome(
-            rid, attempt, where, result, after if latency is None else latency, done, true_units=units
+            rid, attempt, where, result, after if latency is None else latency, done, actual_units=units
         )
         return self.feed(event, after)
 
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -356,9 +356,11 @@
     """Messages and bytes a second that one gateway's decision module sends at the fleet's load, by kind."""
     rng, queue, numbers, found = random.Random(1), [], itertools.count(), {"asks": [0, 0], "others": [0, 0]}
     classes = [RequestClass(f"c{k}", 2 * 10**8, 10**9, Idempotency.ALWAYS, 1.0) for k in range(3)]
-    plan = CustomerPlan("p", rate=1e5, burst=1e5, open_limit=1000)
+    plan = CustomerPlan("p", rate=1e5, burst=1e5, max_in_flight=1000)
     gateway = Policy(
-        Settings(0, fleet.gateways, classes, [plan], peers=True, peer_in_per_s=capacity_load.PEER_IN_PER_S),
+        Settings(
+            0, fleet.gateways, classes, [plan], gossips=True, gossip_in_per_s=capacity_load.PEER_IN_PER_S
+        ),
         1,
     )
     tenants, reached = [], 0.0
@@ -385,12 +387,12 @@
             if isinstance(action, SetTimer):
                 put(max(now, action.at_ns), TimerFired(action.token))
             elif isinstance(action, ForwardRequest):
-                done = AttemptOutcome(action.request, 0, action.backend, AttemptResult.OK, 5 * 10**6, True)
+                done = AttemptOutcome(action.request, 0, action.endpoint, AttemptResult.OK, 5 * 10**6, True)
                 put(now + 5 * 10**6, done)
             elif isinstance(action, SendGossip):
-                asked = [s for s in action.shares if s.want > 0]
+                asked = [s for s in action.usages if s.want > 0]
                 for s in asked:
-                    answer = CustomerUsage(s.customer, 0, 0.0, 1e4, 0, s.want, s.mark, True)
+                    answer = CustomerUsage(s.customer, 0, 0.0, 1e4, 0, s.want, s.query_id, True)
                     put(now + 10**6, GossipReceived(action.peer, 1, [answer]))
                 if now >= 0.5e9 * seconds:
                     datagrams, kind = codec.pack_tell(action), found["asks" if asked else "others"]
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -46,7 +46,7 @@
         send gw TERM
         expect gw exit 0
         expect a1 end""",
-        settings={"limits": LONG_DIAL | {"cancel": cancel}},
+        settings={"limits": LONG_DIAL | {"cancels_attempts": cancel}},
     )
 
 
@@ -68,7 +68,7 @@
         send gw TERM
         expect gw exit 0
         expect b1 end""",
-        settings={"limits": LONG_DIAL | {"cancel": cancel}},
+        settings={"limits": LONG_DIAL | {"cancels_attempts": cancel}},
     )
 
 
@@ -113,7 +113,7 @@
         send gw TERM
         expect gw exit 0
         expect a1 end""",
-        settings={"limits": LONG_DIAL | {"cancel": False}},
+        settings={"limits": LONG_DIAL | {"cancels_attempts": False}},
     )
 
 
@@ -208,7 +208,7 @@
         send d1 change b=Ready
         wait gw tables=2
         wait gw failed=0""",
-        settings={"limits": {"cancel": cancel}},
+        settings={"limits": {"cancels_attempts": cancel}},
     )
 
 
@@ -336,7 +336,7 @@
 
     def handle(self, now, event):
         if isinstance(event, Request):
-            return [ForwardRequest(event.id, 1, event.give_up_ns)]
+            return [ForwardRequest(event.id, 1, event.deadline_ns)]
         self.outcomes += [event.result] if isinstance(event, AttemptOutcome) else []
         return []
 
--- a/tests/test_incremental.py
+++ b/tests/test_incremental.py
@@ -35,7 +35,7 @@
 from zincstile.simulation import traffic
 from zincstile.simulation.plan import Plan
 
-COLD = {"cold_share": 0.25, "cold_ns": 20 * SECOND, "cold_multiple": 2.0}
+COLD = {"slow_start_share": 0.25, "slow_start_ns": 20 * SECOND, "slow_start_overload_multiple": 2.0}
 IDS = (1, 2, 3, 4, 50550, 101099, 50551)  # some have one name among the peers: 1 and two more, 2 and one
 STARTS = (0, 40 * SECOND, 85 * SECOND, 95 * SECOND, 105 * SECOND)  # the first runs are warm or unknown
 ENTRIES = st.lists(
@@ -80,8 +80,8 @@
             else:
                 self.known[b.id] = [b, 1.0, {}]
                 self.ready = [k for k in self.ready if k != b.id]
-        self.known = {k: x for k, x in self.known.items() if x[0].mode is not EndpointState.REMOVED}
-        ready = [k for k, x in self.known.items() if x[0].mode is EndpointState.READY]
+        self.known = {k: x for k, x in self.known.items() if x[0].state is not EndpointState.REMOVED}
+        ready = [k for k, x in self.known.items() if x[0].state is EndpointState.READY]
         self.ready = [k for k in self.ready if k in ready] + [
             b.id for n, b in enumerate(entries) if b.id in ready and b.id not in self.ready
             and b.id not in [c.id for c in entries[:n]]
@@ -155,7 +155,7 @@
             assert s.entry.id in policy.parts.endpoints.touched or (
                 not s.error_scores and s.latency_ratio == 1.0
             )
-            assert (s.members is not None) == (s.entry.mode is EndpointState.READY)
+            assert (s.members is not None) == (s.entry.state is EndpointState.READY)
             assert s.members is None or s.members[s.position] is s
         assert all(
             policy.parts.endpoints.by_id.get(k) is s for k, s in policy.parts.endpoints.touched.items()
@@ -227,8 +227,8 @@
         pool.update(received, complete=complete)
         before = {} if complete else listed
         latest = before | {one.entry.id: one for one in received}
-        listed = {k: one for k, one in latest.items() if one.entry.mode is not EndpointState.REMOVED}
-        ready = {k: one for k, one in listed.items() if one.entry.mode is EndpointState.READY}
+        listed = {k: one for k, one in latest.items() if one.entry.state is not EndpointState.REMOVED}
+        ready = {k: one for k, one in listed.items() if one.entry.state is EndpointState.READY}
         assert pool.listed == listed
         for connection in [c for c in opened if not c.transport.closed]:
             found, expected = connection.backend, ready.get(connection.backend.id)
@@ -274,7 +274,7 @@
     assert table.maintain("s-4990", enter=True) and not table.maintain("s-17", enter=True)  # long gone
     receive(table, endpoints(["s-4990"]))
     listed = table.endpoints[endpoint_id("s-4990")]
-    assert table.maintenance.apply(listed).entry.mode is EndpointState.DRAINING
+    assert table.maintenance.apply(listed).entry.state is EndpointState.DRAINING
 
 
 def test_an_endpoint_is_read_with_its_own_text_and_one_that_is_known_is_kept():
--- a/tests/test_inherit_memory.py
+++ b/tests/test_inherit_memory.py
@@ -24,7 +24,7 @@
 from zincstile.decisions.state_validation import validate
 
 PLAN = CustomerPlan("p", rate=2.0, burst=12.0, ceiling_rate=4.0, ceiling_burst=24.0)
-OVER = {"plans": [PLAN], "gateways": 3, "peers": True}
+OVER = {"plans": [PLAN], "gateway_count": 3, "gossips": True}
 
 
 def old_process():
@@ -35,7 +35,7 @@
         rid, acts = g.ask(units=2.0, spread=3)
         sent = only(acts, ForwardRequest)
         if sent:
-            g.outcome(rid, 0, sent[0].backend, AttemptResult.OK, after=50 * MS, latency=50 * MS)
+            g.outcome(rid, 0, sent[0].endpoint, AttemptResult.OK, after=50 * MS, latency=50 * MS)
     g.policy.parts.limit.limit, g.policy.parts.slow_start.seen_rate = 7.0, 21.0
     g.policy.parts.endpoints.ready[0].latency_ratio, g.policy.parts.endpoints.ready[0].error_scores = (
         2.5,
@@ -94,7 +94,7 @@
 
 
 def test_a_peer_counts_across_both_processes_by_one_running_total():
-    g, peer = old_process(), Gateway(dict(OVER) | {"me": 1}, backends=4)
+    g, peer = old_process(), Gateway(dict(OVER) | {"gateway_index": 1}, backends=4)
     key = next(iter(g.policy.parts.ledger.customers))
     c, level = g.policy.parts.ledger.customers[key], []
 
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -32,7 +32,9 @@
 def session(
     effect: Idempotency = Idempotency.ALWAYS, group: DeduplicationScope = DeduplicationScope.CELL
 ) -> Session:
-    spec = RequestClass("x", SECOND, GIVE_UP, effect, 1.0, group=group, window_ns=6 * SECOND)
+    spec = RequestClass(
+        "x", SECOND, GIVE_UP, effect, 1.0, deduplication_scope=group, deduplication_window_ns=6 * SECOND
+    )
     return Session(1, Call(True, b"c", b"id", [], 0, None), None, GIVE_UP, spec)
 
 
--- a/tests/test_leavers.py
+++ b/tests/test_leavers.py
@@ -43,7 +43,7 @@
             try:
                 while True:
                     message = codec.unpack_tell(0, sock.recv(4096))
-                    found += [(sock, share) for share in message.shares if share.want > 0]
+                    found += [(sock, share) for share in message.usages if share.want > 0]
             except BlockingIOError:
                 pass
         return found
@@ -57,7 +57,7 @@
         return list(found.values())
 
     def grant(self, world: World, sock: socket.socket, ask: CustomerUsage) -> None:
-        share = CustomerUsage(ask.customer, ask.plan, 0.0, 0.0, 0, ask.want, ask.mark, True)
+        share = CustomerUsage(ask.customer, ask.plan, 0.0, 0.0, 0, ask.want, ask.query_id, True)
         for message in codec.pack_tell(SendGossip(0, 5, [share])):
             sock.sendto(message, world.peer_address)
 
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -17,7 +17,7 @@
     dispatcher = stub_dispatcher(now_ns=lambda: clock[0], post=posted.append)
     table = endpoint_table(
         dispatcher,
-        lambda endpoints, *, complete: pools.append([(entry.id, entry.mode) for entry, _ in endpoints]),
+        lambda endpoints, *, complete: pools.append([(entry.id, entry.state) for entry, _ in endpoints]),
         wall_ns=dispatcher.now_ns,
     )
     return endpoint_watcher(dispatcher, table), clock, posted, pools
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -24,7 +24,7 @@
 
 
 def sends(actions):
-    return [a.backend for a in only(actions, ForwardRequest)]
+    return [a.endpoint for a in only(actions, ForwardRequest)]
 
 
 def group(arrivals, worth):
@@ -150,13 +150,13 @@
 
 
 def test_lists_are_asked_for_again_after_failure():
-    g = Gateway({"ask_for_list": True})
+    g = Gateway({"polls_endpoint_list": True})
     assert only(g.first, WatchEndpoints)
     assert only(g.list([], EndpointListKind.FAILED), WatchEndpoints)
 
 
 def test_streams_are_not_failed_at_the_deadline():
-    g = Gateway({"classes": [RequestClass("s", SECOND, 2 * SECOND, Idempotency.ALWAYS, 1.0, stream=True)]})
+    g = Gateway({"classes": [RequestClass("s", SECOND, 2 * SECOND, Idempotency.ALWAYS, 1.0, streaming=True)]})
     rid, acts = g.ask(life=2 * SECOND)
     g.feed(StreamStarted(rid, 0, sends(acts)[0], MS), after=MS)
     for timer in only(acts, SetTimer):
@@ -232,7 +232,7 @@
 
 
 @pytest.mark.parametrize(
-    ("cls", "over", "copies"), [(0, {}, 1), (1, {}, 0), (2, {}, 1), (0, {"second_copies": False}, 0)]
+    ("cls", "over", "copies"), [(0, {}, 1), (1, {}, 0), (2, {}, 1), (0, {"hedges": False}, 0)]
 )
 def test_a_second_copy_beside_a_silent_attempt_where_the_class_allows_it(gateway, cls, over, copies):
     g = gateway(over, backends=3)
@@ -242,9 +242,9 @@
     for _ in range(30):
         seconds += only(g.tick(), ForwardRequest)
     assert [s.request for s in seconds] == [rid] * copies
-    assert first.backend not in [s.backend for s in seconds]
+    assert first.endpoint not in [s.endpoint for s in seconds]
     if copies:  # either answer ends it
-        acts = g.outcome(rid, 1, seconds[0].backend, AttemptResult.OK)
+        acts = g.outcome(rid, 1, seconds[0].endpoint, AttemptResult.OK)
         assert [(c.request, c.attempt) for c in only(acts, CancelAttempt)] == [(rid, 0)]
 
 
@@ -270,7 +270,7 @@
     ):
         g = gateway(backends=2)
         rid, acts = g.ask(cls=1)
-        where = only(acts, ForwardRequest)[0].backend
+        where = only(acts, ForwardRequest)[0].endpoint
         assert only(g.outcome(rid, 0, where, result), FailRequest)
         server = g.policy.parts.endpoints.by_id[where]
         assert (g.policy.parts.detector.excess(server, 1, 0) >= 0.3) is left
@@ -282,8 +282,8 @@
     for cls in (1, 0, 1):
         rid, acts = g.ask(cls=cls)
         sends += only(acts, ForwardRequest)
-        g.outcome(rid, 0, sends[-1].backend, AttemptResult.STALE_CONNECTION, finished=True)
-    assert [s.fresh for s in sends] == [False, False, True]
+        g.outcome(rid, 0, sends[-1].endpoint, AttemptResult.STALE_CONNECTION, finished=True)
+    assert [s.new_connection for s in sends] == [False, False, True]
 
 
 @pytest.mark.parametrize(("asked", "pressed"), [(9, False), (16, True)])
@@ -300,7 +300,7 @@
 def test_one_late_answer_does_not_leave_a_backend_out(gateway):
     g = gateway(backends=2)
     rid, acts = g.ask()
-    where = only(acts, ForwardRequest)[0].backend
+    where = only(acts, ForwardRequest)[0].endpoint
     g.outcome(rid, 0, where, AttemptResult.OK, after=0, latency=4 * SECOND)
     assert 1.0 < g.policy.parts.endpoints.by_id[where].latency_ratio < 2.0
 
@@ -308,7 +308,9 @@
 def test_a_cold_backend_gets_its_part_of_a_good_one_where_others_are_left_for_their_doubts():
     """Two of three warm ones are doubted: the third and one that is about half warm carry all."""
     g = Gateway(
-        {"cold_share": 0.25, "cold_ns": 18 * SECOND, "cold_multiple": 2.0}, backends=0, now=100 * SECOND
+        {"slow_start_share": 0.25, "slow_start_ns": 18 * SECOND, "slow_start_overload_multiple": 2.0},
+        backends=0,
+        now=100 * SECOND,
     )
     g.list([backend(n) for n in (1, 2, 3)] + [backend(4, started=96 * SECOND)])
     sent = dict.fromkeys((1, 2, 3, 4), 0)
@@ -318,7 +320,7 @@
                 g.policy.parts.endpoints.touch(s).error_scores = {0: 1.0}
             g.tick(0)
         rid, acts = g.ask(after=10 * MS)
-        for where in [a.backend for a in only(acts, ForwardRequest)]:
+        for where in [a.endpoint for a in only(acts, ForwardRequest)]:
             sent[where] += k >= 200
             g.outcome(rid, 0, where, AttemptResult.OK, latency=20 * MS, after=0)
     assert sent[1] + sent[2] == 0 and 0.4 * sent[3] < sent[4] < 0.8 * sent[3]  # 0.5 to 0.67 as warm
@@ -330,7 +332,9 @@
 
     def shares(seen: float) -> float:
         g = Gateway(
-            {"cold_share": 0.5, "cold_ns": 10**6 * SECOND, "cold_multiple": 2.0}, backends=0, now=100 * SECOND
+            {"slow_start_share": 0.5, "slow_start_ns": 10**6 * SECOND, "slow_start_overload_multiple": 2.0},
+            backends=0,
+            now=100 * SECOND,
         )
         g.list([backend(1), backend(2, started=99 * SECOND)])
         for leaf in g.policy.parts.budget.groups:
@@ -340,7 +344,7 @@
         cold = 0
         for _ in range(400):
             rid, acts = g.ask()
-            if only(acts, ForwardRequest)[0].backend == 2:
+            if only(acts, ForwardRequest)[0].endpoint == 2:
                 cold += 1
                 g.outcome(rid, 0, 2, AttemptResult.OK, after=0, latency=20 * MS)
         return cold / 400
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -21,12 +21,12 @@
         sent = only(acts, ForwardRequest)
         if sent:
             total += units
-            g.outcome(rid, 0, sent[0].backend, AttemptResult.OK, after=0, latency=10 * MS)
+            g.outcome(rid, 0, sent[0].endpoint, AttemptResult.OK, after=0, latency=10 * MS)
     return total
 
 
 def gateway(**over):
-    return Gateway({"plans": [PLAN], "gateways": 3, **over}, backends=8)
+    return Gateway({"plans": [PLAN], "gateway_count": 3, **over}, backends=8)
 
 
 def hear(g, shares=(), sender=1, start=5, after=0):
@@ -92,7 +92,7 @@
     hear(g, [CustomerUsage(7, 0, 0.0, 12.0, 0)])
     assert taken(g, 1) == 2.0
     told = only(hear(g, [], start=6, after=MS), SendGossip)
-    assert [s.customer for t in told for s in t.shares] == [7]
+    assert [s.customer for t in told for s in t.usages] == [7]
     level = g.policy.parts.ledger.customers[7].level
     hear(g, [CustomerUsage(7, 0, 1.0, 11.0, 0)], start=6)
     assert abs(g.policy.parts.ledger.customers[7].level - level) < 0.1
@@ -107,21 +107,21 @@
 
 
 def test_true_units_are_settled_and_told():
-    g = gateway(settled_after=True)
+    g = gateway(settles_actual_units=True)
     hear(g)
     rid, acts = g.ask(units=2.0, spread=3)
     before = g.policy.parts.ledger.customers[7].level
     g.outcome(
-        rid, 0, only(acts, ForwardRequest)[0].backend, AttemptResult.OK, after=0, latency=10 * MS, units=5.0
+        rid, 0, only(acts, ForwardRequest)[0].endpoint, AttemptResult.OK, after=0, latency=10 * MS, units=5.0
     )
     assert abs(before - 3.0 - g.policy.parts.ledger.customers[7].level) < 1e-9
     told = only(g.feed(TimerFired(3), after=100 * MS), SendGossip)
-    assert told[0].shares[0].total == 5.0
+    assert told[0].usages[0].total == 5.0
 
 
 def test_open_limit_counts_the_peers_attempts():
-    plan = CustomerPlan("o", open_limit=2)
-    g = Gateway({"plans": [plan], "gateways": 3}, backends=4)
+    plan = CustomerPlan("o", max_in_flight=2)
+    g = Gateway({"plans": [plan], "gateway_count": 3}, backends=4)
     hear(g, [CustomerUsage(7, 0, 0.0, 0.0, 1)])
     assert only(g.ask(spread=3)[1], ForwardRequest)
     assert not only(g.ask(spread=3)[1], ForwardRequest)
@@ -132,7 +132,7 @@
 def under_a_ceiling():
     """Two gateways have a ceiling that lets each send 2 a second in even parts; the quota would let 4."""
     plan = CustomerPlan("c", rate=4.0, burst=8.0, ceiling_rate=4.0, ceiling_burst=8.0)
-    g = Gateway({"plans": [plan], "gateways": 2}, backends=8)
+    g = Gateway({"plans": [plan], "gateway_count": 2}, backends=8)
     g.now += 10 * SECOND  # the ceiling has filled since the start
     return g
 
@@ -158,7 +158,7 @@
         ((1,), [], 0.0, 4.0),
         ((1, 2), [CustomerUsage(8, 0, 1.0, 60.0, 0)], 0.0, 4.0),
     ):
-        g = Gateway({"plans": [plan], "gateways": 3}, backends=8)
+        g = Gateway({"plans": [plan], "gateway_count": 3}, backends=8)
         for sender in senders:
             told = only(hear(g, shares, sender=sender, after=10 * MS), SendGossip)
             assert sender in [t.peer for t in told]  # so that it hears of this one too
@@ -183,8 +183,10 @@
 
 
 def test_beyond_the_quota_only_where_it_earns():
-    for over_worth, cost, sent in ((0.0, 0.5, False), (0.3, 0.0, True), (0.3, 0.3, False)):
-        plan = CustomerPlan("p", rate=0.001, burst=2.0, over_worth=over_worth, over_cost=cost)
+    for over_quota_weight, cost, sent in ((0.0, 0.5, False), (0.3, 0.0, True), (0.3, 0.3, False)):
+        plan = CustomerPlan(
+            "p", rate=0.001, burst=2.0, over_quota_weight=over_quota_weight, over_quota_cost=cost
+        )
         g = Gateway({"plans": [plan]}, backends=4)
         assert only(g.ask(units=2.0)[1], ForwardRequest)
         assert bool(only(g.ask(units=2.0)[1], ForwardRequest)) is sent
@@ -196,9 +198,9 @@
         g = Gateway({"plans": [plan], **over}, backends=4)
         assert only(g.ask(units=4.0)[1], ForwardRequest)
         refused = only(g.ask(units=2.0)[1], RejectRequest)
-        assert [r.retry_in_ns for r in refused] == [100 * MS]  # two units at twenty a second
+        assert [r.retry_after_ns for r in refused] == [100 * MS]  # two units at twenty a second
         refused = only(g.ask(units=4.0, after=20 * MS)[1], RejectRequest)
-        assert [r.retry_in_ns for r in refused] == [180 * MS]
+        assert [r.retry_after_ns for r in refused] == [180 * MS]
         assert only(g.ask(units=3.6, after=180 * MS)[1], ForwardRequest)
 
 
@@ -218,17 +220,17 @@
 
 def test_parts_of_the_ceiling_are_even_where_more_than_the_quota_is_let_in():
     """Guards the ceiling while words travel: beyond the quota nothing else holds what all send together."""
-    for over_worth, least, most in ((0.0, 0.6, 1.0), (0.5, 0.5, 0.5)):
+    for over_quota_weight, least, most in ((0.0, 0.6, 1.0), (0.5, 0.5, 0.5)):
         plan = CustomerPlan(
             "c",
             rate=4.0,
             burst=8.0,
-            over_worth=over_worth,
-            over_cost=0.1,
+            over_quota_weight=over_quota_weight,
+            over_quota_cost=0.1,
             ceiling_rate=8.0,
             ceiling_burst=16.0,
         )
-        g = Gateway({"plans": [plan], "gateways": 2}, backends=8)
+        g = Gateway({"plans": [plan], "gateway_count": 2}, backends=8)
         g.now += 10 * SECOND
         hear(g, [CustomerUsage(7, 0, 0.0, 8.0, 0)])
         taken(g, 3, units=1.0, spread=2)
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -9,5 +9,5 @@
         code = re.search(r"```python\n(.*?)```", text.read(), re.S).group(1)
     names = {}
     exec(code, names)
-    assert len(names["sends"]) == 1 and names["sends"][0].backend == 1
+    assert len(names["sends"]) == 1 and names["sends"][0].endpoint == 1
     assert names["timers"] and not names["policy"].parts.requests.pending
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -27,14 +27,16 @@
     refused where nothing has run, or nothing that matters, and fails else."""
     harness = gateway()
     number, actions = harness.ask(cls)
-    first = only(actions, ForwardRequest)[0].backend
+    first = only(actions, ForwardRequest)[0].endpoint
     actions = harness.outcome(number, 0, first, result)
     sent, failed = only(actions, ForwardRequest), only(actions, FailRequest)
     assert len(sent) == (cls in (SAFE, KEYED) or result in NEVER_RAN)
-    assert [s.backend for s in sent if s.backend == first] == []
+    assert [s.endpoint for s in sent if s.endpoint == first] == []
     assert len(failed) == (not sent) and not only(actions, RejectRequest)
     if sent and cls == KEYED and result not in NEVER_RAN:
-        assert sent[0].by_ns == harness.now - 10 * MS + 500 * MS  # its window, from when the first was sent
+        assert (
+            sent[0].written_by_ns == harness.now - 10 * MS + 500 * MS
+        )  # its window, from when the first was sent
 
 
 @pytest.mark.parametrize("result", FAILED_RESULTS, ids=lambda r: r.name)
@@ -42,7 +44,7 @@
 def test_a_keyed_request_is_retried_inside_its_window_only(gateway, cls, age, result):
     harness = gateway({"plans": [CustomerPlan("only", rate=1000.0, burst=2000.0)]})
     number, actions = harness.ask(cls, life=3 * SECOND)
-    actions = harness.outcome(number, 0, only(actions, ForwardRequest)[0].backend, result, after=age)
+    actions = harness.outcome(number, 0, only(actions, ForwardRequest)[0].endpoint, result, after=age)
     again = cls == SAFE or result in NEVER_RAN or age < 500 * MS
     assert (len(only(actions, ForwardRequest)), len(only(actions, FailRequest))) == (again, not again)
 
@@ -53,7 +55,7 @@
     harness = gateway(backends=0)
     harness.list([backend(1, zone=0), backend(2, zone=1)])
     number, actions = harness.ask(KEYED)
-    actions = harness.outcome(number, 0, only(actions, ForwardRequest)[0].backend, result)
+    actions = harness.outcome(number, 0, only(actions, ForwardRequest)[0].endpoint, result)
     assert bool(only(actions, ForwardRequest)) == (result in NEVER_RAN)
 
 
@@ -67,10 +69,10 @@
                     c.name,
                     SECOND,
                     4 * SECOND,
-                    c.effect,
+                    c.idempotency,
                     1.0,
-                    group=DeduplicationScope.ALL,
-                    window_ns=4 * SECOND,
+                    deduplication_scope=DeduplicationScope.ALL,
+                    deduplication_window_ns=4 * SECOND,
                 )
                 for c in gateway().policy.settings.classes
             ]
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -18,7 +18,7 @@
 
 
 def sends(actions):
-    return [a.backend for a in only(actions, ForwardRequest)]
+    return [a.endpoint for a in only(actions, ForwardRequest)]
 
 
 def finals(actions):
@@ -92,7 +92,7 @@
 
 
 def test_a_repeat_waits_for_the_end_of_the_attempt_before():
-    g = Gateway({"second_copies": False})
+    g = Gateway({"hedges": False})
     rid, acts = g.ask()
     for timer in only(acts, SetTimer):
         if timer.at_ns < g.now + 4 * SECOND:
@@ -113,7 +113,7 @@
 
 
 def test_a_cold_backend_gets_a_measured_start():
-    g = Gateway({"cold_share": 0.2, "cold_ns": 10 * SECOND, "cold_multiple": 2.0})
+    g = Gateway({"slow_start_share": 0.2, "slow_start_ns": 10 * SECOND, "slow_start_overload_multiple": 2.0})
     for _ in range(100):  # a warm one is seen to do 10 units a second
         rid, acts = g.ask()
         g.outcome(rid, 0, sends(acts)[0], AttemptResult.OK, after=50 * MS)
@@ -132,12 +132,12 @@
         "hard",
         rate=10.0,
         burst=20.0,
-        over_worth=0.5,
+        over_quota_weight=0.5,
         ceiling_rate=20.0,
         ceiling_burst=40.0,
         ceiling_slack=4.0,
     )
-    g = Gateway({"plans": [plan], "gateways": 4}, backends=8)
+    g = Gateway({"plans": [plan], "gateway_count": 4}, backends=8)
     taken = 0.0
     for _ in range(300):
         rid, acts = g.ask(units=2.0, spread=2, first=0, after=10 * MS)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -179,7 +179,7 @@
 
     def end(self, request, how):
         assert request not in self.final, "two final answers"
-        assert self.now <= self.asked[request].give_up_ns, "a final answer after its time"
+        assert self.now <= self.asked[request].deadline_ns, "a final answer after its time"
         self.final[request] = how
 
     def cancel(self, a):
@@ -188,28 +188,31 @@
     def send_gossip(self, a):
         for data in codec.pack_tell(a):
             assert len(data) <= codec.LARGEST
-            heard = codec.unpack_tell((self.set.me + 1) % max(2, self.set.gateways), data)
+            heard = codec.unpack_tell((self.set.gateway_index + 1) % max(2, self.set.gateway_count), data)
             assert heard is not None
             if self.rng.random() < 0.5:
                 self.later(self.now + 3 * MS, heard)
 
     def forward(self, a):
         ask = self.asked[a.request]
-        spec, before = self.set.classes[ask.cls], self.sends.setdefault(a.request, [])
+        spec, before = self.set.classes[ask.class_index], self.sends.setdefault(a.request, [])
         assert a.request not in self.final and len(before) < self.set.max_attempts
         may_have_run = [s for s in before if s["result"] not in NEVER_RAN]
-        if spec.effect is Idempotency.NEVER:
+        if spec.idempotency is Idempotency.NEVER:
             assert not may_have_run, "sent again, though it may have run"
-        elif spec.effect is Idempotency.BY_KEY and may_have_run:
-            assert 0 < a.by_ns <= may_have_run[0]["at"] + spec.window_ns and self.now < a.by_ns
-        assert len(may_have_run) < 2 or spec.effect is not Idempotency.NEVER
+        elif spec.idempotency is Idempotency.BY_KEY and may_have_run:
+            assert (
+                0 < a.written_by_ns <= may_have_run[0]["at"] + spec.deduplication_window_ns
+                and self.now < a.written_by_ns
+            )
+        assert len(may_have_run) < 2 or spec.idempotency is not Idempotency.NEVER
         sent = {"at": self.now, "result": None}
         self.out[a.request, len(before)] = sent
         result = self.rng.choice(RESULTS)
-        took = self.rng.randint(1, max(2, int(spec.aim_ns / 3)))
+        took = self.rng.randint(1, max(2, int(spec.latency_objective_ns / 3)))
         if result is AttemptResult.TIMEOUT or self.now + took > a.until_ns:
             result, took = AttemptResult.TIMEOUT, max(0, a.until_ns - self.now)
-        self.later(self.now + took, (a.request, len(before), a.backend, result, took))
+        self.later(self.now + took, (a.request, len(before), a.endpoint, result, took))
         before.append(sent)
 
     carried_out = {
@@ -235,7 +238,9 @@
         done = request in self.final
         self.sends[request][number]["result"] = result
         self.feed(
-            AttemptOutcome(request, number, backend, result, took, done, true_units=self.asked[request].units)
+            AttemptOutcome(
+                request, number, backend, result, took, done, actual_units=self.asked[request].units
+            )
         )
 
     def play(self, requests=40):
@@ -248,9 +253,9 @@
                 plan,
                 self.rng.randrange(4),
                 self.now + wait_ns - min(2 * MS, wait_ns // 2),
-                self.rng.uniform(0.05, self.set.largest_units),
-                self.rng.randint(1, self.set.gateways),
-                self.rng.randrange(self.set.gateways),
+                self.rng.uniform(0.05, self.set.max_request_units),
+                self.rng.randint(1, self.set.gateway_count),
+                self.rng.randrange(self.set.gateway_count),
             )
             self.feed(self.asked[number])
             until = self.now + self.rng.randint(0, 30 * MS)
@@ -260,7 +265,7 @@
             if self.rng.random() < 0.05 and number not in self.final:
                 self.final[number] = "left"
                 self.feed(RequestAbandoned(number))
-        last = max(ask.give_up_ns for ask in self.asked.values())
+        last = max(ask.deadline_ns for ask in self.asked.values())
         while set(self.final) != set(self.asked) and self.heap and self.heap[0][0] <= last:
             self.step()
         assert set(self.final) == set(self.asked), "no final answer"
@@ -295,8 +300,8 @@
     messages = codec.pack_tell(SendGossip(1, 7, shares, module.parts.estimates.figures(), doubts))
     assert max(map(len, messages)) <= codec.LARGEST
     heard = [codec.unpack_tell(1, data) for data in messages]
-    assert [s.customer for m in heard for s in m.shares] == list(range(9))
-    assert [d.group for m in heard for d in m.doubts] == [0, 11, 250, 251, 255]
+    assert [s.customer for m in heard for s in m.usages] == list(range(9))
+    assert [d.group for m in heard for d in m.error_samples] == [0, 11, 250, 251, 255]
     told = heard[0].figures
     assert told[8] == 3.0 and len(told) > 9 + len(settings.classes)
     other = Policy(settings, 2)
--- a/tests/test_subsetting.py
+++ b/tests/test_subsetting.py
@@ -53,7 +53,7 @@
 
 def gateway(me=0, gateways=12, zone=0, classes=None, zones=ZONES, **subset):
     """A decision module with a subset, in which no class is bound to a group unless given."""
-    own = gateway_settings(me=me, gateways=gateways, zone=zone, classes=classes or IDEMPOTENT)
+    own = gateway_settings(gateway_index=me, gateway_count=gateways, zone=zone, classes=classes or IDEMPOTENT)
     feature = SubsettingFeature(own, SubsetSettings(**subset), zones, [])
     policy = Policy(own, 1, [feature])
     policy.handle(NOW, Started())
@@ -149,8 +149,8 @@
     """All of it from scratch, for service by type, without trouble."""
     rings = defaultdict(list)
     for b in table.values():
-        if b.mode is READY:
-            rings[b.kind, b.zone].append(b.id)
+        if b.state is READY:
+            rings[b.machine_type, b.zone].append(b.id)
     found = set()
     for service in {s for s, _ in rings}:
         tier = next(t for t in tiers if any((service, z) in rings for z in t))
@@ -181,7 +181,7 @@
         table = {} if kind is FULL else table
         for b in entries:
             table[b.id] = b
-        table = {n: b for n, b in table.items() if b.mode is not REMOVED}
+        table = {n: b for n, b in table.items() if b.state is not REMOVED}
         assert policy.features[0].table.endpoints == table
         assert {
             place: [k & (2**64 - 1) for k in ring.keys]
@@ -194,8 +194,8 @@
 def _rings(table):
     rings = defaultdict(list)
     for b in table.values():
-        if b.mode is READY:
-            rings[b.kind, b.zone].append(b.id)
+        if b.state is READY:
+            rings[b.machine_type, b.zone].append(b.id)
     return {p: sorted(r, key=lambda n: ring_key(p[0], n)) for p, r in rings.items()}
 
 
@@ -210,7 +210,11 @@
     now, cold, seen, first, warm = 10 * SECOND, 1 + cold % total, 0.0, 0.0, Counter()
     for me in range(gateways):
         own = gateway_settings(
-            me=me, gateways=gateways, cold_share=0.2, cold_ns=30 * SECOND, cold_multiple=2.0
+            gateway_index=me,
+            gateway_count=gateways,
+            slow_start_share=0.2,
+            slow_start_ns=30 * SECOND,
+            slow_start_overload_multiple=2.0,
         )
         policy = Policy(own, 1, [SubsettingFeature(own, SubsetSettings(min_endpoints=least), [], [])])
         policy.handle(now, Started())
@@ -336,7 +340,7 @@
     policy = gateway(me=30, gateways=600, min_endpoints=4, zones=[])
     feed(policy, many(60, zone=0))
     actions = policy.handle(10 * SECOND, Request(1, 0, 0, 7, 14 * SECOND, 1.0, 1, 0))
-    sent = next(a for a in actions if isinstance(a, ForwardRequest)).backend
+    sent = next(a for a in actions if isinstance(a, ForwardRequest)).endpoint
     others = [b for b in many(60, zone=0) if b.id in ready(policy) - {sent}]
     for more in range(61, 300):  # until the ring has shifted it out
         feed(policy, [backend(more)])
@@ -434,16 +438,24 @@
 @pytest.mark.parametrize("group", [DeduplicationScope.ZONE, DeduplicationScope.CELL])
 def test_a_key_that_may_repeat_in_one_group_only_has_a_second_endpoint_there(group):
     """Handling: `Ring.partner`, and at least a pair for each zone, where a class is bound to such a group."""
-    put = RequestClass("put", SECOND, 4 * SECOND, Idempotency.BY_KEY, 2.0, group=group, window_ns=500 * MS)
+    put = RequestClass(
+        "put",
+        SECOND,
+        4 * SECOND,
+        Idempotency.BY_KEY,
+        2.0,
+        deduplication_scope=group,
+        deduplication_window_ns=500 * MS,
+    )
     for me in range(20):
         policy = gateway(me, 40, classes=[put], min_endpoints=1, min_usable=1, min_gateways=1)
         listed = {n: backend(n, n % 3, cell=n // 2 % 30) for n in range(1, 121)}
         feed(policy, list(listed.values()))
         assert len(ready(policy)) < 60
         sent = policy.handle(10 * SECOND, Request(1, 0, 0, 7, 14 * SECOND, 1.0, 1, 0))
-        first = next(a for a in sent if isinstance(a, ForwardRequest)).backend
+        first = next(a for a in sent if isinstance(a, ForwardRequest)).endpoint
         again = policy.handle(10 * SECOND + MS, AttemptOutcome(1, 0, first, AttemptResult.ERROR, MS, False))
-        second = next(a for a in again if isinstance(a, ForwardRequest)).backend
+        second = next(a for a in again if isinstance(a, ForwardRequest)).endpoint
         one, other = listed[first], listed[second]
         assert first != second
         assert one.zone == other.zone if group is DeduplicationScope.ZONE else one.cell == other.cell
@@ -525,7 +537,7 @@
     path.write_text(text)
     with pytest.raises(FileError, match=error) as caught:
         features.check_subset(
-            str(path), features.subset(str(path)), ZONES, gateway_settings(gateways=6, zone=1)
+            str(path), features.subset(str(path)), ZONES, gateway_settings(gateway_count=6, zone=1)
         )
     assert len(str(caught.value).splitlines()) == 1
 
--- a/tests/test_unanswered_attempts.py
+++ b/tests/test_unanswered_attempts.py
@@ -9,7 +9,7 @@
     """One request after a pause of three seconds; whether its backend's connections were closed before."""
     request, actions = harness.ask(cls=1, after=3 * SECOND)
     kinds = [type(a) for a in actions if isinstance(a, CloseIdleConnections | ForwardRequest)]
-    harness.outcome(request, 0, only(actions, ForwardRequest)[0].backend, result, after=0, latency=latency)
+    harness.outcome(request, 0, only(actions, ForwardRequest)[0].endpoint, result, after=0, latency=latency)
     assert kinds in ([ForwardRequest], [CloseIdleConnections, ForwardRequest])
     return kinds[0] is CloseIdleConnections
 
@@ -52,14 +52,14 @@
     request, actions = harness.ask(cls=0)
     first = only(actions, ForwardRequest)[0]
     actions = harness.outcome(
-        request, 0, first.backend, AttemptResult.TIMEOUT, after=first.until_ns - harness.now
+        request, 0, first.endpoint, AttemptResult.TIMEOUT, after=first.until_ns - harness.now
     )
     assert not only(actions, ForwardRequest) and [a.request for a in only(actions, RejectRequest)] == [
         request
     ]
     request, actions = harness.ask(cls=0)
     actions = harness.outcome(
-        request, 0, only(actions, ForwardRequest)[0].backend, AttemptResult.RESET, after=300 * MS
+        request, 0, only(actions, ForwardRequest)[0].endpoint, AttemptResult.RESET, after=300 * MS
     )
     assert [a.until_ns for a in only(actions, ForwardRequest)] == [harness.now + 700 * MS]
 
@@ -71,7 +71,7 @@
         for send in only(actions, ForwardRequest):
             result = AttemptResult.TIMEOUT if index >= count - silent else AttemptResult.OK
             took = SECOND if index >= count - silent else latency
-            harness.outcome(request, 0, send.backend, result, after=0, latency=took)
+            harness.outcome(request, 0, send.endpoint, result, after=0, latency=took)
     harness.tick(after=0)
 
 
@@ -97,7 +97,7 @@
 
 
 def test_a_few_attempts_above_the_limit_do_not_reject_all():
-    harness = Gateway({"gateways": 200}, backends=8)
+    harness = Gateway({"gateway_count": 200}, backends=8)
     policy = harness.policy
     policy.parts.limit.limit, policy.parts.limit.overload_signal = (
         0.25,
@@ -113,7 +113,7 @@
 def test_the_budget_does_not_sink_with_the_rate_of_answers():
     rates = []
     for part in (1.0, 0.5):  # half as much sent, half as much out and done: the same time in the back end
-        harness = Gateway({"gateways": 200}, backends=8)
+        harness = Gateway({"gateway_count": 200}, backends=8)
         policy = harness.policy
         (
             policy.parts.limit.limit,
--- a/tests/test_wide.py
+++ b/tests/test_wide.py
@@ -21,11 +21,11 @@
 
 
 def sends(actions):
-    return [a.backend for a in only(actions, ForwardRequest)]
+    return [a.endpoint for a in only(actions, ForwardRequest)]
 
 
 def gateway(me=0, seed=1, backends=8, **over):
-    over = {"plans": [PLAN], "gateways": WIDE, "me": me} | over
+    over = {"plans": [PLAN], "gateway_count": WIDE, "gateway_index": me} | over
     return Gateway(over, backends=backends, seed=seed)
 
 
@@ -39,25 +39,25 @@
 
 
 def pass_on(told, sender, to):
-    return to.feed(GossipReceived(sender, told.start, told.shares, told.figures, told.doubts))
+    return to.feed(GossipReceived(sender, told.incarnation, told.usages, told.figures, told.error_samples))
 
 
 def test_a_wide_set_asks_one_relay_and_waits():
     g = gateway()
     rid, acts, told = asked(g)
-    assert not sends(acts) and len(told) == 1 and told[0].shares[0].want == 1.0
+    assert not sends(acts) and len(told) == 1 and told[0].usages[0].want == 1.0
     assert all(asked(gateway(me=m))[2][0].peer == told[0].peer for m in range(1, 5))
 
 
 def test_what_a_relay_grants_two_get_once():
     relay = gateway(me=relay_of())
-    peers = [gateway(me=m, seed=m) for m in range(WIDE) if m != relay.policy.settings.me][:12]
+    peers = [gateway(me=m, seed=m) for m in range(WIDE) if m != relay.policy.settings.gateway_index][:12]
     taken = 0.0
     for g in peers:
         rid, _, told = asked(g, units=4.0)
-        answer = only(pass_on(told[0], g.policy.settings.me, relay), SendGossip)[0]
-        assert answer.peer == g.policy.settings.me and answer.shares[0].answer
-        taken += 4.0 * len(sends(pass_on(answer, relay.policy.settings.me, g)))
+        answer = only(pass_on(told[0], g.policy.settings.gateway_index, relay), SendGossip)[0]
+        assert answer.peer == g.policy.settings.gateway_index and answer.usages[0].is_answer
+        taken += 4.0 * len(sends(pass_on(answer, relay.policy.settings.gateway_index, g)))
     assert taken == 12.0
 
 
@@ -75,7 +75,7 @@
 def test_an_overloaded_relay_does_not_open_the_quota():
     g = gateway()
     rid, acts, told = asked(g, units=4.0)
-    no = CustomerUsage(7, 0, 0.0, 0.5, 0, -4.0, told[0].shares[0].mark, True)
+    no = CustomerUsage(7, 0, 0.0, 0.5, 0, -4.0, told[0].usages[0].query_id, True)
     assert only(g.feed(GossipReceived(told[0].peer, 5, [no])), RejectRequest)
     sent = 0
     for _ in range(10):  # none of these is answered
@@ -100,7 +100,7 @@
 
 def test_messages_of_a_request_do_not_grow_with_the_gateways():
     for gateways in (40, 400):
-        g = gateway(gateways=gateways)
+        g = gateway(gateway_count=gateways)
         _, acts = g.ask(spread=gateways)
         more = g.tick() + g.tick(after=2 * SECOND) + g.feed(TimerFired(3))
         assert len(only(acts, SendGossip)) + len(only(more, SendGossip)) <= 2
@@ -175,8 +175,13 @@
 
 
 def test_two_hundred_gateways_do_not_push_a_cold_backend_over():
-    over = {"cold_share": 0.05, "cold_ns": 100 * SECOND, "cold_multiple": 2.0, "cold_window_ns": SECOND}
-    fleet = [gateway(me=m, seed=m, backends=0, gateways=200, **over) for m in range(200)]
+    over = {
+        "slow_start_share": 0.05,
+        "slow_start_ns": 100 * SECOND,
+        "slow_start_overload_multiple": 2.0,
+        "slow_start_window_ns": SECOND,
+    }
+    fleet = [gateway(gateway_index=m, seed=m, backends=0, gateway_count=200, **over) for m in range(200)]
     for g in fleet:
         g.list([backend(1), backend(2), backend(3, started=g.now)])
     rate, seconds = 133.0, [0.0] * 5  # units that a warm one is seen to do in a second
@@ -192,10 +197,10 @@
 
 def answer(g, told, level, granted):
     """The relay's word on what was asked."""
-    s = told.shares[0]
+    s = told.usages[0]
     want = s.want if granted else -s.want
     return g.feed(
-        GossipReceived(told.peer, 1, [CustomerUsage(s.customer, 0, 0.0, level, 0, want, s.mark, True)])
+        GossipReceived(told.peer, 1, [CustomerUsage(s.customer, 0, 0.0, level, 0, want, s.query_id, True)])
     )
 
 
@@ -244,10 +249,10 @@
 
 def test_what_many_cold_backends_can_do_is_used_by_gateways_that_send_little():
     over = {
-        "cold_share": 0.5,
-        "cold_ns": 10**6 * SECOND,
-        "cold_multiple": 2.0,
-        "cold_window_ns": 3 * SECOND,
+        "slow_start_share": 0.5,
+        "slow_start_ns": 10**6 * SECOND,
+        "slow_start_overload_multiple": 2.0,
+        "slow_start_window_ns": 3 * SECOND,
         "plans": [CustomerPlan("p", rate=1e6, burst=1e6)],
     }
     got = sent = 0
@@ -298,17 +303,28 @@
 
 def test_a_plan_with_a_ceiling_is_served_at_the_start_of_a_tier_that_nobody_hears():
     plan = CustomerPlan(
-        "plus", rate=7.0, burst=24.0, over_cost=1.0, ceiling_rate=12.0, ceiling_burst=39.0, ceiling_slack=6.0
+        "plus",
+        rate=7.0,
+        burst=24.0,
+        over_quota_cost=1.0,
+        ceiling_rate=12.0,
+        ceiling_burst=39.0,
+        ceiling_slack=6.0,
     )
     let_in = 0.0
     for me in range(3):  # all of the customer's set
-        g = gateway(me=me, seed=me, plans=[plan], largest_units=6.0)
+        g = gateway(gateway_index=me, seed=me, plans=[plan], max_request_units=6.0)
         let_in += sum(len(sends(g.ask(cls=1, units=1.0, spread=3)[1])) for _ in range(30))
     assert 6 <= let_in <= 39.0 - 24.0 + 6.0  # what was sent before a restart held the quota, at most
 
 
 def test_a_cold_backend_gets_its_part_among_many_warm_ones():
-    over = {"cold_share": 0.5, "cold_ns": 1000 * SECOND, "cold_multiple": 4.0, "cold_window_ns": SECOND}
+    over = {
+        "slow_start_share": 0.5,
+        "slow_start_ns": 1000 * SECOND,
+        "slow_start_overload_multiple": 4.0,
+        "slow_start_window_ns": SECOND,
+    }
     g = gateway(backends=0, plans=[CustomerPlan("p", rate=1e6, burst=1e6)], **over)
     g.list([backend(n) for n in range(1, 31)] + [backend(99, started=g.now)])
     got = 0
@@ -348,11 +364,11 @@
         rid, acts = g.ask(cls=1, customer=1)
         result = AttemptResult.ERROR if k == 3 else AttemptResult.OK
         g.outcome(rid, 0, sends(acts)[0], result, latency=40 * MS)
-    doubts = only(g.ask(spread=WIDE)[1], SendGossip)[0].doubts
-    assert relay >= 0 and len(doubts) == 4 and [d.value == 1.0 for d in doubts] == [False] * 3 + [True]
+    doubts = only(g.ask(spread=WIDE)[1], SendGossip)[0].error_samples
+    assert relay >= 0 and len(doubts) == 4 and [d.error == 1.0 for d in doubts] == [False] * 3 + [True]
     for _ in range(5):
         g.tick(after=SECOND)
-    assert not only(g.ask(spread=WIDE)[1], SendGossip)[0].doubts
+    assert not only(g.ask(spread=WIDE)[1], SendGossip)[0].error_samples
 
 
 def test_backends_that_are_doubted_do_not_count_in_the_budget():
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -137,15 +137,17 @@
 
 def test_peer_messages_survive_the_trip_and_damage_is_dropped():
     shares = [
-        CustomerUsage(2**33 - k, 0, 12.5 + k, -1.25, k, want=-2.5, mark=65535 - k, answer=k % 2 == 0)
+        CustomerUsage(2**33 - k, 0, 12.5 + k, -1.25, k, want=-2.5, query_id=65535 - k, is_answer=k % 2 == 0)
         for k in range(40)
     ]
     figures, doubts = [0.5, 2.0, 1024.0], [ErrorSample(2**16 - 1, 5, 1.0), ErrorSample(7, 0, 0.0)]
     messages = codec.pack_tell(SendGossip(2, 4_000_000_000, shares, figures, doubts))
     assert all(len(m) <= 256 for m in messages)
     back = [codec.unpack_tell(2, m) for m in messages]
-    assert [s for b in back for s in b.shares] == shares
-    assert [x for b in back for x in b.figures] == figures and [d for b in back for d in b.doubts] == doubts
+    assert [s for b in back for s in b.usages] == shares
+    assert [x for b in back for x in b.figures] == figures and [
+        d for b in back for d in b.error_samples
+    ] == doubts
     for at in range(len(messages[0])):
         hurt = bytearray(messages[0])
         hurt[at] ^= 0x41
@@ -159,23 +161,35 @@
 def test_settings_name_the_field_that_cannot_work():
     ok = codec.read_settings(json.dumps(SETTINGS).encode())
     with pytest.raises(ValueError, match="classes"):
-        Settings(me=0, gateways=1, classes=[], plans=ok.plans)
+        Settings(gateway_index=0, gateway_count=1, classes=[], plans=ok.plans)
     with pytest.raises(ValueError, match="me"):
-        Settings(me=3, gateways=3, classes=ok.classes, plans=ok.plans)
+        Settings(gateway_index=3, gateway_count=3, classes=ok.classes, plans=ok.plans)
     with pytest.raises(ValueError, match="rate"):
-        Settings(me=0, gateways=1, classes=ok.classes, plans=[CustomerPlan("p", rate=-1.0)])
+        Settings(gateway_index=0, gateway_count=1, classes=ok.classes, plans=[CustomerPlan("p", rate=-1.0)])
 
 
 @pytest.mark.parametrize("figure", [float("nan"), float("inf"), -1.0])
 def test_settings_refuse_figures_that_are_none(figure):
     ok = codec.read_settings(json.dumps(SETTINGS).encode())
     spec = vars_of(ok.classes[0])
-    for key in ("aim_ns", "worth", "late_worth"):
+    for name, key in (
+        ("latency_objective_ns", "aim_ns"),
+        ("priority_weight", "worth"),
+        ("late_weight", "late_worth"),
+    ):  # errors have the names of before
         with pytest.raises(ValueError, match=key):
-            Settings(me=0, gateways=1, plans=ok.plans, classes=[RequestClass(**(spec | {key: figure}))])
-    for key in ("peer_in_per_s", "largest_units", "cold_ns", "cold_multiple", "cold_share", "max_attempts"):
+            classes = [RequestClass(**(spec | {name: figure}))]
+            Settings(gateway_index=0, gateway_count=1, plans=ok.plans, classes=classes)
+    for name, key in (
+        ("gossip_in_per_s", "peer_in_per_s"),
+        ("max_request_units", "largest_units"),
+        ("slow_start_ns", "cold_ns"),
+        ("slow_start_overload_multiple", "cold_multiple"),
+        ("slow_start_share", "cold_share"),
+        ("max_attempts", "max_attempts"),
+    ):
         with pytest.raises(ValueError, match=key):
-            Settings(me=0, gateways=1, plans=ok.plans, classes=ok.classes, **{key: figure})
+            Settings(gateway_index=0, gateway_count=1, plans=ok.plans, classes=ok.classes, **{name: figure})
 
 
 def vars_of(record):
--- a/zincstile/cold_start/feature.py
+++ b/zincstile/cold_start/feature.py
@@ -25,7 +25,7 @@
     def __init__(self, settings: Settings, seed: int, start_settings: ColdStartSettings) -> None:
         rng = random.Random(f"opening {seed}")
         self.ramp: AdmissionRamp | None = AdmissionRamp(
-            start_settings, settings.gateways, settings.largest_units, rng
+            start_settings, settings.gateway_count, settings.max_request_units, rng
         )
 
     def attach(self, policy: Policy) -> None:
--- a/zincstile/decisions/admission.py
+++ b/zincstile/decisions/admission.py
@@ -58,11 +58,11 @@
         """A client's request. It is decided on at once, or when its quota is known."""
         self.ledger.begin(now)
         customer = self.ledger.customer_of(now, request)
-        request_class = self.settings.classes[request.cls]
-        worthless_ns = request.give_up_ns
-        if not request_class.late_worth and not request_class.stream:
+        request_class = self.settings.classes[request.class_index]
+        worthless_ns = request.deadline_ns
+        if not request_class.late_weight and not request_class.streaming:
             # what can earn nothing more is worth no place in a queue
-            worthless_ns = min(worthless_ns, now + request_class.aim_ns)
+            worthless_ns = min(worthless_ns, now + request_class.latency_objective_ns)
         plan = self.settings.plans[request.plan]
         draw = self.rng.random()
         pending = PendingRequest(request, request_class, plan, now, worthless_ns, customer, draw)
@@ -74,7 +74,7 @@
         request = pending.request
         customer = pending.customer
         side = self.budget.inside if inside_quota else self.budget.beyond
-        group = side[request.cls][request.plan]
+        group = side[request.class_index][request.plan]
         pending.inside_quota = inside_quota
         pending.group = group
         endpoint, reason = self._admitted_to(now, pending, group)
@@ -98,7 +98,7 @@
         plan = pending.plan
         if self._over_ceiling(now, pending.customer, plan, units):
             return None, RejectionReason.CEILING
-        if not pending.inside_quota and plan.over_worth <= plan.over_cost:
+        if not pending.inside_quota and plan.over_quota_weight <= plan.over_quota_cost:
             return None, RejectionReason.QUOTA
         group.arrived += units
         self.limit.record_request(units)
--- a/zincstile/decisions/budget_split.py
+++ b/zincstile/decisions/budget_split.py
@@ -66,7 +66,7 @@
         """Groups by class and plan, with the value of a unit by the settings."""
         return [
             [
-                TrafficGroup(c.worth * p.price * (p.over_worth if beyond_quota else 1.0))
+                TrafficGroup(c.priority_weight * p.price * (p.over_quota_weight if beyond_quota else 1.0))
                 for p in settings.plans
             ]
             for c in settings.classes
--- a/zincstile/decisions/capacity.py
+++ b/zincstile/decisions/capacity.py
@@ -34,7 +34,7 @@
         self.slow_start = slow_start
         self.healthy = 1.0  # endpoints, in warm ones
         self.working = 1.0  # endpoints that the recent completed work is of
-        self.fleet_gateways: float = settings.gateways  # among which the capacity is shared out
+        self.fleet_gateways: float = settings.gateway_count  # among which the capacity is shared out
         self.dilution: float | None = None  # subsetting: endpoints of the table for each one that is used
         self.classified: Callable[[int], None] | None = None  # zone failover: told after each classification
 
--- a/zincstile/decisions/concurrency_limit.py
+++ b/zincstile/decisions/concurrency_limit.py
@@ -44,7 +44,9 @@
         self.high_water_mark = math.inf  # the limit at which overload last began
         self.rose = True  # since the last decrease
         self.decreased_ns = 0
-        self.decrease_every_ns = DECREASE_OBJECTIVE_SHARE * min(c.aim_ns for c in settings.classes)
+        self.decrease_every_ns = DECREASE_OBJECTIVE_SHARE * min(
+            c.latency_objective_ns for c in settings.classes
+        )
         self.overload_signal = 0.0  # above 1: overload
         # Sums, decaying: lateness of answers and their number, the same of attempts that timed out.
         self.answer_lateness = 0.0
--- a/zincstile/decisions/deferred_admission.py
+++ b/zincstile/decisions/deferred_admission.py
@@ -158,6 +158,6 @@
             self.parts.gossip.spend(now, customer, units)
 
     def _at_max_in_flight(self, pending: PendingRequest) -> bool:
-        if not self.limits_in_flight or not pending.plan.open_limit:
+        if not self.limits_in_flight or not pending.plan.max_in_flight:
             return False
         return self.parts.ledger.at_max_in_flight(pending.customer, pending.plan)
--- a/zincstile/decisions/endpoints.py
+++ b/zincstile/decisions/endpoints.py
@@ -182,7 +182,7 @@
 
     def _place(self, endpoint: Endpoint) -> None:
         """Among the ready ones or not. One with a known start is warming up until the next classification."""
-        state = endpoint.entry.mode
+        state = endpoint.entry.state
         if state is EndpointState.REMOVED:
             self._remove(endpoint)
         elif state is not EndpointState.READY:
--- a/zincstile/decisions/forwarding.py
+++ b/zincstile/decisions/forwarding.py
@@ -40,24 +40,24 @@
         """The next attempt of a request, at this endpoint."""
         request = pending.request
         request_class = pending.request_class
-        pending.expected_ns = self.latency.expected_ns(request.cls, request.units)
+        pending.expected_ns = self.latency.expected_ns(request.class_index, request.units)
         attempt = Attempt(
             endpoint,
             now,
             pending.expected_ns,
             request.units,
-            self.latency.overload_ns(request.cls, request.units, request_class.aim_ns),
-            request.cls,
+            self.latency.overload_ns(request.class_index, request.units, request_class.latency_objective_ns),
+            request.class_index,
             request.plan,
             self._connection(now, endpoint),
         )
         self.attempts.launch(pending, attempt)
-        idempotency = request_class.effect
+        idempotency = request_class.idempotency
         # what may not run twice stays off kept connections, where those end beneath requests
         new_connection = idempotency is not Idempotency.ALWAYS and self.detector.stale_rate > STALE_RATE_LIMIT
         written_by_ns = pending.worthless_ns
         if pending.may_have_run_at is not None and idempotency is Idempotency.BY_KEY:
-            written_by_ns = pending.may_have_run_ns + request_class.window_ns
+            written_by_ns = pending.may_have_run_ns + request_class.deduplication_window_ns
         self.actions.append(
             ForwardRequest(request.id, endpoint.entry.id, pending.worthless_ns, new_connection, written_by_ns)
         )
--- a/zincstile/decisions/gossip.py
+++ b/zincstile/decisions/gossip.py
@@ -46,8 +46,8 @@
         self.ledger = ledger
         self.detector = detector
         self.estimates = estimates
-        direct = min(MAX_DIRECT_PEERS, settings.gateways - 1)
-        self.period_ns = int(SECOND_NS * direct / max(1.0, INTAKE_SHARE * settings.peer_in_per_s))
+        direct = min(MAX_DIRECT_PEERS, settings.gateway_count - 1)
+        self.period_ns = int(SECOND_NS * direct / max(1.0, INTAKE_SHARE * settings.gossip_in_per_s))
         self.changed: dict[int, Customer] = {}  # to be reported with the next message
         self.ticked_ns = 0  # the last tick: against it the age of samples is measured
         self.own_level: Callable[[Customer], float | None] | None = None  # leases: the level to report
@@ -89,7 +89,7 @@
 
     def send(self, peer: int, usages: list[CustomerUsage], *, with_estimates: bool = False) -> None:
         """A message to one peer. With a query, its answer and a heartbeat go the last own error samples."""
-        if not self.settings.peers or peer == self.settings.me:
+        if not self.settings.gossips or peer == self.settings.gateway_index:
             return
         with_samples = with_estimates or not usages
         samples = self.detector.samples_to_report(self.ticked_ns) if with_samples else []
--- a/zincstile/decisions/gossip_receiver.py
+++ b/zincstile/decisions/gossip_receiver.py
@@ -39,21 +39,21 @@
     def on_gossip_received(self, now: int, event: GossipReceived) -> None:
         """One message of a peer; one that doesn't fit the settings is dropped."""
         plans = len(self.settings.plans)
-        if event.sender < self.settings.gateways and all(usage.plan < plans for usage in event.shares):
+        if event.sender < self.settings.gateway_count and all(usage.plan < plans for usage in event.usages):
             self._apply(now, event)
         if self.received is not None:
             self.received(now, event)
 
     def _apply(self, now: int, event: GossipReceived) -> None:
-        new_process = self.peers.record(event.sender, event.start, now)
-        if event.shares:
+        new_process = self.peers.record(event.sender, event.incarnation, now)
+        if event.usages:
             self.ledger.begin(now)
         if new_process and event.sender in self.peers.direct:
             self._report_all(event.sender)
         self.peers.unanswered_ns.pop(event.sender, None)
         if self.detector.shared is None:  # else samples come with their origin, by the failure detector
-            self._apply_samples(event.doubts)
-        for usage in event.shares:
+            self._apply_samples(event.error_samples)
+        for usage in event.usages:
             self._apply_usage(now, event, usage)
         if event.figures:
             self.estimates.blend(event.figures)
@@ -71,22 +71,22 @@
         by_hash = self.detector.endpoints.by_hash
         groups = len(self.detector.baseline)
         for sample in samples:
-            endpoint = by_hash.get(sample.backend)
+            endpoint = by_hash.get(sample.endpoint_hash)
             if endpoint is not None and (sample.group < groups or sample.group == ANY_CLASS):
-                self.detector.apply(endpoint, sample.group, sample.value, TIMING_WEIGHT)
+                self.detector.apply(endpoint, sample.group, sample.error, TIMING_WEIGHT)
 
     def _apply_usage(self, now: int, event: GossipReceived, usage: CustomerUsage) -> None:
         burst = self.settings.plans[usage.plan].burst
         customer = self.ledger.customer(usage.customer, usage.plan, burst, now)
         self.ledger.refill(now, customer)
-        if usage.answer:
+        if usage.is_answer:
             self.relayed.answered(now, usage, customer)
             return
         flight_ns = MAX_QUERIES * QUERY_WAIT_NS
-        used = customer.merge(event.sender, event.start, usage, now, TOTAL_MODULUS, flight_ns)
+        used = customer.merge(event.sender, event.incarnation, usage, now, TOTAL_MODULUS, flight_ns)
         if used is None:
             customer.level = min(customer.level, usage.level)  # no total to count from: its level holds
         else:
-            customer.take(used, -self.settings.largest_units * self.settings.settled_after)
+            customer.take(used, -self.settings.max_request_units * self.settings.settles_actual_units)
         if usage.want > 0:
             self.relayed.grant(now, event.sender, usage, customer)
--- a/zincstile/decisions/latency.py
+++ b/zincstile/decisions/latency.py
@@ -25,7 +25,9 @@
 
     def __init__(self, settings: Settings) -> None:
         guess = FIRST_GUESS_DIVISOR
-        self.unit_ns = [c.aim_ns / guess / (1 + settings.largest_units) for c in settings.classes]
+        self.unit_ns = [
+            c.latency_objective_ns / guess / (1 + settings.max_request_units) for c in settings.classes
+        ]
         self.calm_ns = [math.inf] * len(settings.classes)
         self.samples = [0] * len(settings.classes)
 
--- a/zincstile/decisions/load_balancing.py
+++ b/zincstile/decisions/load_balancing.py
@@ -75,7 +75,7 @@
         request = pending.request
         if not self.may_use(pending, endpoint):
             return None, math.inf, False
-        if self.detector.excess(endpoint, request.cls, request.plan) >= OUTLIER_SCORE:
+        if self.detector.excess(endpoint, request.class_index, request.plan) >= OUTLIER_SCORE:
             return None, math.inf, False
         if not beyond_due:
             return endpoint, 0.0, True
@@ -90,15 +90,15 @@
         detector = self.detector
         random_ = self.rng.random
         own_zone = self.settings.zone
-        pair = self.settings.pair(request.cls, request.plan)
-        unscored = -min(detector.baseline[request.cls], detector.baseline[pair])
+        pair = self.settings.pair(request.class_index, request.plan)
+        unscored = -min(detector.baseline[request.class_index], detector.baseline[pair])
         candidates = self.endpoints.warm
         if len(candidates) > 2 * CANDIDATES:
             candidates = self.rng.sample(candidates, CANDIDATES)
         for endpoint in candidates:
             excess = unscored
             if endpoint.error_scores:
-                excess = detector.excess(endpoint, request.cls, request.plan)
+                excess = detector.excess(endpoint, request.class_index, request.plan)
             score = (endpoint.in_flight + 1) * endpoint.latency_ratio
             score = score * (1 + 2 * max(0.0, excess - NOTABLE_SCORE))
             zone_penalty = OTHER_ZONE_PENALTY if endpoint.entry.zone != own_zone else 0.0
@@ -119,6 +119,6 @@
         first = pending.may_have_run_at
         if first is None:
             return True
-        keyed = pending.request_class.effect is Idempotency.BY_KEY
-        scope = pending.request_class.group if keyed else DeduplicationScope.ALL
+        keyed = pending.request_class.idempotency is Idempotency.BY_KEY
+        scope = pending.request_class.deduplication_scope if keyed else DeduplicationScope.ALL
         return endpoint.deduplication_group(scope) == first.deduplication_group(scope)
--- a/zincstile/decisions/messages.py
+++ b/zincstile/decisions/messages.py
@@ -1,6 +1,7 @@
-"""Settings, events and actions of the decision module. Nothing is decided here.
+"""Events that go into the decisions, and actions that come out. Nothing is decided here.
 
-Times are integer nanoseconds of one monotonic clock; backends, customers and requests are plain integers.
+Times are integer nanoseconds of one monotonic clock; endpoints, customers and requests are plain integers,
+classes and plans their places in the settings.
 """
 
 from __future__ import annotations
@@ -11,27 +12,31 @@
 
 
 class AttemptResult(Enum):
+    """How an attempt ended."""
+
     OK = "ok"
-    ERROR = "error"
-    REJECTED = "full"
-    TIMEOUT = "timeout"
-    CONNECT_FAILED = "connect failed"
-    RESET = "reset"
+    ERROR = "error"  # an error answer; it may have run
+    REJECTED = "full"  # by the endpoint; it never ran
+    TIMEOUT = "timeout"  # it may have run, or may yet
+    CONNECT_FAILED = "connect failed"  # it never ran
+    RESET = "reset"  # its connection broke behind it; it may have run
     CANCELLED = "cancelled"
-    NOT_SENT = "moot"
-    STALE_CONNECTION = (
-        "stale"  # the connection, kept from an earlier attempt, ended beneath it: it may have run
-    )
+    NOT_SENT = "moot"  # this gateway never began it
+    STALE_CONNECTION = "stale"  # its connection, kept from an earlier attempt, ended; it may have run
     MALFORMED = "spoilt"  # it ran, and its answer can't be read
 
 
 class EndpointState(Enum):
+    """The state of an endpoint by discovery."""
+
     REMOVED = 0
     READY = 1
     DRAINING = 2
 
 
 class EndpointListKind(Enum):
+    """What an endpoint list is: a change, the complete list, one from before the start, or none."""
+
     DELTA = 0
     FULL = 1
     CACHED = 2
@@ -43,29 +48,33 @@
 
 @dataclass(slots=True)
 class Started:
-    """The instance starts; first event of all."""
+    """The gateway starts; the first event of all but `StateInherited`."""
 
 
 @dataclass(slots=True)
 class StateInherited:
-    """What an older process of this gateway left (`inherit.leave`), checked; before Started, or never."""
+    """What an older process of this gateway left (`state_transfer.snapshot`), validated; before `Started`."""
 
     table: dict[str, Any]
 
 
 @dataclass(slots=True)
 class EndpointEntry:
+    """One endpoint in a list of discovery. `cell`: the group of backends that drop each other's repeats."""
+
     id: int
     zone: int
-    kind: int
+    machine_type: int
     cell: int
-    mode: EndpointState
+    state: EndpointState
     weight: float
-    started_ns: int
+    started_ns: int  # 0: long ago
 
 
 @dataclass(slots=True)
 class EndpointList:
+    """A list of discovery, or a change of it."""
+
     kind: EndpointListKind
     version: int
     entries: list[EndpointEntry]
@@ -73,84 +82,96 @@
 
 @dataclass(slots=True)
 class Request:
+    """A client's request. Its customer's set is `spread` gateways in a row from number `first` on."""
+
     id: int
-    cls: int
+    class_index: int
     plan: int
     customer: int
-    give_up_ns: int
+    deadline_ns: int  # the client gives up then
     units: float
     spread: int
     first: int
-    is_retry: bool = False
+    is_retry: bool = False  # of the client
 
 
 @dataclass(slots=True)
 class AttemptOutcome:
+    """How one attempt of a request ended; `finished`: so has the request."""
+
     request: int
-    attempt: int
-    backend: int
+    attempt: int  # its number, from 0
+    endpoint: int
     result: AttemptResult
     latency_ns: int
     finished: bool
     used: int = 0
-    true_units: float = 0.0
-    report: list[float] = field(default_factory=list)
+    actual_units: float = 0.0  # what the request really took; 0: not known
+    load_report: list[float] = field(default_factory=list)
 
 
 @dataclass(slots=True)
 class StreamStarted:
+    """The first part of a request's value has come."""
+
     request: int
     attempt: int
-    backend: int
+    endpoint: int
     latency_ns: int
 
 
 @dataclass(slots=True)
 class HealthCheckResult:
-    backend: int
+    """What came of a health check."""
+
+    endpoint: int
     result: AttemptResult
     latency_ns: int
-    report: list[float] = field(default_factory=list)
+    load_report: list[float] = field(default_factory=list)
 
 
 @dataclass(slots=True)
 class CustomerUsage:
-    """What a gateway tells of a customer: own units since its start, the quota's level, attempts out.
+    """What a gateway reports of a customer.
 
-    With want above 0 it asks a relay for so many units, under a mark that the answer bears too; in the answer
-    want is below 0 where they are not granted.
+    With `want` above 0 it asks a relay for so many units, under an id that the answer bears too; in the
+    answer `want` is below 0 where they are not granted.
     """
 
     customer: int
     plan: int
-    total: float
-    level: float
-    open: int
+    total: float  # own units since the start of the process
+    level: float  # units in the token bucket
+    in_flight: int  # own attempts
     want: float = 0.0
-    mark: int = 0
-    answer: bool = False
+    query_id: int = 0
+    is_answer: bool = False
 
 
 @dataclass(slots=True)
 class ErrorSample:
-    """How bad an attempt of a group of requests went at a backend (a hash of its id), 0 to 1."""
+    """How an attempt of a group of requests went at an endpoint, 0 (good) to 1 (failed)."""
 
-    backend: int
+    endpoint_hash: int
     group: int
-    value: float
+    error: float
 
 
 @dataclass(slots=True)
 class GossipReceived:
+    """A peer's message. `incarnation` names the peer's process."""
+
     sender: int
-    start: int
-    shares: list[CustomerUsage]
-    figures: list[float] = field(default_factory=list)
-    doubts: list[ErrorSample] = field(default_factory=list)
+    incarnation: int
+    usages: list[CustomerUsage]
+    figures: list[float] = field(default_factory=list)  # `fleet_estimates`
+    error_samples: list[ErrorSample] = field(default_factory=list)
 
 
 @dataclass(slots=True)
 class CounterAnswer:
+    """The answer of the operators' counter to a call by its number."""
+
     name: int
     result: AttemptResult
     total: float
@@ -159,13 +180,15 @@
 
 @dataclass(slots=True)
 class RequestAbandoned:
-    """The client left, or the request is over for another reason: nothing is owed any more."""
+    """The client has left, or the request is over for another reason: nothing is owed any more."""
 
     request: int
 
 
 @dataclass(slots=True)
 class TimerFired:
+    """A timer that was set by `SetTimer` rings."""
+
     token: int
 
 
@@ -188,79 +211,93 @@
 
 @dataclass(slots=True)
 class ForwardRequest:
+    """Sends an attempt of a request to an endpoint; it is given up at `until_ns`."""
+
     request: int
-    backend: int
+    endpoint: int
     until_ns: int
-    fresh: bool = False  # on a connection that carried nothing before
-    by_ns: int = 0  # above 0: written whole by then, or never; a repeat later would run twice
+    new_connection: bool = False  # on one that carried nothing before
+    written_by_ns: int = 0  # above 0: complete by then, or never; a repeat later would run twice
 
 
 class RejectionReason(Enum):
-    """Why the module refuses a request."""
+    """Why a request is rejected."""
 
-    __hash__ = object.__hash__  # looked up at each refusal: an enum's own costs a call
+    __hash__ = object.__hash__  # looked up at each rejection: an enum's own costs a call
 
     QUOTA = "beyond the quota, and not worth what it costs"
     CEILING = "beyond the ceiling"
     BUDGET = "the draw for the budget was lost"
-    NO_ENDPOINT = "no backend can take it"
+    NO_ENDPOINT = "no endpoint can take it"
     NO_RETRY = "its attempts never ran, and no further one is allowed"
 
 
 @dataclass(slots=True)
 class RejectRequest:
+    """The final answer: rejected, without any effect; the client may come again after `retry_after_ns`."""
+
     request: int
-    retry_in_ns: int
-    why: RejectionReason = RejectionReason.NO_ENDPOINT
+    retry_after_ns: int
+    reason: RejectionReason = RejectionReason.NO_ENDPOINT
 
 
 @dataclass(slots=True)
 class FailRequest:
+    """The final answer: failed; it may have run."""
+
     request: int
 
 
 @dataclass(slots=True)
 class CancelAttempt:
+    """Gives up an attempt that is in flight."""
+
     request: int
     attempt: int
 
 
 @dataclass(slots=True)
 class CheckHealth:
-    backend: int
+    """Sends a health check to an endpoint."""
+
+    endpoint: int
 
 
 @dataclass(slots=True)
 class CloseIdleConnections:
-    """Close what connections to the backend are idle: the next attempt opens a new one."""
+    """Closes what connections to an endpoint are idle: the next attempt opens a new one."""
 
-    backend: int
+    endpoint: int
 
 
 @dataclass(slots=True)
 class SetTimer:
+    """Has `TimerFired` come at a time."""
+
     at_ns: int
     token: int
 
 
 @dataclass(slots=True)
 class SendGossip:
-    """For one peer; the host may part it into several messages."""
+    """A message for one peer; the host may part it into several datagrams."""
 
     peer: int
-    start: int
-    shares: list[CustomerUsage]
+    incarnation: int
+    usages: list[CustomerUsage]
     figures: list[float] = field(default_factory=list)
-    doubts: list[ErrorSample] = field(default_factory=list)
+    error_samples: list[ErrorSample] = field(default_factory=list)
 
 
 @dataclass(slots=True)
 class WatchEndpoints:
-    """Ask discovery for changes from now on."""
+    """Asks discovery for changes from now on."""
 
 
 @dataclass(slots=True)
 class LogMessage:
+    """A line for the log."""
+
     text: str
 
 
--- a/zincstile/decisions/outcomes.py
+++ b/zincstile/decisions/outcomes.py
@@ -50,7 +50,7 @@
         self._learn(now, outcome, attempt)
         if pending is None:
             return
-        if pending.plan.open_limit:
+        if pending.plan.max_in_flight:
             self.admission.quotas.spend(now, pending.customer, 0.0)  # to report what is in flight
         if outcome.finished:
             if outcome.result is AttemptResult.OK:
@@ -79,11 +79,11 @@
         request = pending.request
         request_class = pending.request_class
         group = pending.group
-        in_time = now - pending.arrived_ns <= request_class.aim_ns
-        part = 1.0 if in_time else request_class.late_worth
-        part *= 1.0 if pending.inside_quota else pending.plan.over_worth
+        in_time = now - pending.arrived_ns <= request_class.latency_objective_ns
+        part = 1.0 if in_time else request_class.late_weight
+        part *= 1.0 if pending.inside_quota else pending.plan.over_quota_weight
         if group is not None:
-            group.earned += request_class.worth * pending.plan.price * part * request.units
-        self.latency.learn(request.cls, outcome.latency_ns, pending.expected_ns)
-        if self.settings.settled_after and outcome.true_units and pending.inside_quota:
-            self.admission.quotas.spend(now, pending.customer, outcome.true_units - request.units)
+            group.earned += request_class.priority_weight * pending.plan.price * part * request.units
+        self.latency.learn(request.class_index, outcome.latency_ns, pending.expected_ns)
+        if self.settings.settles_actual_units and outcome.actual_units and pending.inside_quota:
+            self.admission.quotas.spend(now, pending.customer, outcome.actual_units - request.units)
--- a/zincstile/decisions/peers.py
+++ b/zincstile/decisions/peers.py
@@ -20,9 +20,9 @@
     """Owner of what is known of the peers."""
 
     def __init__(self, settings: Settings) -> None:
-        self.own = settings.me
-        small = settings.gateways <= MAX_DIRECT_PEERS + 1
-        self.direct: dict[int, bool] = dict.fromkeys(range(settings.gateways if small else 0), True)
+        self.own = settings.gateway_index
+        small = settings.gateway_count <= MAX_DIRECT_PEERS + 1
+        self.direct: dict[int, bool] = dict.fromkeys(range(settings.gateway_count if small else 0), True)
         self.heard: dict[int, tuple[int, int]] = {}  # peer: incarnation, when it was heard last
         self.unanswered_ns: dict[int, int] = {}  # relay: when it last left queries unanswered
 
--- a/zincstile/decisions/policy.py
+++ b/zincstile/decisions/policy.py
@@ -84,7 +84,7 @@
             feature.before_start(now)
         self.parts.ledger.start(now)
         self.ticker.start(now)
-        if self.settings.ask_for_list:
+        if self.settings.polls_endpoint_list:
             self.parts.actions.append(WatchEndpoints())
         self.parts.gossip.flush(now, heartbeat=True)
         for feature in self.features:
@@ -98,7 +98,7 @@
 
     def on_endpoint_list(self, now: int, event: EndpointList) -> None:
         """A list of endpoints, a change of it, or the news that there is none."""
-        if event.kind is EndpointListKind.FAILED and self.settings.ask_for_list:
+        if event.kind is EndpointListKind.FAILED and self.settings.polls_endpoint_list:
             self.parts.actions.append(WatchEndpoints())
         self.parts.endpoints.apply(event)
 
--- a/zincstile/decisions/quota_bounds.py
+++ b/zincstile/decisions/quota_bounds.py
@@ -40,7 +40,7 @@
 def of_plan(plan: CustomerPlan, spread: int, largest: float) -> Quota:
     """A plan's quota. Where nothing beyond it is let in and it has a ceiling, what passes it by mistake has
     to stay under that."""
-    held = plan.over_worth <= plan.over_cost and plan.ceiling_rate >= plan.rate
+    held = plan.over_quota_weight <= plan.over_quota_cost and plan.ceiling_rate >= plan.rate
     most = max(0.0, plan.ceiling_burst + plan.ceiling_slack - plan.burst) if held else math.inf
     return Quota(plan.name, plan.rate, plan.burst, spread, largest, most)
 
--- a/zincstile/decisions/quotas.py
+++ b/zincstile/decisions/quotas.py
@@ -49,7 +49,7 @@
         peers are heard and none has reported anything for a while, nothing was."""
         if self.began:
             return
-        all_heard = len(self.peers.heard) == self.settings.gateways - 1
+        all_heard = len(self.peers.heard) == self.settings.gateway_count - 1
         quiet = now - self.started_ns >= QUIET_START_NS and all_heard
         self.began = True
         self.ceilings_spent_ns = NEVER_NS if quiet else self.started_ns
@@ -74,26 +74,26 @@
         settings = self.settings
         plan = settings.plans[customer.plan]
         customer.known = True
-        customer.spread = min(max(1, request.spread), settings.gateways)
+        customer.spread = min(max(1, request.spread), settings.gateway_count)
         customer.ceiling_filled_ns = self.ceilings_spent_ns
-        members = [(request.first + k) % settings.gateways for k in range(customer.spread)]
+        members = [(request.first + k) % settings.gateway_count for k in range(customer.spread)]
         # What was spent before held the quota, so that the ceiling has its lead over that at least: else a
         # tier too large to be heard soon would reject inside the quota for seconds after each start.
         lead = max(0.0, plan.ceiling_burst - plan.burst)
-        customer.ceiling = lead / customer.spread * (plan.over_worth <= plan.over_cost)
-        customer.relayed = customer.spread > MAX_DIRECT_PEERS + 1 and settings.peers
+        customer.ceiling = lead / customer.spread * (plan.over_quota_weight <= plan.over_quota_cost)
+        customer.relayed = customer.spread > MAX_DIRECT_PEERS + 1 and settings.gossips
         if customer.relayed:
             first = scatter(request.customer)
             customer.peers = [members[(first + k) % customer.spread] for k in range(RELAYS)]
         else:
-            customer.peers = [peer for peer in members if peer != settings.me]
+            customer.peers = [peer for peer in members if peer != settings.gateway_index]
             self.peers.direct.update(dict.fromkeys(customer.peers, True))
 
     def refill(self, now: int, customer: Customer) -> None:
         """At the whole rate by a relay or while a peer of the customer is heard, else at the even part."""
         peers = self.peers
         if customer.relayed:
-            heard = self.settings.me in customer.peers
+            heard = self.settings.gateway_index in customer.peers
         else:
             heard = not customer.peers or any(
                 now - peers.heard[p][1] < SILENCE_NS for p in customer.peers if p in peers.heard
@@ -102,7 +102,7 @@
         part = 1.0 if heard else 1.0 / customer.spread
         # after a relay's answer the own bucket goes on from it
         whole = heard or now - customer.relay_answer_ns < RELAY_ANSWER_VALID_NS
-        capacity = plan.burst if whole else max(plan.burst * part, self.settings.largest_units)
+        capacity = plan.burst if whole else max(plan.burst * part, self.settings.max_request_units)
         customer.fill(now, plan.rate * part, capacity, RECENT_USE_S)
 
     def admits(self, customer: Customer, units: float) -> bool:
@@ -113,7 +113,7 @@
         plan = self.settings.plans[customer.plan]
         if plan.rate and not self._part_covers(customer, units):
             return False
-        return not plan.open_limit or not self.at_max_in_flight(customer, plan)
+        return not plan.max_in_flight or not self.at_max_in_flight(customer, plan)
 
     def _part_covers(self, customer: Customer, units: float) -> bool:
         if customer.relayed:
@@ -131,7 +131,7 @@
     def at_max_in_flight(self, customer: Customer, plan: CustomerPlan) -> bool:
         """As many attempts are in flight, here and by the reports of peers, as the plan allows."""
         since_ns = customer.filled_ns - self.settings.longest_ns
-        return customer.in_flight + customer.in_flight_at_peers(since_ns) >= plan.open_limit
+        return customer.in_flight + customer.in_flight_at_peers(since_ns) >= plan.max_in_flight
 
     def ceiling_part(self, now: int, customer: Customer, plan: CustomerPlan) -> float:
         """This gateway's part of the ceiling, by recent use.
@@ -145,7 +145,7 @@
             not plan.ceiling_rate
             or customer.relayed
             or not customer.peers
-            or plan.over_worth > plan.over_cost
+            or plan.over_quota_weight > plan.over_quota_cost
         ):
             return even
         heard = self.peers.heard
--- a/zincstile/decisions/records.py
+++ b/zincstile/decisions/records.py
@@ -103,15 +103,17 @@
         """
         known = self.usage.get(peer)
         if known is None or known.incarnation != incarnation:
-            self.usage[peer] = PeerUsage(incarnation, report.total, report.open, now)
+            self.usage[peer] = PeerUsage(incarnation, report.total, report.in_flight, now)
             return None
-        repeated = known.granted if report.want > 0 and report.mark == known.query_id else 0.0
+        repeated = known.granted if report.want > 0 and report.query_id == known.query_id else 0.0
         used = (report.total - known.total + repeated + modulus / 2) % modulus - modulus / 2
-        crossing = now - known.granted_ns < flight_ns and (report.want > 0 or report.mark != known.query_id)
+        crossing = now - known.granted_ns < flight_ns and (
+            report.want > 0 or report.query_id != known.query_id
+        )
         if used < 0 and crossing:
             used = 0.0
         known.total = (known.total - repeated + used) % modulus
-        known.in_flight = report.open
+        known.in_flight = report.in_flight
         known.received_ns = now
         if repeated:
             known.granted = 0.0
@@ -148,7 +150,7 @@
         known = self.usage[peer]
         known.total = (known.total + query.want) % modulus
         known.in_flight = known.in_flight + 1
-        known.query_id = query.mark
+        known.query_id = query.query_id
         known.granted = query.want
         known.granted_ns = now
         self.level -= query.want
--- a/zincstile/decisions/relay_queries.py
+++ b/zincstile/decisions/relay_queries.py
@@ -71,7 +71,7 @@
             and age_ns < SILENCE_NS
             and customer.relay_level + hoped_rate * age_ns / SECOND_NS < request.units
         )
-        over_budget = pending.draw >= self.budget.inside[request.cls][request.plan].rate
+        over_budget = pending.draw >= self.budget.inside[request.class_index][request.plan].rate
         no_use = empty or over_budget or lost or not customer.relayed
         if no_use or not self._query(now, pending):
             self.decide(
@@ -104,8 +104,8 @@
         """Asks the customer's relay; False where there is none, or no time."""
         request = pending.request
         relay = self.peers.relay_of(now, pending.customer)
-        too_late = request.give_up_ns - now < MAX_QUERIES * QUERY_WAIT_NS
-        if relay < 0 or relay == self.settings.me or too_late:
+        too_late = request.deadline_ns - now < MAX_QUERIES * QUERY_WAIT_NS
+        if relay < 0 or relay == self.settings.gateway_index or too_late:
             return False
         query_id = request.id % QUERY_MODULUS
         pending.relay = relay
@@ -129,12 +129,12 @@
         if granted:
             customer.grant(peer, query, now, TOTAL_MODULUS)
         want = query.want if granted else -query.want
-        answer = CustomerUsage(query.customer, query.plan, 0.0, customer.level, 0, want, query.mark, True)
+        answer = CustomerUsage(query.customer, query.plan, 0.0, customer.level, 0, want, query.query_id, True)
         self.gossip.send(peer, [answer], with_estimates=True)
 
     def answered(self, now: int, answer: CustomerUsage, customer: Customer) -> None:
         """A relay's answer to a query; it is dropped where the request does not wait for it any more."""
-        pending = self.waiting.pop(answer.mark, None)
+        pending = self.waiting.pop(answer.query_id, None)
         if pending is None or pending.customer is not customer or pending.group is not None:
             return
         if pending.request.id not in self.requests.pending:
@@ -142,7 +142,7 @@
         customer.level = answer.level
         customer.relay_level = answer.level
         customer.relay_answer_ns = now
-        customer.query_id = answer.mark
+        customer.query_id = answer.query_id
         granted = answer.want > 0
         if granted:  # the relay has counted it already
             customer.total = (customer.total + pending.request.units) % TOTAL_MODULUS
--- a/zincstile/decisions/requests.py
+++ b/zincstile/decisions/requests.py
@@ -76,10 +76,10 @@
         that may still matter, does for all."""
         request = pending.request
         self.pending[request.id] = pending
-        heapq.heappush(self._deadlines, (request.give_up_ns, request.id))
-        if request.give_up_ns < self._timer_ns:
-            self._timer_ns = request.give_up_ns
-            self.actions.set_timer(request.give_up_ns, DEADLINE_TIMER)
+        heapq.heappush(self._deadlines, (request.deadline_ns, request.id))
+        if request.deadline_ns < self._timer_ns:
+            self._timer_ns = request.deadline_ns
+            self.actions.set_timer(request.deadline_ns, DEADLINE_TIMER)
 
     def overdue(self, now: int) -> list[PendingRequest]:
         """Requests whose deadline has come, but for streams; asks for the next timer where the last is
@@ -104,7 +104,7 @@
         request_id = pending.request.id
         del self.pending[request_id]
         pending.customer.in_flight -= pending.in_flight
-        if not self.settings.cancel:
+        if not self.settings.cancels_attempts:
             return
         for number in range(len(pending.tried)):
             if (request_id, number) in self.attempts.in_flight:
--- a/zincstile/decisions/retries.py
+++ b/zincstile/decisions/retries.py
@@ -51,7 +51,7 @@
         """A hedged request beside an attempt that is long silent, as connections and endpoints that fell
         silent hold a request until its deadline. Not under overload, as hedged requests would add to it."""
         overloaded = self.limit.overload_signal > CALM_SIGNAL or self.budget.binds
-        if pending.in_flight > 1 or not self.settings.second_copies or pending.streaming or overloaded:
+        if pending.in_flight > 1 or not self.settings.hedges or pending.streaming or overloaded:
             return
         before = pending.may_have_run_at
         before_ns = pending.may_have_run_ns
@@ -83,7 +83,7 @@
         if self.retry(now, pending, cost):
             return
         request = pending.request
-        if pending.may_have_run_at is None or pending.request_class.effect is Idempotency.ALWAYS:
+        if pending.may_have_run_at is None or pending.request_class.idempotency is Idempotency.ALWAYS:
             come_back_ns = self.admission.come_back_ns(pending)
             self.actions.append(RejectRequest(request.id, come_back_ns, RejectionReason.NO_RETRY))
         else:
@@ -93,7 +93,7 @@
     @staticmethod
     def _may_run_again(now: int, pending: PendingRequest) -> bool:
         request_class = pending.request_class
-        if pending.may_have_run_at is None or request_class.effect is Idempotency.ALWAYS:
+        if pending.may_have_run_at is None or request_class.idempotency is Idempotency.ALWAYS:
             return True
-        keyed = request_class.effect is Idempotency.BY_KEY
-        return keyed and now - pending.may_have_run_ns < request_class.window_ns
+        keyed = request_class.idempotency is Idempotency.BY_KEY
+        return keyed and now - pending.may_have_run_ns < request_class.deduplication_window_ns
--- a/zincstile/decisions/slow_start.py
+++ b/zincstile/decisions/slow_start.py
@@ -17,14 +17,14 @@
 
 def warmth(now: int, started_ns: int, settings: Settings) -> float:
     """From the settings' share at its start to 1 once it is warm; 1 where its start is long ago (0)."""
-    age = (now - started_ns) / max(1, settings.cold_ns) if started_ns else 1.0
-    return min(1.0, settings.cold_share + (1 - settings.cold_share) * max(0.0, age))
+    age = (now - started_ns) / max(1, settings.slow_start_ns) if started_ns else 1.0
+    return min(1.0, settings.slow_start_share + (1 - settings.slow_start_share) * max(0.0, age))
 
 
 def max_share(settings: Settings, seen_rate: float, sent_per_s: float) -> float:
     """Of all that is sent (units a second), the most that one warming endpoint may get from all gateways
     together: a part of the multiple that the settings allow of what healthy warm ones were seen to work."""
-    return OVERLOAD_SHARE * settings.cold_multiple * seen_rate / sent_per_s
+    return OVERLOAD_SHARE * settings.slow_start_overload_multiple * seen_rate / sent_per_s
 
 
 def shares(warmths: list[float], healthy: float, most: float) -> list[float]:
@@ -49,7 +49,9 @@
     def update(self, warmths: list[float], healthy: float, worked_per_s: float, sent_per_s: float) -> None:
         """Takes the shares anew: `worked_per_s`: units that each endpoint completed for this gateway."""
         settings = self.settings
-        least = settings.largest_units / FIRST_RATE_DIVISOR / settings.gateways  # where none was seen to work
+        least = (
+            settings.max_request_units / FIRST_RATE_DIVISOR / settings.gateway_count
+        )  # where none was seen to work
         self.seen_rate = max(self.seen_rate, worked_per_s, least)
         most = max_share(settings, self.seen_rate, max(1e-9, sent_per_s))
         self.max_multiple = max(1.0, most * healthy)
--- a/zincstile/leases/feature.py
+++ b/zincstile/leases/feature.py
@@ -56,9 +56,11 @@
 
 
 def _is_covered(plan: CustomerPlan, settings: Settings, shared: LeaseSettings) -> bool:
-    if not plan.rate or plan.over_worth > plan.over_cost or plan.ceiling_rate < plan.rate:
+    if not plan.rate or plan.over_quota_weight > plan.over_quota_cost or plan.ceiling_rate < plan.rate:
         return False
-    quotas = [of_plan(plan, spread, settings.largest_units) for spread in range(1, settings.gateways + 1)]
+    quotas = [
+        of_plan(plan, spread, settings.max_request_units) for spread in range(1, settings.gateway_count + 1)
+    ]
     return all(
         bound.units <= quota.most + DIGITS
         for quota in quotas
@@ -77,14 +79,16 @@
         self.process = self.rng.getrandbits(32)
         self.quotas: dict[tuple[int, int], Quota] = {}  # by plan and spread
         self.covered = covered_plans(settings, shared)
-        self.failure_detector = FailureDetector(shared, settings.me, settings.zone)
-        self.budget = ConcurrencyBudget(settings.me, settings.gateways, 0, shared.units_per_endpoint)
+        self.failure_detector = FailureDetector(shared, settings.gateway_index, settings.zone)
+        self.budget = ConcurrencyBudget(
+            settings.gateway_index, settings.gateway_count, 0, shared.units_per_endpoint
+        )
         self.suspected: dict[int, dict[int, float]] = {}  # endpoint's hash: scores by reports alone
         self.units_in_flight = 0.0
         self.resend_ns = NEVER_RESEND_NS  # when queries are looked at, whether to send them again
         self.reserved: QuotaAccount | None = None  # of the request that is decided on just now
         self.leases: LeaseManager | None = None
-        self.slots = SlotManager(shared, settings.me, self.process, settings.longest_ns, self.rng)
+        self.slots = SlotManager(shared, settings.gateway_index, self.process, settings.longest_ns, self.rng)
         self.strange = 0  # queries that don't fit what is known here
         self._reported_trouble = False
         self._spread_ns = 0
@@ -113,7 +117,7 @@
 
     def before_start(self, now: int) -> None:
         """Builds what needs the start time."""
-        self.leases = LeaseManager(self.shared, self.settings.me, self.process, now, self.rng)
+        self.leases = LeaseManager(self.shared, self.settings.gateway_index, self.process, now, self.rng)
         # a machine's clock goes on over its processes' starts
         self.budget.incarnation = now // INCARNATION_UNIT_NS % 2**32
 
@@ -140,7 +144,7 @@
     def _heartbeat(self, now: int) -> None:
         self.leases.tick(now)
         self.slots.tick(now)
-        self.parts.capacity.fleet_gateways = self.settings.gateways / self.budget.tick(now)
+        self.parts.capacity.fleet_gateways = self.settings.gateway_count / self.budget.tick(now)
         self._look_at_endpoints(now)
         if now - self._sweep_ns >= SWEEP_NS:
             self._sweep_ns = now
@@ -178,7 +182,7 @@
             *self.failure_detector.suspicions_to_send(now),
             *self.budget.reports_to_send(now, self.units_in_flight, wanted_per_s, self.rng),
         ]
-        for peer in self.budget.draw_recipients(self.rng) if self.settings.peers else ():
+        for peer in self.budget.draw_recipients(self.rng) if self.settings.gossips else ():
             self.parts.actions.append(SendSharedMessages(peer, self.process, messages))
 
     def _resend(self, now: int) -> None:
@@ -190,7 +194,7 @@
 
     def on_messages_received(self, now: int, event: SharedMessagesReceived) -> None:
         """Each kind goes to where it belongs; what doesn't fit is counted and dropped."""
-        if not 0 <= event.sender < self.settings.gateways or event.sender == self.settings.me:
+        if not 0 <= event.sender < self.settings.gateway_count or event.sender == self.settings.gateway_index:
             return
         customers: dict[int, None] = {}  # for whom something has come, in order
         for word in event.messages:
@@ -221,8 +225,8 @@
         if (
             query.plan >= len(settings.plans)
             or not settings.plans[query.plan].rate
-            or not 1 <= query.set_size <= settings.gateways
-            or query.first_gateway >= settings.gateways
+            or not 1 <= query.set_size <= settings.gateway_count
+            or query.first_gateway >= settings.gateway_count
         ):
             self.strange += 1
             return
@@ -252,7 +256,7 @@
         by_peer: dict[int, list[SharedMessage]] = {}
         for word in (*self.leases.drain_messages(), *self.slots.drain_messages()):
             by_peer.setdefault(word.recipient, []).append(word)
-        if self.settings.peers:
+        if self.settings.gossips:
             self.parts.actions += [
                 SendSharedMessages(peer, self.process, words) for peer, words in by_peer.items()
             ]
@@ -262,20 +266,20 @@
     def _quota(self, plan: int, spread: int) -> Quota:
         found = self.quotas.get((plan, spread))
         if found is None:
-            found = of_plan(self.settings.plans[plan], spread, self.settings.largest_units)
+            found = of_plan(self.settings.plans[plan], spread, self.settings.max_request_units)
             self.quotas[plan, spread] = found
         return found
 
     def _row(self, spread: int, first: int) -> tuple[int, ...]:
         """The gateways of a customer's set."""
-        return tuple((first + k) % self.settings.gateways for k in range(spread))
+        return tuple((first + k) % self.settings.gateway_count for k in range(spread))
 
     def _quota_account(self, now: int, key: int, plan: int, spread: int, first: int) -> QuotaAccount:
         return self.leases.account(now, key, plan, self._quota(plan, spread), self._row(spread, first))
 
     def _slot_account(self, key: int, plan: int, spread: int, first: int) -> SlotAccount | None:
         """None where the plan has no limit on attempts in flight."""
-        limit = self.settings.plans[plan].open_limit
+        limit = self.settings.plans[plan].max_in_flight
         if not limit:
             return None
         return self.slots.account(key, plan, limit, self._row(spread, first))
@@ -284,18 +288,18 @@
         """Takes units and, where the plan has a limit, a slot; the one is not taken without the other."""
         request = pending.request
         customer = pending.customer
-        first = request.first % self.settings.gateways
+        first = request.first % self.settings.gateway_count
         slots = self._slot_account(customer.key, customer.plan, customer.spread, first)
-        if slots is not None and not self.slots.has_free(slots, request.give_up_ns):
+        if slots is not None and not self.slots.has_free(slots, request.deadline_ns):
             return Reservation.PENDING if self.slots.request_slot(now, slots) else Reservation.REFUSED
         account = self._quota_account(now, customer.key, customer.plan, customer.spread, first)
         if self.leases.reserve(now, account, request.units):
             self.reserved = account
             if slots is not None:
-                self.slots.acquire(slots, request.id, request.give_up_ns)
+                self.slots.acquire(slots, request.id, request.deadline_ns)
             self.leases.lessee.request_ahead(now, account)
             return Reservation.RESERVED
-        group = self.parts.budget.inside[request.cls][request.plan]
+        group = self.parts.budget.inside[request.class_index][request.plan]
         over_budget = pending.draw >= group.rate  # no answer could help
         if not over_budget and self.leases.lessee.request_missing(now, account, request.units):
             return Reservation.PENDING
@@ -336,9 +340,9 @@
 
     def on_gossip_received(self, now: int, event: GossipReceived) -> None:
         """Levels of peers are hints, from whom to borrow."""
-        for usage in event.shares:
+        for usage in event.usages:
             account = self.leases.accounts.get(usage.customer)
-            if account is not None and event.sender < self.settings.gateways:
+            if account is not None and event.sender < self.settings.gateway_count:
                 self.leases.lessee.note_available(now, account, event.sender, usage.level)
 
     # ---- suspicion of endpoints
@@ -372,7 +376,7 @@
         """No attempt beyond this gateway's part of what all may have in flight."""
         most = max(
             self.budget.limit_units(len(self.parts.endpoints.ready) * self._dilution()),
-            self.settings.largest_units,
+            self.settings.max_request_units,
         )
         if self.units_in_flight + pending.request.units > most:
             return None
--- a/zincstile/net/backends/attempts.py
+++ b/zincstile/net/backends/attempts.py
@@ -70,13 +70,13 @@
         if session.ended or session.client.has_left():
             # The client left, or was answered, in the very batch in which this attempt was decided on. It
             # is reported all the same: the decisions would take it to be in flight for good.
-            self.report(session, number, action.backend, AttemptResult.NOT_SENT, 0)
+            self.report(session, number, action.endpoint, AttemptResult.NOT_SENT, 0)
             return
         if number:
             self.dispatcher.counters.count_retry(self._retry_reason(session))
         until_ns = min(action.until_ns, session.deadline_ns)
-        by_ns = min(until_ns, action.by_ns or until_ns)
-        self._launch(now_ns, session, number, action.backend, until_ns, by_ns, fresh=action.fresh)
+        by_ns = min(until_ns, action.written_by_ns or until_ns)
+        self._launch(now_ns, session, number, action.endpoint, until_ns, by_ns, fresh=action.new_connection)
 
     def _retry_reason(self, session: Session) -> RetryReason:
         """Why a session has its latest attempt, which is counted in it already."""
@@ -103,10 +103,10 @@
 
     def _check_health(self, now_ns: int, action: CheckHealth) -> None:
         until_ns = now_ns + self.dispatcher.limits.connect_ns
-        self._launch(now_ns, None, 0, action.backend, until_ns, until_ns)
+        self._launch(now_ns, None, 0, action.endpoint, until_ns, until_ns)
 
     def _close_idle(self, _: int, action: CloseIdleConnections) -> None:
-        backend = self.pool.backends.get(action.backend)
+        backend = self.pool.backends.get(action.endpoint)
         if backend is not None:
             self.pool.close_idle_of(backend)
 
@@ -282,7 +282,7 @@
         load_report: bytes = b"",
     ) -> None:
         """Reports an outcome to the decisions; without a session it is that of a health check."""
-        figures = load_figures(load_report, self.settings.report_fields) if load_report else []
+        figures = load_figures(load_report, self.settings.load_report_fields) if load_report else []
         if session is None:
             self.dispatcher.post(HealthCheckResult(backend_id, result, latency_ns, figures))
             return
--- a/zincstile/net/backends/pool.py
+++ b/zincstile/net/backends/pool.py
@@ -45,7 +45,7 @@
                 self._remove(backend_id)
         for listed in endpoints:
             entry, address = listed
-            if entry.mode is EndpointState.REMOVED:
+            if entry.state is EndpointState.REMOVED:
                 self._remove(entry.id)
                 continue
             self.listed[entry.id] = listed
@@ -55,7 +55,7 @@
             if (backend.address, backend.started_ns) != (address, entry.started_ns):
                 self._retire(backend)  # another process: connections to the old one lead nowhere
                 continue
-            backend.ready = entry.mode is EndpointState.READY
+            backend.ready = entry.state is EndpointState.READY
             backend.entry = entry
             if not backend.ready:
                 self.withdraw(backend)
@@ -84,7 +84,7 @@
         backend = self.backends.get(backend_id)
         if backend is None:
             listed = self.listed.get(backend_id)
-            if listed is None or listed.entry.mode is not EndpointState.READY:
+            if listed is None or listed.entry.state is not EndpointState.READY:
                 return None
             entry, address = listed
             backend = Backend(backend_id, address, entry.started_ns, ready=True, entry=entry)
--- a/zincstile/net/bound_report.py
+++ b/zincstile/net/bound_report.py
@@ -19,7 +19,7 @@
     for plan in settings.plans:
         if not plan.rate:
             continue
-        quota = of_plan(plan, settings.gateways, settings.largest_units)
+        quota = of_plan(plan, settings.gateway_count, settings.max_request_units)
         if config.leases:
             bounds = lease_overshoot_bounds(quota, config.leases)
             tolerated = config.leases.tolerated_failures
--- a/zincstile/net/clients/call_reader.py
+++ b/zincstile/net/clients/call_reader.py
@@ -38,8 +38,8 @@
         self.request_classes = settings.classes
         self._class_by_name = {c.name.encode(): (number, c) for number, c in enumerate(settings.classes)}
         self._plan_by_name = {p.name.encode(): number for number, p in enumerate(settings.plans)}
-        self._gateways = settings.gateways
-        self._largest_units = settings.largest_units
+        self._gateways = settings.gateway_count
+        self._largest_units = settings.max_request_units
         self._margin_ns = margin_ns
         self._id_bytes = id_bytes
 
@@ -86,9 +86,9 @@
             and first < self._gateways
         ):
             raise CallError("a value out of range")
-        if (request_class.effect is Idempotency.ALWAYS) != (verb == READ):
+        if (request_class.idempotency is Idempotency.ALWAYS) != (verb == READ):
             raise CallError("the wrong command for this class")
-        if request_class.effect is Idempotency.BY_KEY and not values.get(b"k"):
+        if request_class.idempotency is Idempotency.BY_KEY and not values.get(b"k"):
             raise CallError("no key")
         wait_ns = wait_ms * 1_000_000
         deadline_ns = now + wait_ns - min(self._margin_ns, wait_ns // 2)
--- a/zincstile/net/clients/connection.py
+++ b/zincstile/net/clients/connection.py
@@ -220,8 +220,8 @@
             self._reply(resp.busy(0))
             return
         listener.last_request_ns = now
-        request_class = listener.reader.request_classes[request.cls]
-        session = Session(request_id, call, self, request.give_up_ns, request_class)
+        request_class = listener.reader.request_classes[request.class_index]
+        session = Session(request_id, call, self, request.deadline_ns, request_class)
         self._answers.pending.append(session)
         listener.open_requests[call.id] = session
         dispatcher.submit(session, request)
--- a/zincstile/net/config.py
+++ b/zincstile/net/config.py
@@ -137,7 +137,7 @@
                 connect_ns=int(settings_limits.get("connect_timeout_ns", DEFAULT_CONNECT_NS)),
                 idle_close_ns=int(settings_limits.get("idle_close_ns", DEFAULT_IDLE_CLOSE_NS)),
                 longest_request_ns=settings.longest_ns,
-                gateways=settings.gateways,
+                gateways=settings.gateway_count,
                 poll_interval_ns=_poll_interval_ns(settings_table, settings),
                 operators=bool(env.get("RELAY_CONTROL") or table.get("control")),
             ),
@@ -163,7 +163,7 @@
 
 def _poll_interval_ns(settings_table: dict[str, Any], settings: Settings) -> int:
     """Returns within which time discovery has to be polled; 0 where it is a watch of this machine's agent."""
-    if not settings.ask_for_list:
+    if not settings.polls_endpoint_list:
         return 0
     obligations = settings_table.get("obligations") or {}
     return int(obligations.get("ask_within_ns", DEFAULT_POLL_INTERVAL_NS))
@@ -222,10 +222,10 @@
     from ..decisions.quota_bounds import of_plan
 
     return [
-        of_plan(plan, spread, settings.largest_units)
+        of_plan(plan, spread, settings.max_request_units)
         for plan in settings.plans
         if plan.rate
-        for spread in range(1, settings.gateways + 1)
+        for spread in range(1, settings.gateway_count + 1)
     ]
 
 
@@ -257,7 +257,7 @@
         return None
     if _feature_path(table, "keeper"):
         raise ConfigError("features.shared: quotas are held by features.keeper already; name one of both")
-    if not settings.peers:
+    if not settings.gossips:
         raise ConfigError("features.shared: settings.limits.peers is false: nobody could be lent to")
     from . import features
 
@@ -276,7 +276,7 @@
 
     with _config_errors():
         found = features.start(path)
-    if found.peers and not settings.peers:
+    if found.peers and not settings.gossips:
         raise ConfigError(f"{path}: peers: settings.limits.peers is false: nobody could be asked")
     return found
 
@@ -291,7 +291,7 @@
     with _config_errors():
         found = features.place(path)
         features.check_place(path, found, _zones(table))
-    if not settings.peers:
+    if not settings.gossips:
         raise ConfigError(f"{path}: settings.limits.peers is false: nothing could be decided in common")
     return found
 
--- a/zincstile/net/discovery/maintenance.py
+++ b/zincstile/net/discovery/maintenance.py
@@ -28,8 +28,8 @@
     def apply(self, listed: ListedEndpoint) -> ListedEndpoint:
         """An endpoint as discovery lists it, changed as operators have ordered."""
         entry, address = listed
-        if entry.id in self._since_ns and entry.mode is EndpointState.READY:
-            return ListedEndpoint(replace(entry, mode=EndpointState.DRAINING), address)
+        if entry.id in self._since_ns and entry.state is EndpointState.READY:
+            return ListedEndpoint(replace(entry, state=EndpointState.DRAINING), address)
         returned = self._returned.get(entry.id)
         if returned is not None:
             if entry.started_ns < returned[1]:
--- a/zincstile/net/discovery/table.py
+++ b/zincstile/net/discovery/table.py
@@ -110,7 +110,7 @@
     def _has_new_start(self, entry: EndpointEntry) -> bool:
         known = self.endpoints.get(entry.id)
         known_ns = known.entry.started_ns if known is not None else self.removed.get(entry.id)
-        return entry.started_ns not in (0, known_ns) and entry.mode is not EndpointState.REMOVED
+        return entry.started_ns not in (0, known_ns) and entry.state is not EndpointState.REMOVED
 
     def _started_now(self, listed: ListedEndpoint) -> ListedEndpoint:
         entry, address = listed
@@ -129,7 +129,7 @@
             for backend_id in [known for known in self.endpoints if known not in received]:
                 self._remove(backend_id)
         for listed in endpoints:
-            if listed.entry.mode is EndpointState.REMOVED:
+            if listed.entry.state is EndpointState.REMOVED:
                 self._remove(listed.entry.id)
             else:
                 self.endpoints[listed.entry.id] = listed
--- a/zincstile/net/dispatcher.py
+++ b/zincstile/net/dispatcher.py
@@ -244,10 +244,10 @@
     def _reject_request(self, _: int, action: RejectRequest) -> None:
         session = self.sessions.get(action.request)
         if session is not None:
-            reason = POLICY_REJECTIONS[action.why]
+            reason = POLICY_REJECTIONS[action.reason]
             self.counters.count_rejection(reason)
             self.trace.note(self.now_ns(), Step.REJECTED, session.call.id, reason)
-            retry_ms = -(-action.retry_in_ns // 1_000_000)
+            retry_ms = -(-action.retry_after_ns // 1_000_000)
             answer = Answer(AnswerKind.REJECTED, retry_ms=retry_ms) if retry_ms else REJECTED
             self.finish(session, answer)
 
--- a/zincstile/net/features.py
+++ b/zincstile/net/features.py
@@ -307,10 +307,11 @@
                     f"{path}: regions: {region}: no zone is called {name}; there are {', '.join(zones)}"
                 )
     if subset.layout is not Layout.UNKNOWN and zones:
-        told = zone_of(subset.layout, settings.me, settings.gateways, len(zones))
+        told = zone_of(subset.layout, settings.gateway_index, settings.gateway_count, len(zones))
         if told != settings.zone:
             raise FileError(
-                f"{path}: layout: {subset.layout.value} puts gateway {settings.me} of {settings.gateways} in "
+                f"{path}: layout: {subset.layout.value} puts gateway {settings.gateway_index} of "
+                f"{settings.gateway_count} in "
                 f"zone {zones[told]}, and its settings in another"
             )
 
--- a/zincstile/net/invariants.py
+++ b/zincstile/net/invariants.py
@@ -100,16 +100,16 @@
 
 def _repeat_problem(now: int, attempt: SentAttempt, session: Session) -> str:
     request_class = session.request_class
-    if request_class is None or request_class.effect is Idempotency.ALWAYS:
+    if request_class is None or request_class.idempotency is Idempotency.ALWAYS:
         return ""
     first = next((sent for sent in session.sent_attempts if sent.may_have_run), None)
     if first is None:
         return ""
-    if request_class.effect is Idempotency.NEVER:
+    if request_class.idempotency is Idempotency.NEVER:
         return f"it may have run at {first.backend.address}"
-    if not _same_group(request_class.group, first.backend.entry, attempt.backend.entry):
+    if not _same_group(request_class.deduplication_scope, first.backend.entry, attempt.backend.entry):
         return f"out of the group of {first.backend.address}, where it may have run"
-    if now - first.sent_ns > request_class.window_ns:
+    if now - first.sent_ns > request_class.deduplication_window_ns:
         return f"{(now - first.sent_ns) / 1e6:.0f} ms after the first that may have run"
     return ""
 
--- a/zincstile/quota_service/feature.py
+++ b/zincstile/quota_service/feature.py
@@ -67,7 +67,7 @@
 
     def started(self, now: int) -> None:
         """Builds the failure detector and the accounts, and sends the first heartbeat."""
-        self.detector = FailureDetector(self.service, self.settings.me, self._common_ns(now))
+        self.detector = FailureDetector(self.service, self.settings.gateway_index, self._common_ns(now))
         self.accounts = Accounts(self.service, self.detector)
         self._heartbeat(now)
 
@@ -92,7 +92,7 @@
 
     def on_peer_heartbeat(self, now: int, event: PeerHeartbeatReceived) -> None:
         """A peer's view of its quota service."""
-        if 0 <= event.heartbeat.sender < self.settings.gateways:
+        if 0 <= event.heartbeat.sender < self.settings.gateway_count:
             self.detector.peers.receive(self._common_ns(now), event.heartbeat)
 
     def _common_ns(self, now: int) -> int:
@@ -110,9 +110,9 @@
 
     def _report_to_peers(self, now: int) -> None:
         heartbeat = self.detector.peer_heartbeat(self._common_ns(now))
-        own = self.settings.me
+        own = self.settings.gateway_index
         self.parts.actions += [
-            SendPeerHeartbeat(p, heartbeat) for p in range(self.settings.gateways) if p != own
+            SendPeerHeartbeat(p, heartbeat) for p in range(self.settings.gateway_count) if p != own
         ]
 
     def _call(self, name: str, amount: float, ttl_ms: int, answered: Answered) -> None:
@@ -160,7 +160,7 @@
     def _account(self, now: int, pending: PendingRequest) -> Account:
         customer = pending.customer
         plan = self.settings.plans[customer.plan]
-        gateways = self.settings.gateways
+        gateways = self.settings.gateway_count
         members = [(pending.request.first + k) % gateways for k in range(customer.spread)]
-        quota = Quota(plan.name, plan.rate, plan.burst, customer.spread, self.settings.largest_units)
+        quota = Quota(plan.name, plan.rate, plan.burst, customer.spread, self.settings.max_request_units)
         return self.accounts.account(customer.key, quota, members, self._common_ns(now))
--- a/zincstile/scale/capacity_gateway.py
+++ b/zincstile/scale/capacity_gateway.py
@@ -174,7 +174,7 @@
             "all kinds above",
             Unit.PER_S,
             exact(load.datagrams_per_s),
-            "decisions/settings.Settings.peer_in_per_s",
+            "decisions/settings.Settings.gossip_in_per_s",
             capacity_load.PEER_IN_PER_S,
         ),
         Row(
--- a/zincstile/scale/capacity_messages.py
+++ b/zincstile/scale/capacity_messages.py
@@ -80,10 +80,10 @@
 def _tell(shares: int, figures: bool, doubts: int) -> int:
     told = SendGossip(
         peer=1,
-        start=2**31,
-        shares=[CustomerUsage(2**32 + k, 1, 1234.5, 17.5, 1, 2.0, 77) for k in range(shares)],
+        incarnation=2**31,
+        usages=[CustomerUsage(2**32 + k, 1, 1234.5, 17.5, 1, 2.0, 77) for k in range(shares)],
         figures=[1.0] * (LIMIT_INDEX + 1 + CLASSES) if figures else [],
-        doubts=[ErrorSample(4711, 1, 0.5)] * doubts,
+        error_samples=[ErrorSample(4711, 1, 0.5)] * doubts,
     )
     return sum(len(message) for message in codec.pack_tell(told))
 
--- a/zincstile/scale/emulators.py
+++ b/zincstile/scale/emulators.py
@@ -339,10 +339,10 @@
             self.strange += 1
             return
         told = [
-            CustomerUsage(s.customer, s.plan, 0.0, s.level, 0, s.want, s.mark, True)
+            CustomerUsage(s.customer, s.plan, 0.0, s.level, 0, s.want, s.query_id, True)
             if s.want > 0
-            else CustomerUsage(s.customer, s.plan, s.total, s.level, s.open, 0.0, s.mark)
-            for s in message.shares
+            else CustomerUsage(s.customer, s.plan, s.total, s.level, s.in_flight, 0.0, s.query_id)
+            for s in message.usages
         ]
         for answer in codec.pack_tell(SendGossip(0, self._start(peer), told)):
             self.send(sender, peer, answer)
--- a/zincstile/simulation/mutants_decisions.py
+++ b/zincstile/simulation/mutants_decisions.py
@@ -39,7 +39,7 @@
     old = Retries.__dict__["retry"]
 
     def retry(self, now, pending, cost):
-        if pending.request_class.effect is Idempotency.BY_KEY:
+        if pending.request_class.idempotency is Idempotency.BY_KEY:
             pending.may_have_run_at = None
         return old(self, now, pending, cost)
 
--- a/zincstile/simulation/mutants_network.py
+++ b/zincstile/simulation/mutants_network.py
@@ -105,7 +105,7 @@
 
     def read(self, words, number, now):
         call, request = old(self, words, number, now)
-        request.give_up_ns += (request.give_up_ns - now) // 10
+        request.deadline_ns += (request.deadline_ns - now) // 10
         return call, request
 
     return replace_attribute(call_reader.CallReader, "read", read)
@@ -117,7 +117,7 @@
 
     def read(self, words, number, now):
         call, request = old(self, words, number, now)
-        last[0], request.give_up_ns = request.give_up_ns, max(last[0], now + SHORTEST_TIMEOUT_NS)
+        last[0], request.deadline_ns = request.deadline_ns, max(last[0], now + SHORTEST_TIMEOUT_NS)
         return call, request
 
     return replace_attribute(call_reader.CallReader, "read", read)
--- a/zincstile/simulation/shared_trials.py
+++ b/zincstile/simulation/shared_trials.py
@@ -73,7 +73,7 @@
         found: dict[int, int] = {}
         for module in modules:
             for pending in module.parts.requests.pending.values():
-                limit, key = pending.plan.open_limit, pending.customer.key
+                limit, key = pending.plan.max_in_flight, pending.customer.key
                 if limit and pending.in_flight and pending.inside_quota:
                     found[key] = found.get(key, 0) + 1
                     self.open = max(self.open, found[key] / limit)
--- a/zincstile/simulator/codec.py
+++ b/zincstile/simulator/codec.py
@@ -117,14 +117,14 @@
         classes.append(
             RequestClass(
                 name=str(_need(c, "name")),
-                aim_ns=int(_need(c, "aim_ns")),
+                latency_objective_ns=int(_need(c, "aim_ns")),
                 deadline_ns=int(_need(c, "deadline_ns")),
-                effect=EFFECTS[effect],
-                worth=float(_need(c, "gain")),
-                late_worth=float(c.get("late_worth", 0)),
-                group=DeduplicationScope(c.get("group", "all")),
-                window_ns=int(c.get("window_ns", 0)),
-                stream=bool(c.get("stream", False)),
+                idempotency=EFFECTS[effect],
+                priority_weight=float(_need(c, "gain")),
+                late_weight=float(c.get("late_worth", 0)),
+                deduplication_scope=DeduplicationScope(c.get("group", "all")),
+                deduplication_window_ns=int(c.get("window_ns", 0)),
+                streaming=bool(c.get("stream", False)),
             )
         )
     plans = []
@@ -135,9 +135,9 @@
                 price=float(_need(p, "price")),
                 rate=float(_need(p, "refill")),
                 burst=float(_need(p, "burst")),
-                open_limit=int(_need(p, "concurrency")),
-                over_worth=float(_need(p, "over_worth")),
-                over_cost=float(_need(p, "beyond_costs")),
+                max_in_flight=int(_need(p, "concurrency")),
+                over_quota_weight=float(_need(p, "over_worth")),
+                over_quota_cost=float(_need(p, "beyond_costs")),
                 ceiling_rate=float(_need(p, "never_over_rate")),
                 ceiling_burst=float(_need(p, "hard_burst")),
                 ceiling_slack=float(_need(p, "tolerance")),
@@ -149,29 +149,29 @@
     limits, rules = _need(t, "limits"), _need(t, "obligations")
     domain = t.get("domain") or {}
     return Settings(
-        me=int(_need(t, "ordinal")),
-        gateways=int(_need(t, "balancers")),
+        gateway_index=int(_need(t, "ordinal")),
+        gateway_count=int(_need(t, "balancers")),
         classes=classes,
         plans=plans,
         zone=int(_need(t, "zone")),
-        ask_for_list=discovery == "on_request",
-        peers=bool(_need(limits, "peers")),
+        polls_endpoint_list=discovery == "on_request",
+        gossips=bool(_need(limits, "peers")),
         probes=bool(_need(limits, "probes")),
-        cancel=bool(_need(limits, "cancel")),
-        second_copies=bool(_need(limits, "may_duplicate")),
+        cancels_attempts=bool(_need(limits, "cancel")),
+        hedges=bool(_need(limits, "may_duplicate")),
         retry_after=bool(_need(limits, "retry_after")),
         max_attempts=int(_need(limits, "send_cap")),
         max_retry_after_ns=int(limits.get("max_retry_after_ns", 0)),
-        peer_in_per_s=float(domain.get("peer_intake", 0)),
-        largest_units=float(domain.get("units_top", 1)),
-        settled_after=bool(domain.get("cost_after", False)),
+        gossip_in_per_s=float(domain.get("peer_intake", 0)),
+        max_request_units=float(domain.get("units_top", 1)),
+        settles_actual_units=bool(domain.get("cost_after", False)),
         drain_grace_ns=int(_need(rules, "drain_grace_ns")),
-        cold_share=float(_need(rules, "start_capacity")),
-        cold_ns=int(_need(rules, "warm_up_ns")),
-        cold_multiple=float(_need(rules, "overload_factor")),
-        cold_window_ns=int(_need(rules, "fall_ns")),
+        slow_start_share=float(_need(rules, "start_capacity")),
+        slow_start_ns=int(_need(rules, "warm_up_ns")),
+        slow_start_overload_multiple=float(_need(rules, "overload_factor")),
+        slow_start_window_ns=int(_need(rules, "fall_ns")),
         cross_zone_price=float((t.get("prices") or {}).get("cross_zone", 0)),
-        report_fields=[FIELD_NAMES.get(f, str(f)) for f in (t.get("telemetry") or {}).get("fields", [])],
+        load_report_fields=[FIELD_NAMES.get(f, str(f)) for f in (t.get("telemetry") or {}).get("fields", [])],
     )
 
 
@@ -255,29 +255,29 @@
     Where the settings have many classes and plans, the figures of the last groups are left out, and doubts of
     groups past a byte: guards against a message that has no room for any share, and so against none or one
     too long."""
-    doubts = [d for d in tell.doubts if d.group <= 255]
-    room = LARGEST - HEAD.size - SHARE.size * bool(tell.shares) - DOUBT.size * len(doubts)
+    doubts = [d for d in tell.error_samples if d.group <= 255]
+    room = LARGEST - HEAD.size - SHARE.size * bool(tell.usages) - DOUBT.size * len(doubts)
     figures = tell.figures[: max(0, room // FIGURE.size)]
     extra = b"".join(FIGURE.pack(min(MOST, max(0.0, x))) for x in figures)
-    extra += b"".join(DOUBT.pack(d.backend, d.group, int(d.value * 255)) for d in doubts)
+    extra += b"".join(DOUBT.pack(d.endpoint_hash, d.group, int(d.error * 255)) for d in doubts)
     counts, messages, at = (len(figures), len(doubts)), [], 0
-    while not messages or at < len(tell.shares):
+    while not messages or at < len(tell.usages):
         end = at + (LARGEST - HEAD.size - len(extra)) // SHARE.size
         body = extra + b"".join(
             SHARE.pack(
                 s.customer % 2**32,
-                s.customer >> 32 | ANSWER * s.answer,
+                s.customer >> 32 | ANSWER * s.is_answer,
                 s.plan,
                 round(s.total * GRAIN) % 2**32,
                 _short(s.level),
-                max(0, min(255, s.open)),
+                max(0, min(255, s.in_flight)),
                 _short(s.want),
-                s.mark,
+                s.query_id,
             )
-            for s in tell.shares[at:end]
+            for s in tell.usages[at:end]
         )
-        check = zlib.crc32(body, tell.start) & 0xFFFF
-        messages.append(HEAD.pack(MAGIC, tell.start, check, *counts) + body)
+        check = zlib.crc32(body, tell.incarnation) & 0xFFFF
+        messages.append(HEAD.pack(MAGIC, tell.incarnation, check, *counts) + body)
         extra, counts, at = b"", (0, 0), end
     return messages
 
@@ -397,11 +397,11 @@
         self._for(instance)
         if isinstance(action, ForwardRequest):
             data = struct.pack("<BIQ", 10, action.request, max(0, action.until_ns))
-            data += action.backend.to_bytes(6, "little")
+            data += action.endpoint.to_bytes(6, "little")
         elif isinstance(action, SetTimer):
             data = struct.pack("<BQQ", 50, max(0, action.at_ns), action.token)
         elif isinstance(action, RejectRequest):
-            data = struct.pack("<BIQ", 120, action.request, action.retry_in_ns)
+            data = struct.pack("<BIQ", 120, action.request, action.retry_after_ns)
         elif isinstance(action, FailRequest):
             data = struct.pack("<BI", 110, action.request)
         elif isinstance(action, CancelAttempt):
@@ -411,9 +411,9 @@
                 self._put(struct.pack("<BIH", 70, action.peer, len(message)) + message)
             return
         elif isinstance(action, CheckHealth):
-            data = b"\x82" + action.backend.to_bytes(6, "little")
+            data = b"\x82" + action.endpoint.to_bytes(6, "little")
         elif isinstance(action, CloseIdleConnections):
-            data = b"\x3c" + action.backend.to_bytes(6, "little")
+            data = b"\x3c" + action.endpoint.to_bytes(6, "little")
         elif isinstance(action, WatchEndpoints):
             data = struct.pack("<BB", 20, 1)
         elif isinstance(action, LogMessage):
--- a/zincstile/subsetting/feature.py
+++ b/zincstile/subsetting/feature.py
@@ -31,7 +31,9 @@
 
 def keyed_groups(settings: Settings) -> set[DeduplicationScope]:
     """Groups within which some class's requests may be repeated, and nowhere else."""
-    return {c.group for c in settings.classes if c.effect is Idempotency.BY_KEY} - {DeduplicationScope.ALL}
+    return {c.deduplication_scope for c in settings.classes if c.idempotency is Idempotency.BY_KEY} - {
+        DeduplicationScope.ALL
+    }
 
 
 class SubsettingFeature:
@@ -50,7 +52,7 @@
         groups = keyed_groups(settings)
         by_cell = DeduplicationScope.CELL in groups and subset.service_by is not ServiceBy.GROUP
         self.table = EndpointRings(self.service_of, by_cell=by_cell)
-        fleet = Fleet(subset, settings.me, settings.gateways, settings.zone, zones)
+        fleet = Fleet(subset, settings.gateway_index, settings.gateway_count, settings.zone, zones)
         least = max(subset.min_endpoints, DEDUPLICATION_LEAST) if groups else subset.min_endpoints
         self.selection = Selection(subset, fleet, self.table, least)
         self.used: dict[int, EndpointEntry] = {}  # as the policy was told of them last
@@ -90,8 +92,8 @@
     def service_of(self, entry: EndpointEntry) -> int:
         """The service of an endpoint, by the field that the settings name."""
         if self.subset.service_by is ServiceBy.TYPE:
-            known = 0 <= entry.kind < len(self.services)
-            return self.services[entry.kind] if known else entry.kind
+            known = 0 <= entry.machine_type < len(self.services)
+            return self.services[entry.machine_type] if known else entry.machine_type
         return entry.cell if self.subset.service_by is ServiceBy.GROUP else 0
 
     # ---- the list
@@ -125,7 +127,7 @@
         """An endpoint's entry as the policy is to have it; None where it has that already."""
         entry = self.table.endpoints.get(number)
         used = self.used.get(number)
-        drains = entry is not None and entry.mode is EndpointState.DRAINING and used is not None
+        drains = entry is not None and entry.state is EndpointState.DRAINING and used is not None
         if entry is not None and (drains or number in self.selection.members):
             self.used[number] = entry
             return entry if entry != used else None
@@ -133,7 +135,7 @@
             return None
         del self.used[number]
         self._remember(now, number)
-        return replace(used, mode=EndpointState.REMOVED)
+        return replace(used, state=EndpointState.REMOVED)
 
     def _remember(self, now: int, number: int) -> None:
         endpoint = self.parts.endpoints.by_id.get(number)
--- a/zincstile/subsetting/rings.py
+++ b/zincstile/subsetting/rings.py
@@ -103,7 +103,7 @@
     def _put(self, entry: EndpointEntry, changed: set[int]) -> None:
         old = self.endpoints.get(entry.id)
         unmoved = old is not None and self._membership(old) == self._membership(entry)
-        if entry.mode is EndpointState.REMOVED:
+        if entry.state is EndpointState.REMOVED:
             self.endpoints.pop(entry.id, None)
         else:
             self.endpoints[entry.id] = entry
@@ -115,7 +115,7 @@
 
     def _membership(self, entry: EndpointEntry) -> RingMembership | None:
         """Where an endpoint belongs; None: in no ring."""
-        if entry.mode is not EndpointState.READY:
+        if entry.state is not EndpointState.READY:
             return None
         return RingMembership(RingId(self.service_of(entry), entry.zone), entry.cell)
 
--- a/zincstile/zone_failover/feature.py
+++ b/zincstile/zone_failover/feature.py
@@ -106,8 +106,8 @@
         self.home = min(settings.zone, self.zone_count - 1)
         self.agreement = Agreement(
             place,
-            settings.me,
-            settings.gateways,
+            settings.gateway_index,
+            settings.gateway_count,
             self.home,
             self.distance,
             self.rng.getrandbits(32),
@@ -191,7 +191,7 @@
 
     def _send_messages(self) -> None:
         messages = self.agreement.take_messages()
-        if self.settings.peers:
+        if self.settings.gossips:
             self.parts.actions += [SendZoneMessage(peer, message) for peer, message in messages]
 
     def on_message_received(self, now: int, event: ZoneMessageReceived) -> None:
@@ -273,7 +273,7 @@
 
     def choose(self, now: int, pending: PendingRequest) -> Endpoint | None:
         """The endpoint of the next attempt, in the zone that the weights draw."""
-        idempotent = pending.request_class.effect is Idempotency.ALWAYS
+        idempotent = pending.request_class.idempotency is Idempotency.ALWAYS
         if pending.may_have_run_at is not None and pending.tried:
             return self._choose_retry(now, pending, idempotent=idempotent)
         if idempotent and not pending.tried:
@@ -350,7 +350,7 @@
             unusable = zone == tried or zone in failing or not self.ready_in[zone]
             if unusable or states[zone] in (ZoneState.LOST, ZoneState.DRAINING):
                 continue
-            rate = self.place.spill * self._capacity_per_s(zone) / self.settings.gateways
+            rate = self.place.spill * self._capacity_per_s(zone) / self.settings.gateway_count
             if zone != self.home and not self.spills[zone].take(now, rate, pending.request.units):
                 continue
             endpoint = self._choose_within(now, pending, zone)
@@ -372,7 +372,7 @@
         limit = self.parts.limit.limit
         if limit == math.inf:
             return math.inf
-        return limit * self.good_in[zone] / self._latency_s() * self.settings.gateways
+        return limit * self.good_in[zone] / self._latency_s() * self.settings.gateway_count
 
     def _count_attempt(self, zone: int) -> None:
         if zone == self.home:
