--- a/tests/endpoint_lists.py
+++ b/tests/endpoint_lists.py
@@ -9,7 +9,7 @@
 from zincstile.net.discovery.reader import EndpointReader
 from zincstile.net.discovery.table import EndpointTable
 from zincstile.net.discovery.watcher import EndpointWatcher
-from zincstile.net.limits import Limits
+from zincstile.net.limits import SECOND, Limits, Machine
 from zincstile.net.trace import Trace
 
 DISCOVERY = ("10.2.0.1", 8500)
@@ -30,6 +30,21 @@
     return {"index": index, "snapshot": False, "endpoints": list(endpoints)}
 
 
+def limits_in_fleet(gateways, poll_interval_ns):
+    """The limits of one gateway of a fleet; 0: discovery is not a service that all gateways poll."""
+    machine = Machine(
+        sockets=384,
+        memory_mb=80,
+        sessions=100,
+        connect_ns=1,
+        idle_close_ns=1,
+        longest_request_ns=3 * SECOND,
+        gateways=gateways,
+        poll_interval_ns=poll_interval_ns,
+    )
+    return Limits.for_gateway(machine, {})
+
+
 def stub_dispatcher(now_ns=lambda: 0, post=lambda event: None, limits=None):
     """A dispatcher without a loop."""
     return SimpleNamespace(
--- a/tests/test_list_freshness.py
+++ b/tests/test_list_freshness.py
@@ -9,10 +9,11 @@
 from types import SimpleNamespace
 
 import pytest
+from endpoint_lists import limits_in_fleet
 from scenario import World
 
 from zincstile.cold_start.list_polling import ListPolling
-from zincstile.net.limits import MS, SECOND, Limits, Machine
+from zincstile.net.limits import MS, SECOND
 
 RECEIVED_WITHIN_S = 6.0
 ANSWER_NS = 500 * MS  # a call and its answer
@@ -76,7 +77,7 @@
     """The last moment of each span, after any number of failures, with and without a Retry-After;
     with a connection that never came up before it, and an answer behind it."""
     for within in (0, 10 * SECOND):
-        limits = Limits.for_gateway(Machine(384, 80, 100, 1, 1, 3 * SECOND, gateways, within), {})
+        limits = limits_in_fleet(gateways, within)
         dial, silence = limits.backoff_most_ns, limits.table_silence_ns
         for answered_once in (False, True):
             for retry_after in (0, SECOND, 30 * SECOND):
--- a/tests/test_list_polling.py
+++ b/tests/test_list_polling.py
@@ -5,17 +5,18 @@
 import random
 
 import pytest
+from endpoint_lists import limits_in_fleet
 
 from zincstile.cold_start.list_polling import ListPolling
 from zincstile.emulators.list_service import ListServiceBehaviour
 from zincstile.net import http
-from zincstile.net.limits import MS, SECOND, Limits, Machine
+from zincstile.net.limits import MS, SECOND, Limits
 from zincstile.simulation.plan import Plan
 from zincstile.testbed import start
 
 
 def polling(number, gateways):
-    limits = Limits.for_gateway(Machine(384, 80, 100, 1, 1, 3 * SECOND, gateways, 10 * SECOND), {})
+    limits = limits_in_fleet(gateways, 10 * SECOND)
     return ListPolling(
         random.Random(number),
         limits.table_again_ns,
--- a/tests/test_watch_backoff.py
+++ b/tests/test_watch_backoff.py
@@ -3,17 +3,25 @@
 from types import SimpleNamespace
 
 import pytest
-from endpoint_lists import change, endpoint, endpoint_table, endpoint_watcher, full_list, stub_dispatcher
+from endpoint_lists import (
+    change,
+    endpoint,
+    endpoint_table,
+    endpoint_watcher,
+    full_list,
+    limits_in_fleet,
+    stub_dispatcher,
+)
 
 from zincstile.net.discovery.watch import Watch, WatchFailure
-from zincstile.net.limits import MS, SECOND, Limits, Machine
+from zincstile.net.limits import MS, SECOND
 
-ASK_WITHIN_NS = 10 * SECOND
+POLL_INTERVAL_NS = 10 * SECOND
 KNOWN = full_list(41, endpoint("s-1"))
 
 
-def limits(gateways, ask_within_ns=ASK_WITHIN_NS):
-    return Limits.for_gateway(Machine(384, 80, 100, 1, 1, 3 * SECOND, gateways, ask_within_ns), {})
+def limits(gateways, poll_interval_ns=POLL_INTERVAL_NS):
+    return limits_in_fleet(gateways, poll_interval_ns)
 
 
 def watcher_of(number, limits_):
@@ -40,7 +48,7 @@
     in_step = [sum(abs(a - b) <= 10 * MS for b in first) for a in first]
     assert max(in_step) <= 1 + gateways / 4
     late = [waited[-1] for waited in fleet]
-    assert max(late) <= max(ASK_WITHIN_NS, SECOND)  # else lists count as told that nobody asked for
+    assert max(late) <= max(POLL_INTERVAL_NS, SECOND)  # else lists count as told that nobody asked for
     if gateways == 40:
         assert gateways * SECOND / (sum(late) / gateways) < 12  # asks a second by all of them
 
