--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -164,15 +164,15 @@
     )
 
 
-# ---- both in one turn
+# ---- both in one batch
 
 
-def in_one_turn(first, second):
+def in_one_batch(first, second):
     return f"freeze gw\n{first}\n{second}\nthaw gw\n"
 
 
 @pytest.mark.parametrize("order", [0, 1])
-def test_a_request_and_the_drain_of_its_server_in_one_turn(tmp_path, order):
+def test_a_request_and_the_drain_of_its_server_in_one_batch(tmp_path, order):
     """Decided on by the old list or the new one, it is not sent to the one that drains, where a connection
     rests."""
     both = ["send c1 look 2", "send d1 change a=Terminating b=Ready"]
@@ -183,7 +183,7 @@
         send c1 look 1
         serve c1 look 1 a1 hello
         """
-        + in_one_turn(both[order], both[1 - order])
+        + in_one_batch(both[order], both[1 - order])
         + """
         serve c1 look 2 b1 hello
         expect a1 end
@@ -193,14 +193,14 @@
 
 @pytest.mark.parametrize("cancel", [True, False])
 @pytest.mark.parametrize("order", [0, 1])
-def test_an_answer_and_the_end_of_its_client_in_one_turn(tmp_path, order, cancel):
+def test_an_answer_and_the_end_of_its_client_in_one_batch(tmp_path, order, cancel):
     both = ["send a1 ok late", "close c1"]
     asked = "send c1 look 1\nexpect a1 look 1\n"
     play(
         tmp_path,
         READY
         + asked
-        + in_one_turn(both[order], both[1 - order])
+        + in_one_batch(both[order], both[1 - order])
         + """
         send c9 look 9
         open a1
@@ -212,7 +212,7 @@
     )
 
 
-def test_an_answer_and_the_deadline_in_one_turn_make_one_answer(tmp_path):
+def test_an_answer_and_the_deadline_in_one_batch_make_one_answer(tmp_path):
     """The program is held up past the request's time with the answer unread: one final answer, whichever."""
     with World(tmp_path) as world:
         world.play(READY + "send c1 look 1 d=300\nexpect a1 look 1\nfreeze gw")
@@ -231,7 +231,7 @@
         send c1 look 1
         serve c1 look 1 a1 hello
         """
-        + in_one_turn("reset a1", "send c1 book 2")
+        + in_one_batch("reset a1", "send c1 book 2")
         + """
         serve c1 book 2 a2 hello
         wait gw stale_connection=0
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -111,7 +111,7 @@
             finish c1""")
 
 
-def test_who_came_last_before_the_door_shuts_may_still_ask(tmp_path):
+def test_who_connected_last_before_the_listener_closes_may_still_ask(tmp_path):
     play(
         tmp_path,
         READY
@@ -147,8 +147,8 @@
     )
 
 
-def test_a_crowd_in_the_queue_is_taken_before_the_door_shuts(tmp_path):
-    """More than one turn takes: all of them connected, and asked, before the stop was heard of."""
+def test_a_crowd_in_the_queue_is_accepted_before_the_listener_closes(tmp_path):
+    """More than one batch accepts: all of them connected, and asked, before the signal was handled."""
     numbers = range(1, 401)
     play(
         tmp_path,
@@ -187,7 +187,7 @@
 
 @pytest.mark.parametrize("taken", ["while it comes", "after it has come"])
 def test_a_value_half_passed_on_at_a_stop_comes_whole(tmp_path, taken):
-    """400 KB, of which the client reads nothing before the door is shut, or reads as it comes."""
+    """400 KB, of which the client reads nothing before the listener closes, or reads as it comes."""
     size = 400_000
     with World(tmp_path, {"limits": SHUT_AT_ONCE | {"drain_most_ns": NEVER}}) as world:
         world.play(READY + "send c1 look 1\nexpect a1 look 1")
@@ -248,7 +248,7 @@
 
 
 def test_a_repeat_that_becomes_due_at_a_stop_is_still_made(tmp_path):
-    """The first attempt breaks in the turn in which the stop is heard."""
+    """The first attempt breaks in the batch in which the stop is heard."""
     play(
         tmp_path,
         READY
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -59,7 +59,7 @@
     assert guard.may_send(0, attempt(owner, server()))
     assert guard.may_send(0, attempt(None, server(ready=False)))  # a probe
     assert guard.may_close(0, 0, "c1") and guard.may_end(0, 0)
-    assert guard.may_be_ready(0, 0, True) and guard.may_be_ready(0, 1, False)
+    assert guard.may_be_ready(0, 0, list_received=True) and guard.may_be_ready(0, 1, list_received=False)
     assert counted(guard) == {}
 
 
@@ -106,7 +106,7 @@
     guard.observer = lambda which, text: heard.append((which.value, text))
     assert not guard.may_close(0, 2, "c1")
     assert not guard.may_end(0, 1)
-    assert not guard.may_be_ready(0, 0, False)
+    assert not guard.may_be_ready(0, 0, list_received=False)
     assert counted(guard) == {"close": 2, "start": 1}
     assert heard[0] == ("close", "c1: 2 requests without an answer")
 
@@ -173,7 +173,7 @@
     assert bench.broken == ["left"]
 
 
-def test_a_box_is_told_no_more_than_what_its_client_has_left(bench):
+def test_a_backend_is_given_no_later_deadline_than_its_client(bench):
     bench.ask(wait=1000)
     bench.at(300)
     one = bench.checker.attempt_started("g0", "b1", b"1", bench.now)
@@ -184,7 +184,7 @@
     assert bench.broken == ["deadline"]
 
 
-def test_what_a_paused_gateway_reads_late_is_told_by_its_own_clock(bench):
+def test_what_a_paused_gateway_reads_late_is_timed_by_its_own_clock(bench):
     bench.checker.gateway_paused("g0", 400 * MS)
     bench.ask(wait=1000)
     bench.at(450)
--- a/tests/test_leavers.py
+++ b/tests/test_leavers.py
@@ -102,8 +102,8 @@
 
 @pytest.mark.parametrize("order", ["gone, then granted", "granted behind its end", "granted before its end"])
 def test_a_burst_of_clients_that_leave_while_a_relay_is_asked_is_not_sent_on(relayed, order):
-    """All wait in the module for the relay's word, and leave; then each is granted, or both come in one turn.
-    A burst that the module gave up waiting for in between proves nothing, and is asked again."""
+    """All wait in the policy for the relay, and leave; then each is granted, or both come in one batch.
+    A burst that the policy gave up waiting for in between proves nothing, and is asked again."""
     world, relays = relayed
     for burst in range(1, 100):
         before = world.counters()
@@ -172,7 +172,7 @@
 
 @pytest.mark.parametrize("order", [0, 1])
 def test_a_further_attempt_that_becomes_due_as_its_client_ends_is_not_made(tmp_path, order):
-    """In one turn: the attempt before breaks, its client ends, and a connection rests at the next server."""
+    """In one batch: the attempt before breaks, its client ends, and a connection rests at the next server."""
     both = ["reset a1", "close c1"]
     play(
         tmp_path,
--- a/zincstile/net/clients/call_reader.py
+++ b/zincstile/net/clients/call_reader.py
@@ -10,7 +10,7 @@
 
 READ: Final = b"CALL.GET"  # of classes that may always run again
 WRITE: Final = b"CALL.POST"
-WORDS_WITHOUT_BODY: Final = 4  # verb, customer, id, fields
+ARGUMENTS_WITHOUT_BODY: Final = 4  # verb, customer, id, fields
 LONGEST_WAIT_MS: Final = 3_600_000  # an hour: more can only be a mistake
 CUSTOMER_DIGITS: Final = 16  # hexadecimal
 CUSTOMERS: Final = 2**33  # ids of customers are below
@@ -43,17 +43,17 @@
         self._margin_ns = margin_ns
         self._id_bytes = id_bytes
 
-    def read(self, words: list[bytes], request_id: int, now: int) -> tuple[Call, Request]:
+    def read(self, arguments: list[bytes], request_id: int, now: int) -> tuple[Call, Request]:
         """The call and the request of one command; `now`: when it came, in ns. Raises CallError.
 
-        `words`: verb, customer, id, a list of name=value, and for CALL.POST a body.
+        `arguments`: verb, customer, id, a list of name=value, and for CALL.POST a body.
         """
-        verb = words[0].upper()
+        verb = arguments[0].upper()
         if verb != READ and verb != WRITE:
             raise CallError("unknown command")
-        if not WORDS_WITHOUT_BODY <= len(words) <= WORDS_WITHOUT_BODY + (verb != READ):
+        if not ARGUMENTS_WITHOUT_BODY <= len(arguments) <= ARGUMENTS_WITHOUT_BODY + (verb != READ):
             raise CallError("wrong number of words")
-        fields = words[3].split(b",")
+        fields = arguments[3].split(b",")
         values = _parse_fields(fields)
         try:
             class_number, request_class = self._class_by_name[values[b"c"]]
@@ -66,16 +66,16 @@
             spread = int(spread_digits)
             first = int(first_digits)
             units = float(values[b"units"])
-            customer = int(words[1], 16)
+            customer = int(arguments[1], 16)
         except KeyError as err:
             raise CallError(f"missing or unknown: {err.args[0]!r}") from None
         except ValueError:
             raise CallError("a value that is no number") from None
         if (
-            len(words[1]) != CUSTOMER_DIGITS
-            or not words[1].isalnum()
+            len(arguments[1]) != CUSTOMER_DIGITS
+            or not arguments[1].isalnum()
             or customer >= CUSTOMERS
-            or not 0 < len(words[2]) <= self._id_bytes
+            or not 0 < len(arguments[2]) <= self._id_bytes
         ):
             raise CallError("no such customer or id")
         # Bounded, as the customer's quota would remember what anybody says in its name
@@ -93,8 +93,8 @@
         wait_ns = wait_ms * 1_000_000
         deadline_ns = now + wait_ns - min(self._margin_ns, wait_ns // 2)
         deadline_field = fields.index(b"d=" + wait)
-        body = words[WORDS_WITHOUT_BODY] if len(words) > WORDS_WITHOUT_BODY else None
-        call = Call(verb == READ, words[1], words[2], fields, deadline_field, body)
+        body = arguments[ARGUMENTS_WITHOUT_BODY] if len(arguments) > ARGUMENTS_WITHOUT_BODY else None
+        call = Call(verb == READ, arguments[1], arguments[2], fields, deadline_field, body)
         is_retry = values.get(b"r") == b"1"
         return call, Request(
             request_id, class_number, plan, customer, deadline_ns, units, spread, first, is_retry
--- a/zincstile/net/clients/connection.py
+++ b/zincstile/net/clients/connection.py
@@ -174,8 +174,8 @@
         if self.from_inherited_queue:
             self._read_inherited(commands)
         else:
-            for words in commands:
-                self._on_command(words)
+            for arguments in commands:
+                self._on_command(arguments)
         self._last_read_ns = self.dispatcher.now_ns()
         if self._parser.idle:
             self._command_began_ns = 0
@@ -190,14 +190,14 @@
     def _read_inherited(self, commands: list[list[bytes]]) -> None:
         """Commands of which only the last has an age that is known."""
         last = len(commands) - 1
-        for number, words in enumerate(commands):
-            self._on_command(words, of_unknown_age=number < last)
+        for number, arguments in enumerate(commands):
+            self._on_command(arguments, of_unknown_age=number < last)
         self.from_inherited_queue = False
 
-    def _on_command(self, words: list[bytes], *, of_unknown_age: bool = False) -> None:
-        if not words:
+    def _on_command(self, arguments: list[bytes], *, of_unknown_age: bool = False) -> None:
+        if not arguments:
             return
-        if len(words) == 1 and words[0].upper() == b"PING":
+        if len(arguments) == 1 and arguments[0].upper() == b"PING":
             self.counters.pings += 1
             self.commands += 1
             self._reply(self.listener.ping_answer())
@@ -205,7 +205,7 @@
         dispatcher, listener = self.dispatcher, self.listener
         request_id, now = dispatcher.next_request_id(), dispatcher.now_ns()
         try:
-            call, request = listener.reader.read(words, request_id, now - self._waited_ns)
+            call, request = listener.reader.read(arguments, request_id, now - self._waited_ns)
             if call.id in listener.open_requests:  # backend servers would take it for a repeat of that one
                 raise CallError("the id of an open request")
         except CallError as err:
--- a/zincstile/net/invariants.py
+++ b/zincstile/net/invariants.py
@@ -68,9 +68,11 @@
         """Before this side closes a connection; `owed`: requests read on it without their answer."""
         return not owed or self._violated(now, Invariant.CLOSE, where, f"{owed} requests without an answer")
 
-    def may_be_ready(self, now: int, servers: int, told: bool) -> bool:
-        """Before the first yes to PING; `told`: discovery has sent a list, be it an empty one."""
-        return bool(servers or told) or self._violated(now, Invariant.START, "ready", "no list of servers")
+    def may_be_ready(self, now: int, servers: int, *, list_received: bool) -> bool:
+        """Before the first yes to PING; `list_received`: from discovery, be it an empty one."""
+        return bool(servers or list_received) or self._violated(
+            now, Invariant.START, "ready", "no list of servers"
+        )
 
     def may_end(self, now: int, owed: int) -> bool:
         """Before the process ends of its own accord; `owed`: requests without their answer."""
--- a/zincstile/net/lifecycle.py
+++ b/zincstile/net/lifecycle.py
@@ -156,7 +156,7 @@
         return self._dispatcher.guard.may_be_ready(
             self._dispatcher.now_ns(),
             len(self._parts.pool.listed),
-            self._parts.watcher.has_received or self._parts.starter is not None,
+            list_received=self._parts.watcher.has_received or self._parts.starter is not None,
         )
 
     # ---- while it serves
--- a/zincstile/net/resp.py
+++ b/zincstile/net/resp.py
@@ -125,22 +125,22 @@
     __slots__ = ()
 
     def __init__(self, limits: Limits) -> None:
-        """`limits`: of values, words and commands."""
+        """`limits`: of values, arguments and commands."""
         super().__init__(limits, limits.value_bytes, limits.command_bytes)
 
     def _message(self, buffer: bytes, at: int) -> tuple[list[bytes], int]:
         if buffer[at] != ARRAY_SIGN:
             raise RespError("expected '*'")
         count, at = self._number(buffer, at, self.limits.words)
-        words: list[bytes] = []
+        arguments: list[bytes] = []
         if at < 0:
-            return words, -1
+            return arguments, -1
         most, line_bytes, size = self._value_bytes, self.limits.line_bytes, len(buffer)
         for _ in range(count):  # what `_bulk` does, in line: most of a request's parsing is here
             end = buffer.find(CRLF, at + 1, at + line_bytes)
             if end < 0:
-                self._check_word_begun(buffer, at)
-                return words, -1
+                self._check_argument_begun(buffer, at)
+                return arguments, -1
             if buffer[at] != BULK_SIGN:
                 raise RespError("expected '$'")
             digits = buffer[at + 1 : end]
@@ -152,15 +152,15 @@
                 raise RespError("length past the limit")
             if size < end + 2:
                 self._end = end + 2
-                return words, -1
+                return arguments, -1
             if buffer[end : end + 2] != CRLF:
                 raise RespError("a value without its end")
-            words.append(buffer[start:end])
+            arguments.append(buffer[start:end])
             at = end + 2
-        return words, at
+        return arguments, at
 
-    def _check_word_begun(self, buffer: bytes, at: int) -> None:
-        """Raises RespError where the word whose first line is incomplete can't be one."""
+    def _check_argument_begun(self, buffer: bytes, at: int) -> None:
+        """Raises RespError where the argument whose first line is incomplete can't be one."""
         if at >= len(buffer):
             return
         if buffer[at] != BULK_SIGN:
@@ -244,11 +244,11 @@
     return reply[0], reply[2] or b""
 
 
-def command(words: list[bytes]) -> bytes:
+def command(arguments: list[bytes]) -> bytes:
     """A command, as it is sent to a backend server."""
-    parts = [b"*%d\r\n" % len(words)]
-    for word in words:
-        parts.append(b"$%d\r\n%b\r\n" % (len(word), word))
+    parts = [b"*%d\r\n" % len(arguments)]
+    for argument in arguments:
+        parts.append(b"$%d\r\n%b\r\n" % (len(argument), argument))
     return b"".join(parts)
 
 
--- a/zincstile/net/value_stream.py
+++ b/zincstile/net/value_stream.py
@@ -67,7 +67,7 @@
         return pieces
 
     def abandon(self) -> None:
-        """The client has left: the source is told, unless the value had ended."""
+        """The client has left: notifies the source, unless the value had ended."""
         if not self.complete and not self.truncated:
             self.truncated = True
             self._source.abandon()
