--- a/zincstile/cold_start/feature.py
+++ b/zincstile/cold_start/feature.py
@@ -23,6 +23,7 @@
     """Owner of the pace of a start; there is none any more once admission is open."""
 
     def __init__(self, settings: Settings, seed: int, start_settings: ColdStartSettings) -> None:
+        """Takes the settings; it joins a policy by `attach`."""
         rng = random.Random(f"opening {seed}")
         self.ramp: AdmissionRamp | None = AdmissionRamp(
             start_settings, settings.gateway_count, settings.max_request_units, rng
--- a/zincstile/decisions/admission.py
+++ b/zincstile/decisions/admission.py
@@ -41,6 +41,7 @@
         forwarder: Forwarder,
         choose: EndpointChooser,
     ) -> None:
+        """Takes the parts that it works with."""
         self.settings = settings
         self.rng = rng
         self.actions = actions
--- a/zincstile/decisions/budget_split.py
+++ b/zincstile/decisions/budget_split.py
@@ -56,6 +56,7 @@
     """Owner of the groups: inside and beyond the quota, then by class, then by plan."""
 
     def __init__(self, settings: Settings) -> None:
+        """Makes a group for each class and plan, inside and beyond the quota."""
         self.inside = self._planted(settings, beyond_quota=False)
         self.beyond = self._planted(settings, beyond_quota=True)
         self.sides = (self.inside, self.beyond)
--- a/zincstile/decisions/capacity.py
+++ b/zincstile/decisions/capacity.py
@@ -26,6 +26,7 @@
         budget: BudgetTree,
         slow_start: SlowStart,
     ) -> None:
+        """Takes the parts that it works with."""
         self.settings = settings
         self.endpoints = endpoints
         self.detector = detector
--- a/zincstile/decisions/concurrency_limit.py
+++ b/zincstile/decisions/concurrency_limit.py
@@ -38,6 +38,7 @@
     peers."""
 
     def __init__(self, settings: Settings, detector: OutlierDetector, latency: LatencyModel) -> None:
+        """Takes the parts that it works with."""
         self.detector = detector
         self.latency = latency
         self.limit = math.inf  # units in flight per healthy endpoint, of this gateway
--- a/zincstile/decisions/deferred_admission.py
+++ b/zincstile/decisions/deferred_admission.py
@@ -67,6 +67,7 @@
         reports_usage: bool,
         limits_in_flight: bool,
     ) -> None:
+        """Takes the parts that it works with."""
         self.parts = parts
         self.source = source
         self.wait_ns = wait_ns
--- a/zincstile/decisions/endpoints.py
+++ b/zincstile/decisions/endpoints.py
@@ -71,17 +71,21 @@
     """The ready endpoints, warm ones first, without a list of their own."""
 
     def __init__(self, warm: list[Endpoint], warming: list[Endpoint]) -> None:
+        """Takes the two lists that it is a view of."""
         self._warm = warm
         self._warming = warming
 
     def __len__(self) -> int:
+        """How many are ready."""
         return len(self._warm) + len(self._warming)
 
     def __iter__(self) -> Iterator[Endpoint]:
+        """The warm ones, then those that are warming up."""
         yield from self._warm
         yield from self._warming
 
     def __getitem__(self, index: Any) -> Any:
+        """The one at a place in that order."""
         return (self._warm + self._warming)[index]
 
 
@@ -104,6 +108,7 @@
     """All endpoints by id, and the ready ones, warm and warming up."""
 
     def __init__(self) -> None:
+        """Starts without any endpoint."""
         self.by_id: dict[int, Endpoint] = {}
         self.warm: list[Endpoint] = []
         self.warming: list[Endpoint] = []  # those that were not warm when this was last looked at
--- a/zincstile/decisions/fleet_estimates.py
+++ b/zincstile/decisions/fleet_estimates.py
@@ -26,6 +26,7 @@
     def __init__(
         self, limit: ConcurrencyLimit, latency: LatencyModel, detector: OutlierDetector, budget: BudgetTree
     ) -> None:
+        """Takes the parts that it works with."""
         self.limit = limit
         self.latency = latency
         self.detector = detector
--- a/zincstile/decisions/forwarding.py
+++ b/zincstile/decisions/forwarding.py
@@ -30,6 +30,7 @@
         detector: OutlierDetector,
         attempts: AttemptTable,
     ) -> None:
+        """Takes the parts that it works with."""
         self.settings = settings
         self.actions = actions
         self.latency = latency
--- a/zincstile/decisions/gossip.py
+++ b/zincstile/decisions/gossip.py
@@ -39,6 +39,7 @@
         detector: OutlierDetector,
         estimates: FleetEstimates,
     ) -> None:
+        """Takes the parts that it works with."""
         self.settings = settings
         self.incarnation = incarnation  # names this process, so that peers tell its totals from older ones
         self.actions = actions
--- a/zincstile/decisions/gossip_receiver.py
+++ b/zincstile/decisions/gossip_receiver.py
@@ -27,6 +27,7 @@
         detector: OutlierDetector,
         estimates: FleetEstimates,
     ) -> None:
+        """Takes the parts that it works with."""
         self.settings = settings
         self.peers = peers
         self.ledger = ledger
--- a/zincstile/decisions/latency.py
+++ b/zincstile/decisions/latency.py
@@ -24,6 +24,7 @@
     """Owner of the latencies that the fleet takes for a unit, in nanoseconds by class."""
 
     def __init__(self, settings: Settings) -> None:
+        """Starts with a guess from the latency objectives."""
         guess = FIRST_GUESS_DIVISOR
         self.unit_ns = [
             c.latency_objective_ns / guess / (1 + settings.max_request_units) for c in settings.classes
--- a/zincstile/decisions/load_balancing.py
+++ b/zincstile/decisions/load_balancing.py
@@ -42,6 +42,7 @@
         capacity: Capacity,
         slow_start: SlowStart,
     ) -> None:
+        """Takes the parts that it works with."""
         self.settings = settings
         self.rng = rng
         self.endpoints = endpoints
--- a/zincstile/decisions/outcomes.py
+++ b/zincstile/decisions/outcomes.py
@@ -31,6 +31,7 @@
         admission: Admission,
         retries: Retries,
     ) -> None:
+        """Takes the parts that it works with."""
         self.settings = settings
         self.requests = requests
         self.attempts = attempts
--- a/zincstile/decisions/outlier_detection.py
+++ b/zincstile/decisions/outlier_detection.py
@@ -62,6 +62,7 @@
     """Owner of error scores and latency ratios of endpoints, and of the error rates of connections."""
 
     def __init__(self, settings: Settings, endpoints: EndpointRegistry) -> None:
+        """Takes the parts that it works with."""
         self.settings = settings
         self.endpoints = endpoints
         self.baseline = [0.0] * len(settings.classes) * (1 + len(settings.plans))  # score by group
--- a/zincstile/decisions/parts.py
+++ b/zincstile/decisions/parts.py
@@ -32,6 +32,7 @@
     """All parts of one gateway's decisions. `seed`: of all random draws."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
+        """Makes and connects all parts."""
         self.settings = settings
         self.rng = random.Random(seed)
         incarnation = self.rng.getrandbits(32)
--- a/zincstile/decisions/peers.py
+++ b/zincstile/decisions/peers.py
@@ -20,6 +20,7 @@
     """Owner of what is known of the peers."""
 
     def __init__(self, settings: Settings) -> None:
+        """Starts without any peer heard."""
         self.own = settings.gateway_index
         small = settings.gateway_count <= MAX_DIRECT_PEERS + 1
         self.direct: dict[int, bool] = dict.fromkeys(range(settings.gateway_count if small else 0), True)
--- a/zincstile/decisions/policy.py
+++ b/zincstile/decisions/policy.py
@@ -44,6 +44,7 @@
     """
 
     def __init__(self, settings: Settings, seed: int, features: Sequence[Feature] = ()) -> None:
+        """Makes the parts and has the features join."""
         self.settings = settings
         self.parts = DecisionParts(settings, seed)
         self.ticker = Ticker(self.parts)
--- a/zincstile/decisions/quota_bounds.py
+++ b/zincstile/decisions/quota_bounds.py
@@ -26,6 +26,7 @@
     most: float = math.inf  # units that may go out beyond it, where something else (a ceiling) bounds them
 
     def __post_init__(self) -> None:
+        """Checks that the fields can work."""
         if not (self.rate > 0 and self.burst >= 0 and self.spread >= 1 and self.largest > 0):
             raise ValueError(
                 f"quota {self.name}: rate, spread and largest must be above 0, burst not " "negative"
--- a/zincstile/decisions/quotas.py
+++ b/zincstile/decisions/quotas.py
@@ -30,6 +30,7 @@
     """Owner of the customers' buckets."""
 
     def __init__(self, settings: Settings, rng: random.Random, peers: PeerTable) -> None:
+        """Takes the parts that it works with."""
         self.settings = settings
         self.rng = rng
         self.peers = peers
--- a/zincstile/decisions/relay_queries.py
+++ b/zincstile/decisions/relay_queries.py
@@ -41,6 +41,7 @@
         requests: RequestTable,
         decide: Decide,
     ) -> None:
+        """Takes the parts that it works with."""
         self.settings = settings
         self.actions = actions
         self.peers = peers
--- a/zincstile/decisions/requests.py
+++ b/zincstile/decisions/requests.py
@@ -28,6 +28,7 @@
     """Owner of the attempts in flight, by request id and number of the attempt."""
 
     def __init__(self) -> None:
+        """Starts without any attempt."""
         self.in_flight: dict[tuple[int, int], Attempt] = {}
         self.observer: AttemptObserver | None = None
 
@@ -63,6 +64,7 @@
     """Owner of the requests that owe their final answer, by id."""
 
     def __init__(self, settings: Settings, actions: ActionQueue, attempts: AttemptTable) -> None:
+        """Takes the parts that it works with."""
         self.settings = settings
         self.actions = actions
         self.attempts = attempts
--- a/zincstile/decisions/retries.py
+++ b/zincstile/decisions/retries.py
@@ -39,6 +39,7 @@
         admission: Admission,
         forwarder: Forwarder,
     ) -> None:
+        """Takes the parts that it works with."""
         self.settings = settings
         self.actions = actions
         self.requests = requests
--- a/zincstile/decisions/settings.py
+++ b/zincstile/decisions/settings.py
@@ -94,6 +94,7 @@
     load_report_fields: list[str] = field(default_factory=list)
 
     def __post_init__(self) -> None:
+        """Checks that the fields can work."""
         if not self.classes:
             raise ValueError("classes: none given")
         if not self.plans:
--- a/zincstile/decisions/slow_start.py
+++ b/zincstile/decisions/slow_start.py
@@ -37,6 +37,7 @@
     """Owner of the shares that are due to warming endpoints."""
 
     def __init__(self, settings: Settings) -> None:
+        """Starts without any warming endpoint."""
         self.settings = settings
         self.shares: list[float] = []  # of all sends, of each warming endpoint, summed up
         self.max_multiple = 1.0  # so many times its due each may get at most
--- a/zincstile/decisions/ticker.py
+++ b/zincstile/decisions/ticker.py
@@ -26,6 +26,7 @@
     """Drives what goes by time."""
 
     def __init__(self, parts: DecisionParts) -> None:
+        """Takes the parts that it works with."""
         self.parts = parts
         self.ticked_ns = 0
         self.decayed: list[Callable[[float], None]] = []  # features: told the factor by which scores decayed
--- a/zincstile/leases/feature.py
+++ b/zincstile/leases/feature.py
@@ -73,6 +73,7 @@
     """Owner of the leases, slots, suspicions and budgets of this gateway. `shared`: times and sizes."""
 
     def __init__(self, settings: Settings, seed: int, shared: LeaseSettings) -> None:
+        """Takes the settings; it joins a policy by `attach`."""
         self.settings = settings
         self.shared = shared
         self.rng = random.Random(f"shared {seed}")
--- a/zincstile/quota_service/feature.py
+++ b/zincstile/quota_service/feature.py
@@ -37,6 +37,7 @@
     """
 
     def __init__(self, settings: Settings, service: QuotaServiceSettings, clock_offset_ns: int) -> None:
+        """Takes the settings; it joins a policy by `attach`."""
         self.settings = settings
         self.service = service
         self.clock_offset_ns = clock_offset_ns
--- a/zincstile/subsetting/feature.py
+++ b/zincstile/subsetting/feature.py
@@ -46,6 +46,7 @@
     def __init__(
         self, settings: Settings, subset: SubsetSettings, zones: list[str], services: list[int]
     ) -> None:
+        """Takes the settings; it joins a policy by `attach`."""
         self.settings = settings
         self.subset = subset
         self.services = services
--- a/zincstile/zone_failover/feature.py
+++ b/zincstile/zone_failover/feature.py
@@ -97,6 +97,7 @@
     """
 
     def __init__(self, settings: Settings, seed: int, place: ZoneFailoverSettings, zones: list[str]) -> None:
+        """Takes the settings; it joins a policy by `attach`."""
         self.settings = settings
         self.place = place
         self.zone_names = [*zones, "?"]
