--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -52,7 +52,7 @@
 from zincstile.scale.capacity import Amount, Measured, Row, Unit, Verdict, exact, total
 from zincstile.scale.fits import Estimate
 from zincstile.scale.records import Dimension, Figure, Kind, Machine, Sample, SlopeResult
-from zincstile.simulator import codec
+from zincstile.simulator import gossip_codec
 
 ROOT = Path(__file__).parent.parent
 TARGET = ROOT / "deploy/scale/target.yaml"
@@ -395,7 +395,7 @@
                     answer = CustomerUsage(s.customer, 0, 0.0, 1e4, 0, s.want, s.query_id, True)
                     put(now + 10**6, GossipReceived(action.peer, 1, [answer]))
                 if now >= 0.5e9 * seconds:
-                    datagrams, kind = codec.pack_tell(action), found["asks" if asked else "others"]
+                    datagrams, kind = gossip_codec.encode_gossip(action), found["asks" if asked else "others"]
                     kind[0] += len(datagrams) / seconds
                     kind[1] += sum(map(len, datagrams)) / seconds
     return found
@@ -412,12 +412,12 @@
 
 
 def test_sizes_of_messages_are_the_packers(fleet):
-    head, share = codec.HEAD.size, codec.SHARE.size
+    head, share = gossip_codec.HEAD.size, gossip_codec.USAGE.size
     assert capacity_messages.tell_bytes(0) == head
     assert capacity_messages.tell_bytes(2.5) == pytest.approx(head + 2.5 * share)
     assert (
         capacity_messages.tell_bytes(1, True, 8)
-        == head + share + 12 * codec.FIGURE.size + 8 * codec.DOUBT.size
+        == head + share + 12 * gossip_codec.FIGURE.size + 8 * gossip_codec.ERROR_SAMPLE.size
     )
     assert capacity_messages.most_parts() == 65_535
 
--- a/tests/test_leavers.py
+++ b/tests/test_leavers.py
@@ -15,7 +15,7 @@
 
 from zincstile.decisions.messages import CustomerUsage, SendGossip
 from zincstile.decisions.records import scatter
-from zincstile.simulator import codec
+from zincstile.simulator import gossip_codec
 
 BURST = range(1, 21)
 GATEWAYS = 7  # a set of so many is wide: its relay is asked
@@ -42,7 +42,7 @@
         for sock in self.sockets:
             try:
                 while True:
-                    message = codec.unpack_tell(0, sock.recv(4096))
+                    message = gossip_codec.decode_gossip(0, sock.recv(4096))
                     found += [(sock, share) for share in message.usages if share.want > 0]
             except BlockingIOError:
                 pass
@@ -58,7 +58,7 @@
 
     def grant(self, world: World, sock: socket.socket, ask: CustomerUsage) -> None:
         share = CustomerUsage(ask.customer, ask.plan, 0.0, 0.0, 0, ask.want, ask.query_id, True)
-        for message in codec.pack_tell(SendGossip(0, 5, [share])):
+        for message in gossip_codec.encode_gossip(SendGossip(0, 5, [share])):
             sock.sendto(message, world.peer_address)
 
 
--- a/tests/test_quota_service.py
+++ b/tests/test_quota_service.py
@@ -21,7 +21,7 @@
 from zincstile.simulation.plan import Fault, Plan
 from zincstile.simulation.trial import Trial
 from zincstile.simulation.world import Run
-from zincstile.simulator import codec as gossip_codec
+from zincstile.simulator import gossip_codec
 from zincstile.virtual.clock import MS_NS, SECOND_NS
 
 ROOT = Path(__file__).parent.parent
@@ -341,7 +341,7 @@
     for at in range(len(data)):
         assert codec.unpack(2, data[:at]) is None
         assert codec.unpack(2, data[:at] + bytes([data[at] ^ 4]) + data[at + 1 :]) is None
-    assert gossip_codec.unpack_tell(2, data) is None
+    assert gossip_codec.decode_gossip(2, data) is None
 
 
 @pytest.fixture
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -39,7 +39,7 @@
 from zincstile.decisions.settings import Idempotency
 from zincstile.net.config import read
 from zincstile.net.limits import MS, SECOND
-from zincstile.simulator import codec
+from zincstile.simulator import gossip_codec, settings_codec
 
 NAMES = st.text("abcdefghijklmnopqrstuvwxyz0123456789-", min_size=1, max_size=12)
 SPAN = st.sampled_from([20, 50, 80, 300, 1500, 3000, 60_000, 3_600_000])  # deadlines in ms
@@ -130,7 +130,7 @@
 
 
 def decoded(table):
-    return codec.read_settings(json.dumps(table).encode())
+    return settings_codec.read_settings(json.dumps(table).encode())
 
 
 # ---- the module alone
@@ -186,9 +186,11 @@
         self.out.pop((a.request, a.attempt), None)
 
     def send_gossip(self, a):
-        for data in codec.pack_tell(a):
-            assert len(data) <= codec.LARGEST
-            heard = codec.unpack_tell((self.set.gateway_index + 1) % max(2, self.set.gateway_count), data)
+        for data in gossip_codec.encode_gossip(a):
+            assert len(data) <= gossip_codec.MAX_DATAGRAM_BYTES
+            heard = gossip_codec.decode_gossip(
+                (self.set.gateway_index + 1) % max(2, self.set.gateway_count), data
+            )
             assert heard is not None
             if self.rng.random() < 0.5:
                 self.later(self.now + 3 * MS, heard)
@@ -297,9 +299,9 @@
         leaf.rate, leaf.arrivals = 0.5, 2.0
     shares = [CustomerUsage(k, 1, 3.0, 2.0, 0) for k in range(9)]
     doubts = [ErrorSample(1, group, 0.5) for group in (0, 11, 250, 251, 255)]
-    messages = codec.pack_tell(SendGossip(1, 7, shares, module.parts.estimates.figures(), doubts))
-    assert max(map(len, messages)) <= codec.LARGEST
-    heard = [codec.unpack_tell(1, data) for data in messages]
+    messages = gossip_codec.encode_gossip(SendGossip(1, 7, shares, module.parts.estimates.figures(), doubts))
+    assert max(map(len, messages)) <= gossip_codec.MAX_DATAGRAM_BYTES
+    heard = [gossip_codec.decode_gossip(1, data) for data in messages]
     assert [s.customer for m in heard for s in m.usages] == list(range(9))
     assert [d.group for m in heard for d in m.error_samples] == [0, 11, 250, 251, 255]
     told = heard[0].figures
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -16,7 +16,7 @@
     SendGossip,
 )
 from zincstile.decisions.settings import CustomerPlan, RequestClass, Settings
-from zincstile.simulator import codec
+from zincstile.simulator import codec, gossip_codec, settings_codec
 
 ROOT = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
 SETTINGS = {
@@ -124,10 +124,10 @@
 def test_unusable_settings_end_the_adapter():
     assert "settings" in bad(frame(*opening(SETTINGS | {"ordinal": "x"})))
     assert "me" in bad(frame(*opening(SETTINGS | {"ordinal": 7})))
-    with pytest.raises(codec.WireError):
-        codec.read_settings(b"{")
-    with pytest.raises(codec.WireError):
-        codec.read_settings(b"[1]")
+    with pytest.raises(settings_codec.WireError):
+        settings_codec.read_settings(b"{")
+    with pytest.raises(settings_codec.WireError):
+        settings_codec.read_settings(b"[1]")
 
 
 def test_an_exception_in_the_module_becomes_a_fault_record():
@@ -141,9 +141,9 @@
         for k in range(40)
     ]
     figures, doubts = [0.5, 2.0, 1024.0], [ErrorSample(2**16 - 1, 5, 1.0), ErrorSample(7, 0, 0.0)]
-    messages = codec.pack_tell(SendGossip(2, 4_000_000_000, shares, figures, doubts))
+    messages = gossip_codec.encode_gossip(SendGossip(2, 4_000_000_000, shares, figures, doubts))
     assert all(len(m) <= 256 for m in messages)
-    back = [codec.unpack_tell(2, m) for m in messages]
+    back = [gossip_codec.decode_gossip(2, m) for m in messages]
     assert [s for b in back for s in b.usages] == shares
     assert [x for b in back for x in b.figures] == figures and [
         d for b in back for d in b.error_samples
@@ -151,15 +151,17 @@
     for at in range(len(messages[0])):
         hurt = bytearray(messages[0])
         hurt[at] ^= 0x41
-        told = codec.unpack_tell(2, bytes(hurt))
+        told = gossip_codec.decode_gossip(2, bytes(hurt))
         assert told is None
-    assert codec.unpack_tell(2, b"") is None and codec.unpack_tell(2, messages[0][:-1]) is None
+    assert (
+        gossip_codec.decode_gossip(2, b"") is None and gossip_codec.decode_gossip(2, messages[0][:-1]) is None
+    )
     old = struct.pack("<BIH", 0xB7, 1, 0)
-    assert codec.unpack_tell(2, old) is None
+    assert gossip_codec.decode_gossip(2, old) is None
 
 
 def test_settings_name_the_field_that_cannot_work():
-    ok = codec.read_settings(json.dumps(SETTINGS).encode())
+    ok = settings_codec.read_settings(json.dumps(SETTINGS).encode())
     with pytest.raises(ValueError, match="classes"):
         Settings(gateway_index=0, gateway_count=1, classes=[], plans=ok.plans)
     with pytest.raises(ValueError, match="me"):
@@ -170,7 +172,7 @@
 
 @pytest.mark.parametrize("figure", [float("nan"), float("inf"), -1.0])
 def test_settings_refuse_figures_that_are_none(figure):
-    ok = codec.read_settings(json.dumps(SETTINGS).encode())
+    ok = settings_codec.read_settings(json.dumps(SETTINGS).encode())
     spec = vars_of(ok.classes[0])
     for name, key in (
         ("latency_objective_ns", "aim_ns"),
--- a/zincstile/net/backends/outcomes.py
+++ b/zincstile/net/backends/outcomes.py
@@ -7,7 +7,7 @@
 from typing import Final
 
 from ...decisions.messages import AttemptResult
-from ...simulator.codec import FIELD_NAMES
+from ...simulator.settings_codec import LOAD_REPORT_FIELDS
 from ..reasons import RetryReason
 
 RESULT_COUNTERS: Final = {
@@ -42,7 +42,7 @@
     """
     try:
         pairs = [part.split("=", 1) for part in report.decode().split(",")]
-        given = {FIELD_NAMES.get(name, name): value for name, value in pairs}
+        given = {LOAD_REPORT_FIELDS.get(name, name): value for name, value in pairs}
         figures = [float(given[name]) for name in fields]
     except (ValueError, KeyError):
         return []
--- a/zincstile/net/config.py
+++ b/zincstile/net/config.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING, Any, Final
 
 from ..decisions.settings import Settings
-from ..simulator import codec
+from ..simulator import settings_codec
 from .limits import Limits, Machine, read_given
 
 if TYPE_CHECKING:
@@ -114,7 +114,7 @@
     Raises ConfigError, or ValueError, TypeError, KeyError and their like, where it can't be used.
     """
     settings_table = table["settings"]
-    settings = codec.read_settings(json.dumps(settings_table).encode())
+    settings = settings_codec.read_settings(json.dumps(settings_table).encode())
     settings_limits = settings_table["limits"]
     own_limits = table.get("limits") or {}
     given_limits = read_given(own_limits)
--- a/zincstile/net/peers.py
+++ b/zincstile/net/peers.py
@@ -8,7 +8,7 @@
 from typing import Final
 
 from ..decisions.messages import SendGossip
-from ..simulator import codec
+from ..simulator import gossip_codec
 from .config import Address
 from .dispatcher import Dispatcher
 
@@ -66,7 +66,7 @@
         message = None
         if number is not None and len(data) <= self.dispatcher.limits.datagram_bytes:
             decode = self.decoders.get(data[0]) if data and self.decoders else None
-            message = decode(number, data) if decode else codec.unpack_tell(number, data)
+            message = decode(number, data) if decode else gossip_codec.decode_gossip(number, data)
         if message is None:
             self.dispatcher.counters.messages_bad += 1
             return
@@ -86,7 +86,7 @@
     def _send_gossip(self, _: int, action: SendGossip) -> None:
         if self.transport is None or not 0 <= action.peer < len(self.addresses):
             return
-        for message in codec.pack_tell(action):
+        for message in gossip_codec.encode_gossip(action):
             if len(message) > self.dispatcher.limits.datagram_bytes:
                 # One over the limit would void the run: better none.
                 raise ValueError(f"a gossip message of {len(message)} bytes is over the limit of datagrams")
--- a/zincstile/scale/capacity_messages.py
+++ b/zincstile/scale/capacity_messages.py
@@ -16,7 +16,7 @@
 from ..cold_start.messages import BUCKETS, BucketPart
 from ..decisions.fleet_estimates import LIMIT_INDEX
 from ..decisions.messages import CustomerUsage, ErrorSample, SendGossip
-from ..simulator import codec
+from ..simulator import gossip_codec
 from ..zone_failover import codec as zone_codec
 from ..zone_failover.messages import ZoneObservation, ZoneReport
 
@@ -85,7 +85,7 @@
         figures=[1.0] * (LIMIT_INDEX + 1 + CLASSES) if figures else [],
         error_samples=[ErrorSample(4711, 1, 0.5)] * doubts,
     )
-    return sum(len(message) for message in codec.pack_tell(told))
+    return sum(len(message) for message in gossip_codec.encode_gossip(told))
 
 
 def report_bytes(zones: int) -> int:
--- a/zincstile/scale/capacity_roles.py
+++ b/zincstile/scale/capacity_roles.py
@@ -131,7 +131,7 @@
             f"{hot:,.0f} asks and answers × {load.asks.size_bytes:.0f} bytes",
             Unit.BYTES_PER_S,
             exact(2 * hot * load.asks.size_bytes),
-            "simulator/codec.pack_tell",
+            "simulator/gossip_codec.encode_gossip",
             topology.budgets.control_bytes_per_s,
         ),
         row(
--- a/zincstile/scale/emulators.py
+++ b/zincstile/scale/emulators.py
@@ -21,7 +21,7 @@
 from ..decisions.messages import CustomerUsage, SendGossip
 from ..emulators import codec as emulated_codec
 from ..emulators.discovery import HEARTBEAT_S, EndpointEntry
-from ..simulator import codec
+from ..simulator import gossip_codec
 from ..testbed.datagrams import INFO, PKTINFO
 from ..testbed.places import on_loopback
 from .topology import Topology, shares
@@ -31,7 +31,9 @@
 TAKEN: Final = 256  # datagrams taken in one go
 DATAGRAM_BYTES: Final = 2048
 RECEIVE_BUFFER_BYTES: Final = 4 << 20
-SHARES_IN_DATAGRAM: Final = (codec.LARGEST - codec.HEAD.size) // codec.SHARE.size
+SHARES_IN_DATAGRAM: Final = (
+    gossip_codec.MAX_DATAGRAM_BYTES - gossip_codec.HEAD.size
+) // gossip_codec.USAGE.size
 
 
 def address(network: int, number: int) -> str:
@@ -334,7 +336,7 @@
                 self._answer(sender, _peer_of(control), data)
 
     def _answer(self, sender: tuple[str, int], peer: int, data: bytes) -> None:
-        message = codec.unpack_tell(0, data)
+        message = gossip_codec.decode_gossip(0, data)
         if message is None:
             self.strange += 1
             return
@@ -344,7 +346,7 @@
             else CustomerUsage(s.customer, s.plan, s.total, s.level, s.in_flight, 0.0, s.query_id)
             for s in message.usages
         ]
-        for answer in codec.pack_tell(SendGossip(0, self._start(peer), told)):
+        for answer in gossip_codec.encode_gossip(SendGossip(0, self._start(peer), told)):
             self.send(sender, peer, answer)
 
     def send(self, gateway: tuple[str, int], peer: int, data: bytes) -> None:
@@ -364,7 +366,7 @@
         """That peer tells every gateway what it sent for some tenants, at most `SHARES_IN_DATAGRAM`, to one
         after the other within `spread_s`: woken together, those of one process find its caches warm."""
         told = [CustomerUsage(t.key, plan, total, level, 0) for t in tenants]
-        for data in codec.pack_tell(SendGossip(0, self._start(peer), told)):
+        for data in gossip_codec.encode_gossip(SendGossip(0, self._start(peer), told)):
             for gateway, number in self.places.items():
                 self.loop.call_later(spread_s * number / len(self.places), self.send, gateway, peer, data)
 
--- a/zincstile/simulation/shared.py
+++ b/zincstile/simulation/shared.py
@@ -14,7 +14,7 @@
 from ..decisions.quota_bounds import of_plan
 from ..leases.overshoot_bound import initial_fill_ratio, overshoot_bounds
 from ..leases.settings import LeaseSettings
-from ..simulator import codec
+from ..simulator import settings_codec
 from . import traffic
 from .plan import Fault, Plan
 
@@ -210,7 +210,7 @@
     kinds = {f.kind for f in plan.faults}
     starts, stops = kinds & set(STARTS), kinds & set(STOPS)
     failure = "all" if starts and stops else "restart" if starts else "paused" if stops else "cut"
-    specs = codec.read_settings(json.dumps(traffic.settings(plan, 0)).encode()).plans
+    specs = settings_codec.read_settings(json.dumps(traffic.settings(plan, 0)).encode()).plans
     found, opening = {}, {}
     for name, (_, rate, burst, *_) in traffic.PLANS.items():
         spec = next(p for p in specs if p.name == name)
--- a/zincstile/simulator/adapter.py
+++ b/zincstile/simulator/adapter.py
@@ -8,6 +8,7 @@
 from ..decisions.messages import Action, Started
 from ..decisions.policy import Policy
 from . import codec
+from .settings_codec import WireError
 
 
 def _handle(policies: dict[int, Policy], now: int, instance: int, event: object) -> list[Action]:
@@ -30,11 +31,11 @@
         if not head:
             return
         if len(head) < codec.HEADER.size:
-            raise codec.WireError("frame: the header is cut short")
+            raise WireError("frame: the header is cut short")
         now, size, count, number = codec.HEADER.unpack(head)
         body = source.read(size)
         if len(body) < size:
-            raise codec.WireError("frame: the body is cut short")
+            raise WireError("frame: the body is cut short")
         reply = codec.Reply(number)
         for instance, event in codec.read_records(body, count):
             try:
@@ -47,9 +48,10 @@
 
 
 def main() -> int:
+    """Answers until the end of input; exit code 2 where it can't be understood."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
-    except codec.WireError as err:
+    except WireError as err:
         print(f"zincstile: {err}", file=sys.stderr)
         return 2
     except BrokenPipeError:
