--- a/zincstile/simulation/mutants_network.py
+++ b/zincstile/simulation/mutants_network.py
@@ -285,7 +285,9 @@
 def invariant_guard_off() -> Undo:
     """The gateway's own invariant checks let everything pass, so that a checker has to name the fault."""
     checks = ("may_send", "may_close", "may_be_ready", "may_end")
-    return undo_all(*(replace_attribute(InvariantGuard, name, lambda self, *_: True) for name in checks))
+    return undo_all(
+        *(replace_attribute(InvariantGuard, name, lambda self, *_, **__: True) for name in checks)
+    )
 
 
 def forwarded_after_client_left() -> Undo:
