--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,5 +1,6 @@
 from __future__ import annotations
 
+import hypothesis
 import pytest
 
 from zincstile.decisions.messages import (
@@ -16,6 +17,11 @@
 from zincstile.decisions.policy import Policy
 from zincstile.decisions.settings import CustomerPlan, DeduplicationScope, Idempotency, RequestClass, Settings
 
+# The usual deadline of 0.2 s an example is wall-clock time: on a busy machine it fails tests that promise
+# nothing of it.
+hypothesis.settings.register_profile("no deadline", deadline=None)
+hypothesis.settings.load_profile("no deadline")
+
 MS = 1_000_000
 SECOND = 1000 * MS
 
