--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -66,7 +66,7 @@
 
 # Texts that many scenarios share: a PING, the first list of servers, a call that is answered.
 PING = r"raw *1\r\n$4\r\nPING\r\n"
-READY = "send d1 full a=Ready\nexpect gw ready*told\n"
+READY = "send d1 full a=Ready\nexpect gw ready*from discovery\n"
 SERVES = "send c9 look 99\nexpect a1 look 99\nsend a1 ok still\nexpect c9 ok still\n"
 
 
--- a/tests/test_crowds.py
+++ b/tests/test_crowds.py
@@ -51,7 +51,7 @@
     parts = Limits.for_gateway(Machine(DESCRIPTORS, 192, 20000, 1, 1, 30 * SECOND), {})
     crowd, out = None, range(1, parts.backend_connections + 1)
     try:
-        world.play("send d1 full a=Ready b=Ready c=Ready\nexpect gw ready*told\n" + DOWN)
+        world.play("send d1 full a=Ready b=Ready c=Ready\nexpect gw ready*from discovery\n" + DOWN)
         world.play("".join(f"send c1 book {k}\n" for k in out) + f"wait gw attempts={len(out)}")
         crowd = Crowd(world, 2 * parts.frontend_connections, b"")
         world.play("""
--- a/tests/test_list_freshness.py
+++ b/tests/test_list_freshness.py
@@ -51,7 +51,7 @@
 def test_a_change_is_followed_6_s_after_failed_calls(tmp_path, failure, on_request):
     world = World(tmp_path, large_fleet(SEED_OF_LATE_RETRY) if on_request else {})
     try:
-        world.play("send d1 full a=Ready\nexpect gw ready*told\nreset d1\nexpect d2 asked")
+        world.play("send d1 full a=Ready\nexpect gw ready*from discovery\nreset d1\nexpect d2 asked")
         if FAILED_CALLS[failure] is None:
             world.reset("d2")
         else:
--- a/tests/test_machine.py
+++ b/tests/test_machine.py
@@ -235,7 +235,7 @@
             assert world.take_out("s-a") == YES
             world.send("d2", "full", "a=Ready", "b=Ready")
             world.program.send_signal(signal.SIGCONT)
-            world.logged("ready *told")
+            world.logged("ready *from discovery")
             old.send_signal(signal.SIGTERM)
             assert old.wait(20) == 0
             world.control = new_control
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -129,7 +129,7 @@
         world.play(f"""
             refuse a
             send d1 full a=Ready
-            expect gw ready*told
+            expect gw ready*from discovery
             send c1 {effect} 1
             expect c1 -BUSY*
             send d1 change b=Ready
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -369,9 +369,9 @@
     "an unusable file at a reload leaves the old configuration": READY
     + """
         send gw reload {"name":
-        expect gw reload refused*not JSON; the old configuration stands
+        expect gw reload rejected*not JSON; the old configuration stands
         send gw reload []
-        expect gw reload refused*not an object; the old configuration stands
+        expect gw reload rejected*not an object; the old configuration stands
         send d1 change a=Gone b=Ready
         send c1 look 1
         expect b1 look 1
@@ -398,7 +398,7 @@
     and no sooner: else there would be a while in which nothing could be heard."""
     play(
         tmp_path,
-        "expect d1 asked\nsend d2 full a=Ready\nexpect gw ready*told\nexpect d1 end\n" + SERVES,
+        "expect d1 asked\nsend d2 full a=Ready\nexpect gw ready*from discovery\nexpect d1 end\n" + SERVES,
         limits={"table_answer_ns": 2 * 10**8, "table_silence_ns": 10**12},
     )
     play(
@@ -409,7 +409,7 @@
 
 
 def test_the_known_list_serves_while_discovery_is_silent(tmp_path):
-    play(tmp_path, "expect gw ready*as known before\n" + SERVES, known_servers="a")
+    play(tmp_path, "expect gw ready*cached\n" + SERVES, known_servers="a")
 
 
 def test_what_waits_for_a_connection_is_withdrawn_from_a_draining_backend_server(tmp_path):
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -442,7 +442,7 @@
     settings = TABLE | over
     world = World(tmp_path, {"peer_listen": None, "peers": []}, settings)
     try:
-        world.play("send d1 full a=Ready\nexpect gw ready*told")
+        world.play("send d1 full a=Ready\nexpect gw ready*from discovery")
         for number, c in enumerate(settings["classes"], 1):
             plan = settings["plans"][number % len(settings["plans"])]["name"]
             free = c["effect"] == "free"
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -75,7 +75,7 @@
         line.sock.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         for start in range(0, len(table), 65_536):
             line.sock.sendall(chunk(table[start : start + 65_536]).encode())
-        world.play("expect gw ready with 32000 backend servers, told\nwait gw tables=1")
+        world.play("expect gw ready with 32000 backend servers, from discovery\nwait gw tables=1")
         assert world.counters()["faults"] == 0
     finally:
         world.end()
@@ -214,7 +214,7 @@
         tmp_path,
         """
         send d1 full a=Ready b=Ready
-        expect gw ready*told
+        expect gw ready*from discovery
         expect d2 asked
         send d1 change a=Terminating
         wait gw tables=2
@@ -235,7 +235,7 @@
         expect d1 asked
         expect d2 asked
         send d2 full a=Ready
-        expect gw ready*told
+        expect gw ready*from discovery
         expect d1 end
         send c1 look 1
         expect a1 look 1
@@ -250,7 +250,7 @@
         tmp_path,
         """
         send d1 full a=Ready
-        expect gw ready*told
+        expect gw ready*from discovery
         expect d2 asked
         send gw reload e
         expect gw reload discovery at*
@@ -273,7 +273,7 @@
         world.line("d1").sock.sendall(b"HTTP/1.1 200 OK\r\n\r\n" + body.encode())
         world.play("""
             half d1
-            expect gw ready*told
+            expect gw ready*from discovery
             wait gw tables=1
             send c1 look 1
             expect a1 look 1""")
@@ -291,7 +291,7 @@
         world.play("""
             reset d1
             send d2 full b=Ready
-            expect gw ready*told
+            expect gw ready*from discovery
             send c1 look 1
             expect b1 look 1
             wait gw tables=1""")
@@ -306,7 +306,7 @@
     try:
         world.play("""
             send d1 full a=Ready b=Terminating
-            expect gw ready*told
+            expect gw ready*from discovery
             send c1 look 1
             expect a1 look 1
             send a1 ok hello
@@ -351,7 +351,7 @@
     )
     try:
         world.play(
-            "send d1 full a=Ready b=Ready c=Ready\nexpect gw ready*told\nfill a\nfill b\nfill c\n"
+            "send d1 full a=Ready b=Ready c=Ready\nexpect gw ready*from discovery\nfill a\nfill b\nfill c\n"
             + "".join(f"send c{k} look {k} d=900000\n" for k in range(1, count + 1))
             + f"""
                    wait gw connects={count}
--- a/zincstile/net/lifecycle.py
+++ b/zincstile/net/lifecycle.py
@@ -146,7 +146,7 @@
         parts.listener.start_serving()
         if parts.administration is not None:
             parts.administration.handover.announce_ready()
-        source = "told" if parts.watcher.has_received else "as known before"
+        source = "from discovery" if parts.watcher.has_received else "cached"
         if parts.starter is not None:
             source = parts.starter.readiness.trust.value
         self._log.line(f"ready with {len(parts.pool.listed)} backend servers, {source}")
@@ -180,7 +180,7 @@
                 self._dispatcher.deadlines.add(retry_ns, self.reload, attempts - 1)
                 self._dispatcher.wake()
                 return
-            self._log.line(f"reload refused: {' '.join(str(err).split())}; the old configuration stands")
+            self._log.line(f"reload rejected: {' '.join(str(err).split())}; the old configuration stands")
             return
         self._dispatcher.counters.reloads += 1
         self._config.discovery = config.discovery
