--- a/tests/test_inherit_memory.py
+++ b/tests/test_inherit_memory.py
@@ -73,7 +73,7 @@
     slow = heir.endpoints.by_id[g.policy.parts.endpoints.ready[0].entry.id]
     assert (slow.latency_ratio, slow.error_scores) == (2.5, {0: 0.6})
     assert [x.arrivals for x in heir.budget.groups] == [x.arrivals for x in g.policy.parts.budget.groups]
-    assert heir.peers.heard == g.policy.parts.peers.heard
+    assert heir.peers.last_message == g.policy.parts.peers.last_message
 
 
 def test_a_server_that_started_anew_brings_no_evidence():
--- a/zincstile/decisions/admission.py
+++ b/zincstile/decisions/admission.py
@@ -116,7 +116,7 @@
         return customer.ceiling + CEILING_SLACK_SHARE * plan.ceiling_slack / customer.spread < units
 
     def come_back_ns(self, pending: PendingRequest) -> int:
-        """When the client may come again, said also where the settings don't count on clients that heed it.
+        """When the client may come again, also where the settings don't count on clients that heed it.
 
         Beyond the quota once the bucket has filled; inside it after the longest that clients comply with, as
         most spells of overload outlast that.
--- a/zincstile/decisions/capacity.py
+++ b/zincstile/decisions/capacity.py
@@ -37,7 +37,8 @@
         self.working = 1.0  # endpoints that the recent completed work is of
         self.fleet_gateways: float = settings.gateway_count  # among which the capacity is shared out
         self.dilution: float | None = None  # subsetting: endpoints of the table for each one that is used
-        self.classified: Callable[[int], None] | None = None  # zone failover: told after each classification
+        # zone failover: called after each classification
+        self.classified: Callable[[int], None] | None = None
 
     def warmth(self, now: int, endpoint: Endpoint) -> float:
         """How far an endpoint is warmed up, above 0 to 1."""
@@ -57,7 +58,7 @@
         self.working = max(self.healthy, self.working * keep)
 
     def classify_if_due(self, now: int) -> None:
-        """Nothing is decided on a list that has changed since warm and warming ones were told apart."""
+        """Nothing is decided on a list that has changed since warm and warming ones were classified."""
         if self.endpoints.classification_due:
             self.endpoints.classification_due = False
             self.classify(now)
--- a/zincstile/decisions/endpoints.py
+++ b/zincstile/decisions/endpoints.py
@@ -1,4 +1,4 @@
-"""The endpoints that discovery has told of, and what is known of each. Nothing is decided here.
+"""The endpoints that discovery has listed, and what is known of each. Nothing is decided here.
 
 Owner of this state: `EndpointRegistry`. It lives as long as the process; a part goes over to the next process
 (`state_transfer`).
@@ -116,7 +116,7 @@
         self.touched: dict[int, Endpoint] = {}  # those with a score, or a ratio other than 1, by id
         self.by_hash: dict[int, Endpoint] = {}  # ready ones, by the hash that peers use
         self.inherited: dict[int, InheritedScores] = {}  # by id, until the endpoint is listed
-        self.classification_due = False  # the list has changed since warm and warming were told apart
+        self.classification_due = False  # the list has changed since the last classification
         self.recall: Callable[[EndpointEntry], Endpoint | None] | None = None  # subsetting: one known before
 
     def apply(self, event: EndpointList) -> None:
--- a/zincstile/decisions/gossip.py
+++ b/zincstile/decisions/gossip.py
@@ -41,7 +41,8 @@
     ) -> None:
         """Takes the parts that it works with."""
         self.settings = settings
-        self.incarnation = incarnation  # names this process, so that peers tell its totals from older ones
+        # names this process, so that peers don't take its totals for older ones
+        self.incarnation = incarnation
         self.actions = actions
         self.peers = peers
         self.ledger = ledger
--- a/zincstile/decisions/quota_bounds.py
+++ b/zincstile/decisions/quota_bounds.py
@@ -1,5 +1,5 @@
 """Quotas, and the most that may go out beyond them: a sum of named terms, so that the one that dominates
-can be told. Pure; `keeper.bound` and `shared.bound` derive the terms.
+can be told. Pure; `quota_service.overshoot_bound` and `leases.overshoot_bound` derive the terms.
 """
 
 from __future__ import annotations
@@ -7,11 +7,12 @@
 import math
 from collections.abc import Iterable
 from dataclasses import dataclass
+from typing import Final
 
 from .settings import CustomerPlan
 
-MINUTE_S = 60.0
-DIGITS = 1e-9  # what sums of floats are off by
+MINUTE_S: Final = 60.0
+ROUNDING_TOLERANCE: Final = 1e-9  # what sums of floats are off by
 
 
 @dataclass(frozen=True, slots=True)
@@ -38,7 +39,7 @@
         return self.burst + MINUTE_S * self.rate
 
 
-def of_plan(plan: CustomerPlan, spread: int, largest: float) -> Quota:
+def quota_of_plan(plan: CustomerPlan, spread: int, largest: float) -> Quota:
     """A plan's quota. Where nothing beyond it is let in and it has a ceiling, what passes it by mistake has
     to stay under that."""
     held = plan.over_quota_weight <= plan.over_quota_cost and plan.ceiling_rate >= plan.rate
@@ -70,9 +71,9 @@
         return max(self.terms, key=self.terms.__getitem__)
 
 
-def too_much(quota: Quota, bound: Bound, most: float) -> str | None:
+def excess_reason(quota: Quota, bound: Bound, most: float) -> str | None:
     """Why a bound is over what is allowed, with the term that dominates; None where it is not."""
-    if bound.share <= most + DIGITS:
+    if bound.share <= most + ROUNDING_TOLERANCE:
         return None
     return (
         f"plan {quota.name}: {bound.failure}: up to {bound.units:.2f} units, "
@@ -80,7 +81,9 @@
     )
 
 
-def first_refusal(quota: Quota, bounds: Iterable[Bound], endured: tuple[str, ...], most: float) -> str | None:
+def first_excess_reason(
+    quota: Quota, bounds: Iterable[Bound], endured: tuple[str, ...], most: float
+) -> str | None:
     """Why the first of the endured failures costs too much; None where each is within what is allowed."""
-    found = (too_much(quota, bound, most) for bound in bounds if bound.failure in endured)
+    found = (excess_reason(quota, bound, most) for bound in bounds if bound.failure in endured)
     return next((why for why in found if why), None)
--- a/zincstile/decisions/quotas.py
+++ b/zincstile/decisions/quotas.py
@@ -47,11 +47,11 @@
 
     def begin(self, now: int) -> None:
         """The first request or report of one. What was spent of ceilings before is not known; but where all
-        peers are heard and none has reported anything for a while, nothing was."""
+        peers have sent a message and none has reported anything for a while, nothing was."""
         if self.began:
             return
-        all_heard = len(self.peers.heard) == self.settings.gateway_count - 1
-        quiet = now - self.started_ns >= QUIET_START_NS and all_heard
+        all_reachable = len(self.peers.last_message) == self.settings.gateway_count - 1
+        quiet = now - self.started_ns >= QUIET_START_NS and all_reachable
         self.began = True
         self.ceilings_spent_ns = NEVER_NS if quiet else self.started_ns
 
@@ -71,7 +71,7 @@
         return customer
 
     def _meet(self, customer: Customer, request: Request) -> None:
-        """A customer's first request here. All of a small set are told of it, the relay of a wide one."""
+        """A customer's first request here. All of a small set get its usage, the relay of a wide one."""
         settings = self.settings
         plan = settings.plans[customer.plan]
         customer.known = True
@@ -79,7 +79,8 @@
         customer.ceiling_filled_ns = self.ceilings_spent_ns
         members = [(request.first + k) % settings.gateway_count for k in range(customer.spread)]
         # What was spent before held the quota, so that the ceiling has its lead over that at least: else a
-        # tier too large to be heard soon would reject inside the quota for seconds after each start.
+        # tier too large for a message of each soon would reject inside the quota for seconds after each
+        # start.
         lead = max(0.0, plan.ceiling_burst - plan.burst)
         customer.ceiling = lead / customer.spread * (plan.over_quota_weight <= plan.over_quota_cost)
         customer.relayed = customer.spread > MAX_DIRECT_PEERS + 1 and settings.gossips
@@ -91,18 +92,19 @@
             self.peers.direct.update(dict.fromkeys(customer.peers, True))
 
     def refill(self, now: int, customer: Customer) -> None:
-        """At the whole rate by a relay or while a peer of the customer is heard, else at the even part."""
+        """At the whole rate by a relay or while a peer of the customer is reachable, else at the even
+        part."""
         peers = self.peers
         if customer.relayed:
-            heard = self.settings.gateway_index in customer.peers
+            reachable = self.settings.gateway_index in customer.peers
         else:
-            heard = not customer.peers or any(
-                now - peers.heard[p][1] < SILENCE_NS for p in customer.peers if p in peers.heard
+            reachable = not customer.peers or any(
+                now - peers.last_message[p][1] < SILENCE_NS for p in customer.peers if p in peers.last_message
             )
         plan = self.settings.plans[customer.plan]
-        part = 1.0 if heard else 1.0 / customer.spread
+        part = 1.0 if reachable else 1.0 / customer.spread
         # after a relay's answer the own bucket goes on from it
-        whole = heard or now - customer.relay_answer_ns < RELAY_ANSWER_VALID_NS
+        whole = reachable or now - customer.relay_answer_ns < RELAY_ANSWER_VALID_NS
         capacity = plan.burst if whole else max(plan.burst * part, self.settings.max_request_units)
         customer.fill(now, plan.rate * part, capacity, RECENT_USE_S)
 
@@ -138,7 +140,7 @@
         """This gateway's part of the ceiling, by recent use.
 
         The parts sum up to one where all know the same, and are even as soon as a peer of the customer is not
-        heard. Views differ for as long as reports travel; the quota, which is lower, then holds what goes
+        reachable. Views differ for as long as reports travel; the quota, which is lower, then holds what goes
         out. Where more than the quota is admitted nothing does: parts are even there.
         """
         even = 1 / customer.spread
@@ -149,8 +151,9 @@
             or plan.over_quota_weight > plan.over_quota_cost
         ):
             return even
-        heard = self.peers.heard
-        if any(p not in heard or now - heard[p][1] > CEILING_SILENCE_NS for p in customer.peers):
+        last_message = self.peers.last_message
+        oldest_ns = now - CEILING_SILENCE_NS
+        if any(p not in last_message or last_message[p][1] < oldest_ns for p in customer.peers):
             return even
         prior = EVEN_PART_S * plan.rate
         own = customer.own_recent + prior / customer.spread
--- a/zincstile/decisions/relay_queries.py
+++ b/zincstile/decisions/relay_queries.py
@@ -62,7 +62,7 @@
         request = pending.request
         customer = pending.customer
         lost = pending.relay_queries == MAX_QUERIES
-        if lost and now - self.peers.heard.get(pending.relay, (0, 0))[1] > HEARTBEAT_NS:
+        if lost and now - self.peers.last_message.get(pending.relay, (0, 0))[1] > HEARTBEAT_NS:
             self.peers.unanswered_ns[pending.relay] = now
         self.ledger.refill(now, customer)
         age_ns = now - customer.relay_answer_ns
--- a/zincstile/decisions/requests.py
+++ b/zincstile/decisions/requests.py
@@ -69,7 +69,7 @@
         self.actions = actions
         self.attempts = attempts
         self.pending: dict[int, PendingRequest] = {}
-        self.closed: Callable[[PendingRequest], None] | None = None  # the quota source, told of each
+        self.closed: Callable[[PendingRequest], None] | None = None  # the quota source, called for each
         self._deadlines: list[tuple[int, int]] = []  # heap of times and request ids, ended ones too
         self._timer_ns = math.inf  # when the first of them is looked at
 
--- a/zincstile/decisions/settings.py
+++ b/zincstile/decisions/settings.py
@@ -1,4 +1,4 @@
-"""The settings of the decisions: request classes, customer plans, what a gateway is told at its start.
+"""The settings of the decisions: request classes, customer plans, what a gateway is given at its start.
 
 Times are integer nanoseconds; units are what a request takes from its customer's quota. The names that
 operators give these in their settings are translated by `simulator.codec`; errors name them in the form of
@@ -67,7 +67,7 @@
 
 @dataclass(slots=True)
 class Settings:
-    """What one gateway is told at its start. ValueError names a field that can't work."""
+    """What one gateway is given at its start. ValueError names a field that can't work."""
 
     gateway_index: int  # this gateway's number among all of them
     gateway_count: int
--- a/zincstile/decisions/state_transfer.py
+++ b/zincstile/decisions/state_transfer.py
@@ -86,7 +86,9 @@
             for endpoint in parts.endpoints.by_id.values()
             if endpoint.error_scores or endpoint.latency_ratio != 1.0
         ],
-        "heard": [[peer, start, _age_s(now, at_ns)] for peer, (start, at_ns) in parts.peers.heard.items()],
+        "heard": [
+            [peer, start, _age_s(now, at_ns)] for peer, (start, at_ns) in parts.peers.last_message.items()
+        ],
         "customers": [_customer_row(now, customer) for customer in by_use[-max_customers:]],
     }
 
@@ -159,7 +161,7 @@
         for name, value in zip(GROUP_FIELDS, row, strict=True):
             setattr(group, name, value)
     parts.endpoints.inherited = {row["id"]: _inherited_scores(now, row) for row in table["servers"]}
-    parts.peers.heard = {peer: (start, _at_ns(now, age_s)) for peer, start, age_s in table["heard"]}
+    parts.peers.last_message = {peer: (start, _at_ns(now, age_s)) for peer, start, age_s in table["heard"]}
     for row in table["customers"]:
         _restore_customer(parts, now, row)
 
--- a/zincstile/decisions/ticker.py
+++ b/zincstile/decisions/ticker.py
@@ -29,9 +29,10 @@
         """Takes the parts that it works with."""
         self.parts = parts
         self.ticked_ns = 0
-        self.decayed: list[Callable[[float], None]] = []  # features: told the factor by which scores decayed
-        self.limited: list[Callable[[int], None]] = []  # features: told when the limit was taken anew
-        self.ticked: list[Callable[[int], None]] = []  # features: told at the end of each tick
+        # features: called with the factor by which scores decayed
+        self.decayed: list[Callable[[float], None]] = []
+        self.limited: list[Callable[[int], None]] = []  # features: called when the limit was taken anew
+        self.ticked: list[Callable[[int], None]] = []  # features: called at the end of each tick
         self._heartbeat_ns = 0
 
     def start(self, now: int) -> None:
--- a/zincstile/leases/feature.py
+++ b/zincstile/leases/feature.py
@@ -18,7 +18,7 @@
 from ..decisions.load_balancing import EndpointChooser
 from ..decisions.messages import GossipReceived, LogMessage
 from ..decisions.policy import Policy
-from ..decisions.quota_bounds import DIGITS, Quota, of_plan
+from ..decisions.quota_bounds import ROUNDING_TOLERANCE, Quota, quota_of_plan
 from ..decisions.records import Attempt, Customer, PendingRequest
 from ..decisions.settings import CustomerPlan, Settings
 from ..decisions.timers import LEASE_HEARTBEAT_TOKEN, LEASE_RESEND_TOKEN
@@ -59,10 +59,11 @@
     if not plan.rate or plan.over_quota_weight > plan.over_quota_cost or plan.ceiling_rate < plan.rate:
         return False
     quotas = [
-        of_plan(plan, spread, settings.max_request_units) for spread in range(1, settings.gateway_count + 1)
+        quota_of_plan(plan, spread, settings.max_request_units)
+        for spread in range(1, settings.gateway_count + 1)
     ]
     return all(
-        bound.units <= quota.most + DIGITS
+        bound.units <= quota.most + ROUNDING_TOLERANCE
         for quota in quotas
         for bound in overshoot_bounds(quota, shared)
         if bound.failure in shared.tolerated_failures
@@ -277,7 +278,7 @@
     def _quota(self, plan: int, spread: int) -> Quota:
         found = self.quotas.get((plan, spread))
         if found is None:
-            found = of_plan(self.settings.plans[plan], spread, self.settings.max_request_units)
+            found = quota_of_plan(self.settings.plans[plan], spread, self.settings.max_request_units)
             self.quotas[plan, spread] = found
         return found
 
--- a/zincstile/leases/overshoot_bound.py
+++ b/zincstile/leases/overshoot_bound.py
@@ -9,7 +9,7 @@
 
 from typing import Final
 
-from ..decisions.quota_bounds import Bound, Quota, first_refusal
+from ..decisions.quota_bounds import Bound, Quota, first_excess_reason
 from .settings import FAILURES, SECOND_NS, Failure, LeaseSettings
 
 
@@ -87,7 +87,7 @@
 
 def refusal_reason(quota: Quota, settings: LeaseSettings) -> str | None:
     """Returns why this quota can't be held as the settings ask; None where it can."""
-    return first_refusal(
+    return first_excess_reason(
         quota, overshoot_bounds(quota, settings), settings.tolerated_failures, settings.max_overshoot_ratio
     )
 
--- a/zincstile/net/bound_report.py
+++ b/zincstile/net/bound_report.py
@@ -5,7 +5,7 @@
 
 from __future__ import annotations
 
-from ..decisions.quota_bounds import of_plan
+from ..decisions.quota_bounds import quota_of_plan
 from ..leases.concurrency_budget import MAX_FACTOR
 from ..leases.overshoot_bound import overshoot_bounds as lease_overshoot_bounds
 from ..quota_service.overshoot_bound import overshoot_bounds
@@ -19,7 +19,7 @@
     for plan in settings.plans:
         if not plan.rate:
             continue
-        quota = of_plan(plan, settings.gateway_count, settings.max_request_units)
+        quota = quota_of_plan(plan, settings.gateway_count, settings.max_request_units)
         if config.leases:
             bounds = lease_overshoot_bounds(quota, config.leases)
             tolerated = config.leases.tolerated_failures
--- a/zincstile/net/config.py
+++ b/zincstile/net/config.py
@@ -219,10 +219,10 @@
 
 def _quotas(settings: Settings) -> list[Quota]:
     """Returns one for each plan that has a quota, and each number of gateways that a customer may use."""
-    from ..decisions.quota_bounds import of_plan
+    from ..decisions.quota_bounds import quota_of_plan
 
     return [
-        of_plan(plan, spread, settings.max_request_units)
+        quota_of_plan(plan, spread, settings.max_request_units)
         for plan in settings.plans
         if plan.rate
         for spread in range(1, settings.gateway_count + 1)
--- a/zincstile/quota_service/overshoot_bound.py
+++ b/zincstile/quota_service/overshoot_bound.py
@@ -8,7 +8,7 @@
 
 from typing import Final
 
-from ..decisions.quota_bounds import Bound, Quota, first_refusal
+from ..decisions.quota_bounds import Bound, Quota, first_excess_reason
 from .settings import FAILURES, SECOND_NS, Failure, QuotaServiceSettings
 
 BISECTION_STEPS: Final = 40  # halves the burst to less than a millionth of a millionth
@@ -48,7 +48,7 @@
 def refusal_reason(quota: Quota, settings: QuotaServiceSettings) -> str | None:
     """Why this quota can't be held as the settings ask; None where it can."""
     bounds = overshoot_bounds(quota, settings)
-    return first_refusal(quota, bounds, settings.tolerated_failures, settings.max_overshoot_ratio)
+    return first_excess_reason(quota, bounds, settings.tolerated_failures, settings.max_overshoot_ratio)
 
 
 def _fits(quota: Quota, settings: QuotaServiceSettings, carry: float) -> bool:
