--- a/tests/test_field.py
+++ b/tests/test_field.py
@@ -15,7 +15,7 @@
 import pytest
 
 from zincstile.simulation import plan, traffic
-from zincstile.simulation.world import Run
+from zincstile.simulation.run import Run
 from zincstile.testbed import places, report, result, sweep
 from zincstile.testbed.fault_proxy import FaultProxy
 from zincstile.virtual.network_faults import NO_FAULT, NetworkFaults, PathFault, paths_between
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -3,7 +3,7 @@
 import pytest
 
 from zincstile.simulation import fleet
-from zincstile.simulation.world import Run
+from zincstile.simulation.run import Run
 
 
 @pytest.mark.parametrize(("gateways", "seed"), [(4, 1), (10, 2), (40, 3)])
--- a/tests/test_quota_service.py
+++ b/tests/test_quota_service.py
@@ -19,8 +19,8 @@
 from zincstile.quota_service.settings import FAILURES, Failure, QuotaServiceSettings
 from zincstile.simulation import traffic
 from zincstile.simulation.plan import Fault, Plan
+from zincstile.simulation.run import Run
 from zincstile.simulation.trial import Trial
-from zincstile.simulation.world import Run
 from zincstile.simulator import gossip_codec
 from zincstile.virtual.clock import MS_NS, SECOND_NS
 
--- a/tests/test_worlds.py
+++ b/tests/test_simulation.py
@@ -1,4 +1,4 @@
-"""Worlds by seed: the same seed is the same world, plans survive the way to a file, and faults are named."""
+"""Scenarios by seed: a seed is one scenario, plans survive the way to a file, faults are named."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from zincstile.serialization.errors import FileError
 from zincstile.simulation import mutants, plan, shrink, sweep
 from zincstile.simulation.plan import Fault, Plan
-from zincstile.simulation.world import Run
+from zincstile.simulation.run import Run
 
 HERE = Path(__file__).parent
 ROOT = HERE.parent
@@ -64,7 +64,7 @@
     assert lines[0][-1].startswith("sweep seeds=8 ok=8 broken=0 seconds=")
 
 
-def test_two_seeds_are_two_worlds():
+def test_two_seeds_are_two_scenarios():
     one, other = (Run(plan.draw(seed)).play() for seed in (21, 22))
     assert one.digest != other.digest
 
@@ -108,7 +108,7 @@
 
 
 @pytest.mark.parametrize("path", sorted((HERE / "plans").glob("*.yaml")), ids=lambda p: p.stem)
-def test_what_broke_once_holds(path):
+def test_a_stored_plan_that_once_broke_a_rule_breaks_none(path):
     """Shrunk plans of faults that the sweeps found; each broke a rule before its mending."""
     result = Run(plan.load(path)).play()
     assert result.breach is None, f"{result.line()}: {result.breach.text}"
--- a/tests/test_subsetting.py
+++ b/tests/test_subsetting.py
@@ -34,7 +34,7 @@
 from zincstile.serialization.errors import FileError
 from zincstile.simulation import traffic
 from zincstile.simulation.plan import Plan, draw
-from zincstile.simulation.world import Run
+from zincstile.simulation.run import Run
 from zincstile.subsetting.feature import SubsettingFeature
 from zincstile.subsetting.fleet import Fleet, zone_of
 from zincstile.subsetting.placement import first_rank, ring_key, slice_size, stable_hash
--- a/tests/test_throng.py
+++ b/tests/test_throng.py
@@ -12,7 +12,7 @@
 from zincstile.net.limits import SECOND, Limits
 from zincstile.simulation import plan
 from zincstile.simulation.plan import Plan
-from zincstile.simulation.world import Run
+from zincstile.simulation.run import Run
 from zincstile.testbed import start
 
 PLANS = Path(__file__).parent / "plans" / "throng"
--- a/tests/test_zone_failover.py
+++ b/tests/test_zone_failover.py
@@ -16,7 +16,7 @@
 from zincstile.serialization.errors import FileError
 from zincstile.simulation import mutants_place, place_search
 from zincstile.simulation.plan import Fault, Plan
-from zincstile.simulation.world import Run
+from zincstile.simulation.run import Run
 from zincstile.zone_failover import codec
 from zincstile.zone_failover.events import ZoneOverridden
 from zincstile.zone_failover.feature import ZoneRoutingFeature
--- a/zincstile/cli/sim.py
+++ b/zincstile/cli/sim.py
@@ -65,7 +65,7 @@
 @RULE
 def run(seed: int | None, path: str | None, trace: str | None, logs: bool, rules: tuple[str, ...]) -> int:
     """Plays one world; exit 1 where a rule is broken."""
-    from ..simulation.world import Run
+    from ..simulation.run import Run
 
     plan = _plan(seed, path)
     world = Run(plan, keep_trace=trace is not None, rules=_rules(rules))
--- a/zincstile/simulation/stage.py
+++ b/zincstile/simulation/environment.py
@@ -1,4 +1,4 @@
-"""What a plan's faults need of a run: `world.Run` on virtual time, `field.run.Run` with real processes.
+"""What a plan's faults need of a run: `run.Run` on virtual time, `testbed.run.Run` with real processes.
 
 Times are milliseconds from now. Whoever implements this says in its own words how a gateway is killed
 or a way is cut; `faults` never asks which of both it is.
--- a/zincstile/simulation/faults.py
+++ b/zincstile/simulation/faults.py
@@ -1,6 +1,6 @@
 """How each kind of fault is carried out: begun at its instant, and ended after its time.
 
-The functions know a `stage.Stage` alone, so that virtual time and real processes play the same plan by
+The functions know a `environment.Stage` alone, so that virtual time and real processes play the same plan by
 the same code. A new kind is a function here that takes the run and the fault, and a row in `KINDS`;
 `plan.Kind` names it, and `plan._fault` says how it is drawn.
 """
@@ -14,8 +14,8 @@
 from ..emulators.quota_service import QuotaService
 from ..virtual.network_faults import PathFault, paths_between
 from . import machine_faults
+from .environment import Place, Seat, Stage
 from .plan import Fault
-from .stage import Place, Seat, Stage
 
 SECOND = 1_000_000_000
 KILL_MS = 3700  # after SIGTERM, SIGKILL: the longest deadline and 0.7 s
--- a/zincstile/simulation/fleet.py
+++ b/zincstile/simulation/fleet.py
@@ -10,7 +10,7 @@
 import random
 
 from .plan import Fault, Plan
-from .world import Run
+from .run import Run
 
 
 def draw(seed: int, gateways: int) -> Plan:
--- a/zincstile/simulation/machine_faults.py
+++ b/zincstile/simulation/machine_faults.py
@@ -8,8 +8,8 @@
 from collections.abc import Callable
 from typing import Any
 
+from .environment import RealStage
 from .plan import Fault
-from .stage import RealStage
 
 RELOAD_GAP_MS = 40  # between two reloads of a storm
 
--- a/zincstile/simulation/mutants.py
+++ b/zincstile/simulation/mutants.py
@@ -15,7 +15,7 @@
 from . import mutants_network as network
 from . import plan
 from .mutation import Inject, Undo, undo_all
-from .world import Run
+from .run import Run
 
 
 @dataclass(slots=True)
--- a/zincstile/simulation/places.py
+++ b/zincstile/simulation/places.py
@@ -16,7 +16,7 @@
 
 from ..zone_failover.leader_terms import electors
 from .plan import Fault, Plan
-from .world import Run
+from .run import Run
 
 KINDS = (
     "loss",
--- a/zincstile/simulation/shared_trials.py
+++ b/zincstile/simulation/shared_trials.py
@@ -14,7 +14,7 @@
 from ..checkers.quotas import Quotas
 from ..decisions.policy import Policy
 from . import shared, traffic
-from .world import Run
+from .run import Run
 
 
 @dataclass(slots=True)
--- a/zincstile/simulation/shrink.py
+++ b/zincstile/simulation/shrink.py
@@ -16,7 +16,7 @@
 
 from ..checkers.rules import RULE_NAMES
 from .plan import Plan
-from .world import Result, Run
+from .run import Result, Run
 
 PLAIN = {
     "quantum_us": 0,
--- a/zincstile/simulation/starts.py
+++ b/zincstile/simulation/starts.py
@@ -17,7 +17,7 @@
 import msgspec
 
 from .plan import Fault, Plan
-from .world import Run
+from .run import Run
 
 SECOND = 1_000_000_000
 WAVES = (
@@ -108,13 +108,11 @@
         self.sent: list[tuple[float, float]] = []
         self.opened: list[float] = []
         self.served: list[float] = []
-        log, sent, answered = run._log, run.checker.attempt_started, run.checker.request_answered
-        connected = run._connected
+        sent, answered = run.checker.attempt_started, run.checker.request_answered
 
         def hear(seat, line: str) -> None:
             if " ready with " in line:
                 self.ready[seat.name] = self.now_s()
-            log(seat, line)
 
         def went(gateway: str, box: str, request: bytes, first_ns: int):
             case = run.checker.histories.get(request)
@@ -127,14 +125,12 @@
                 self.served.append(self.now_s())
             answered(request, kind, value)
 
-        def opened(opener, taker) -> None:
-            if opener.process.name[0] == "g" and taker.process.name in run.places:
-                self.opened.append(self.now_s())
-            connected(opener, taker)
+        def opened() -> None:
+            self.opened.append(self.now_s())
 
-        run._log = hear  # type: ignore[method-assign]
+        run.on_log_line = hear
         run.checker.attempt_started, run.checker.request_answered = went, heard  # type: ignore[method-assign]
-        run.network.on_connected = opened
+        run.on_backend_connection = opened
 
     def now_s(self) -> float:
         return (self.run.scheduler.now_ns - self.run.began_ns) / SECOND
--- a/zincstile/simulation/sweep.py
+++ b/zincstile/simulation/sweep.py
@@ -10,7 +10,7 @@
 
 from ..checkers.rules import RULE_NAMES
 from . import plan
-from .world import Result, Run
+from .run import Result, Run
 
 EVERY = 16  # worlds between two collections
 
--- a/zincstile/simulation/traffic.py
+++ b/zincstile/simulation/traffic.py
@@ -17,8 +17,8 @@
 from ..emulators.client_requests import PlannedRequest
 from ..quota_service.overshoot_bound import overshoot_bounds
 from ..quota_service.settings import QuotaServiceSettings
+from .environment import Stage
 from .plan import Plan
-from .stage import Stage
 
 MS = 1_000_000
 ZONES = ["zone-03", "zone-04", "zone-05"]
--- /dev/null
+++ b/zincstile/simulation/virtual_gateways.py
@@ -0,0 +1,160 @@
+"""The gateways of a run on virtual time: their configuration, start, signals and end.
+
+They are the program's own: `net.gateway.Gateway` with its decisions, started as `python -m zincstile` starts
+it, each in a process and on a machine of its own.
+"""
+
+from __future__ import annotations
+
+import random
+import signal
+from collections.abc import Callable
+from typing import Any, Final
+
+from ..emulators.misbehaving_client import MisbehavingClient
+from ..net import config
+from ..net.gateway import Gateway
+from ..virtual.clock import MS_NS
+from ..virtual.host import VirtualHost
+from ..virtual.process import Process
+from . import traffic
+from .leftovers import SERVICE_PORT
+from .members import Node
+from .virtual_backends import QUOTA_SERVICE_PORT, VirtualBackends, quota_service_host
+from .virtual_environment import UNIX_OFFSET_NS
+
+DISCOVERY_PORT: Final = 8500  # of an agent's first address; each move takes the next one
+PEER_PORT: Final = 7946
+FAULT_LOG_MARK: Final = " fault "  # stands in a gateway's log line before an error that it survived
+
+
+class VirtualGateways(VirtualBackends):
+    """Starts, stops and disturbs gateways, as a plan's faults ask for it."""
+
+    on_log_line: Callable[[Node, str], None] | None = None  # sees each line of a gateway's log
+
+    # ---- configuration
+
+    def config(self, seat: Node) -> config.Config:
+        """What a gateway reads of its file, with the features' settings put in as their files would be."""
+        found = config.read(self.table(seat), {})
+        found.leases = self.lease_settings
+        found.start = self.cold_start_settings
+        found.place = self.zone_failover_settings
+        found.subset = self.subset_settings
+        if self.quota_service_settings is not None:
+            found.quota_service = self.quota_service_settings
+            found.quota_service_address = (quota_service_host(seat.counter), QUOTA_SERVICE_PORT)
+        return found
+
+    def table(self, seat: Node) -> dict[str, Any]:
+        """A gateway's configuration file, as it stands now."""
+        seed = random.Random(f"{seat.name} {self.plan.seed} {seat.starts}").getrandbits(64)
+        return traffic.configuration(
+            self.plan,
+            seat.number,
+            f"{seat.host}:{SERVICE_PORT}",
+            "{}:{}".format(*seat.discovery),
+            [f"{other.host}:{PEER_PORT}" for other in self.seats],
+            seed,
+            seat.agent.snapshot() if self.plan.known else {},
+        )
+
+    # ---- start and end
+
+    def start_gateway(self, seat: Node) -> None:
+        """Starts a process as the platform does: from nothing but its configuration and the last list."""
+        seat.starts += 1
+        seat.stopping = False
+        process = Process(
+            self.network,
+            seat.name,
+            seat.host,
+            seat.number % len(traffic.ZONES),
+            max_descriptors=self.plan.sockets,
+            quantum_ns=self.plan.quantum_us * 1000,
+        )
+        machine = VirtualHost(process, lambda: self.config(seat), UNIX_OFFSET_NS + seat.skew_ns)
+        machine.log = lambda line: self._log(seat, line)
+        self.checker.gateway_started(seat.name)
+        self.network.record("start", seat.name)
+        gateway = Gateway(self.config(seat), process.loop, machine)
+        gateway.dispatcher.guard.observer = lambda which, text: self.checker.report_invariant(
+            seat.name, f"{which.value} {text}"
+        )
+        seat.process = process
+        seat.gateway = gateway
+        seat.machine = machine
+        task = process.loop.create_task(gateway.lifecycle.run())
+        task.add_done_callback(lambda _: self._ended(seat, process))
+
+    def running(self, seat: Node) -> bool:
+        """True while its process lives."""
+        return seat.process.alive
+
+    def kill(self, seat: Node) -> None:
+        """SIGKILL."""
+        if seat.process.alive:
+            self.check_process(seat)
+            self.checker.gateway_ended(seat.name)
+            seat.process.kill()
+
+    def terminate(self, seat: Node) -> None:
+        """SIGTERM, once."""
+        if seat.process.alive and not seat.stopping:
+            seat.stopping = True
+            self.checker.record_event(f"{seat.name} gets SIGTERM")
+            seat.process.signal(signal.SIGTERM)
+
+    def check_process(self, seat: Node) -> None:
+        """Checks what a process held open at most, and the errors of its event loop."""
+        self.checker.check_descriptors(seat.name, seat.process.peak_descriptors, self.plan.sockets)
+        for fault in seat.process.loop.unhandled_errors:
+            self.checker.report_fault(seat.name, fault)
+
+    def _ended(self, seat: Node, process: Process) -> None:
+        """Its own end after SIGTERM.
+
+        The checker isn't told that the gateway died: requests that it took and didn't answer are lost.
+        """
+        if process.alive:
+            self.checker.record_event(f"{seat.name} ended by itself")
+            self.network.record("ended", seat.name)
+            self.check_process(seat)
+            process.kill()
+
+    def _log(self, seat: Node, line: str) -> None:
+        if self.on_log_line is not None:
+            self.on_log_line(seat, line)
+        self.logs.append(line)
+        if FAULT_LOG_MARK in line:
+            self.checker.report_fault(seat.name, line.split(FAULT_LOG_MARK, 1)[1].strip())
+
+    # ---- what else happens to them
+
+    def pause(self, seat: Node, ms: float) -> None:
+        """It gets no CPU for so long."""
+        seat.process.pause(int(ms * MS_NS))
+        self.checker.gateway_paused(seat.name, int(ms * MS_NS))
+
+    def reload(self, seat: Node) -> None:
+        """SIGHUP, with the file as it is by now."""
+        seat.process.signal(signal.SIGHUP)
+
+    def move_discovery(self, seat: Node) -> None:
+        """Its agent listens at a new address too, which the file names from now on."""
+        seat.discovery = seat.host, DISCOVERY_PORT + seat.moves
+        seat.agent.loop.create_task(seat.agent.start(*seat.discovery))
+
+    def rude(self, seat: Node, client: MisbehavingClient) -> None:
+        """A client that keeps to no protocol connects to it."""
+        self.spawn(self.clients, self._connect(seat.host, client))
+
+    async def _connect(self, host: str, client: MisbehavingClient) -> None:
+        try:
+            await self.clients.loop.create_connection(lambda: client, host, SERVICE_PORT)
+        except OSError:
+            return  # that gateway is down
+
+    def upgrade(self, seat: Node) -> None:
+        """Does nothing: virtual time has no upgrades (`plan.REAL_ONLY`)."""
--- a/zincstile/testbed/run.py
+++ b/zincstile/testbed/run.py
@@ -49,7 +49,7 @@
 
 
 class Run(EmulatedServices, GatewayProcesses, Operators):
-    """`stage.Stage` with real processes: the run from its first process to its last."""
+    """`environment.Stage` with real processes: the run from its first process to its last."""
 
     async def play(self) -> FieldResult:
         """NotReadyError where the gateways don't start; OSError where the machine gives no sockets."""
