--- a/tests/test_field.py
+++ b/tests/test_field.py
@@ -26,7 +26,7 @@
 
 def field(*words, **more):
     return subprocess.run(
-        [sys.executable, "-m", "zincstile", "field", *words],
+        [sys.executable, "-m", "zincstile", "testbed", *words],
         cwd=ROOT,
         text=True,
         capture_output=True,
@@ -82,7 +82,7 @@
 
 
 def test_nothing_is_left_when_the_field_itself_is_killed(tmp_path):
-    words = [sys.executable, "-m", "zincstile", "field", "run", str(PLANS[0]), "--keep", str(tmp_path)]
+    words = [sys.executable, "-m", "zincstile", "testbed", "run", str(PLANS[0]), "--keep", str(tmp_path)]
     run = subprocess.Popen(words, cwd=ROOT, stdout=subprocess.DEVNULL)
     until = time.monotonic() + 30
     while not (tmp_path / "g0" / "log").exists() and time.monotonic() < until:
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -247,7 +247,7 @@
 
 def test_a_page_of_stored_field_results(tmp_path):
     page = tmp_path / "page.html"
-    done = program("field", "report", *(DATA / name for name in FIELD_RESULTS), "--out", page)
+    done = program("testbed", "report", *(DATA / name for name in FIELD_RESULTS), "--out", page)
     assert (done.returncode, done.stdout) == (0, f"2 results in {page}\n"), done.stderr
     text = page.read_text()
     assert "customer 0000000058e71409 of premium is 0.74 units past the stated bound" in text
@@ -257,7 +257,7 @@
 
 def test_the_stored_plan_is_played_and_gives_a_result_of_the_stored_keys(tmp_path):
     out = tmp_path / "field-plan.json"
-    done = program("field", "run", DATA / "field-plan.yaml", "--out", out)
+    done = program("testbed", "run", DATA / "field-plan.yaml", "--out", out)
     assert done.returncode == 0, done.stdout + done.stderr
     fresh, recorded = json.loads(out.read_text()), stored("field-result.json")
     assert fresh["faults"] == recorded["faults"] and fresh["gateways"] == 3
--- a/tests/test_zone_failover.py
+++ b/tests/test_zone_failover.py
@@ -185,14 +185,14 @@
     path.write_text(text + "\nzones: [{name: a, demand: 1, room: 2}, {name: b, demand: 1, room: 2}]\n")
     with pytest.raises(FileError, match=said):
         features.check_place(str(path), features.place(str(path)), ["a", "b"])
-    assert main(["place", "plan", str(path)]) == 2
+    assert main(["zones", "plan", str(path)]) == 2
     assert len(capsys.readouterr().err.strip().splitlines()) == 1
     assert parse_duration("40ms") == 40_000_000 and parse_duration("1.5 s") == 1_500_000_000
 
 
 def test_the_dry_run_tells_what_has_no_place(capsys):
-    assert main(["place", "plan", "deploy/place.yaml", "--lose", "zone-03"]) == 0
-    assert main(["place", "plan", "deploy/place.yaml", "--lose", "north"]) == 1
+    assert main(["zones", "plan", "deploy/place.yaml", "--lose", "zone-03"]) == 0
+    assert main(["zones", "plan", "deploy/place.yaml", "--lose", "north"]) == 1
     assert "82.5 of 210.0 units a second have no place" in capsys.readouterr().out
 
 
--- a/zincstile/cli/commands.py
+++ b/zincstile/cli/commands.py
@@ -4,6 +4,7 @@
 
 import importlib
 import sys
+from typing import Final
 
 import click
 
@@ -14,12 +15,14 @@
 GROUPS = {
     "sim": ("sim", "Worlds by seed: run one, sweep many, shrink a failing one."),
     "bound": ("bound", "How far quotas held through a count keeper can be passed, failure by failure."),
-    "field": ("field", "Several real processes, and faults between them: run, sweep, report."),
-    "place": ("place", "Zones and regions: where traffic goes when a zone is lost."),
+    "testbed": ("testbed", "Several real processes, and faults between them: run, sweep, report."),
+    "zones": ("zones", "Zones and regions: where traffic goes when a zone is lost."),
     "scale": ("scale", "How cost grows with the size of the fleet: sizes, and slopes by dimension."),
     "demo": ("demo", "Three real gateways and all they speak with, on loopback, for a short load."),
 }
 
+HIDDEN_ALIASES: Final = {"field": "testbed", "place": "zones"}  # names of before: commands
+
 
 class LazyGroup(click.Group):
     """Loads a command's module when it is named, and not before."""
@@ -30,9 +33,12 @@
 
     def get_command(self, ctx: click.Context, name: str) -> click.Command | None:
         """The command of that name, from its module; None where there is none."""
+        name = HIDDEN_ALIASES.get(name, name)
         if name not in GROUPS:
             return None
-        return importlib.import_module(f".{GROUPS[name][0]}", __package__).command
+        module = importlib.import_module(f".{GROUPS[name][0]}", __package__)
+        command: click.Command = module.command
+        return command
 
     def format_commands(self, ctx: click.Context, formatter: click.HelpFormatter) -> None:
         """Lists the commands from the table above, so that help loads none of them."""
--- a/zincstile/cli/demo.py
+++ b/zincstile/cli/demo.py
@@ -14,6 +14,7 @@
 import tempfile
 import time
 from pathlib import Path
+from typing import Any
 
 import click
 from rich.console import Console
@@ -36,9 +37,11 @@
     gateway."""
 
     def __init__(self, checker: Checker) -> None:
+        """`checker`: which sees everything else as it is."""
         self.checker = checker
 
-    def __getattr__(self, name: str):
+    def __getattr__(self, name: str) -> Any:
+        """All else is the checker's."""
         return getattr(self.checker, name)
 
     def attempt_received(self, box: str, request: bytes, key: bytes, gateway: str, work_ns: int) -> None:
@@ -76,6 +79,7 @@
     """One run."""
 
     def __init__(self, plan: Plan, folder: Path) -> None:
+        """`folder`: where the configurations of the gateways are written."""
         self.plan, self.folder = plan, folder
         self.checker = Checker(traffic.figures(), lambda: (0, time.monotonic_ns()))
         self.witness = Arrivals(self.checker)
--- a/zincstile/cli/field.py
+++ b/zincstile/cli/testbed.py
@@ -1,4 +1,4 @@
-"""`field`: several real processes on loopback, with faults between them."""
+"""`testbed`: several real processes on loopback, with faults between them."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from .options import SEEDS, seed_range
 
 
-@click.group("field")
+@click.group("testbed")
 def command() -> None:
     """Real processes of the program on loopback, with faults between them and the rules checked."""
 
@@ -43,7 +43,7 @@
     from ..simulation import soak
 
     if (path is None) == (gateways is None):
-        raise BadInputError("field run: name a PLAN.yaml, or --soak GATEWAYS with --seed")
+        raise BadInputError("testbed run: name a PLAN.yaml, or --soak GATEWAYS with --seed")
     return load(path, seed) if path is not None else soak.draw(seed or 1, gateways)
 
 
@@ -79,7 +79,7 @@
 
     plan = _plan(plan_file, seed, gateways)
     try:
-        with tempfile.TemporaryDirectory(prefix="zincstile-field-") as folder:
+        with tempfile.TemporaryDirectory(prefix="zincstile-testbed-") as folder:
             if keep is not None:
                 Path(keep).mkdir(parents=True, exist_ok=True)
             name, files = Path(plan_file or "soak").stem, sweeps.features(features)
@@ -89,7 +89,7 @@
         if page is not None:
             pages.write([(found.plan, found)], Path(page))
     except (FileError, PlaceError, NotReadyError) as err:
-        raise BadInputError(f"field: {err}") from None
+        raise BadInputError(f"testbed: {err}") from None
     for row in found.plans:
         click.echo(
             f"plan {row.plan}: {row.worst:.2f} units beyond a quota at most, stated {row.bound:.2f}; "
@@ -156,11 +156,11 @@
                     click.echo(f"  {fault}")
             print(f"{len(done)} of {len(chosen)}", file=sys.stderr, flush=True)
     except FileError as err:
-        raise BadInputError(f"field: {err}") from None
+        raise BadInputError(f"testbed: {err}") from None
     click.echo(sweeps.table(done))
     broken = sum(not r.ok for r in done)
     click.echo(
-        f"field sweep runs={len(done)} ok={len(done) - broken} broken={broken} "
+        f"testbed sweep runs={len(done)} ok={len(done) - broken} broken={broken} "
         f"seconds={time.monotonic() - began:.0f}"
     )
     return 1 if broken else 0
@@ -246,9 +246,9 @@
                 sweeps.features(features),
             )
     except FileError as err:
-        raise BadInputError(f"field: {err}") from None
+        raise BadInputError(f"testbed: {err}") from None
     except (PlaceError, NotReadyError, OSError) as err:
-        raise BadInputError(f"field: {err}") from None
+        raise BadInputError(f"testbed: {err}") from None
     click.echo(starts.table(rows))
     return 0 if all(r.ready == r.gateways for r in rows) else 1
 
--- a/zincstile/cli/place.py
+++ b/zincstile/cli/zones.py
@@ -1,4 +1,4 @@
-"""`place`: zones and regions, before anything fails."""
+"""`zones`: zones and regions, before anything fails."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from .errors import BadInputError
 
 
-@click.group("place")
+@click.group("zones")
 def command() -> None:
     """Zones and regions: where traffic goes, and what would be refused."""
 
