--- a/zincstile/zone_failover/__init__.py
+++ b/zincstile/zone_failover/__init__.py
@@ -10,5 +10,8 @@
 - `zone_view`: the reports of all gateways, merged
 - `leader_terms`: who may propose a routing table, and which table holds
 - `agreement`: one gateway's part in all of this
+- `zone_health`: what this gateway sees of each zone
+- `zone_capacity`: what zones can take, by this gateway's concurrency limit
 - `feature`, `events`: what joins a policy: routing by the agreed weights, and its events and actions
+- `zone_description`: the text about zones for operators
 """
--- a/zincstile/zone_failover/feature.py
+++ b/zincstile/zone_failover/feature.py
@@ -1,10 +1,10 @@
-"""The feature `place`: routing weights of zones, before the policy's own choice of an endpoint.
+"""Routing by zones (`features.place`): before each choice of an endpoint, the zone it is chosen from.
 
-The agreed table says which part of this gateway's traffic goes to which zone; each first attempt draws its
-zone by that, and the policy chooses among that zone's endpoints as ever. A zone whose connections fail here
-is left at once, whatever the table says. Without a table, and for what a zone here can't take, a gateway
+The agreed routing table says which part of this gateway's traffic goes to which zone; each first attempt
+draws its zone by that, and the policy chooses among that zone's endpoints as ever. A zone that fails here is
+left at once, whatever the table says. Without a table, and for what a zone here can't take, a gateway
 sends other zones at most its even part of `spill`: the sum over all gateways stays under that whatever each
-believes, so that a part of the fleet that hears nothing can't overload a zone.
+believes, so that a part of the fleet that receives nothing can't overload a zone.
 """
 
 from __future__ import annotations
@@ -16,125 +16,80 @@
 
 from ..decisions.endpoints import Endpoint
 from ..decisions.load_balancing import EndpointChooser
-from ..decisions.messages import AttemptOutcome, AttemptResult
-from ..decisions.outlier_detection import OUTLIER_SCORE, SCORE_DECAY_S
 from ..decisions.policy import Policy
-from ..decisions.records import Attempt, PendingRequest
+from ..decisions.records import PendingRequest
 from ..decisions.settings import Idempotency, Settings
 from ..decisions.timers import ZONE_HEARTBEAT_TOKEN
 from .agreement import Agreement
 from .events import SendZoneMessage, ZoneMessageReceived, ZoneOverridden
 from .messages import ZoneObservation
 from .routing_weights import WEIGHT_TOTAL
-from .settings import SECOND, ZoneFailoverSettings
-from .zone_states import ZoneState
-from .zone_view import FAILED_RATIO
-
-CONNECTION_MEMORY_S: Final = 3.0  # a connection that failed, or came up, counts for so long
-LEAST_TRIES: Final = 2.5  # one failure alone says nothing of a zone
-ANY_TRIES: Final = 0.3  # a connection that came up does
-PROBE_PART: Final = 0.5  # of `back`, in which each gateway tries a zone that is left, once
-SLOW_RATIO: Final = 1.5  # latency ratio of an endpoint, from which it counts the less the slower it is
-ANY_ZONE: Final = -1
-ANSWERED: Final = (
-    AttemptResult.OK,
-    AttemptResult.ERROR,
-    AttemptResult.REJECTED,
-    AttemptResult.MALFORMED,
-)
+from .settings import ZoneFailoverSettings
+from .zone_capacity import SpillBudget, ZoneCapacity
+from .zone_description import describe_zones
+from .zone_health import ZoneHealth
+from .zone_states import UNUSABLE, ZoneState
 
-
-@dataclass(slots=True)
-class Tries:
-    """Of one zone: connections that failed, and others, fading."""
-
-    failed: float = 0.0
-    all: float = 0.0
-
-    def add(self, failed: bool) -> None:
-        """A try that came up says more of now than those that failed before it."""
-        self.failed, self.all = self.failed + 1 if failed else self.failed / 2, self.all + 1
-
-    @property
-    def dead(self) -> float:
-        """The share of connections that failed; -1 where too few were tried."""
-        return self.failed / max(LEAST_TRIES, self.all) if self.all >= ANY_TRIES else -1.0
-
-
-@dataclass(slots=True)
-class Spill:
-    """Units that may be sent to another zone without a table, as a store."""
-
-    level: float = 0.0
-    at_ns: int = 0
-
-    def take(self, now: int, rate: float, units: float) -> bool:
-        """Takes the units, if the store holds them after filling at this rate."""
-        if rate == math.inf:
-            return True
-        self.level = min(max(units, rate), self.level + rate * (now - self.at_ns) / SECOND)
-        self.at_ns = now
-        if self.level < units:
-            return False
-        self.level -= units
-        return True
+PROBE_INTERVAL_RATIO: Final = 0.5  # of `back`: a zone that is left is probed at least once within that time
+ANY_ZONE: Final = -1  # in place of a zone index
+UNNAMED_ZONE: Final = "?"  # the one more zone: of endpoints whose zone the settings don't name
 
 
 @dataclass(slots=True)
-class Counts:
-    """Attempts by where they went."""
+class AttemptCounts:
+    """Attempts since the start, by where they went."""
 
-    near: int = 0
-    far: int = 0
-    spilled: int = 0
-    nowhere: int = 0
+    local: int = 0  # to this gateway's own zone
+    remote: int = 0  # to another
+    spilled: int = 0  # those of `remote` that no routing table sent there
+    unroutable: int = 0  # to none: the table leaves this part of the traffic without a zone
 
 
 class ZoneRoutingFeature:
-    """Owner of what this gateway sees of each zone, and of its part in the agreement (`agreement`).
+    """Owner of the choice of zones, and of this gateway's part in the agreement (`agreement`)."""
 
-    `zones`: their names in the settings' order. An endpoint whose zone is in none of them is of one more.
-    """
+    def __init__(
+        self, settings: Settings, seed: int, zone_settings: ZoneFailoverSettings, zones: list[str]
+    ) -> None:
+        """Takes the seed of all random draws, and the names of the zones in the settings' order.
 
-    def __init__(self, settings: Settings, seed: int, place: ZoneFailoverSettings, zones: list[str]) -> None:
-        """Takes the settings; it joins a policy by `attach`."""
+        Endpoints of a zone that is not among them are of one more, `UNNAMED_ZONE`.
+        """
         self.settings = settings
-        self.place = place
-        self.zone_names = [*zones, "?"]
+        self.zone_settings = zone_settings
+        self.zone_names = [*zones, UNNAMED_ZONE]
         self.zone_count = len(self.zone_names)
-        self.distance = place.matrix(self.zone_names)  # between zones, by number
+        self.distance = zone_settings.matrix(self.zone_names)  # between zones, by index
         self.rng = random.Random(f"place {seed}")
-        self.home = min(settings.zone, self.zone_count - 1)
+        self.own_zone = min(settings.zone, self.zone_count - 1)
         self.agreement = Agreement(
-            place,
+            zone_settings,
             settings.gateway_index,
             settings.gateway_count,
-            self.home,
+            self.own_zone,
             self.distance,
             self.rng.getrandbits(32),
             self.rng,
         )
-        self.tries = [Tries() for _ in self.zone_names]
-        self.spills = [Spill() for _ in self.zone_names]
-        self.good_in = [0.0] * self.zone_count  # healthy endpoints, in warm ones
-        self.warm_in = [0.0] * self.zone_count
-        self.ready_in = [0] * self.zone_count
-        self.try_ns = [0] * self.zone_count  # when a zone that is left is tried again
-        self.barred: list[bool] = []  # zones that a retry may not go to; empty: none
-        self.target = ANY_ZONE  # zone of the attempt that is chosen just now
-        self.counted = Counts()
+        self.spill_budgets = [SpillBudget() for _ in self.zone_names]
+        self.probe_due_ns = [0] * self.zone_count  # for a zone that is left
+        self.excluded_zones: list[bool] = []  # that a retry may not go to, while it is chosen; empty: none
+        self.target_zone = ANY_ZONE  # of the attempt that is chosen just now
+        self.attempt_counts = AttemptCounts()
 
     # ---- the feature
 
     def attach(self, policy: Policy) -> None:
         """Chooses the zone before each choice of an endpoint."""
         self.parts = policy.parts
-        self._choose: EndpointChooser = self.parts.admission.choose
+        self.health = ZoneHealth(policy.parts, self.zone_count)
+        self.capacity = ZoneCapacity(policy.parts, self.health)
+        self._choose_endpoint: EndpointChooser = self.parts.admission.choose
         self.parts.admission.choose = self.choose
         self.parts.balancer.accepts = self.accepts
         self.parts.capacity.classified = self.on_classified
-        self.parts.outcomes.listeners.append(self.on_outcome)
-        policy.ticker.decayed.append(self.on_decayed)
+        self.parts.outcomes.listeners.append(self.health.on_outcome)
+        policy.ticker.decayed.append(self.health.on_decayed)
         policy.timers[ZONE_HEARTBEAT_TOKEN] = self._heartbeat
         policy.handlers[ZoneMessageReceived] = self.on_message_received
         policy.handlers[ZoneOverridden] = self.on_zone_overridden
@@ -144,133 +99,110 @@
         self.agreement.start(now)
 
     def started(self, now: int) -> None:
-        """The first heartbeat, at a drawn moment."""
-        first_ns = now + self.rng.randrange(self.place.beat_ns)
+        """The first heartbeat, at a random moment: else all gateways send in step."""
+        first_ns = now + self.rng.randrange(self.zone_settings.beat_ns)
         self.parts.actions.set_timer(first_ns, ZONE_HEARTBEAT_TOKEN)
 
     def state_inherited(self, now: int) -> None:
-        """The table is heard from the peers."""
+        """Nothing is inherited: the table comes from the peers."""
 
     def figures(self) -> dict[str, float]:
-        """Attempts by where they went, tables seen so far, and the leader term of the last."""
+        """Attempts by where they went, tables seen so far, and the leader term of the last.
+
+        Stored results have these keys.
+        """
         terms = self.agreement.terms
         term = terms.table.generation.term if terms is not None and terms.table is not None else 0
         return {
-            "near": self.counted.near,
-            "far": self.counted.far,
-            "spilled": self.counted.spilled,
-            "nowhere": self.counted.nowhere,
+            "near": self.attempt_counts.local,
+            "far": self.attempt_counts.remote,
+            "spilled": self.attempt_counts.spilled,
+            "nowhere": self.attempt_counts.unroutable,
             "tables": self.agreement.changes,
             "term": term,
         }
 
+    def describe(self, now: int) -> str:
+        """The routing table and what is seen of each zone, for operators."""
+        return describe_zones(now, self.zone_names, self.agreement, self.health)
+
     # ---- the agreement
 
+    def on_message_received(self, now: int, event: ZoneMessageReceived) -> None:
+        """A message of a peer."""
+        self.agreement.receive(now, event.sender, event.message)
+        self._send_messages()
+
+    def on_zone_overridden(self, _: int, event: ZoneOverridden) -> None:
+        """An operator drains a zone, freezes its state, or ends both."""
+        self.agreement.override(event.zone, drained=event.drained, frozen=event.frozen)
+
     def _heartbeat(self, now: int) -> None:
-        self.parts.actions.set_timer(now + self.place.beat_ns, ZONE_HEARTBEAT_TOKEN)
-        budget = self._budget_per_s()
-        healthy = self.parts.capacity.healthy
-        observations = []
-        for zone in range(self.zone_count):
-            part = self.good_in[zone] / healthy if healthy else 0.0
-            capacity = budget * part if budget < math.inf else math.inf
-            observations.append(
-                ZoneObservation(self.ready_in[zone], self.good_in[zone], self.tries[zone].dead, capacity)
-            )
+        self.parts.actions.set_timer(now + self.zone_settings.beat_ns, ZONE_HEARTBEAT_TOKEN)
+        budget_per_s = self.capacity.budget_per_s()
+        observations = [self._observation(zone, budget_per_s) for zone in range(self.zone_count)]
         self.agreement.observe(now, self.parts.budget.arrivals, observations)
         self._send_messages()
 
-    def _budget_per_s(self) -> float:
-        """Units a second that the limit leads to; infinite where there is no limit yet."""
-        if self.parts.limit.limit == math.inf:
-            return math.inf
-        return self.parts.limit.limit * self.parts.capacity.healthy / self._latency_s()
-
-    def _latency_s(self) -> float:
-        limit = self.parts.limit
-        return max(1e-3, (limit.units_in_flight + 1.0) / (limit.completed_per_s + 1.0))
+    def _observation(self, zone: int, budget_per_s: float) -> ZoneObservation:
+        """What is reported of a zone; its capacity is the budget's part by healthy endpoints."""
+        all_healthy = self.parts.capacity.healthy
+        healthy = self.health.healthy[zone]
+        part = healthy / all_healthy if all_healthy else 0.0
+        capacity_per_s = budget_per_s * part if budget_per_s < math.inf else math.inf
+        failed_ratio = self.health.connections[zone].failed_ratio
+        return ZoneObservation(self.health.ready[zone], healthy, failed_ratio, capacity_per_s)
 
     def _send_messages(self) -> None:
         messages = self.agreement.take_messages()
         if self.settings.gossips:
             self.parts.actions += [SendZoneMessage(peer, message) for peer, message in messages]
 
-    def on_message_received(self, now: int, event: ZoneMessageReceived) -> None:
-        """A message of a peer."""
-        self.agreement.receive(now, event.sender, event.message)
-        self._send_messages()
-
-    def on_zone_overridden(self, now: int, event: ZoneOverridden) -> None:
-        """An operator drains a zone, holds it, or neither."""
-        self.agreement.override(event.zone, drained=event.drained, frozen=event.frozen)
-
-    # ---- what is learnt
-
-    def _zone_of(self, endpoint: Endpoint) -> int:
-        return min(endpoint.entry.zone, self.zone_count - 1)
+    # ---- weights
 
     def on_classified(self, now: int) -> None:
-        """Counts the endpoints of each zone; a warming endpoint's due comes from those that send to its
-        zone."""
-        self._count_endpoints(now)
-        slow_start = self.parts.slow_start
-        total = sum(self.good_in)
-        weights = self._weights(now)
-        others = (z for z in range(self.zone_count) if z != self.home and weights[z] > 0)
-        mine = self.good_in[self.home] + sum(self.good_in[z] for z in others)
-        if self.parts.endpoints.warming and 0 < mine < total:
-            slow_start.shares = [min(1.0, share * total / mine) for share in slow_start.shares]
-
-    def _count_endpoints(self, now: int) -> None:
-        detector = self.parts.detector
-        classes = range(len(self.settings.classes))
-        self.good_in = [0.0] * self.zone_count
-        self.ready_in = [0] * self.zone_count
-        self.warm_in = [0.0] * self.zone_count
-        for endpoint in self.parts.endpoints.ready:
-            zone = self._zone_of(endpoint)
-            self.ready_in[zone] += 1
-            excess = min((detector.excess_of_class(endpoint, group) for group in classes), default=0.0)
-            warmth = self.parts.capacity.warmth(now, endpoint)
-            self.warm_in[zone] += warmth
-            slowed = min(1.0, SLOW_RATIO / max(SLOW_RATIO, endpoint.latency_ratio))
-            self.good_in[zone] += warmth * (excess < OUTLIER_SCORE) * slowed
-
-    def on_decayed(self, keep: float) -> None:
-        """Connections decay faster than scores do."""
-        span = math.log(1 / keep) if 0 < keep < 1 else 0.0
-        for tries in self.tries:
-            fade = math.exp(-span * SCORE_DECAY_S / CONNECTION_MEMORY_S)
-            tries.failed = tries.failed * fade
-            tries.all = tries.all * fade
-
-    def on_outcome(self, _: int, outcome: AttemptOutcome, attempt: Attempt) -> None:
-        """Whether a connection to the zone came up."""
-        tries = self.tries[self._zone_of(attempt.endpoint)]
-        if outcome.result is AttemptResult.CONNECT_FAILED:
-            tries.add(True)
-        elif outcome.result in ANSWERED:
-            tries.add(False)
-        elif outcome.result is AttemptResult.TIMEOUT and attempt.late:  # silent for long
-            tries.add(True)
-
-    # ---- the choice
+        """Counts the endpoints of each zone, and raises the first rates of those that are warming up.
 
-    def _fails(self, zone: int) -> bool:
-        """A zone fails here: its connections, or most of its endpoints by all that is known of them."""
-        return (
-            self.tries[zone].dead >= FAILED_RATIO
-            or self.good_in[zone] < (1 - FAILED_RATIO) * self.warm_in[zone]
-        )
+        A warming endpoint gets its part from the gateways alone that send to its zone, so each of these
+        compares it with the endpoints of the zones that it sends to.
+        """
+        self.health.count_endpoints(now)
+        healthy = self.health.healthy
+        weights = self._weights(now)
+        used_zones = (zone for zone in range(self.zone_count) if zone != self.own_zone and weights[zone] > 0)
+        total = sum(healthy)
+        used = healthy[self.own_zone] + sum(healthy[zone] for zone in used_zones)
+        if self.parts.endpoints.warming and 0 < used < total:
+            slow_start = self.parts.slow_start
+            slow_start.shares = [min(1.0, share * total / used) for share in slow_start.shares]
 
     def _weights(self, now: int) -> list[float]:
-        """Parts of this gateway's traffic by zone. What fails here is left at once."""
+        """The part of this gateway's traffic for each zone; 0 for one that fails here."""
+        is_failing = self.health.is_failing
         table = self.agreement.table(now)
         if table is not None:
-            row = [x / WEIGHT_TOTAL for x in table.weights[self.home]]
-            return [0.0 if self._fails(zone) else x for zone, x in enumerate(row)]
-        own = float(self.ready_in[self.home] > 0 and not self._fails(self.home))
-        return [own if zone == self.home else 0.0 for zone in range(self.zone_count)]
+            weights = [weight / WEIGHT_TOTAL for weight in table.weights[self.own_zone]]
+            return [0.0 if is_failing(zone) else weight for zone, weight in enumerate(weights)]
+        own_usable = self.health.ready[self.own_zone] > 0 and not is_failing(self.own_zone)
+        return [float(own_usable) if zone == self.own_zone else 0.0 for zone in range(self.zone_count)]
+
+    def _draw_zone(self, now: int) -> int:
+        """A zone by the weights; `ANY_ZONE` where they leave a part of the traffic without a zone."""
+        draw = self.rng.random()
+        for zone, weight in enumerate(self._weights(now)):
+            draw -= weight
+            if draw < 0:
+                return zone
+        return ANY_ZONE
+
+    # ---- the choice
+
+    def accepts(self, endpoint: Endpoint) -> bool:
+        """The endpoint is of a zone that the attempt may go to."""
+        zone = self.health.zone_of(endpoint)
+        if self.target_zone not in (ANY_ZONE, zone):
+            return False
+        return not (self.excluded_zones and self.excluded_zones[zone])
 
     def choose(self, now: int, pending: PendingRequest) -> Endpoint | None:
         """The endpoint of the next attempt, in the zone that the weights draw."""
@@ -278,43 +210,37 @@
         if pending.may_have_run_at is not None and pending.tried:
             return self._choose_retry(now, pending, idempotent=idempotent)
         if idempotent and not pending.tried:
-            endpoint = self._probe(now, pending)
+            endpoint = self._choose_probe(now, pending)
             if endpoint is not None:
                 return endpoint
-        zone = self._drawn_zone(now)
+        zone = self._draw_zone(now)
         endpoint = self._choose_within(now, pending, zone) if zone != ANY_ZONE else None
         if endpoint is not None:
             self._count_attempt(zone)
             return endpoint
         return self._choose_spilled(now, pending, zone)
 
-    def _drawn_zone(self, now: int) -> int:
-        """By the weights; ANY_ZONE where they leave a part without a zone."""
-        draw = self.rng.random()
-        for zone, weight in enumerate(self._weights(now)):
-            draw -= weight
-            if draw < 0:
-                return zone
-        return ANY_ZONE
-
     def _choose_retry(self, now: int, pending: PendingRequest, *, idempotent: bool) -> Endpoint | None:
-        """Where a retry may go says the scope in which its repeats are dropped."""
+        """The endpoint of a retry: the scope in which its repeats are dropped says where it may go."""
         table = self.agreement.table(now)
         if idempotent and table is not None:
-            self.barred = [state in (ZoneState.LOST, ZoneState.DRAINING) for state in table.states]
+            self.excluded_zones = [state in UNUSABLE for state in table.states]
         try:
-            return self._choose(now, pending)
+            return self._choose_endpoint(now, pending)
         finally:
-            self.barred = []
+            self.excluded_zones = []
 
-    def _probe(self, now: int, pending: PendingRequest) -> Endpoint | None:
-        """A zone that is left gets one request now and then that may be repeated elsewhere: else nobody
-        would ever know that it is back. Drawn, so that the probes of a fleet are apart."""
+    def _choose_probe(self, now: int, pending: PendingRequest) -> Endpoint | None:
+        """An endpoint of a zone that is left and due for a probe.
+
+        Now and then such a zone gets one request that may be repeated elsewhere: else nobody would ever know
+        that it is back. The times are random, so that the probes of a fleet are apart.
+        """
         for zone in range(self.zone_count):
-            if now < self.try_ns[zone] or not self.ready_in[zone] or not self._is_left(now, zone):
+            if now < self.probe_due_ns[zone] or not self.health.ready[zone] or not self._is_left(now, zone):
                 continue
-            wait_ns = self.place.back_ns * PROBE_PART * (0.5 + self.rng.random())
-            self.try_ns[zone] = now + int(wait_ns)
+            wait_ns = self.zone_settings.back_ns * PROBE_INTERVAL_RATIO * (0.5 + self.rng.random())
+            self.probe_due_ns[zone] = now + int(wait_ns)
             endpoint = self._choose_within(now, pending, zone)
             if endpoint is not None:
                 self._count_attempt(zone)
@@ -326,95 +252,54 @@
         table = self.agreement.table(now)
         if table is not None:
             state = table.states[zone]
-            own_unused = zone == self.home and not table.weights[zone][zone]
+            own_unused = zone == self.own_zone and not table.weights[zone][zone]
             if state == ZoneState.LOST or (state != ZoneState.DRAINING and own_unused):
                 return True
-        return self._fails(zone)
+        return self.health.is_failing(zone)
 
     def _choose_within(self, now: int, pending: PendingRequest, zone: int) -> Endpoint | None:
-        self.target = zone
+        self.target_zone = zone
         try:
-            return self._choose(now, pending)
+            return self._choose_endpoint(now, pending)
         finally:
-            self.target = ANY_ZONE
+            self.target_zone = ANY_ZONE
+
+    def _choose_spilled(self, now: int, pending: PendingRequest, tried_zone: int) -> Endpoint | None:
+        """An endpoint of the nearest zone that has something left of what it may be sent without a table.
 
-    def _choose_spilled(self, now: int, pending: PendingRequest, tried: int) -> Endpoint | None:
-        """Nothing by the table: the nearest zones, by this gateway's even part of what they may be sent
-        besides. Where the table leaves a part without a zone, that part is rejected."""
+        Where the table leaves a part of the traffic without a zone, that part is rejected.
+        """
         table = self.agreement.table(now)
-        failing = [zone for zone in range(self.zone_count) if self._fails(zone)]
-        if table is not None and tried < 0 and not failing:
-            self.counted.nowhere += 1
+        failing = [zone for zone in range(self.zone_count) if self.health.is_failing(zone)]
+        if table is not None and tried_zone == ANY_ZONE and not failing:
+            self.attempt_counts.unroutable += 1
             return None
-        states = table.states if table is not None else (0,) * self.zone_count
         for zone in self._by_distance():
-            unusable = zone == tried or zone in failing or not self.ready_in[zone]
-            if unusable or states[zone] in (ZoneState.LOST, ZoneState.DRAINING):
+            if zone == tried_zone or zone in failing or not self.health.ready[zone]:
                 continue
-            rate = self.place.spill * self._capacity_per_s(zone) / self.settings.gateway_count
-            if zone != self.home and not self.spills[zone].take(now, rate, pending.request.units):
+            if table is not None and table.states[zone] in UNUSABLE:
+                continue
+            if zone != self.own_zone and not self._take_spill(now, zone, pending.request.units):
                 continue
             endpoint = self._choose_within(now, pending, zone)
             if endpoint is not None:
-                self.counted.spilled += zone != self.home
+                self.attempt_counts.spilled += zone != self.own_zone
                 self._count_attempt(zone)
                 return endpoint
         return None
 
     def _by_distance(self) -> list[int]:
-        """All zones, the nearest first; those at the same distance by chance."""
-        return sorted(
-            range(self.zone_count), key=lambda zone: (self.distance[self.home][zone], self.rng.random())
-        )
+        """All zones, the nearest first; those at the same distance in random order."""
+        distance = self.distance[self.own_zone]
+        return sorted(range(self.zone_count), key=lambda zone: (distance[zone], self.rng.random()))
 
-    def _capacity_per_s(self, zone: int) -> float:
-        """What a zone bears, by the fleet's budget as this gateway has it; no bound where none was seen
-        yet: the budget's own first bound, in units in flight, then holds what is sent."""
-        limit = self.parts.limit.limit
-        if limit == math.inf:
-            return math.inf
-        return limit * self.good_in[zone] / self._latency_s() * self.settings.gateway_count
+    def _take_spill(self, now: int, zone: int, units: float) -> bool:
+        """Takes the units from this gateway's even part of what the zone may be sent without a table."""
+        fleet_rate = self.zone_settings.spill * self.capacity.capacity_per_s(zone)
+        return self.spill_budgets[zone].take(now, fleet_rate / self.settings.gateway_count, units)
 
     def _count_attempt(self, zone: int) -> None:
-        if zone == self.home:
-            self.counted.near += 1
+        if zone == self.own_zone:
+            self.attempt_counts.local += 1
         else:
-            self.counted.far += 1
-
-    def accepts(self, endpoint: Endpoint) -> bool:
-        """The endpoint is of the zone that the attempt is to go to."""
-        zone = self._zone_of(endpoint)
-        if self.target != ANY_ZONE and zone != self.target:
-            return False
-        return not (self.barred and self.barred[zone])
-
-    def describe(self, now: int) -> str:
-        """The table with its reasons, for operators."""
-        table = self.agreement.table(now)
-        head = (
-            "no table: each gateway by its stated part"
-            if table is None
-            else (
-                f"table {table.generation.term}.{table.generation.number} by gateway "
-                f"{table.generation.leader}, {(now - self.agreement.terms.table_ns) // 1_000_000} ms old"
-            )
-        )
-        lines = [head]
-        for z, name in enumerate(self.zone_names):
-            if not self.ready_in[z] and z != self.home:
-                continue
-            state = ZoneState(table.states[z]).name.lower() if table else "-"
-            row = (
-                ""
-                if table is None
-                else " ".join(
-                    f"{self.zone_names[b]}:{100 * x / WEIGHT_TOTAL:.0f}%"
-                    for b, x in enumerate(table.weights[z])
-                    if x
-                )
-            )
-            lines.append(
-                f"{name} {state} ready={self.ready_in[z]} good={self.good_in[z]:.1f} "
-                f"dead={self.tries[z].dead:.2f} sends {row or 'nothing'}"
-            )
-        return "\n".join(lines)
+            self.attempt_counts.remote += 1
