--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -17,8 +17,8 @@
 from zincstile.decisions.quota_bounds import Quota
 from zincstile.leases import codec
 from zincstile.leases.concurrency_budget import ConcurrencyBudget, ConcurrencyReport
+from zincstile.leases.covered_plans import covered_plans
 from zincstile.leases.failure_detector import ALL_CLASSES, FailureDetector, Suspicion
-from zincstile.leases.feature import covered_plans
 from zincstile.leases.lease_messages import LeaseGrant, LeaseRelease, LeaseRequest
 from zincstile.leases.overshoot_bound import (
     batch_limit_units,
--- a/zincstile/leases/__init__.py
+++ b/zincstile/leases/__init__.py
@@ -14,6 +14,11 @@
     concurrency_budget   the units that all gateways together may have in flight
     lease_messages,
     slot_messages, codec the messages between gateways, and their datagrams
+    covered_plans        which plans' quotas hold their ceiling too
+    leased_units         units and slots, reserved for requests
+    suspected_endpoints  what the suspicions mean to outlier detection
+    in_flight_limit      no attempt beyond the concurrency budget
+    message_receiver     hands the peers' messages to their owners
     feature, events      what joins a policy: its shared state held so, its events and actions
 
 No I/O and no clock: times are handed in, messages are returned. docs/shared.md derives the bounds and says
--- /dev/null
+++ b/zincstile/leases/covered_plans.py
@@ -0,0 +1,31 @@
+"""Which customer plans need no part of a ceiling: their quota alone holds what goes out."""
+
+from __future__ import annotations
+
+from ..decisions.quota_bounds import ROUNDING_TOLERANCE, quota_of_plan
+from ..decisions.settings import CustomerPlan, Settings
+from .overshoot_bound import overshoot_bounds
+from .settings import LeaseSettings
+
+
+def covered_plans(settings: Settings, shared: LeaseSettings) -> list[bool]:
+    """Returns for each plan whether its quota holds what goes out under the ceiling, whatever fails.
+
+    The quota does where it is lower than the ceiling by more than may go out beyond it.
+    """
+    return [_is_covered(plan, settings, shared) for plan in settings.plans]
+
+
+def _is_covered(plan: CustomerPlan, settings: Settings, shared: LeaseSettings) -> bool:
+    if not plan.rate or plan.over_quota_weight > plan.over_quota_cost or plan.ceiling_rate < plan.rate:
+        return False
+    quotas = [
+        quota_of_plan(plan, spread, settings.max_request_units)
+        for spread in range(1, settings.gateway_count + 1)
+    ]
+    return all(
+        bound.units <= quota.most + ROUNDING_TOLERANCE
+        for quota in quotas
+        for bound in overshoot_bounds(quota, shared)
+        if bound.failure in shared.tolerated_failures
+    )
--- /dev/null
+++ b/zincstile/leases/suspected_endpoints.py
@@ -0,0 +1,66 @@
+"""Endpoints that other gateways suspect, as the outlier detection of the policy takes them."""
+
+from __future__ import annotations
+
+from typing import Final
+
+from ..decisions.endpoints import Endpoint
+from ..decisions.messages import LogMessage
+from ..decisions.parts import DecisionParts
+from .failure_detector import ALL_CLASSES, FailureDetector
+
+UNREACHABLE_ERROR: Final = 0.99  # of a sample: no connection, or no answer
+# A score that is just kept: the choice of an endpoint then looks at all that is known of it.
+MARKING_SCORE: Final = 0.011
+
+
+class SuspectedEndpoints:
+    """The `SharedSuspicion` of the leases: own samples go in, scores by others' reports come out."""
+
+    def __init__(self, failure_detector: FailureDetector) -> None:
+        """Takes the owner of all reports."""
+        self.failure_detector = failure_detector
+        self.scores: dict[int, dict[int, float]] = {}  # by endpoint hash and group; by reports alone
+        self._logged_isolated = False
+
+    def attach(self, parts: DecisionParts) -> None:
+        """Takes the parts of the policy, and gives its outlier detection the scores."""
+        self.parts = parts
+        parts.detector.shared = self
+
+    def record_sample(self, now: int, endpoint_hash: int, group: int, error: float, weight: float) -> None:
+        """Takes an own sample; it is reported with this gateway as its origin."""
+        of_class = group == ALL_CLASSES or group < len(self.parts.settings.classes)
+        unreachable = error >= UNREACHABLE_ERROR and of_class
+        self.failure_detector.record_attempt(
+            now, endpoint_hash, group, error, weight, unreachable=unreachable
+        )
+
+    def score(self, endpoint: Endpoint, class_index: int, pair: int) -> float | None:
+        """The score of an endpoint by the reports of others; None where nobody suspects it."""
+        reported = self.scores.get(endpoint.hash)
+        if reported is None:
+            return None
+        return max(reported.get(group, 0.0) for group in (class_index, pair, ALL_CLASSES))
+
+    def tick(self, now: int) -> None:
+        """Works out the scores anew, and logs whether this gateway is cut off from the back end."""
+        endpoints = self.parts.endpoints
+        hashes = [endpoint.hash for endpoint in endpoints.ready]
+        self.failure_detector.tick(now, hashes)
+        self.scores = {}
+        if self.failure_detector.received:
+            groups = range(ALL_CLASSES + 1)
+            self.scores = self.failure_detector.suspected(now, hashes, groups)
+        for endpoint_hash in self.scores:
+            endpoint = endpoints.touch(endpoints.by_hash[endpoint_hash])
+            endpoint.error_scores.setdefault(0, MARKING_SCORE)
+        self._log_isolation()
+
+    def _log_isolation(self) -> None:
+        isolated = self.failure_detector.isolated
+        if isolated is self._logged_isolated:
+            return
+        self._logged_isolated = isolated
+        state = "is cut off from the back end" if isolated else "reaches the back end again"
+        self.parts.actions.append(LogMessage(f"shared this gateway {state}"))
