--- a/tests/test_subsetting.py
+++ b/tests/test_subsetting.py
@@ -182,10 +182,10 @@
         for b in entries:
             table[b.id] = b
         table = {n: b for n, b in table.items() if b.state is not REMOVED}
-        assert policy.features[0].table.endpoints == table
+        assert policy.features[0].rings.endpoints == table
         assert {
             place: [k & (2**64 - 1) for k in ring.keys]
-            for place, ring in policy.features[0].table.rings.items()
+            for place, ring in policy.features[0].rings.rings.items()
         } == _rings(table)
         assert ready(policy) == plain_members(table, me, gateways, tiers, 2, 3)
         assert all(s.entry == table[n] for n, s in policy.parts.endpoints.by_id.items())
@@ -405,7 +405,7 @@
         feed(policy, [EndpointEntry(n, 0, 1, 0, REMOVED, 1.0, 0) for n in old])
         assert len(ready(policy) - other) == 8
     assert min(ready(policy) - other) > 1000
-    assert policy.features[0].moved <= 3 * 60 and set(policy.parts.endpoints.by_id) == ready(policy)
+    assert policy.features[0].departed.count <= 3 * 60 and set(policy.parts.endpoints.by_id) == ready(policy)
 
 
 def test_a_service_of_one_endpoint_is_used_by_all_and_stays_used_in_trouble():
@@ -485,7 +485,7 @@
     for n in usual:
         policy.parts.endpoints.touch(policy.parts.endpoints.by_id[n]).latency_ratio = 2.0
     feed(policy, many(30, first=31, zone=0), FULL)
-    assert len(ready(policy)) == 4 and min(ready(policy)) > 30 and policy.features[0].table.ready_count == 30
+    assert len(ready(policy)) == 4 and min(ready(policy)) > 30 and policy.features[0].rings.ready_count == 30
     feed(policy, many(60, zone=0), FULL)
     assert ready(policy) == usual and {policy.parts.endpoints.by_id[n].latency_ratio for n in usual} == {2.0}
 
--- a/zincstile/cold_start/feature.py
+++ b/zincstile/cold_start/feature.py
@@ -1,12 +1,13 @@
-"""The feature `start`: a pace of admission after a start, before the policy's own choice of an endpoint.
+"""The admission ramp after a start (`features.start`), before the policy's choice of an endpoint.
 
-The ramp ends when the budget has a bound of its own, or by itself.
+The ramp ends when a concurrency limit is known, or by itself.
 """
 
 from __future__ import annotations
 
 import math
 import random
+from typing import Final
 
 from ..decisions.endpoints import Endpoint
 from ..decisions.load_balancing import EndpointChooser
@@ -18,21 +19,25 @@
 from .events import FleetServes
 from .settings import ColdStartSettings
 
+NS_PER_MS: Final = 1_000_000
+
 
 class AdmissionRampFeature:
-    """Owner of the pace of a start; there is none any more once admission is open."""
+    """Owner of the ramp of a start; there is none any more once admission is open."""
 
     def __init__(self, settings: Settings, seed: int, start_settings: ColdStartSettings) -> None:
-        """Takes the settings; it joins a policy by `attach`."""
+        """Takes the seed of all random draws."""
         rng = random.Random(f"opening {seed}")
         self.ramp: AdmissionRamp | None = AdmissionRamp(
             start_settings, settings.gateway_count, settings.max_request_units, rng
         )
 
+    # ---- the feature
+
     def attach(self, policy: Policy) -> None:
-        """Asks the pace before each attempt of the policy."""
+        """Stands before the choice of an endpoint for each attempt."""
         self.parts = policy.parts
-        self._choose: EndpointChooser = self.parts.admission.choose
+        self._choose_endpoint: EndpointChooser = self.parts.admission.choose
         self.parts.admission.choose = self.choose
         self.parts.outcomes.listeners.append(self.on_outcome)
         policy.ticker.limited.append(self.on_limit_updated)
@@ -40,7 +45,7 @@
 
     @property
     def is_open(self) -> bool:
-        """Admission is open: there is no pace any more."""
+        """Admission is open: there is no ramp any more."""
         return self.ramp is None
 
     def before_start(self, now: int) -> None:
@@ -52,50 +57,57 @@
         """Nothing goes by a timer of its own."""
 
     def state_inherited(self, now: int) -> None:
-        """The old process of this gateway knew what the back end bears."""
+        """The old process of this gateway knew what the backends can take."""
         if self.ramp is not None:
             self.ramp.inherit(self.parts.limit.completed_per_s)
 
     def figures(self) -> dict[str, float]:
-        """`pace`: units a second that may be sent; -1: admission is open."""
+        """`pace`: units a second that may be sent; -1: admission is open.
+
+        Stored results have this key.
+        """
         healthy = self.parts.capacity.healthy
         return {"pace": -1.0 if self.ramp is None else round(self.ramp.pace(healthy), 2)}
 
     def choose(self, now: int, pending: PendingRequest) -> Endpoint | None:
-        """Retries go by the pace too: at a start the budget for them is full everywhere."""
+        """The endpoint of the next attempt; None where the ramp rejects it.
+
+        The ramp rejects retries too: at a start the budget for them is full everywhere.
+        """
         ramp = self.ramp
         if ramp is None:
-            return self._choose(now, pending)
+            return self._choose_endpoint(now, pending)
         if not ramp.admits(now, self.parts.capacity.healthy):
             return None
-        endpoint = self._choose(now, pending)
+        endpoint = self._choose_endpoint(now, pending)
         if endpoint is not None:
             ramp.sent(pending.request.units)
         return endpoint
 
     def on_outcome(self, now: int, outcome: AttemptOutcome, attempt: Attempt) -> None:
-        """What was answered in time raises the pace; a warming endpoint takes longer without being
-        overloaded."""
+        """An answer in time raises the pace; a warming endpoint takes longer without being overloaded."""
         if self.ramp is not None and outcome.result is AttemptResult.OK:
             latency_ns = outcome.latency_ns * self.parts.capacity.warmth(now, attempt.endpoint)
             self.ramp.answered(attempt.units, in_time=latency_ns <= attempt.overload_ns)
 
     def on_limit_updated(self, now: int) -> None:
-        """The ramp ends where the budget has a bound of its own, or nothing was rejected for a while."""
-        if self.ramp is None:
+        """The ramp ends once there is a concurrency limit, or nothing was rejected for a while."""
+        ramp = self.ramp
+        if ramp is None:
             return
         limited = self.parts.limit.limit < math.inf
-        if limited or self.ramp.is_over(now):
-            self._open(now, "by the budget's own bound" if limited else "by what was seen")
+        if limited or ramp.is_over(now):
+            self._open_admission(now, ramp, "by the budget's own bound" if limited else "by what was seen")
 
     def on_fleet_serves(self, now: int, _: FleetServes) -> None:
-        """The fleet serves with open admission: so does this gateway."""
+        """The other gateways serve with open admission: so does this one."""
         if self.ramp is not None:
-            self._open(now, "as the fleet's is")
+            self._open_admission(now, self.ramp, "as the fleet's is")
 
-    def _open(self, now: int, why: str) -> None:
-        after_ms = (now - self.parts.ledger.started_ns) // 1_000_000
-        rejected = self.ramp.rejected
-        text = f"start admission is open after {after_ms} ms, {why}; {rejected} tries turned away by the pace"
+    def _open_admission(self, now: int, ramp: AdmissionRamp, reason: str) -> None:
+        after_ms = (now - self.parts.ledger.started_ns) // NS_PER_MS
+        text = (
+            f"start admission is open after {after_ms} ms, {reason}; {ramp.rejected} attempts rejected by it"
+        )
         self.parts.actions.append(LogMessage(text))
         self.ramp = None
--- a/zincstile/quota_service/feature.py
+++ b/zincstile/quota_service/feature.py
@@ -1,4 +1,4 @@
-"""The feature `keeper`: quotas are held through a quota service in place of the gossip's parts.
+"""Quotas held through a quota service (`features.keeper`), in place of the parts that gossip gives.
 
 A request whose units are not in hand waits for a lease, for some tens of milliseconds at most, where a call
 is on its way; else it is outside the quota here, and rejected early as ever. The gossip goes on beside it:
@@ -24,27 +24,29 @@
 from .failure_detector import FailureDetector, ServiceState
 from .settings import COUNTER_LIFETIME_MS, QuotaServiceSettings
 
-LEASE_WAIT_NS: Final = SECOND_NS // 12  # a request waits so long for a lease
+# A request waits so long for a lease: a call to the service, which is given up after 50 ms by default, and
+# what comes before and after it.
+LEASE_WAIT_NS: Final = SECOND_NS // 12
 
-
-Answered = Callable[[int, float | None], None]  # common time, total
+OnAnswer = Callable[[int, float | None], None]  # common time, total
 
 
 class QuotaServiceFeature:
-    """Owner of the leases of customers' quotas (`accounts`) and of of the service's failure detector.
+    """Owner of the leases of customers' quotas (`accounts`) and of the service's failure detector.
 
-    `clock_offset_ns`: what the gateways' common clock is ahead of the policy's.
+    Both are there from `started` on. Times of both are by the gateways' common clock.
     """
 
+    detector: FailureDetector
+    accounts: Accounts
+
     def __init__(self, settings: Settings, service: QuotaServiceSettings, clock_offset_ns: int) -> None:
-        """Takes the settings; it joins a policy by `attach`."""
+        """Takes what the gateways' common clock is ahead of the policy's, in nanoseconds."""
         self.settings = settings
         self.service = service
         self.clock_offset_ns = clock_offset_ns
-        self.detector: FailureDetector | None = None
-        self.accounts: Accounts | None = None
-        self.calls: dict[int, Answered] = {}  # by number, until they are answered
-        self.reported_state: ServiceState | None = None
+        self.calls: dict[int, OnAnswer] = {}  # by call id, until they are answered
+        self.reported_state: ServiceState | None = None  # in the log
         self._last_call_id = 0
 
     # ---- the feature
@@ -64,7 +66,7 @@
         """Nothing is called before the start."""
 
     def state_inherited(self, now: int) -> None:
-        """Leases are not inherited."""
+        """Nothing is inherited: leases belong to a process."""
 
     def started(self, now: int) -> None:
         """Builds the failure detector and the accounts, and sends the first heartbeat."""
@@ -80,19 +82,19 @@
 
     def on_answer(self, now: int, event: QuotaServiceAnswered) -> None:
         """The answer to one call, which may let requests go that wait for it."""
-        answered = self.calls.pop(event.call_id, None)
-        if answered is None:
+        on_answer = self.calls.pop(event.call_id, None)
+        if on_answer is None:
             return
-        answered(self._common_ns(now), event.total)
+        on_answer(self._common_ns(now), event.total)
         self.deferred.retry_waiting(now, list(self.deferred.waiting))
         self.flush(now)
         if self.detector.state is not self.reported_state:
             self.reported_state = self.detector.state
             self.parts.actions.append(LogMessage(self.detector.log_line(self._common_ns(now))))
-            self._report_to_peers(now)  # at once, where trust ends
+            self._report_to_peers(now)  # at once: peers depend on it where trust ends
 
     def on_peer_heartbeat(self, now: int, event: PeerHeartbeatReceived) -> None:
-        """A peer's view of its quota service."""
+        """What a peer has seen of its quota service."""
         if 0 <= event.heartbeat.sender < self.settings.gateway_count:
             self.detector.peers.receive(self._common_ns(now), event.heartbeat)
 
@@ -102,23 +104,25 @@
     def _heartbeat(self, now: int) -> None:
         heartbeat = self.detector.heartbeat_call(self._common_ns(now))
 
-        def answered(at_ns: int, total: float | None) -> None:
-            self.detector.heartbeat_answered(at_ns, heartbeat.counter_number, total)
+        def on_answer(answered_ns: int, total: float | None) -> None:
+            self.detector.heartbeat_answered(answered_ns, heartbeat.counter_number, total)
 
-        self._call(heartbeat.name, 1.0, COUNTER_LIFETIME_MS, answered)
+        self._call(heartbeat.name, 1.0, COUNTER_LIFETIME_MS, on_answer)
         self._report_to_peers(now)
         self.parts.actions.set_timer(now + self.service.heartbeat_interval_ns, QUOTA_SERVICE_TOKEN)
 
     def _report_to_peers(self, now: int) -> None:
         heartbeat = self.detector.peer_heartbeat(self._common_ns(now))
-        own = self.settings.gateway_index
-        self.parts.actions += [
-            SendPeerHeartbeat(p, heartbeat) for p in range(self.settings.gateway_count) if p != own
-        ]
+        peers = (
+            gateway
+            for gateway in range(self.settings.gateway_count)
+            if gateway != self.settings.gateway_index
+        )
+        self.parts.actions += [SendPeerHeartbeat(peer, heartbeat) for peer in peers]
 
-    def _call(self, name: str, amount: float, ttl_ms: int, answered: Answered) -> None:
+    def _call(self, name: str, amount: float, ttl_ms: int, on_answer: OnAnswer) -> None:
         self._last_call_id += 1
-        self.calls[self._last_call_id] = answered
+        self.calls[self._last_call_id] = on_answer
         self.parts.actions.append(CallQuotaService(self._last_call_id, name, amount, ttl_ms))
 
     # ---- the units of quotas
@@ -162,6 +166,7 @@
         customer = pending.customer
         plan = self.settings.plans[customer.plan]
         gateways = self.settings.gateway_count
-        members = [(pending.request.first + k) % gateways for k in range(customer.spread)]
+        first = pending.request.first
+        members = [(first + offset) % gateways for offset in range(customer.spread)]
         quota = Quota(plan.name, plan.rate, plan.burst, customer.spread, self.settings.max_request_units)
         return self.accounts.account(customer.key, quota, members, self._common_ns(now))
