--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -126,7 +126,7 @@
             await server.wait_closed()
         dispatcher = make_dispatcher(policy)
         pool = ConnectionPool(dispatcher)
-        figures = settings(report_fields=["inflight", "queue"])
+        figures = settings(load_report_fields=["inflight", "queue"])
         Attempts(dispatcher, figures, pool, memoryview(bytearray(65536)))
         pool.update([ListedEndpoint(backend(5), address)], complete=True)
         dispatcher.post(Started())
@@ -145,7 +145,7 @@
     """Also by the names that the settings use on the wire: those are what backend servers send."""
     asked, results = check_health(b"$%d\r\n%b\r\n" % (len(report), report))
     assert asked == [b"*2\r\n$4\r\nINFO\r\n$4\r\nload\r\n"]
-    assert [(p.backend, p.result, p.report) for p in results] == [(5, AttemptResult.OK, [7.0, 2.0])]
+    assert [(p.endpoint, p.result, p.load_report) for p in results] == [(5, AttemptResult.OK, [7.0, 2.0])]
 
 
 @pytest.mark.parametrize(
@@ -161,7 +161,7 @@
 )
 def test_an_impossible_load_report_is_none(report):
     _, results = check_health(b"$%d\r\n%b\r\n" % (len(report), report))
-    assert [(p.result, p.report) for p in results] == [(AttemptResult.OK, [])]
+    assert [(p.result, p.load_report) for p in results] == [(AttemptResult.OK, [])]
 
 
 def test_a_health_check_of_a_closed_port_fails_to_connect():
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -40,19 +40,19 @@
     made, clock, posted, pools = world()
     made.begin(full_list(1, endpoint("s-a"), endpoint("s-b")))
     assert made.table.maintain("s-a", enter=True)
-    assert last_entry(posted, "s-a").mode is EndpointState.DRAINING and pools[-1] == [
+    assert last_entry(posted, "s-a").state is EndpointState.DRAINING and pools[-1] == [
         (endpoint_id("s-a"), EndpointState.DRAINING)
     ]
     made.table.take(full_list(2, endpoint("s-a"), endpoint("s-b")), EndpointListKind.FULL)
     assert (
-        last_entry(posted, "s-a").mode is EndpointState.DRAINING
-        and last_entry(posted, "s-b").mode is EndpointState.READY
+        last_entry(posted, "s-a").state is EndpointState.DRAINING
+        and last_entry(posted, "s-b").state is EndpointState.READY
     )
     made.table.maintain("s-a", enter=True)  # again: harmless
     clock[0] += 3 * SECOND
     made.table.maintain("s-a", enter=False)
     back = last_entry(posted, "s-a")
-    assert back.mode is EndpointState.READY and back.started_ns == clock[0]  # cold: restarted while out
+    assert back.state is EndpointState.READY and back.started_ns == clock[0]  # cold: restarted while out
 
 
 def test_what_discovery_says_of_a_later_start_holds_after_the_call_back():
@@ -73,7 +73,7 @@
     made.begin(full_list(1, endpoint("s-a")))
     assert not made.table.maintain("s-z", enter=True)  # as another process of this gateway may have said
     made.table.take(change(2, endpoint("s-z")), EndpointListKind.DELTA)
-    assert last_entry(posted, "s-z").mode is EndpointState.DRAINING
+    assert last_entry(posted, "s-z").state is EndpointState.DRAINING
 
 
 def test_one_put_back_is_cold_to_a_new_version_too():
@@ -93,4 +93,4 @@
     made.table.maintain("s-a", enter=True)
     made.move(("10.2.0.9", 8500))
     made.table.take(full_list(1, endpoint("s-a")), EndpointListKind.FULL)
-    assert last_entry(posted, "s-a").mode is EndpointState.DRAINING
+    assert last_entry(posted, "s-a").state is EndpointState.DRAINING
