--- a/tests/test_quota_service.py
+++ b/tests/test_quota_service.py
@@ -308,8 +308,8 @@
     assert result.breach is None, f"{result.line()}: {result.breach.text}"
     assert result.tally["served"] > 40 and result.nearest["quota"] < 1
     assert any(" bound plan plus: " in line for line in run.logs)
-    for seat in run.seats:
-        assert seat.gateway.counters.quota_service_calls > 20
+    for node in run.nodes:
+        assert node.gateway.counters.quota_service_calls > 20
 
 
 def test_gateways_that_trust_any_service_pass_the_stated_bound(monkeypatch):
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -195,10 +195,10 @@
 
     real = Run.start_gateway
 
-    def start(self, seat):
-        for path in (seat.folder / "tmp").iterdir():
+    def start(self, node):
+        for path in (node.folder / "tmp").iterdir():
             path.unlink()
-        real(self, seat)
+        real(self, node)
 
     monkeypatch.setattr(Run, "start_gateway", start)
     faults = [Fault("maintenance", 200, 0, [0, 1, 2]), Fault("crash", 900, 100, [1])]
@@ -212,7 +212,7 @@
 
     monkeypatch.setattr(runs, "RESTART_S", 1.0)
     monkeypatch.setattr(
-        runs.Run, "_known_list", lambda self, seat: {} if seat.starts > 1 else seat.agent.snapshot()
+        runs.Run, "_known_list", lambda self, node: {} if node.starts > 1 else node.agent.snapshot()
     )
     faults = [Fault("discovery_silent", 500, 20_000, [1]), Fault("crash", 900, 100, [1])]
     small = SMALL | {"last_ms": 1500, "requests": 90}
--- a/tests/test_zone_failover.py
+++ b/tests/test_zone_failover.py
@@ -196,9 +196,9 @@
     assert "82.5 of 210.0 units a second have no place" in capsys.readouterr().out
 
 
-def agreement(seat):
+def agreement(node):
     """A gateway's part in the agreement on zones."""
-    features = seat.gateway.dispatcher.policy.features
+    features = node.gateway.dispatcher.policy.features
     [zones] = [feature for feature in features if isinstance(feature, ZoneRoutingFeature)]
     return zones.agreement
 
@@ -237,7 +237,7 @@
     assert sum(after) <= 0.08 * len(after)
     back = [z == 1 for at, z, home in sent if at > 14.5 and home == 1]
     assert sum(back) >= 0.8 * len(back)
-    tables = {agreement(s).table(run.scheduler.now_ns).weights for s in run.seats}
+    tables = {agreement(s).table(run.scheduler.now_ns).weights for s in run.nodes}
     assert len(tables) == 1
 
 
@@ -258,7 +258,7 @@
     for at, drained in ((3, True), (8, False)):
         run.scheduler.call_at(
             run.began_ns + at * 10**9,
-            lambda drained=drained: run.seats[0].gateway.dispatcher.post(ZoneOverridden(1, drained=drained)),
+            lambda drained=drained: run.nodes[0].gateway.dispatcher.post(ZoneOverridden(1, drained=drained)),
         )
     assert run.play().breach is None
 
@@ -267,4 +267,4 @@
         return sum(chosen) / len(chosen)
 
     assert part(0, 3) > 0.2 and part(4.5, 8) == 0.0 and part(12, 15) > 0.2
-    assert {agreement(s).trackers[1].state.name for s in run.seats} == {"WELL"}
+    assert {agreement(s).trackers[1].state.name for s in run.nodes} == {"WELL"}
--- a/zincstile/simulation/environment.py
+++ b/zincstile/simulation/environment.py
@@ -22,8 +22,8 @@
     from .plan import Plan
 
 
-class Seat(Protocol):
-    """A gateway's place in the tier: it stays while processes come and go."""
+class Node(Protocol):
+    """A gateway's node in the tier: it stays while processes come and go."""
 
     number: int
     name: str
@@ -31,34 +31,34 @@
     skew_ns: int  # of its Unix clock, from the next start on
     starts: int
     moves: int  # of its discovery
-    counter: int  # which count keeper it is told of
+    quota_service_number: int  # of the one that its configuration names
     stopping: bool  # it got SIGTERM
 
 
-class Place(Protocol):
-    """A guide box, and its line in the list."""
+class Backend(Protocol):
+    """A backend, and its entry in discovery's list."""
 
     entry: EndpointEntry
-    box: BackendEmulator
+    emulator: BackendEmulator
     zone: int
     model: BackendModel
 
 
-class Stage(Protocol):
+class Environment(Protocol):
     """One run."""
 
     plan: Plan
     checker: Checker
-    rng: random.Random  # of faults and stand-ins, in the order of events
+    rng: random.Random  # of faults and emulators, in the order of events
     links: NetworkFaults
-    seats: list[Any]
-    places: dict[str, Any]
-    boxes: list[str]  # names in the plan's order; a deploy puts the new one in its place
-    roster: EndpointList
-    front: ClientLoadBalancer
-    shares: dict[tuple[int, str], float]  # how unevenly a customer comes in
-    weights: random.Random
-    drawn_to: list[dict[str, None]]  # gateways to which all are drawn at present
+    nodes: list[Any]
+    backends: dict[str, Any]
+    backend_names: list[str]  # names in the plan's order; a deploy puts the new one in its place
+    endpoint_list: EndpointList
+    load_balancer: ClientLoadBalancer
+    customer_weights: dict[tuple[int, str], float]  # how unevenly a customer comes in
+    weight_rng: random.Random
+    preferred_gateways: list[dict[str, None]]  # gateways to which all are drawn at present
 
     def note(self, what: str, where: str) -> None:
         """For the record."""
@@ -67,74 +67,74 @@
 
     # gateways
 
-    def running(self, seat: Any) -> bool: ...
+    def is_running(self, node: Any) -> bool: ...
 
-    def start_gateway(self, seat: Any) -> None: ...
+    def start_gateway(self, node: Any) -> None: ...
 
-    def kill(self, seat: Any) -> None: ...
+    def kill(self, node: Any) -> None: ...
 
-    def terminate(self, seat: Any) -> None:
+    def terminate(self, node: Any) -> None:
         """SIGTERM."""
 
-    def pause(self, seat: Any, ms: float) -> None:
+    def pause(self, node: Any, ms: float) -> None:
         """It gets no CPU for so long."""
 
-    def reload(self, seat: Any) -> None:
+    def reload(self, node: Any) -> None:
         """SIGHUP, with the file as it is by now."""
 
-    def upgrade(self, seat: Any) -> None: ...
+    def upgrade(self, node: Any) -> None: ...
 
-    def move_discovery(self, seat: Any) -> None:
+    def move_discovery(self, node: Any) -> None:
         """Its agent listens at a new address too, which the file names from now on."""
 
-    def rude(self, seat: Any, client: MisbehavingClient) -> None: ...
+    def connect_misbehaving_client(self, node: Any, client: MisbehavingClient) -> None: ...
 
-    # guide boxes
+    # backends
 
-    def box_runs(self, place: Any) -> bool: ...
+    def backend_is_running(self, backend: Any) -> bool: ...
 
-    def kill_box(self, place: Any) -> None: ...
+    def kill_backend(self, backend: Any) -> None: ...
 
-    def box(self, zone: int, cold: bool, cell: int | None = None, at: Any = None) -> Any:
+    def add_backend(self, zone: int, cold: bool, group: int | None = None, at: Any = None) -> Any:
         """A new one, at another's address where one is given."""
 
-    def box_again(self, old: Any) -> Any:
+    def restart_backend(self, old: Any) -> Any:
         """The same one, started again and cold."""
 
-    def accept_box(self, place: Any) -> None:
+    def resume_listening(self, backend: Any) -> None:
         """It takes connections again, if it took none."""
 
-    def reset_box(self, place: Any) -> None: ...
+    def reset_backend(self, backend: Any) -> None: ...
 
-    def hush_box(self, place: Any, silent: bool) -> None: ...
+    def set_backend_unreachable(self, backend: Any, silent: bool) -> None: ...
 
-    def lag_box(self, place: Any, ms: float) -> None: ...
+    def set_backend_delay(self, backend: Any, ms: float) -> None: ...
 
-    def part(self, seat: Any, place: Any, apart: bool) -> None:
-        """This gateway and this box reach each other no more, or do again."""
+    def set_partitioned(self, node: Any, backend: Any, apart: bool) -> None:
+        """This gateway and this backend reach each other no more, or do again."""
 
-    # the count keeper
+    # quota services
 
-    def counter(self, number: int) -> QuotaService: ...
+    def quota_service(self, number: int) -> QuotaService: ...
 
-    def start_counter(self, number: int) -> None: ...
+    def start_quota_service(self, number: int) -> None: ...
 
-    def kill_counter(self, number: int) -> None: ...
+    def kill_quota_service(self, number: int) -> None: ...
 
-    def hush_counter(self, silent: bool) -> None: ...
+    def set_quota_service_unreachable(self, silent: bool) -> None: ...
 
 
-class RealStage(Stage, Protocol):
+class RealEnvironment(Environment, Protocol):
     """One run with real processes, whose machines and operators take part too."""
 
-    def reload(self, seat: Any, half: bool = False) -> None:
+    def reload(self, node: Any, half: bool = False) -> None:
         """`half`: its file is cut off in the middle."""
 
-    def step_clock(self, seat: Any, seconds: float) -> None:
+    def step_clock(self, node: Any, seconds: float) -> None:
         """Its machine's wall clock is off by so much from now on."""
 
-    def set_knob(self, seat: Any, name: str, value: float) -> None:
+    def set_knob(self, node: Any, name: str, value: float) -> None:
         """A value of the shim of its processes (`field.shim_control.Knob`)."""
 
-    def maintain(self, seat: Any, name: str, out: bool) -> None:
+    def maintain(self, node: Any, name: str, out: bool) -> None:
         """An operator's call: the box of that name is taken out, or put back."""
--- a/zincstile/simulation/fleet.py
+++ b/zincstile/simulation/fleet.py
@@ -32,8 +32,8 @@
 
 def counts(run: Run) -> dict[str, float]:
     """Of the gateways' last processes together; `busiest` is the most messages that one of them took in."""
-    counters = [seat.gateway.counters for seat in run.seats]
+    counters = [node.gateway.counters for node in run.nodes]
     names = ("attempts", "connects", "watches", "messages_in", "messages_out", "messages_bad", "faults")
     found = {n: float(sum(getattr(c, n) for c in counters)) for n in names}
-    cold = [p for p in run.places.values() if p.entry.since_ms]
+    cold = [p for p in run.backends.values() if p.entry.since_ms]
     return found | {"busiest": float(max(c.messages_in for c in counters)), "replaced": float(len(cold))}
--- a/zincstile/simulation/machine_faults.py
+++ b/zincstile/simulation/machine_faults.py
@@ -8,70 +8,70 @@
 from collections.abc import Callable
 from typing import Any
 
-from .environment import RealStage
+from .environment import RealEnvironment
 from .plan import Fault
 
 RELOAD_GAP_MS = 40  # between two reloads of a storm
 
 
-def _seats(run: RealStage, fault: Fault) -> list[Any]:
-    return [run.seats[n % len(run.seats)] for n in fault.who]
+def _nodes(run: RealEnvironment, fault: Fault) -> list[Any]:
+    return [run.nodes[n % len(run.nodes)] for n in fault.who]
 
 
-def _clock_step(run: RealStage, fault: Fault) -> None:
+def _clock_step(run: RealEnvironment, fault: Fault) -> None:
     """The wall clock is `amount` seconds off from now on; back again after its time, unless that is 0."""
-    for seat in _seats(run, fault):
-        run.step_clock(seat, fault.amount)
+    for node in _nodes(run, fault):
+        run.step_clock(node, fault.amount)
         if fault.for_ms:
-            run.after(fault.for_ms, run.step_clock, seat, 0.0)
+            run.after(fault.for_ms, run.step_clock, node, 0.0)
 
 
-def _with_shares(*knobs: str) -> Callable[[RealStage, Fault], None]:
+def _with_shares(*knobs: str) -> Callable[[RealEnvironment, Fault], None]:
     """A part of these calls fails for a while."""
 
-    def begin(run: RealStage, fault: Fault) -> None:
-        for seat in _seats(run, fault):
+    def begin(run: RealEnvironment, fault: Fault) -> None:
+        for node in _nodes(run, fault):
             for knob in knobs:
-                run.set_knob(seat, knob, fault.amount)
-                run.after(fault.for_ms, run.set_knob, seat, knob, 0.0)
+                run.set_knob(node, knob, fault.amount)
+                run.after(fault.for_ms, run.set_knob, node, knob, 0.0)
 
     return begin
 
 
-def _kill_in_write(run: RealStage, fault: Fault) -> None:
+def _kill_in_write(run: RealEnvironment, fault: Fault) -> None:
     """Killed in the middle of its next write to its folder, and started again a while later."""
-    for seat in _seats(run, fault):
-        run.set_knob(seat, "KILL_IN_WRITE", 1.0)
-        run.after(fault.for_ms, _started_again, run, seat)
+    for node in _nodes(run, fault):
+        run.set_knob(node, "KILL_IN_WRITE", 1.0)
+        run.after(fault.for_ms, _started_again, run, node)
 
 
-def _started_again(run: RealStage, seat: Any) -> None:
-    run.set_knob(seat, "KILL_IN_WRITE", 0.0)
-    if not run.running(seat):
-        run.start_gateway(seat)
+def _started_again(run: RealEnvironment, node: Any) -> None:
+    run.set_knob(node, "KILL_IN_WRITE", 0.0)
+    if not run.is_running(node):
+        run.start_gateway(node)
 
 
-def _maintenance(run: RealStage, fault: Fault) -> None:
+def _maintenance(run: RealEnvironment, fault: Fault) -> None:
     """Operators take these boxes out at each gateway of `to` (none: all), and put them back after its time;
     0: never."""
-    seats = [run.seats[n % len(run.seats)] for n in fault.to] or list(run.seats)
-    for name in dict.fromkeys(run.boxes[n % len(run.boxes)] for n in fault.who):
-        for seat in seats:
-            run.maintain(seat, name, True)
+    nodes = [run.nodes[n % len(run.nodes)] for n in fault.to] or list(run.nodes)
+    for name in dict.fromkeys(run.backend_names[n % len(run.backend_names)] for n in fault.who):
+        for node in nodes:
+            run.maintain(node, name, True)
             if fault.for_ms:
-                run.after(fault.for_ms, run.maintain, seat, name, False)
+                run.after(fault.for_ms, run.maintain, node, name, False)
 
 
-def _bad_reload(run: RealStage, fault: Fault) -> None:
+def _bad_reload(run: RealEnvironment, fault: Fault) -> None:
     """`amount` reloads in a row, every other one with half a file."""
-    for seat in _seats(run, fault):
+    for node in _nodes(run, fault):
         for number in range(int(fault.amount)):
-            run.after(number * RELOAD_GAP_MS, _one_reload, run, seat, number % 2 == 0)
+            run.after(number * RELOAD_GAP_MS, _one_reload, run, node, number % 2 == 0)
 
 
-def _one_reload(run: RealStage, seat: Any, half: bool) -> None:
-    if run.running(seat) and not seat.stopping:
-        run.reload(seat, half)
+def _one_reload(run: RealEnvironment, node: Any, half: bool) -> None:
+    if run.is_running(node) and not node.stopping:
+        run.reload(node, half)
 
 
 KINDS: dict[str, Callable[[Any, Fault], None]] = {
--- a/zincstile/simulation/members.py
+++ b/zincstile/simulation/members.py
@@ -29,7 +29,7 @@
     gateway: Gateway | None = None
     machine: VirtualHost | None = None
     moves: int = 0
-    counter: int = 0
+    quota_service_number: int = 0
     stopping: bool = False
 
 
@@ -39,7 +39,7 @@
 
     entry: EndpointEntry
     process: Process
-    box: BackendEmulator
+    emulator: BackendEmulator
     host: str
     port: int
     zone: int
--- a/zincstile/simulation/run.py
+++ b/zincstile/simulation/run.py
@@ -83,17 +83,17 @@
         plan = self.plan
         self.network.on_connected = self._connection_opened
         for number in range(plan.boxes):
-            backend = self.box(number % len(traffic.ZONES), cold=False)
-            self.boxes.append(backend.entry.name)
-            self.roster.put(backend.entry)
+            backend = self.add_backend(number % len(traffic.ZONES), cold=False)
+            self.backend_names.append(backend.entry.name)
+            self.endpoint_list.put(backend.entry)
         lists = Process(self.network, "lists", "10.3.0.1", 0)
         self.service = ListService(lists.loop, self.list_service_behaviour)
         for number in range(plan.gateways):
-            self.seats.append(self._make_node(number))
+            self.nodes.append(self._make_node(number))
         if plan.keeper:
             for number in range(QUOTA_SERVICES):
-                self.start_counter(number)
-        for node in self.seats:
+                self.start_quota_service(number)
+        for node in self.nodes:
             self.start_gateway(node)
         self._start_clients()
         self._schedule(traffic.wants(plan, self.began_ns / 1e9))
@@ -103,7 +103,7 @@
         name = f"g{number}"
         host = f"10.0.0.{number + 1}"
         process = Process(self.network, f"agent{number}", host, number % len(traffic.ZONES))
-        agent = DiscoveryAgent(process.loop, self.roster, name, self.checker)
+        agent = DiscoveryAgent(process.loop, self.endpoint_list, name, self.checker)
         if self.plan.asked:
             agent.on_request = self.service.receive_call
         self.spawn(process, agent.start(host, DISCOVERY_PORT))
@@ -111,25 +111,25 @@
 
     def _start_clients(self) -> None:
         self.clients = Process(self.network, "clients", "10.9.0.1", 0)
-        self.front = ClientLoadBalancer(
+        self.load_balancer = ClientLoadBalancer(
             self.clients.loop,
             random.Random(f"front {self.plan.seed}"),
             self.checker,
-            {node.name: (node.host, SERVICE_PORT) for node in self.seats},
+            {node.name: (node.host, SERVICE_PORT) for node in self.nodes},
             failure_detection_s=FAILURE_DETECTION_S,
         )
-        self.front.was_read = was_read
-        self.front.weigh_gateways = self._weigh_gateways
-        self.clients.loop.call_soon(self.front.watch_gateways)
+        self.load_balancer.was_read = was_read
+        self.load_balancer.weigh_gateways = self._weigh_gateways
+        self.clients.loop.call_soon(self.load_balancer.watch_gateways)
 
     def _schedule(self, requests: list[PlannedRequest]) -> None:
         """Every request and every fault at its instant."""
         plan = self.plan
         if plan.crossing and requests:
-            crossings = ConnectionEndCrossings(plan, self.clients, self.front, requests)
+            crossings = ConnectionEndCrossings(plan, self.clients, self.load_balancer, requests)
             self.network.on_end = crossings.connection_ended
         for request in requests:
-            self.clients.loop.call_at(request.at_s, self.front.send, request)
+            self.clients.loop.call_at(request.at_s, self.load_balancer.send, request)
         for fault in plan.faults:
             self.scheduler.call_at(self.began_ns + fault.at_ms * MS_NS, faults.begin, self, fault)
 
@@ -139,7 +139,7 @@
     def _connection_opened(self, opener: TcpTransport, acceptor: TcpTransport) -> None:
         """Observes what a gateway sends on a new connection to a backend."""
         gateway, backend = opener.process.name, acceptor.process.name
-        if gateway[0] == "g" and backend in self.places:
+        if gateway[0] == "g" and backend in self.backends:
             observer = ForwardedCommandObserver(self.checker, gateway, backend, self.scheduler)
             opener.on_sent = observer.feed
             if self.on_backend_connection is not None:
@@ -160,14 +160,14 @@
 
     def _quiet(self) -> bool:
         """True when nothing is asked, answered, or shutting down any more."""
-        if self.front.in_flight or self.front.retries_waiting:
+        if self.load_balancer.in_flight or self.load_balancer.retries_waiting:
             return False
-        alive = [node for node in self.seats if node.process.alive]
+        alive = [node for node in self.nodes if node.process.alive]
         return not any(node.stopping or in_progress(node) for node in alive)
 
     def _check_end(self) -> None:
         """Checks that nothing is left of what has long been answered."""
-        for node in self.seats:
+        for node in self.nodes:
             self.check_process(node)
             if node.process.alive and not node.stopping:
                 self.checker.check_leftovers(node.name, leftovers(node, self.scheduler.now_ns))
@@ -175,7 +175,7 @@
     def _result(self) -> Result:
         checker = self.checker
         tally: dict[str, int] = {}
-        for (_, kind), count in self.front.outcomes.items():
+        for (_, kind), count in self.load_balancer.outcomes.items():
             tally[kind] = tally.get(kind, 0) + count
         return Result(
             seed=self.plan.seed,
--- a/zincstile/simulation/shared_trials.py
+++ b/zincstile/simulation/shared_trials.py
@@ -58,12 +58,12 @@
 
     def _look(self) -> None:
         """Attempts of processes that are dead run on at the servers and are not theirs any more."""
-        seats = [s for s in self.run.seats if s.process is not None and s.process.alive]
+        nodes = [s for s in self.run.nodes if s.process is not None and s.process.alive]
         out = sum(
-            a.units for s in seats for a in s.gateway.dispatcher.policy.parts.attempts.in_flight.values()
+            a.units for s in nodes for a in s.gateway.dispatcher.policy.parts.attempts.in_flight.values()
         )
-        self._count_open([s.gateway.dispatcher.policy for s in seats])
-        ready = sum(p.process.alive for p in self.run.places.values())
+        self._count_open([s.gateway.dispatcher.policy for s in nodes])
+        ready = sum(p.process.alive for p in self.run.backends.values())
         self.out = max(self.out, out / max(1, ready))
         if self.run.scheduler.now_ns < self.run.began_ns + self.run.plan.last_ms * traffic.MS:
             self.run.scheduler.call_at(self.run.scheduler.now_ns + self.EVERY_NS, self._look)
@@ -100,7 +100,7 @@
     watch = Watch(run)
     result = run.play()
     named = {f"g{g % gateways}" for f in plan.faults for g in f.who if f.kind in ("away", "crash", "pause")}
-    spared = [g for g in (s.name for s in run.seats) if g not in named]
+    spared = [g for g in (s.name for s in run.nodes) if g not in named]
     apart = 1.0
     if named and spared and not result.breach:
         calm = Run(msgspec.structs.replace(plan, faults=[]))
@@ -115,7 +115,7 @@
         ),
         default=0.0,
     )
-    sent = sum(s.gateway.counters.messages_out for s in run.seats) / len(run.seats) / result.seconds
+    sent = sum(s.gateway.counters.messages_out for s in run.nodes) / len(run.nodes) / result.seconds
     return Row(
         failure,
         seed,
--- a/zincstile/simulation/starts.py
+++ b/zincstile/simulation/starts.py
@@ -110,9 +110,9 @@
         self.served: list[float] = []
         sent, answered = run.checker.attempt_started, run.checker.request_answered
 
-        def hear(seat, line: str) -> None:
+        def hear(node, line: str) -> None:
             if " ready with " in line:
-                self.ready[seat.name] = self.now_s()
+                self.ready[node.name] = self.now_s()
 
         def went(gateway: str, box: str, request: bytes, first_ns: int):
             case = run.checker.histories.get(request)
--- a/zincstile/simulation/traffic.py
+++ b/zincstile/simulation/traffic.py
@@ -17,7 +17,7 @@
 from ..emulators.client_requests import PlannedRequest
 from ..quota_service.overshoot_bound import overshoot_bounds
 from ..quota_service.settings import QuotaServiceSettings
-from .environment import Stage
+from .environment import Environment
 from .plan import Plan
 
 MS = 1_000_000
@@ -252,9 +252,9 @@
     )
 
 
-def weigh(run: Stage, want: PlannedRequest, names: list[str]) -> list[float]:
+def weigh(run: Environment, want: PlannedRequest, names: list[str]) -> list[float]:
     """How unevenly a customer's requests come in; `shift` draws it anew, `move` draws all to some."""
-    for drawn in run.drawn_to[-1:]:
+    for drawn in run.preferred_gateways[-1:]:
         if any(n in drawn for n in names):
             return [float(n in drawn) for n in names]
-    return [run.shares.setdefault((want.customer, n), run.weights.random() ** 2) for n in names]
+    return [run.customer_weights.setdefault((want.customer, n), run.weight_rng.random() ** 2) for n in names]
--- a/zincstile/simulation/virtual_backends.py
+++ b/zincstile/simulation/virtual_backends.py
@@ -35,7 +35,9 @@
 
     # ---- backends
 
-    def box(self, zone: int, cold: bool, cell: int | None = None, at: Backend | None = None) -> Backend:
+    def add_backend(
+        self, zone: int, cold: bool, group: int | None = None, at: Backend | None = None
+    ) -> Backend:
         """A new backend of drawn speed and size, listening at once; at the address of `at` where given."""
         self._backends_made += 1
         number = self._backends_made
@@ -44,7 +46,7 @@
             port = SERVICE_PORT
         else:
             host, port = at.host, at.port
-        group = number % GROUPS if cell is None else cell
+        group = number % GROUPS if group is None else group
         return self._start_backend(f"s-{number:02x}", host, port, zone, group, self._draw_model(number), cold)
 
     def _draw_model(self, number: int) -> BackendModel:
@@ -74,47 +76,47 @@
         )
         self.checker.add_backend(name, zone, group)
         self.checker.cold.backend_started(name, since_ms, emulator.capacity, lambda: emulator.warmth() >= 1)
-        self.places[name] = Backend(entry, process, emulator, host, port, zone, model)
-        return self.places[name]
+        self.backends[name] = Backend(entry, process, emulator, host, port, zone, model)
+        return self.backends[name]
 
-    def box_again(self, old: Backend) -> Backend:
+    def restart_backend(self, old: Backend) -> Backend:
         """The same backend, started again and cold."""
         zone, group = self.checker.locations[old.entry.name]
         model = replace(old.model, hangs=False)
         return self._start_backend(old.entry.name, old.host, old.port, zone, group, model, True)
 
-    def box_runs(self, place: Backend) -> bool:
+    def backend_is_running(self, backend: Backend) -> bool:
         """True until it is killed."""
-        return place.process.alive
+        return backend.process.alive
 
-    def kill_box(self, place: Backend) -> None:
+    def kill_backend(self, backend: Backend) -> None:
         """Its connections break, and it takes no new ones."""
-        place.process.kill()
+        backend.process.kill()
 
-    def accept_box(self, place: Backend) -> None:
+    def resume_listening(self, backend: Backend) -> None:
         """It takes connections again, if it took none."""
-        if place.process.alive and (place.host, place.port) not in self.network.listeners:
-            self.spawn(place.process, place.box.start(place.host, place.port))
+        if backend.process.alive and (backend.host, backend.port) not in self.network.listeners:
+            self.spawn(backend.process, backend.emulator.start(backend.host, backend.port))
 
-    def reset_box(self, place: Backend) -> None:
+    def reset_backend(self, backend: Backend) -> None:
         """Its connections break; it goes on."""
-        for endpoint in list(place.process.connections):
+        for endpoint in list(backend.process.connections):
             endpoint.break_path()
 
-    def hush_box(self, place: Backend, silent: bool) -> None:
+    def set_backend_unreachable(self, backend: Backend, silent: bool) -> None:
         """No gateway reaches it any more, or all do again."""
-        self._set_unreachable(place.host, silent)
+        self._set_unreachable(backend.host, silent)
 
-    def lag_box(self, place: Backend, ms: float) -> None:
+    def set_backend_delay(self, backend: Backend, ms: float) -> None:
         """What passes between it and the gateways is late by so much; 0: no more."""
-        self.network.extra_delay_ns.pop(place.host, None)
+        self.network.extra_delay_ns.pop(backend.host, None)
         if ms:
-            self.network.extra_delay_ns[place.host] = int(ms * MS_NS)
+            self.network.extra_delay_ns[backend.host] = int(ms * MS_NS)
 
-    def part(self, seat: Node, place: Backend, apart: bool) -> None:
+    def set_partitioned(self, node: Node, backend: Backend, apart: bool) -> None:
         """One gateway and this backend reach each other no more, or do again."""
         change = self.network.disconnect if apart else self.network.reconnect
-        change(seat.host, place.host)
+        change(node.host, backend.host)
 
     def _set_unreachable(self, host: str, unreachable: bool) -> None:
         change = self.network.isolate if unreachable else self.network.reconnect
@@ -122,22 +124,22 @@
 
     # ---- quota services
 
-    def counter(self, number: int) -> QuotaService:
+    def quota_service(self, number: int) -> QuotaService:
         """The quota service of that number."""
-        return self.counters[number][1]
+        return self.quota_services[number][1]
 
-    def start_counter(self, number: int) -> None:
+    def start_quota_service(self, number: int) -> None:
         """Starts a quota service that knows nothing yet, at the address of the one before it."""
         process = Process(self.network, f"counter{number}", quota_service_host(number), 0)
         service = QuotaService(process.loop)
         service.open = True
         self.spawn(process, service.start(process.host, QUOTA_SERVICE_PORT))
-        self.counters[number] = process, service
+        self.quota_services[number] = process, service
 
-    def kill_counter(self, number: int) -> None:
+    def kill_quota_service(self, number: int) -> None:
         """Its connections break, and it takes no new ones."""
-        self.counters[number][0].kill()
+        self.quota_services[number][0].kill()
 
-    def hush_counter(self, silent: bool) -> None:
+    def set_quota_service_unreachable(self, silent: bool) -> None:
         """No gateway reaches the first quota service any more, or all do again."""
         self._set_unreachable(quota_service_host(0), silent)
--- a/zincstile/simulation/virtual_environment.py
+++ b/zincstile/simulation/virtual_environment.py
@@ -1,7 +1,7 @@
 """The state of one run on virtual time: its network, its checker, its settings, and who takes part.
 
 `virtual_backends` adds the backends and other emulated services, `virtual_gateways` the gateways, and `run`
-the order of things. Together they are the `environment.Stage` that faults are carried out in.
+the order of things. Together they are the `environment.Environment` that faults are carried out in.
 """
 
 from __future__ import annotations
@@ -51,7 +51,7 @@
 
     # Made when the run begins:
     clients: Process
-    front: ClientLoadBalancer
+    load_balancer: ClientLoadBalancer
     service: ListService
 
     def __init__(self, plan: Plan, *, keep_trace: bool = False, rules: tuple[str, ...] = RULE_NAMES) -> None:
@@ -67,17 +67,19 @@
             rules,
             self._stated_quotas(),
         )
-        self.roster = EndpointList(self.checker)
+        self.endpoint_list = EndpointList(self.checker)
         self.racks = [Rack(traffic.KEYED_MS / 1000) for _ in range(GROUPS)]
-        self.places: dict[str, Backend] = {}  # by name; one that started again stands for its older self
-        self.boxes: list[str] = []  # names, in the plan's order; a deploy puts the new one in its place
-        self.seats: list[Node] = []
+        self.backends: dict[str, Backend] = {}  # by name; one that started again stands for its older self
+        self.backend_names: list[
+            str
+        ] = []  # names, in the plan's order; a deploy puts the new one in its place
+        self.nodes: list[Node] = []
         self.logs: list[str] = []  # the gateways' lines
-        self.counters: dict[int, tuple[Process, QuotaService]] = {}
+        self.quota_services: dict[int, tuple[Process, QuotaService]] = {}
         self.began_ns = START_NS + LEAD_NS  # of the first request
-        self.drawn_to: list[dict[str, None]] = []
-        self.shares: dict[tuple[int, str], float] = {}
-        self.weights = random.Random(f"weights {plan.seed}")
+        self.preferred_gateways: list[dict[str, None]] = []
+        self.customer_weights: dict[tuple[int, str], float] = {}
+        self.weight_rng = random.Random(f"weights {plan.seed}")
 
     def _make_network(self, *, keep_trace: bool) -> Network:
         plan = self.plan
--- a/zincstile/simulation/virtual_gateways.py
+++ b/zincstile/simulation/virtual_gateways.py
@@ -35,120 +35,120 @@
 
     # ---- configuration
 
-    def config(self, seat: Node) -> config.Config:
+    def config(self, node: Node) -> config.Config:
         """What a gateway reads of its file, with the features' settings put in as their files would be."""
-        found = config.read(self.table(seat), {})
+        found = config.read(self.table(node), {})
         found.leases = self.lease_settings
         found.start = self.cold_start_settings
         found.place = self.zone_failover_settings
         found.subset = self.subset_settings
         if self.quota_service_settings is not None:
             found.quota_service = self.quota_service_settings
-            found.quota_service_address = (quota_service_host(seat.counter), QUOTA_SERVICE_PORT)
+            found.quota_service_address = (quota_service_host(node.quota_service_number), QUOTA_SERVICE_PORT)
         return found
 
-    def table(self, seat: Node) -> dict[str, Any]:
+    def table(self, node: Node) -> dict[str, Any]:
         """A gateway's configuration file, as it stands now."""
-        seed = random.Random(f"{seat.name} {self.plan.seed} {seat.starts}").getrandbits(64)
+        seed = random.Random(f"{node.name} {self.plan.seed} {node.starts}").getrandbits(64)
         return traffic.configuration(
             self.plan,
-            seat.number,
-            f"{seat.host}:{SERVICE_PORT}",
-            "{}:{}".format(*seat.discovery),
-            [f"{other.host}:{PEER_PORT}" for other in self.seats],
+            node.number,
+            f"{node.host}:{SERVICE_PORT}",
+            "{}:{}".format(*node.discovery),
+            [f"{other.host}:{PEER_PORT}" for other in self.nodes],
             seed,
-            seat.agent.snapshot() if self.plan.known else {},
+            node.agent.snapshot() if self.plan.known else {},
         )
 
     # ---- start and end
 
-    def start_gateway(self, seat: Node) -> None:
+    def start_gateway(self, node: Node) -> None:
         """Starts a process as the platform does: from nothing but its configuration and the last list."""
-        seat.starts += 1
-        seat.stopping = False
+        node.starts += 1
+        node.stopping = False
         process = Process(
             self.network,
-            seat.name,
-            seat.host,
-            seat.number % len(traffic.ZONES),
+            node.name,
+            node.host,
+            node.number % len(traffic.ZONES),
             max_descriptors=self.plan.sockets,
             quantum_ns=self.plan.quantum_us * 1000,
         )
-        machine = VirtualHost(process, lambda: self.config(seat), UNIX_OFFSET_NS + seat.skew_ns)
-        machine.log = lambda line: self._log(seat, line)
-        self.checker.gateway_started(seat.name)
-        self.network.record("start", seat.name)
-        gateway = Gateway(self.config(seat), process.loop, machine)
+        machine = VirtualHost(process, lambda: self.config(node), UNIX_OFFSET_NS + node.skew_ns)
+        machine.log = lambda line: self._log(node, line)
+        self.checker.gateway_started(node.name)
+        self.network.record("start", node.name)
+        gateway = Gateway(self.config(node), process.loop, machine)
         gateway.dispatcher.guard.observer = lambda which, text: self.checker.report_invariant(
-            seat.name, f"{which.value} {text}"
+            node.name, f"{which.value} {text}"
         )
-        seat.process = process
-        seat.gateway = gateway
-        seat.machine = machine
+        node.process = process
+        node.gateway = gateway
+        node.machine = machine
         task = process.loop.create_task(gateway.lifecycle.run())
-        task.add_done_callback(lambda _: self._ended(seat, process))
+        task.add_done_callback(lambda _: self._ended(node, process))
 
-    def running(self, seat: Node) -> bool:
+    def is_running(self, node: Node) -> bool:
         """True while its process lives."""
-        return seat.process.alive
+        return node.process.alive
 
-    def kill(self, seat: Node) -> None:
+    def kill(self, node: Node) -> None:
         """SIGKILL."""
-        if seat.process.alive:
-            self.check_process(seat)
-            self.checker.gateway_ended(seat.name)
-            seat.process.kill()
+        if node.process.alive:
+            self.check_process(node)
+            self.checker.gateway_ended(node.name)
+            node.process.kill()
 
-    def terminate(self, seat: Node) -> None:
+    def terminate(self, node: Node) -> None:
         """SIGTERM, once."""
-        if seat.process.alive and not seat.stopping:
-            seat.stopping = True
-            self.checker.record_event(f"{seat.name} gets SIGTERM")
-            seat.process.signal(signal.SIGTERM)
+        if node.process.alive and not node.stopping:
+            node.stopping = True
+            self.checker.record_event(f"{node.name} gets SIGTERM")
+            node.process.signal(signal.SIGTERM)
 
-    def check_process(self, seat: Node) -> None:
+    def check_process(self, node: Node) -> None:
         """Checks what a process held open at most, and the errors of its event loop."""
-        self.checker.check_descriptors(seat.name, seat.process.peak_descriptors, self.plan.sockets)
-        for fault in seat.process.loop.unhandled_errors:
-            self.checker.report_fault(seat.name, fault)
+        self.checker.check_descriptors(node.name, node.process.peak_descriptors, self.plan.sockets)
+        for fault in node.process.loop.unhandled_errors:
+            self.checker.report_fault(node.name, fault)
 
-    def _ended(self, seat: Node, process: Process) -> None:
+    def _ended(self, node: Node, process: Process) -> None:
         """Its own end after SIGTERM.
 
         The checker isn't told that the gateway died: requests that it took and didn't answer are lost.
         """
         if process.alive:
-            self.checker.record_event(f"{seat.name} ended by itself")
-            self.network.record("ended", seat.name)
-            self.check_process(seat)
+            self.checker.record_event(f"{node.name} ended by itself")
+            self.network.record("ended", node.name)
+            self.check_process(node)
             process.kill()
 
-    def _log(self, seat: Node, line: str) -> None:
+    def _log(self, node: Node, line: str) -> None:
         if self.on_log_line is not None:
-            self.on_log_line(seat, line)
+            self.on_log_line(node, line)
         self.logs.append(line)
         if FAULT_LOG_MARK in line:
-            self.checker.report_fault(seat.name, line.split(FAULT_LOG_MARK, 1)[1].strip())
+            self.checker.report_fault(node.name, line.split(FAULT_LOG_MARK, 1)[1].strip())
 
     # ---- what else happens to them
 
-    def pause(self, seat: Node, ms: float) -> None:
+    def pause(self, node: Node, ms: float) -> None:
         """It gets no CPU for so long."""
-        seat.process.pause(int(ms * MS_NS))
-        self.checker.gateway_paused(seat.name, int(ms * MS_NS))
+        node.process.pause(int(ms * MS_NS))
+        self.checker.gateway_paused(node.name, int(ms * MS_NS))
 
-    def reload(self, seat: Node) -> None:
+    def reload(self, node: Node) -> None:
         """SIGHUP, with the file as it is by now."""
-        seat.process.signal(signal.SIGHUP)
+        node.process.signal(signal.SIGHUP)
 
-    def move_discovery(self, seat: Node) -> None:
+    def move_discovery(self, node: Node) -> None:
         """Its agent listens at a new address too, which the file names from now on."""
-        seat.discovery = seat.host, DISCOVERY_PORT + seat.moves
-        seat.agent.loop.create_task(seat.agent.start(*seat.discovery))
+        node.discovery = node.host, DISCOVERY_PORT + node.moves
+        node.agent.loop.create_task(node.agent.start(*node.discovery))
 
-    def rude(self, seat: Node, client: MisbehavingClient) -> None:
+    def connect_misbehaving_client(self, node: Node, client: MisbehavingClient) -> None:
         """A client that keeps to no protocol connects to it."""
-        self.spawn(self.clients, self._connect(seat.host, client))
+        self.spawn(self.clients, self._connect(node.host, client))
 
     async def _connect(self, host: str, client: MisbehavingClient) -> None:
         try:
@@ -156,5 +156,5 @@
         except OSError:
             return  # that gateway is down
 
-    def upgrade(self, seat: Node) -> None:
+    def upgrade(self, node: Node) -> None:
         """Does nothing: virtual time has no upgrades (`plan.REAL_ONLY`)."""
--- a/zincstile/testbed/gateways.py
+++ b/zincstile/testbed/gateways.py
@@ -14,7 +14,7 @@
 from ..simulation import traffic
 from . import places
 from .counter_names import by_stored_name
-from .members import Seat
+from .members import Node
 from .programs import Program, told
 from .shim_control import Knob
 from .testbed import MS, Testbed
@@ -28,169 +28,169 @@
 
     # ---- configuration
 
-    def _listening_socket(self, seat: Seat) -> socket.socket:
+    def _listening_socket(self, node: Node) -> socket.socket:
         """The clients' socket, held here for all versions of a gateway."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        sock.bind((places.gateway(self.block, seat.number), places.CLIENTS_PORT))
+        sock.bind((places.gateway(self.block, node.number), places.CLIENTS_PORT))
         sock.listen(1024)
         return sock
 
-    def _write_configuration(self, seat: Seat, half: bool = False) -> Path:
+    def _write_configuration(self, node: Node, half: bool = False) -> Path:
         """Writes a gateway's configuration file as it has to be now, or half of it."""
-        plan, number = self.plan, seat.number
-        seed = random.Random(f"{seat.name} {plan.seed} {seat.starts}").getrandbits(64)
+        plan, number = self.plan, node.number
+        seed = random.Random(f"{node.name} {plan.seed} {node.starts}").getrandbits(64)
         table = traffic.configuration(
             plan,
             number,
-            seat.listen,
-            seat.discovery,
+            node.listen,
+            node.discovery,
             self.datagrams.peers(number),
             seed,
-            self._known_list(seat),
+            self._known_list(node),
         )
         if self.features:
             table["features"] = self.features
-        if self.counters:
-            table["counter"] = self.counters[seat.counter][1].address(number)
+        if self.quota_services:
+            table["counter"] = self.quota_services[node.quota_service_number][1].address(number)
         if self._operated:
-            seat.operators = f"{places.gateway(self.block, number)}:{places.CONTROL_PORT + seat.starts}"
-            table["control"] = seat.operators
-        path = seat.folder / "config.json"
+            node.operators = f"{places.gateway(self.block, number)}:{places.CONTROL_PORT + node.starts}"
+            table["control"] = node.operators
+        path = node.folder / "config.json"
         text = json.dumps(table)
         path.write_text(text[: len(text) // 2] if half else text, encoding="utf-8")
         return path
 
-    def _known_list(self, seat: Seat) -> dict[str, Any]:
+    def _known_list(self, node: Node) -> dict[str, Any]:
         """The list that a gateway starts with."""
-        return seat.agent.snapshot() if self.plan.known else {}
+        return node.agent.snapshot() if self.plan.known else {}
 
     # ---- processes
 
-    def start_gateway(self, seat: Seat) -> None:
+    def start_gateway(self, node: Node) -> None:
         """Starts it as the platform does: from nothing but its file and the last list. Not once the run ends:
         what a plan starts late would be told of the end by nobody."""
         if self.ending:
             return
-        self._keep_counters(seat)
-        seat.starts += 1
-        seat.stopping, seat.may_die = False, bool(seat.shim.get(Knob.KILL_IN_WRITE))
-        if seat.socket is not None:  # the platform's: it has taken connections on
-            self.checker.excuse_gateway(seat.name)
-        self.checker.gateway_started(seat.name)
-        seat.program = self._start_program(seat)
-
-    def _start_program(self, seat: Seat) -> Program:
-        env = {"RELAY_CONFIG": str(self._write_configuration(seat)), "TMPDIR": str(seat.folder / "tmp")}
+        self._keep_counters(node)
+        node.starts += 1
+        node.stopping, node.may_die = False, bool(node.shim.get(Knob.KILL_IN_WRITE))
+        if node.socket is not None:  # the platform's: it has taken connections on
+            self.checker.excuse_gateway(node.name)
+        self.checker.gateway_started(node.name)
+        node.program = self._start_program(node)
+
+    def _start_program(self, node: Node) -> Program:
+        env = {"RELAY_CONFIG": str(self._write_configuration(node)), "TMPDIR": str(node.folder / "tmp")}
         words = ["-m", "zincstile"]
-        if seat.skew_ns:
-            seat.shim.set(Knob.WALL_OFFSET_S, seat.skew_ns / 1e9)
+        if node.skew_ns:
+            node.shim.set(Knob.WALL_OFFSET_S, node.skew_ns / 1e9)
         if self._shimmed:
-            words = ["-m", "zincstile.testbed.shim", str(seat.folder / "shim")]
-        if seat.socket is not None:
-            env["RELAY_SOCKET_FD"] = str(seat.socket.fileno())
+            words = ["-m", "zincstile.testbed.shim", str(node.folder / "shim")]
+        if node.socket is not None:
+            env["RELAY_SOCKET_FD"] = str(node.socket.fileno())
         return Program(
             words,
             env,
-            seat.folder / "log",
+            node.folder / "log",
             self.folder,
-            seat.socket.fileno() if seat.socket is not None else None,
+            node.socket.fileno() if node.socket is not None else None,
         )
 
-    def _keep_counters(self, seat: Seat) -> None:
+    def _keep_counters(self, node: Node) -> None:
         """Adds what the process that ends has counted to what is kept of its gateway."""
-        if seat.program is not None:
-            self._read_log(seat)
-            for name, n in seat.latest.items():
-                seat.counters[name] = seat.counters.get(name, 0) + n
-            seat.latest = {}
+        if node.program is not None:
+            self._read_log(node)
+            for name, n in node.latest.items():
+                node.counters[name] = node.counters.get(name, 0) + n
+            node.latest = {}
 
     def died_as_planned(self, name: str) -> bool:
         """Its process was killed in the middle of a write, as the plan had it."""
-        seat = self.seats[self.names.index(name)]
-        program = seat.program
+        node = self.nodes[self.names.index(name)]
+        program = node.program
         return (
-            seat.may_die
+            node.may_die
             and program is not None
             and not program.alive
             and program.process.returncode == -signal.SIGKILL
         )
 
-    def running(self, seat: Seat) -> bool:
+    def is_running(self, node: Node) -> bool:
         """A process of it is alive."""
-        return seat.program is not None and seat.program.alive
+        return node.program is not None and node.program.alive
 
-    def kill(self, seat: Seat) -> None:
+    def kill(self, node: Node) -> None:
         """SIGKILL."""
-        if self.running(seat):
-            self.checker.gateway_ended(seat.name)
-            seat.program.kill()
+        if self.is_running(node):
+            self.checker.gateway_ended(node.name)
+            node.program.kill()
 
-    def terminate(self, seat: Seat) -> None:
+    def terminate(self, node: Node) -> None:
         """SIGTERM, once for each process."""
-        if self.running(seat) and not seat.stopping:
-            seat.stopping = True
-            self.checker.record_event(f"{seat.name} gets SIGTERM")
-            seat.program.terminate()
+        if self.is_running(node) and not node.stopping:
+            node.stopping = True
+            self.checker.record_event(f"{node.name} gets SIGTERM")
+            node.program.terminate()
 
-    def pause(self, seat: Seat, ms: float) -> None:
+    def pause(self, node: Node, ms: float) -> None:
         """It gets no processor time for so long."""
-        self.checker.gateway_paused(seat.name, int(ms * MS))
-        seat.program.signal(signal.SIGSTOP)
-        self.after(ms, seat.program.signal, signal.SIGCONT)
+        self.checker.gateway_paused(node.name, int(ms * MS))
+        node.program.signal(signal.SIGSTOP)
+        self.after(ms, node.program.signal, signal.SIGCONT)
 
-    def reload(self, seat: Seat, half: bool = False) -> None:
+    def reload(self, node: Node, half: bool = False) -> None:
         """SIGHUP, with the file as it has to be now, or half of it; not half where a start reads it first."""
-        if half and not seat.program.up:
+        if half and not node.program.up:
             return
-        self._write_configuration(seat, half)
-        seat.program.signal(signal.SIGHUP)
+        self._write_configuration(node, half)
+        node.program.signal(signal.SIGHUP)
 
-    def step_clock(self, seat: Seat, seconds: float) -> None:
+    def step_clock(self, node: Node, seconds: float) -> None:
         """The wall clock of its machine is off by so much from now on, for later processes too."""
-        self.checker.record_event(f"the wall clock of {seat.name} is {seconds:+g} s off")
-        seat.shim.set(Knob.WALL_OFFSET_S, seconds)
+        self.checker.record_event(f"the wall clock of {node.name} is {seconds:+g} s off")
+        node.shim.set(Knob.WALL_OFFSET_S, seconds)
 
-    def set_knob(self, seat: Seat, name: str, value: float) -> None:
+    def set_knob(self, node: Node, name: str, value: float) -> None:
         """A value of the shim of its processes."""
-        seat.shim.set(Knob[name], value)
+        node.shim.set(Knob[name], value)
         if name == Knob.KILL_IN_WRITE.name:
-            seat.may_die = seat.may_die or bool(value)
+            node.may_die = node.may_die or bool(value)
 
-    def move_discovery(self, seat: Seat) -> None:
+    def move_discovery(self, node: Node) -> None:
         """Its discovery listens at a new address too, which the file names from now on."""
-        self._spawn(self._move_discovery(seat))
+        self._spawn(self._move_discovery(node))
 
-    async def _move_discovery(self, seat: Seat) -> None:
-        await seat.agent.start("")
-        seat.discovery = seat.proxy.address(seat.number)
+    async def _move_discovery(self, node: Node) -> None:
+        await node.agent.start("")
+        node.discovery = node.proxy.address(node.number)
 
-    def upgrade(self, seat: Seat) -> None:
+    def upgrade(self, node: Node) -> None:
         """The next version takes over on the same socket, unless one is doing so already."""
-        if self.running(seat) and seat.older is None and not seat.stopping:
-            self._spawn(self._upgrade(seat))
+        if self.is_running(node) and node.older is None and not node.stopping:
+            self._spawn(self._upgrade(node))
 
-    async def _upgrade(self, seat: Seat) -> None:
+    async def _upgrade(self, node: Node) -> None:
         """The next version starts beside this one; once it is ready, this one gets SIGTERM."""
-        seat.starts += 1
-        seat.older, seat.program = seat.program, self._start_program(seat)
-        newer, older = seat.program, seat.older
+        node.starts += 1
+        node.older, node.program = node.program, self._start_program(node)
+        newer, older = node.program, node.older
         text = b" ready with "
         await self._wait_for(
-            lambda: newer.log.read_bytes().count(text) >= seat.starts or not newer.alive, UPGRADE_S
+            lambda: newer.log.read_bytes().count(text) >= node.starts or not newer.alive, UPGRADE_S
         )
         older.terminate()
         await self._wait_for(lambda: not older.alive, GONE_S)
         older.kill()
-        self._read_log(seat)
-        seat.older = None
+        self._read_log(node)
+        node.older = None
 
-    def rude(self, seat: Seat, client: MisbehavingClient) -> None:
+    def connect_misbehaving_client(self, node: Node, client: MisbehavingClient) -> None:
         """A client that keeps to no protocol connects."""
-        self._spawn(self._connect_rude(seat, client))
+        self._spawn(self._connect_rude(node, client))
 
-    async def _connect_rude(self, seat: Seat, client: MisbehavingClient) -> None:
-        host, port = seat.listen.split(":")
+    async def _connect_rude(self, node: Node, client: MisbehavingClient) -> None:
+        host, port = node.listen.split(":")
         with contextlib.suppress(OSError):
             await self.loop.create_connection(lambda: client, host, int(port))
 
@@ -198,49 +198,49 @@
 
     def _check_exits(self) -> None:
         """Reports processes that ended without having been told to."""
-        for seat in self.seats:
-            program = seat.program
+        for node in self.nodes:
+            program = node.program
             gone = program is not None and not program.alive
             if (
-                seat.socket is not None
-                and seat.stopping
+                node.socket is not None
+                and node.stopping
                 and gone
-                and seat.name not in self.checker.ended_gateways
+                and node.name not in self.checker.ended_gateways
             ):
                 self.checker.gateway_ended(
-                    seat.name
+                    node.name
                 )  # the platform's socket takes connections on, for nobody
             if program is not None and not program.alive and not program.asked_to_end:
                 program.asked_to_end = True
-                if self.died_as_planned(seat.name):
-                    self.checker.gateway_ended(seat.name)
+                if self.died_as_planned(node.name):
+                    self.checker.gateway_ended(node.name)
                     continue
                 code = program.process.returncode
-                self.checker.report_fault(seat.name, f"the process ended by itself, exit {code}")
-                self.checker.gateway_ended(seat.name)
+                self.checker.report_fault(node.name, f"the process ended by itself, exit {code}")
+                self.checker.gateway_ended(node.name)
 
-    def _read_log(self, seat: Seat) -> None:
+    def _read_log(self, node: Node) -> None:
         """Takes in what its processes have logged since the last time: faults, counters, state."""
-        for program in (seat.older, seat.program):
+        for program in (node.older, node.program):
             for line in program.news() if program is not None else ():
                 program.up = program.up or " start listening on " in line
                 if " fault " in line:
-                    self.checker.report_fault(seat.name, line.split(" fault ", 1)[1])
+                    self.checker.report_fault(node.name, line.split(" fault ", 1)[1])
                 if " late held up " in line:
                     self.checker.record_event(
-                        f"{seat.name} says at {line.split()[0]}: {line.split(' late ', 1)[1]}"
+                        f"{node.name} says at {line.split()[0]}: {line.split(' late ', 1)[1]}"
                     )
                 if " violated " in line:
-                    self.checker.report_invariant(seat.name, line.split(" violated ", 1)[1])
+                    self.checker.report_invariant(node.name, line.split(" violated ", 1)[1])
                 found = told(line, "counters")
-                if found is not None and program is seat.program:
-                    seat.latest = by_stored_name(found)
-                    self._record_figures(seat, seat.latest)
+                if found is not None and program is node.program:
+                    node.latest = by_stored_name(found)
+                    self._record_figures(node, node.latest)
                 believed = told(line, "state")
-                if believed is not None and program is seat.program:
-                    seat.believes = believed
-                    self._record_figures(seat, believed)
+                if believed is not None and program is node.program:
+                    node.believes = believed
+                    self._record_figures(node, believed)
 
-    def _record_figures(self, seat: Seat, found: dict[str, float]) -> None:
-        key = int(self.loop.time() - self.began_s), seat.name
+    def _record_figures(self, node: Node, found: dict[str, float]) -> None:
+        key = int(self.loop.time() - self.began_s), node.name
         self.series.figures.setdefault(key, {}).update(found)
--- a/zincstile/testbed/members.py
+++ b/zincstile/testbed/members.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Seat:
+class Node:
     """A gateway's place in the tier, and its processes: it stays while they come and go."""
 
     number: int
@@ -30,7 +30,7 @@
     operators: str = ""  # the control endpoint of the process that was started last
     starts: int = 0
     moves: int = 0
-    counter: int = 0
+    quota_service_number: int = 0
     stopping: bool = False
     may_die: bool = False  # in the middle of a write, as the plan has it
     program: Program | None = None
@@ -49,11 +49,11 @@
 
 
 @dataclass(slots=True, eq=False)
-class Place:
+class Backend:
     """A fake backend, with its entry in discovery's list."""
 
     entry: EndpointEntry
-    box: BackendEmulator
+    emulator: BackendEmulator
     proxy: FaultProxy
     zone: int
     model: BackendModel
--- a/zincstile/testbed/operators.py
+++ b/zincstile/testbed/operators.py
@@ -5,7 +5,7 @@
 import asyncio
 import time
 
-from .members import Seat
+from .members import Node
 from .testbed import Testbed
 
 CALL_S = 3.0  # a call is given up after so long; its answer is due within 1 s
@@ -15,22 +15,22 @@
 class Operators(Testbed):
     """Takes backends out of service at gateways and puts them back."""
 
-    def maintain(self, seat: Seat, name: str, out: bool) -> None:
+    def maintain(self, node: Node, name: str, out: bool) -> None:
         """One call, beside everything else. Where it is not answered with a yes nothing is obliged."""
-        self._spawn(self._maintain(seat, name, out))
+        self._spawn(self._maintain(node, name, out))
 
-    async def _maintain(self, seat: Seat, name: str, out: bool) -> None:
+    async def _maintain(self, node: Node, name: str, out: bool) -> None:
         if not out:  # from the call on it may be sent to again, whatever is answered
-            self.checker.maintenance.ended(seat.name, name)
+            self.checker.maintenance.ended(node.name, name)
         act = "enter" if out else "exit"
-        status = await self._call(seat, f"/maintenance/{act}", name)
-        self.checker.record_event(f"{seat.name} answers {status} to {act} {name}")
+        status = await self._call(node, f"/maintenance/{act}", name)
+        self.checker.record_event(f"{node.name} answers {status} to {act} {name}")
         if out and status == YES:
-            self.checker.maintenance.confirmed(time.monotonic_ns(), seat.name, name)
+            self.checker.maintenance.confirmed(time.monotonic_ns(), node.name, name)
 
-    async def _call(self, seat: Seat, path: str, body: str) -> int:
+    async def _call(self, node: Node, path: str, body: str) -> int:
         """The status; 0 where there is no answer."""
-        host, _, port = seat.operators.rpartition(":")
+        host, _, port = node.operators.rpartition(":")
         head = f"POST {path} HTTP/1.1\r\nHost: {host}\r\nContent-Length: {len(body)}\r\n\r\n"
         try:
             async with asyncio.timeout(CALL_S):
--- a/zincstile/testbed/run.py
+++ b/zincstile/testbed/run.py
@@ -26,7 +26,7 @@
 from .emulated import EmulatedServices
 from .fault_proxy import FaultProxy
 from .gateways import GONE_S, GatewayProcesses
-from .members import Seat
+from .members import Node
 from .operators import Operators
 from .programs import Program
 from .result import FieldResult
@@ -49,7 +49,7 @@
 
 
 class Run(EmulatedServices, GatewayProcesses, Operators):
-    """`environment.Stage` with real processes: the run from its first process to its last."""
+    """`environment.Environment` with real processes: the run from its first process to its last."""
 
     async def play(self) -> FieldResult:
         """NotReadyError where the gateways don't start; OSError where the machine gives no sockets."""
@@ -73,34 +73,34 @@
             self.links.inject(paths_between(self.names, self.names), self.base)
         await self._build_backends()
         for number in range(2 if plan.keeper else 0):
-            self.start_counter(number)
+            self.start_quota_service(number)
         for number, name in enumerate(self.names):
-            self.seats.append(await self._make_seat(number, name))
-        self.front = self._make_clients()
+            self.nodes.append(await self._make_node(number, name))
+        self.load_balancer = self._make_clients()
         self.probe.died_as_planned = self.died_as_planned
-        await self._wait_for(lambda: all(c.port for _, c in self.counters.values()), READY_S)
+        await self._wait_for(lambda: all(c.port for _, c in self.quota_services.values()), READY_S)
         self._first_start_s = time.monotonic()
         self.checker.quotas = Quotas(self.stated, 0, self.opening, time.monotonic_ns())
-        for seat in self.seats if start else ():
-            self.start_gateway(seat)
+        for node in self.nodes if start else ():
+            self.start_gateway(node)
 
     async def _build_backends(self) -> None:
         """The plan's backends, one after another, so that each listens before discovery names it."""
         for k in range(self.plan.boxes):
-            place = self.box(k % len(traffic.ZONES), cold=False)
+            place = self.add_backend(k % len(traffic.ZONES), cold=False)
             await self._wait_for(lambda place=place: place.proxy.port, READY_S)
-            self.boxes.append(place.entry.name)
-            self.roster.put(place.entry)
+            self.backend_names.append(place.entry.name)
+            self.endpoint_list.put(place.entry)
 
-    async def _make_seat(self, number: int, name: str) -> Seat:
+    async def _make_node(self, number: int, name: str) -> Node:
         """A gateway's place: its discovery, its folder and, for upgrades, its listening socket."""
         proxy = FaultProxy(self.loop, self.links, "discovery", places.DISCOVERY, 0, self.names)
-        agent = DiscoveryAgent(proxy, self.roster, name, self.probe)  # type: ignore[arg-type]
+        agent = DiscoveryAgent(proxy, self.endpoint_list, name, self.probe)  # type: ignore[arg-type]
         agent.view = lambda entry: self._entry_for(entry, number)
         await agent.start("")
         folder = self.folder / name
         (folder / "tmp").mkdir(parents=True, exist_ok=True)
-        seat = Seat(
+        node = Node(
             number=number,
             name=name,
             agent=agent,
@@ -110,10 +110,10 @@
             shim=ShimControl(folder / "shim"),
             discovery=proxy.address(number),
         )
-        seat.shim.set(Knob.SEED, plan_seed(self.plan.seed, number))
+        node.shim.set(Knob.SEED, plan_seed(self.plan.seed, number))
         if number in self._upgraded:
-            seat.socket = self._listening_socket(seat)
-        return seat
+            node.socket = self._listening_socket(node)
+        return node
 
     def _make_clients(self) -> ClientLoadBalancer:
         """The clients, who know every gateway."""
@@ -121,7 +121,7 @@
             self.loop,
             random.Random(f"front {self.plan.seed}"),
             self.probe,
-            {s.name: (places.gateway(self.block, s.number), places.CLIENTS_PORT) for s in self.seats},
+            {s.name: (places.gateway(self.block, s.number), places.CLIENTS_PORT) for s in self.nodes},
             failure_detection_s=(0.3, 1.5),
         )
         front.weigh_gateways = self._weigh_gateways
@@ -130,18 +130,19 @@
 
     async def _wait_until_ready(self) -> None:
         """Until every gateway answers PING; NotReadyError where one does not in time."""
-        self.front.watch_gateways()
+        self.load_balancer.watch_gateways()
         await self._wait_for(
-            lambda: all(self.front.admitted.values()) or not all(s.program.alive for s in self.seats), READY_S
+            lambda: all(self.load_balancer.admitted.values()) or not all(s.program.alive for s in self.nodes),
+            READY_S,
         )
-        down = [n for n, up in self.front.admitted.items() if not up]
+        down = [n for n, up in self.load_balancer.admitted.items() if not up]
         if down:
             tail = [f"{n}: {(self.folder / n / 'log').read_text()[-400:].strip()}" for n in down[:3]]
             raise NotReadyError(
                 f"{len(down)} of {len(self.names)} gateways did not start; " + " | ".join(tail)
             )
-        for seat in self.seats:
-            seat.ready_s = self.front.first_admitted_s[seat.name] - self._first_start_s
+        for node in self.nodes:
+            node.ready_s = self.load_balancer.first_admitted_s[node.name] - self._first_start_s
         await asyncio.sleep(SETTLE_S)  # the first beats pass
 
     async def _play_load(self) -> None:
@@ -150,7 +151,7 @@
         self.probe.watch_own_delay(self.loop)
         self.began_s = start = self.loop.time() + 0.1
         for want in traffic.wants(plan, start):
-            self.loop.call_at(want.at_s, self.front.send, want)
+            self.loop.call_at(want.at_s, self.load_balancer.send, want)
         for fault in plan.faults:
             self.loop.call_at(start + fault.at_ms / 1000, self._begin_fault, fault)
         last = max([plan.last_ms, *(f.at_ms + f.for_ms for f in plan.faults)]) / 1000
@@ -171,9 +172,9 @@
     def _all_answered(self) -> bool:
         """No request is open or on its way, and no older version still serves."""
         return (
-            not self.front.in_flight
-            and not self.front.retries_waiting
-            and all(seat.older is None for seat in self.seats)
+            not self.load_balancer.in_flight
+            and not self.load_balancer.retries_waiting
+            and all(node.older is None for node in self.nodes)
         )
 
     def _begin_fault(self, fault: Any) -> None:
@@ -184,26 +185,26 @@
 
     def _sample_processes(self) -> None:
         """Reads the logs and the memory of all gateways, and asks for their counters."""
-        for seat in self.seats:
-            self._read_log(seat)
-            if seat.program is not None and seat.program.up and seat.program.alive:
-                seat.program.signal(signal.SIGUSR1)
-                seat.memory_kb = max(seat.memory_kb, seat.program.memory_kb())
+        for node in self.nodes:
+            self._read_log(node)
+            if node.program is not None and node.program.up and node.program.alive:
+                node.program.signal(signal.SIGUSR1)
+                node.memory_kb = max(node.memory_kb, node.program.memory_kb())
 
     async def _end_gateways(self) -> None:
         """All is answered: every process is told to end, and has to, with nothing left open."""
-        left = self.front.in_flight
+        left = self.load_balancer.in_flight
         await self._check_ready()
         self.ending = True
-        for seat in self.seats:
-            if seat.program is not None:
-                seat.program.signal(signal.SIGCONT)
-                seat.program.terminate()
-        await self._wait_for(lambda: not any(s.program and s.program.alive for s in self.seats), GONE_S)
-        for seat in self.seats:
-            self._read_log(seat)
-            if seat.program is not None:
-                self._check_end(seat, seat.program)
+        for node in self.nodes:
+            if node.program is not None:
+                node.program.signal(signal.SIGCONT)
+                node.program.terminate()
+        await self._wait_for(lambda: not any(s.program and s.program.alive for s in self.nodes), GONE_S)
+        for node in self.nodes:
+            self._read_log(node)
+            if node.program is not None:
+                self._check_end(node, node.program)
         if left:
             self.checker.report_violation(Rule.ANSWER, f"{left} requests were never answered")
 
@@ -214,46 +215,46 @@
             self.checker.report_violation(Rule.READY, f"{name} runs, and is not ready within {RESTART_S:g} s")
 
     def _not_ready(self) -> list[str]:
-        running = [s for s in self.seats if self.running(s) and not s.stopping]
-        return [s.name for s in running if not self.front.admitted[s.name]]
+        running = [s for s in self.nodes if self.is_running(s) and not s.stopping]
+        return [s.name for s in running if not self.load_balancer.admitted[s.name]]
 
-    def _check_end(self, seat: Seat, program: Program) -> None:
+    def _check_end(self, node: Node, program: Program) -> None:
         """The process ended in time, as it was told to, and counted no fault."""
         code = program.process.returncode
         if program.alive:
             self.checker.report_violation(
-                Rule.RESOURCES, f"{seat.name} did not end within {GONE_S:g} s of SIGTERM"
+                Rule.RESOURCES, f"{node.name} did not end within {GONE_S:g} s of SIGTERM"
             )
         elif code and code != -signal.SIGKILL and (program.up or code != -signal.SIGTERM):
-            self.checker.report_fault(seat.name, f"exit {code}")
-        if seat.latest.get("faults"):
-            self.checker.report_fault(seat.name, f"{seat.latest['faults']:g} faults counted")
+            self.checker.report_fault(node.name, f"exit {code}")
+        if node.latest.get("faults"):
+            self.checker.report_fault(node.name, f"{node.latest['faults']:g} faults counted")
 
     def _clean_up(self) -> None:
         """Whatever came: nothing that was started here is left."""
-        for seat in self.seats:
-            self._clean_up_gateway(seat)
-        for place in self.places.values():
+        for node in self.nodes:
+            self._clean_up_gateway(node)
+        for place in self.backends.values():
             place.proxy.close()
-        for _, proxy in self.counters.values():
+        for _, proxy in self.quota_services.values():
             proxy.close()
         if hasattr(self, "datagrams"):
             self.datagrams.close()
         if hasattr(self, "front"):
-            self.front.close()
+            self.load_balancer.close()
         for task in list(self._tasks):
             task.cancel()
 
-    def _clean_up_gateway(self, seat: Seat) -> None:
-        for program in (seat.older, seat.program):
+    def _clean_up_gateway(self, node: Node) -> None:
+        for program in (node.older, node.program):
             if program is not None:
                 program.kill()
-        for server in seat.agent.servers:
+        for server in node.agent.servers:
             server.close()
-        seat.proxy.close()
-        if seat.socket is not None:
-            seat.socket.close()
-        seat.shim.close()
+        node.proxy.close()
+        if node.socket is not None:
+            node.socket.close()
+        node.shim.close()
 
 
 def play(plan: Plan, folder: Path, **told_besides: Any) -> FieldResult:
--- a/zincstile/testbed/start.py
+++ b/zincstile/testbed/start.py
@@ -18,7 +18,8 @@
 from ..emulators.list_service import ListService, ListServiceBehaviour
 from ..simulation.plan import Plan
 from . import places
-from .run import NotReadyError, Run, Seat
+from .members import Node
+from .run import NotReadyError, Run
 
 WAVES = ("all", "tenths", "seven-in-ten", "outage", "down", "empty")
 TENTH_S, OUTAGE_S, KILLED = 1.0, 20.0, 0.7
@@ -105,72 +106,72 @@
     async def _places(self) -> None:
         self.service = ListService(self.loop, self.manners)
         await self._build(start=False)
-        for seat in self.seats:
-            seat.agent.on_request = self.service.receive_call
+        for node in self.nodes:
+            node.agent.on_request = self.service.receive_call
 
-    def _known_list(self, seat: Seat) -> dict:
+    def _known_list(self, node: Node) -> dict:
         return {}
 
     # ---- the waves
 
-    async def _start(self, seats: list[Seat], name: str, at_once: bool = True) -> None:
+    async def _start(self, nodes: list[Node], name: str, at_once: bool = True) -> None:
         self._begin()
-        for k, seat in enumerate(seats):
-            if not at_once and k and k % max(1, len(seats) // 10) == 0:
+        for k, node in enumerate(nodes):
+            if not at_once and k and k % max(1, len(nodes) // 10) == 0:
                 await asyncio.sleep(TENTH_S)
-            self._one(seat)
-        await self._until_ready(seats)
-        self._row(name, seats)
+            self._one(node)
+        await self._until_ready(nodes)
+        self._row(name, nodes)
 
     def _begin(self) -> None:
         self.wave = Wave(time.time())
         self.service.reset_records()
 
-    def _one(self, seat: Seat) -> None:
-        self.wave.marks[seat.name] = Mark(time.time())
-        self.start_gateway(seat)
+    def _one(self, node: Node) -> None:
+        self.wave.marks[node.name] = Mark(time.time())
+        self.start_gateway(node)
 
-    def _kill(self, seats: list[Seat]) -> None:
-        for seat in seats:
-            self.kill(seat)
+    def _kill(self, nodes: list[Node]) -> None:
+        for node in nodes:
+            self.kill(node)
 
     async def _all(self, name: str) -> None:
-        self._kill(self.seats)
-        await self._start(self.seats, name)
+        self._kill(self.nodes)
+        await self._start(self.nodes, name)
 
     async def _tenths(self, name: str) -> None:
-        self._kill(self.seats)
-        await self._start(self.seats, name, at_once=False)
+        self._kill(self.nodes)
+        await self._start(self.nodes, name, at_once=False)
 
     async def _seven_in_ten(self, name: str) -> None:
-        chosen = self.rng.sample(self.seats, int(len(self.seats) * KILLED))
+        chosen = self.rng.sample(self.nodes, int(len(self.nodes) * KILLED))
         self._kill(chosen)
         await self._start(chosen, name)
 
     async def _outage(self, name: str) -> None:
         """The service falls silent in the middle of the start."""
-        self._kill(self.seats)
-        middle_s = max(1.0, len(self.seats) / self.manners.snapshots_per_s / 2)
+        self._kill(self.nodes)
+        middle_s = max(1.0, len(self.nodes) / self.manners.snapshots_per_s / 2)
         self.after(1000 * middle_s, self._silent, True)
         self.after(1000 * (middle_s + OUTAGE_S), self._silent, False)
-        await self._start(self.seats, name)
+        await self._start(self.nodes, name)
 
     async def _down(self, name: str) -> None:
         """All killed and back while it is silent; counted from its return."""
-        self._kill(self.seats)
+        self._kill(self.nodes)
         self._silent(True)
         self.after(1000 * OUTAGE_S, self._silent, False)
-        await self._start(self.seats, name)
+        await self._start(self.nodes, name)
 
     async def _empty(self, name: str) -> None:
         """It comes back with an empty list, and fills."""
-        self._kill(self.seats)
-        entries = list(self.roster.entries.values())
+        self._kill(self.nodes)
+        entries = list(self.endpoint_list.entries.values())
         for entry in entries:
-            self.roster.put(replace(entry, status="Gone"))
+            self.endpoint_list.put(replace(entry, status="Gone"))
         for k, entry in enumerate(entries):
-            self.after(2000 + 10 * k, self.roster.put, entry)
-        await self._start(self.seats, name)
+            self.after(2000 + 10 * k, self.endpoint_list.put, entry)
+        await self._start(self.nodes, name)
 
     def _silent(self, silent: bool) -> None:
         self.manners.silent = silent
@@ -179,42 +180,42 @@
 
     # ---- the measure
 
-    async def _until_ready(self, seats: list[Seat]) -> None:
+    async def _until_ready(self, nodes: list[Node]) -> None:
         until = time.monotonic() + self.patience_s
         while time.monotonic() < until:
             await asyncio.sleep(0.1)
-            for seat in seats:
-                self._marks(seat)
-            if all(self.wave.marks[s.name].ready_s >= 0 for s in seats):
+            for node in nodes:
+                self._marks(node)
+            if all(self.wave.marks[s.name].ready_s >= 0 for s in nodes):
                 return
 
-    def _marks(self, seat: Seat) -> None:
-        mark = self.wave.marks[seat.name]
+    def _marks(self, node: Node) -> None:
+        mark = self.wave.marks[node.name]
         if mark.ready_s >= 0:
             return
-        for line in seat.program.news():
+        for line in node.program.news():
             at, _, rest = line.partition(" ")
             if " start listening on " in line:
                 mark.up_s = float(at) - self.wave.begun_s
-                seat.program.up = True
+                node.program.up = True
             elif " ready with " in line:
                 mark.ready_s = float(at) - self.wave.begun_s
-                mark.cpu_ms = seat.program.cpu_ms()
+                mark.cpu_ms = node.program.cpu_ms()
             elif " fault " in line:
-                self.checker.report_fault(seat.name, rest)
+                self.checker.report_fault(node.name, rest)
 
-    def _row(self, name: str, seats: list[Seat]) -> None:
-        marks = [self.wave.marks[s.name] for s in seats]
+    def _row(self, name: str, nodes: list[Node]) -> None:
+        marks = [self.wave.marks[s.name] for s in nodes]
         ready = sorted(m.ready_s for m in marks if m.ready_s >= 0)
         up = max((m.up_s for m in marks), default=0.0)
-        service, count = self.service, len(seats)
+        service, count = self.service, len(nodes)
         work = count / self.manners.snapshots_per_s + (OUTAGE_S if name in ("outage", "down") else 0.0)
-        memory = [s.program.memory_kb() / 1024 for s in seats]
+        memory = [s.program.memory_kb() / 1024 for s in nodes]
         self.rows.append(
             StartRow(
                 name,
                 count,
-                len(self.roster.entries),
+                len(self.endpoint_list.entries),
                 self.manners.snapshots_per_s,
                 round(up, 2),
                 round(_at(ready, count, 0.5), 2),
--- a/zincstile/testbed/summary.py
+++ b/zincstile/testbed/summary.py
@@ -6,7 +6,7 @@
 
 from ..simulation import traffic
 from ..virtual.network_faults import DatagramCounts
-from .members import Seat
+from .members import Node
 from .result import BreachRow, FieldResult, GatewayRow, PlanRow, latencies
 from .testbed import Testbed
 
@@ -32,27 +32,27 @@
             "ceiling": round(checker.ceilings.peak_ratio, 4),
             "quota": round(checker.quotas.peak_ratio, 4),
         },
-        rows=[_gateway(run, seat) for seat in run.seats],
+        rows=[_gateway(run, node) for node in run.nodes],
         breaches=breaches,
-        latency_ms=latencies(run.front.latencies_s),
+        latency_ms=latencies(run.load_balancer.latencies_s),
         links=_datagram_counts(run.links.counts),
         series=run.series.rows(run.names),
         events=run.events,
-        ready_s={seat.name: round(seat.ready_s, 3) for seat in run.seats},
+        ready_s={node.name: round(node.ready_s, 3) for node in run.nodes},
     )
 
 
-def _gateway(run: Testbed, seat: Seat) -> GatewayRow:
+def _gateway(run: Testbed, node: Node) -> GatewayRow:
     """One gateway, with the counters of all its processes."""
-    names = {*seat.counters, *seat.latest}
+    names = {*node.counters, *node.latest}
     return GatewayRow(
-        name=seat.name,
-        zone=traffic.ZONES[seat.zone],
-        starts=seat.starts,
-        datagrams=run.datagrams.sent[seat.number],
-        datagram_bytes=run.datagrams.bytes[seat.number],
-        counters={name: seat.counters.get(name, 0) + seat.latest.get(name, 0) for name in names},
-        memory_kb=seat.memory_kb,
+        name=node.name,
+        zone=traffic.ZONES[node.zone],
+        starts=node.starts,
+        datagrams=run.datagrams.sent[node.number],
+        datagram_bytes=run.datagrams.bytes[node.number],
+        counters={name: node.counters.get(name, 0) + node.latest.get(name, 0) for name in names},
+        memory_kb=node.memory_kb,
     )
 
 
@@ -69,7 +69,7 @@
 def _tally(run: Testbed) -> dict[str, int]:
     """Requests by what became of them."""
     tally: dict[str, int] = {}
-    for (_, kind), count in run.front.outcomes.items():
+    for (_, kind), count in run.load_balancer.outcomes.items():
         tally[kind] = tally.get(kind, 0) + count
     return tally
 
--- a/zincstile/testbed/testbed.py
+++ b/zincstile/testbed/testbed.py
@@ -26,7 +26,7 @@
 from ..virtual.network_faults import NetworkFaults, PathFault
 from .datagrams import Datagrams
 from .fault_proxy import FaultProxy
-from .members import Place, Seat
+from .members import Backend, Node
 from .probe import Probe, TimeSeries
 
 MS = 1_000_000
@@ -43,7 +43,7 @@
     loop: asyncio.AbstractEventLoop
     block: int  # of loopback addresses, this run's own
     datagrams: Datagrams
-    front: ClientLoadBalancer
+    load_balancer: ClientLoadBalancer
     lasted_s: float
 
     def __init__(
@@ -75,15 +75,15 @@
         self.series = TimeSeries()
         self.began_s = time.monotonic()
         self.probe = Probe(self.checker, self.series, lambda: self.began_s)
-        self.roster = EndpointList(self.probe)
+        self.endpoint_list = EndpointList(self.probe)
         self.racks = [Rack(traffic.KEYED_MS / 1000) for _ in range(RACKS)]
-        self.places: dict[str, Place] = {}
-        self.boxes: list[str] = []
-        self.seats: list[Seat] = []
-        self.shares: dict[tuple[int, str], float] = {}
-        self.weights = random.Random(f"weights {plan.seed}")
-        self.drawn_to: list[dict[str, None]] = []
-        self.counters: dict[int, tuple[QuotaService, FaultProxy]] = {}
+        self.backends: dict[str, Backend] = {}
+        self.backend_names: list[str] = []
+        self.nodes: list[Node] = []
+        self.customer_weights: dict[tuple[int, str], float] = {}
+        self.weight_rng = random.Random(f"weights {plan.seed}")
+        self.preferred_gateways: list[dict[str, None]] = []
+        self.quota_services: dict[int, tuple[QuotaService, FaultProxy]] = {}
         self.events: list[tuple[float, str]] = []
         self.names = [f"g{k}" for k in range(plan.gateways)]
         self._backends_made = 0
