--- a/tests/test_crowds.py
+++ b/tests/test_crowds.py
@@ -47,8 +47,8 @@
 def test_the_watch_comes_back_while_clients_and_backend_servers_hold_every_place(tmp_path):
     """Idle clients that never go, with more that wait, and attempts that are not answered. What the new watch
     tells holds for who asks next, on a connection that it has."""
-    world = narrow(tmp_path, newcomer_ns=NEVER, silent_ns=NEVER)
     parts = Limits.for_gateway(Machine(DESCRIPTORS, 192, 20000, 1, 1, 30 * SECOND), {})
+    world = narrow(tmp_path, newcomer_ns=NEVER, silent_ns=NEVER)
     crowd, out = None, range(1, parts.backend_connections + 1)
     try:
         world.play("send d1 full a=Ready b=Ready c=Ready\nexpect gw ready*from discovery\n" + DOWN)
