--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -88,7 +88,7 @@
         await super()._play_day()
 
     async def mute(self):
-        member = self.members[AGAIN]
+        member = self.gateways.members[AGAIN]
         while not (member.starts == 2 and member.ready):
             await asyncio.sleep(0.02)
         for watch in [w for w in self.discovery.watches if w.gateway == AGAIN]:
@@ -127,7 +127,7 @@
     assert found.kept is False and found.worst[0].startswith(f"g{CUT} (hollow")
     assert [row.name for row in result.gateways if row.never] == [f"g{CUT}"]
     last = one.discovery.changes[-1].index
-    others = [m for m in one.members if m.number != CUT]
+    others = [m for m in one.gateways.members if m.number != CUT]
     assert all(m.lives[-1].seen[-1].index == last for m in others)
     assert result.complete and not result.ok and result.changes > 3 * 8 + 2 * 10
 
@@ -135,14 +135,14 @@
 def test_after_a_second_watch_what_a_gateway_acts_by_is_still_known(played):
     one, result = played
     assert one.discovery.asks[AGAIN] > 1
-    life = one.members[AGAIN].lives[-1]
+    life = one.gateways.members[AGAIN].lives[-1]
     assert life.seen[-1].index == one.discovery.changes[-1].index
     assert next(row for row in result.gateways if row.name == f"g{AGAIN}").never == 0
 
 
 def test_moments_reach_both_kinds_of_gateways_and_budgets_exceeded_are_named(played):
     one, result = played
-    assert len(one.processes) == 4 and all(row.starts == 2 for row in result.gateways)
+    assert len(one.gateways.processes) == 4 and all(row.starts == 2 for row in result.gateways)
     assert {d.kind for d in result.delays} == set(Kind) and len({d.moment for d in result.delays}) >= 3
     for check in (Check.CONTROL_MEMORY, Check.CONTROL_BYTES):
         found = verdict(result, check)
@@ -163,7 +163,7 @@
     ]  # late: the machine's, perhaps
     assert verdict(result, Check.RULES).kept == (not one.checker.violations)
     assert {case.gateway for case in one.checker.histories.values()} == {"g0"}
-    assert not any(process.alive for process in one.processes)
+    assert not any(process.alive for process in one.gateways.processes)
 
 
 def test_the_result_goes_to_json_and_back_and_every_verdict_says_who_gave_it(played, tmp_path):
--- a/zincstile/scale/moments.py
+++ b/zincstile/scale/moments.py
@@ -1,16 +1,16 @@
-"""What the moments of a day, and its churn, do to the backends and gateways of a run."""
+"""What the events of a day, and its churn, do to the backends and gateways of a run."""
 
 from __future__ import annotations
 
 import asyncio
 import random
 import time
-from collections.abc import Awaitable, Callable
 from dataclasses import replace
 from typing import Final
 
 from ..emulators.discovery import EndpointEntry
 from .crowd import GatewayProcess
+from .day_gateways import DayGateways
 from .plan import GatewaysRestarted, Moment, Rollout, ZoneLost
 from .surroundings import DayBackends, DayDiscovery
 
@@ -18,20 +18,19 @@
 
 
 class Happenings:
-    """Plays moments and churn. `stop` and `start` end and start a process of gateways and wait until it has
-    ended, or was started."""
+    """Plays the events and the churn of a plan on the backends and gateways of a run."""
 
     def __init__(
         self,
         discovery: DayDiscovery,
         backends: DayBackends,
-        processes: list[GatewayProcess],
-        stop: Callable[[GatewayProcess, bool], Awaitable[None]],
-        start: Callable[[GatewayProcess], None],
+        gateways: DayGateways,
         seed: int,
     ) -> None:
-        self.discovery, self.backends, self.processes = discovery, backends, processes
-        self._stop, self._start = stop, start
+        """`seed`: of the backends that churn replaces."""
+        self.discovery = discovery
+        self.backends = backends
+        self.gateways = gateways
         self._rng = random.Random(f"churn {seed}")
         self._lost: dict[str, None] = {}  # zones that are away
         self._leaving: dict[str, None] = {}  # backends that are being replaced
@@ -43,7 +42,7 @@
         elif isinstance(moment, ZoneLost):
             await self._lose_zone(moment)
         elif isinstance(moment, GatewaysRestarted):
-            await asyncio.gather(*(self._restart(process) for process in self._gateways(moment.zone)))
+            await asyncio.gather(*(self._restart(process) for process in self.gateways.in_zone(moment.zone)))
 
     async def churn(self, replacements_per_s: float) -> None:
         """Replaces backends drawn at random, for ever."""
@@ -60,9 +59,6 @@
     def _free(self, entry: EndpointEntry) -> bool:
         return entry.name not in self._leaving and entry.zone not in self._lost
 
-    def _gateways(self, zone: str) -> list[GatewayProcess]:
-        return [process for process in self.processes if process.zone == zone]
-
     # ---- backends
 
     async def _replace(self, entry: EndpointEntry, drain_s: float) -> None:
@@ -89,19 +85,19 @@
                 await asyncio.sleep(moment.over_s / len(old))
 
     async def _lose_zone(self, moment: ZoneLost) -> None:
-        """Everything there dies at once; discovery tells it later, and in the end all is back."""
+        """Everything there dies at once; discovery announces it later, and in the end all is back."""
         self._lost[moment.zone] = None
         gone = [e for e in self._entries() if e.zone == moment.zone]
         for entry in gone:
             self.backends.kill(entry)
-        processes = self._gateways(moment.zone)
-        await asyncio.gather(*(self._stop(process, True) for process in processes))
+        processes = self.gateways.in_zone(moment.zone)
+        await asyncio.gather(*(self.gateways.stop(process, at_once=True) for process in processes))
         began_s = asyncio.get_running_loop().time()
         await asyncio.sleep(moment.noticed_s)
         await self._put_all([replace(e, status="Gone") for e in gone], moment.over_s)
         await asyncio.sleep(began_s + moment.for_s - asyncio.get_running_loop().time())
         for process in processes:
-            self._start(process)
+            self.gateways.start(process)
         since_ms = int(time.time() * 1000)
         back = [replace(e, status="Ready", since_ms=since_ms) for e in gone]
         for entry in back:
@@ -120,5 +116,5 @@
     # ---- gateways
 
     async def _restart(self, process: GatewayProcess) -> None:
-        await self._stop(process, False)
-        self._start(process)
+        await self.gateways.stop(process, at_once=False)
+        self.gateways.start(process)
