--- a/zincstile/scale/capacity.py
+++ b/zincstile/scale/capacity.py
@@ -98,6 +98,7 @@
 
     @property
     def verdict(self) -> Verdict:
+        """Whether the amount stays within its budget; open where its range holds the budget."""
         if self.amount is None:
             return Verdict.NONE if self.lacks == NOT_IN_PROGRAM else Verdict.NOT_MEASURED
         if self.budget is None:
--- a/zincstile/scale/capacity_load.py
+++ b/zincstile/scale/capacity_load.py
@@ -37,6 +37,7 @@
 
     @property
     def bytes_per_s(self) -> float:
+        """Bytes a second, each way."""
         return self.per_s * self.size_bytes
 
 
--- a/zincstile/scale/crowd.py
+++ b/zincstile/scale/crowd.py
@@ -30,6 +30,7 @@
     """One process: a real gateway, or hollow ones of one zone."""
 
     def __init__(self, kind: Kind, members: list[Member], folder: Path) -> None:
+        """Starts nothing; `folder` takes the log and the temporary files."""
         self.kind, self.members, self.folder = kind, members, folder
         self.zone = members[0].zone
         self.faults: list[str] = []
--- a/zincstile/scale/emulators.py
+++ b/zincstile/scale/emulators.py
@@ -64,6 +64,7 @@
     """Discovery's list: the backends of a fleet in their zones and racks, and endless replacements."""
 
     def __init__(self, fleet: Topology, port: int) -> None:
+        """All backends of `fleet` are on the list; `port` is the one that all of them share."""
         self.zones, self.port = fleet.zones, port
         self.racks = fleet.racks_per_zone
         self.entries: dict[str, EndpointEntry] = {}
@@ -139,6 +140,7 @@
     line in each 2 s without any. A gateway has two addresses of it, so that its configuration can move it."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, gateways: int) -> None:
+        """Serves the gateways 0 to `gateways` - 1; `table` is set before the first one starts."""
         self.loop = loop
         self.traffic = [Traffic() for _ in range(gateways)]
         self.watches: dict[WatchConnection, None] = {}
@@ -198,6 +200,7 @@
     """One watch of a gateway."""
 
     def __init__(self, discovery: Discovery) -> None:
+        """The gateway is known once the connection is made."""
         self.discovery = discovery
         self.transport: asyncio.Transport | None = None
         self.gateway = self.place = 0
@@ -205,14 +208,17 @@
         self._told_s = 0.0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Learns from the local address which gateway this is, and at which of its two addresses."""
         self.transport = transport  # type: ignore[assignment]
         _, network, high, low = (int(n) for n in transport.get_extra_info("sockname")[0].split("."))
         self.gateway, self.place = high << 8 | low, network - DISCOVERY_NETWORK
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Ends the watch."""
         self.discovery.watches.pop(self, None)
 
     def data_received(self, data: bytes) -> None:
+        """Answers a complete request with what the gateway lacks of the list."""
         self._head += data
         if b"\r\n\r\n" not in self._head:
             return
@@ -251,6 +257,7 @@
     """As many backends as there are addresses, behind one listening socket, of one service time."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
+        """Listens nowhere before `start`."""
         self.loop, self.port = loop, 0
         self.calls = self.connections = 0
 
@@ -265,15 +272,18 @@
     """One connection of a gateway to one backend."""
 
     def __init__(self, backends: FakeBackends) -> None:
+        """`backends` counts the calls."""
         self.backends = backends
         self.transport: asyncio.Transport | None = None
         self._commands = emulated_codec.CommandParser()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Counts the connection."""
         self.transport = transport  # type: ignore[assignment]
         self.backends.connections += 1
 
     def data_received(self, data: bytes) -> None:
+        """Answers calls after the service time, PINGs and load reports at once."""
         for words in self._commands.feed(data):
             if words[0] in (b"CALL.GET", b"CALL.POST"):
                 self.backends.calls += 1
@@ -305,6 +315,7 @@
     peer with as much load of them would tell, and asks for units are granted. `speak` sends words unasked."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, traffic: list[Traffic], seed: int) -> None:
+        """Listens at once on all addresses; `traffic` is counted by gateway."""
         self.loop, self.traffic = loop, traffic
         self.places: dict[tuple[str, int], int] = {}  # where datagrams come from: the gateway's index
         self.strange = 0  # datagrams of another layout: not answered
--- a/zincstile/scale/load.py
+++ b/zincstile/scale/load.py
@@ -39,12 +39,14 @@
     """One connection of a client: what is asked is answered in order."""
 
     def __init__(self) -> None:
+        """Nothing is sent before the connection is made."""
         self.transport: asyncio.Transport | None = None
         self.pending: deque[asyncio.Future[object]] = deque()
         self.shut = False
         self._replies = codec.ReplyParser()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Keeps the transport."""
         self.transport = transport  # type: ignore[assignment]
 
     def ask(self, command: bytes) -> asyncio.Future[object]:
@@ -55,12 +57,14 @@
         return reply
 
     def data_received(self, data: bytes) -> None:
+        """Hands each reply to the command that waits longest."""
         for reply in self._replies.feed(data):
             future = self.pending.popleft()
             if not future.done():
                 future.set_result(reply)
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Fails the commands that still wait."""
         self.shut = True
         for future in self.pending:
             if not future.done():
@@ -71,6 +75,7 @@
     """A pool of connections to one gateway."""
 
     def __init__(self, host: str, port: int) -> None:
+        """Connects when the first command is sent."""
         self.host, self.port = host, port
         self.outcomes: dict[str, int] = {}  # of requests: served, denied, failed
         self._resting: list[Connection] = []
--- a/zincstile/scale/point.py
+++ b/zincstile/scale/point.py
@@ -73,10 +73,14 @@
         return self.cpu_s / self.seconds
 
 
+Activity = Callable[[], Awaitable[tuple[Window, Figure]]]
+
+
 class Measurement:
     """One point's processes and windows. SubjectError or load.UnreachableError where a gateway fails."""
 
     def __init__(self, point: Point, folder: Path) -> None:
+        """Starts nothing; `folder` takes configurations and logs."""
         self.point, self.folder = point, folder
         self.count = 1 if point.kind is Kind.REAL else point.hollow
         self.fleet = fleet_of(point)
@@ -158,11 +162,8 @@
         rest = await self._window(0.0, lambda: None)
         self._set(Figure.CPU_REST_SHARE, rest.share)
         self._set(Figure.MEMORY_BYTES, self.subject.memory_bytes())
-        activities = ACTIVITIES[dimension]
-        if self.point.kind is Kind.HOLLOW:
-            activities = [a for a in activities if a is not Measurement._requests]
-        for number, activity in enumerate(activities):
-            window, per_event = await activity(self)
+        for number, activity in enumerate(self._activities()):
+            window, per_event = await activity()
             if number == 0:
                 self.seconds = window.seconds
                 self._main(window)
@@ -186,6 +187,21 @@
         ):
             self._set(figure, amount / window.seconds)
 
+    def _activities(self) -> list[Activity]:
+        """What is done to the gateway, by what the point varies; hollow ones get no requests."""
+        by_dimension: dict[Dimension, list[Activity]] = {
+            Dimension.BACKENDS: [self._changes, self._requests],
+            Dimension.GATEWAYS: [self._requests, self._messages],
+            Dimension.TENANTS: [self._messages, self._requests],
+            Dimension.REQUESTS_PER_S: [self._requests],
+            Dimension.TABLE_CHANGES_PER_S: [self._changes],
+            Dimension.CONFIG_CHANGES_PER_S: [self._reloads],
+        }
+        activities = by_dimension[self.point.dimension]
+        if self.point.kind is Kind.HOLLOW:
+            return [activity for activity in activities if activity != self._requests]
+        return activities
+
     async def _window(self, per_s: float, event: Callable[[], Any]) -> Window:
         """Measures while events come at a steady rate; the window ends behind what the last one costs."""
         seconds = self.point.window_s
@@ -347,16 +363,6 @@
         self.figures[figure.value] = amount
 
 
-ACTIVITIES: Final = {
-    Dimension.BACKENDS: [Measurement._changes, Measurement._requests],
-    Dimension.GATEWAYS: [Measurement._requests, Measurement._messages],
-    Dimension.TENANTS: [Measurement._messages, Measurement._requests],
-    Dimension.REQUESTS_PER_S: [Measurement._requests],
-    Dimension.TABLE_CHANGES_PER_S: [Measurement._changes],
-    Dimension.CONFIG_CHANGES_PER_S: [Measurement._reloads],
-}
-
-
 def plan_number(fleet: Topology) -> int:
     """The number of the tenants' plan, as datagrams name it."""
     plans = configuration(fleet, GatewaySpec(0, "", "", "", [""]))["settings"]["plans"]
--- a/zincstile/scale/subjects.py
+++ b/zincstile/scale/subjects.py
@@ -31,6 +31,7 @@
     """The gateways of one process. `files`: their configurations; `tree`: the measured sources."""
 
     def __init__(self, kind: Kind, files: list[Path], tree: Path, folder: Path) -> None:
+        """Starts the process at once."""
         self.kind, self.files, self.folder = kind, files, folder
         self.log = folder / "gateway.log"
         self.threads: list[int] = []
@@ -46,6 +47,7 @@
 
     @property
     def pid(self) -> int:
+        """Process id of the gateways' process."""
         return self.program.process.pid
 
     def check(self) -> None:
--- a/zincstile/scale/surroundings.py
+++ b/zincstile/scale/surroundings.py
@@ -66,10 +66,12 @@
     """One watch of a gateway; what it is told is kept by the index that it leads to."""
 
     def data_received(self, data: bytes) -> None:
+        """Counts the watches that the gateway asked for."""
         self.discovery.asks[self.gateway] += b"\r\n\r\n" in data  # type: ignore[attr-defined]
         super().data_received(data)
 
     def tell(self, line: bytes) -> None:
+        """Sends a line, unless the gateway is cut off, and notes the index that it leads to."""
         discovery: DayDiscovery = self.discovery  # type: ignore[assignment]
         if self.gateway in discovery.cut or self.transport.is_closing():
             return
@@ -85,6 +87,7 @@
     table: DayTable
 
     def __init__(self, loop: asyncio.AbstractEventLoop, gateways: int, clock: Callable[[], float]) -> None:
+        """`clock`: unix seconds, by which changes are timed."""
         super().__init__(loop, gateways)
         self._clock = clock
         self.changes: list[Change] = []
@@ -95,6 +98,7 @@
         self.written: Callable[[int, EndpointEntry], None] = lambda gateway, entry: None
 
     async def start(self) -> None:
+        """Listens on all addresses of the loopback interface."""
         sock = on_loopback(socket.SOCK_STREAM)
         self.port = sock.getsockname()[1]
         await self.loop.create_server(lambda: DayWatch(self), sock=sock, backlog=1024)
@@ -128,6 +132,7 @@
     """Passes datagrams on between gateways, each of which knows the others by their addresses here."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, traffic: list[Traffic]) -> None:
+        """Knows no gateway before `add`; `traffic` is counted by gateway."""
         super().__init__(loop, traffic, 0)
         self.gateways: list[tuple[str, int]] = []  # where each gateway hears its peers, by number
 
@@ -145,10 +150,12 @@
     """Hears backends and clients for the checkers of the rules and for the budgets of cold backends."""
 
     def __init__(self, *words: Any, cold: ColdBudgets, clock: Callable[[], float]) -> None:
+        """`clock`: of the cold budgets, in seconds; all else goes to the probe."""
         super().__init__(*words)
         self.cold, self._clock = cold, clock
 
     def attempt_received(self, box: str, request: bytes, key: bytes, gateway: str, work_ns: int) -> None:
+        """Counts a call to a backend that may be cold, and hands it on to the checkers."""
         self.cold.take(box, self._clock())
         super().attempt_received(box, request, key, gateway, work_ns)
 
@@ -164,6 +171,7 @@
         seed: int,
         clock: Callable[[], float],
     ) -> None:
+        """Listens nowhere before `start`; `clock`: unix seconds."""
         self.loop, self.fleet, self.ears, self._clock = loop, fleet, ears, clock
         self.port = 0
         self.by_address: dict[str, BackendEmulator] = {}
@@ -231,10 +239,12 @@
     """One connection of a gateway to one backend, which a tap of the checkers reads too."""
 
     def __init__(self, backends: DayBackends) -> None:
+        """The backend is known once the connection is made."""
         self.backends = backends
         self._line: BackendGatewayConnection | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Finds the backend of the local address; breaks the connection where none runs."""
         box = self.backends.by_address.get(transport.get_extra_info("sockname")[0])
         if box is None:
             transport.abort()  # type: ignore[attr-defined]
@@ -245,10 +255,12 @@
         self._line.connection_made(transport)
 
     def data_received(self, data: bytes) -> None:
+        """Hands bytes to the tap first, then to the backend."""
         if self._line is not None:
             self._tap.feed(data)
             self._line.data_received(data)
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Ends the backend's side."""
         if self._line is not None:
             self._line.connection_lost(exc)
--- a/zincstile/scale/verdicts.py
+++ b/zincstile/scale/verdicts.py
@@ -154,6 +154,7 @@
     """Calls of all gateways together to each cold backend, over a sliding window."""
 
     def __init__(self, window_s: float) -> None:
+        """`window_s`: the sliding window over which a budget holds."""
         self.window_s = window_s
         self.nearest, self.nearest_backend = 0.0, ""  # calls in a window over what may come; 1: at it
         self.calls = 0  # to cold backends
