--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -73,7 +73,7 @@
         Figure.CPU_REST_SHARE: lambda n: 0.003 + 6e-6 * n,
         Figure.CPU_PER_CHANGE_S: lambda n: 1e-4 + 1e-6 * n,
         Figure.READY_S: lambda n: 0.3,
-        Figure.STROKE_IN_FORCE_S: lambda n: 2e-7 * n**2,
+        Figure.MASS_FAILURE_IN_FORCE_S: lambda n: 2e-7 * n**2,
     },
     Dimension.GATEWAYS: {
         Figure.MEMORY_BYTES: lambda n: 21e6 + 100 * n,
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -18,6 +18,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from zincstile.cli import scale_slopes
 from zincstile.scale import charts, load, records, slopes, tables, topology
 from zincstile.scale.emulators import EndpointTable
 from zincstile.scale.records import Dimension, Figure, Kind
@@ -179,6 +180,14 @@
 # ---- small runs
 
 
+@pytest.mark.parametrize(("option", "chosen"), [("--mass-failure", True), ("--stroke", True), (None, False)])
+def test_a_mass_failure_is_chosen_by_the_option_or_its_former_name(option, chosen):
+    words = ["--out", os.devnull, *([option] if option else [])]
+    given = scale_slopes.command.make_context("slopes", words).params
+    del given["out"], given["charts"]
+    assert scale_slopes.read(**given).mass_failure is chosen
+
+
 @pytest.fixture(scope="module")
 def small():
     """All dimensions at small sizes, one real gateway and a few hollow ones."""
@@ -194,7 +203,7 @@
         repeats=1,
         jobs=3,
         window_s=0.4,
-        stroke=True,
+        mass_failure=True,
     )
     result, told = slopes.describe(chosen), []
     slopes.run(chosen, result, lambda done, of: told.append((done, of)))
@@ -214,9 +223,9 @@
             assert (sample.figure(Figure.READY_S) is not None) == (kind is Kind.REAL)
     ten, twenty = result.chosen(Dimension.BACKENDS, Kind.HOLLOW, "this")
     assert ten.figure(Figure.LIST_BYTES) < twenty.figure(Figure.LIST_BYTES)
-    for sample in result.samples:  # each line of the stroke is counted by the gateway too
+    for sample in result.samples:  # each line of the mass failure is counted by the gateway too
         struck = sample.dimension is Dimension.BACKENDS and sample.kind is Kind.REAL
-        assert (sample.figure(Figure.STROKE_IN_FORCE_S) is not None) == struck
+        assert (sample.figure(Figure.MASS_FAILURE_IN_FORCE_S) is not None) == struck
 
 
 FORCED = {Dimension.BACKENDS, Dimension.TABLE_CHANGES_PER_S, Dimension.CONFIG_CHANGES_PER_S}
--- a/zincstile/cli/scale_slopes.py
+++ b/zincstile/cli/scale_slopes.py
@@ -37,7 +37,8 @@
     "--jobs", type=click.IntRange(1, 64), default=3, show_default=True, help="Points beside each other."
 )
 @click.option("--window", type=click.FloatRange(0.2, 60), default=3.0, show_default=True, help="Seconds.")
-@click.option("--stroke", is_flag=True, help="Also, over backends: a zone lost at one stroke; takes minutes.")
+@click.option("--mass-failure", is_flag=True, help="Also, over backends: a zone lost at once; takes minutes.")
+@click.option("--stroke", is_flag=True, hidden=True)  # the former name of --mass-failure
 @click.option("--out", required=True, type=click.Path(dir_okay=False), help="The samples, as JSON.")
 @click.option("--charts", type=click.Path(file_okay=False), help="Write charts into this folder.")
 def command(path: str, out: str, charts: str | None, **words) -> int:
@@ -91,6 +92,7 @@
     seed: int,
     jobs: int,
     window: float,
+    mass_failure: bool,
     stroke: bool,
 ):
     """The command's words as settings. FileError, or BadInputError, where they can't be used."""
@@ -124,7 +126,7 @@
         seed,
         jobs,
         window,
-        stroke,
+        mass_failure or stroke,
     )
 
 
--- a/zincstile/scale/capacity_moments.py
+++ b/zincstile/scale/capacity_moments.py
@@ -28,7 +28,7 @@
     zones = len(topology.zones)
     return [
         Section(
-            f"A zone's {topology.backends // zones:,} backends gone at one stroke",
+            f"A zone's {topology.backends // zones:,} backends gone at once",
             zone_lost(measured, topology),
         ),
         Section("Replacements of a day, and a rollout's burst", rollout(measured, topology)),
@@ -56,8 +56,13 @@
                 budget,
             )
             for entry, unit, figure, budget in (
-                ("the last change in force", Unit.SECONDS, Figure.STROKE_IN_FORCE_S, budgets.in_force_s),
-                ("requests served meanwhile", Unit.SHARE, Figure.STROKE_SERVED_SHARE, None),
+                (
+                    "the last change in force",
+                    Unit.SECONDS,
+                    Figure.MASS_FAILURE_IN_FORCE_S,
+                    budgets.in_force_s,
+                ),
+                ("requests served meanwhile", Unit.SHARE, Figure.MASS_FAILURE_SERVED_SHARE, None),
             )
         ),
         row(
--- a/zincstile/scale/capacity_page.py
+++ b/zincstile/scale/capacity_page.py
@@ -30,10 +30,18 @@
 )
 AT_REST: Final = (Figure.MEMORY_BYTES, Figure.CPU_REST_SHARE)
 IN_FORCE: Final = (Figure.IN_FORCE_P99_S, Figure.IN_FORCE_LAST_S)
-STROKE: Final = (Figure.STROKE_IN_FORCE_S, Figure.STROKE_SERVED_SHARE)
+MASS_FAILURE: Final = (Figure.MASS_FAILURE_IN_FORCE_S, Figure.MASS_FAILURE_SERVED_SHARE)
 CHANGE, MESSAGE, REQUEST = Figure.CPU_PER_CHANGE_S, Figure.CPU_PER_MESSAGE_S, Figure.CPU_PER_REQUEST_S
 SHOWN: Final = {  # the laws that the tables stand on
-    Dimension.BACKENDS: (*AT_REST, CHANGE, REQUEST, *IN_FORCE, *STROKE, Figure.READY_S, Figure.LIST_BYTES),
+    Dimension.BACKENDS: (
+        *AT_REST,
+        CHANGE,
+        REQUEST,
+        *IN_FORCE,
+        *MASS_FAILURE,
+        Figure.READY_S,
+        Figure.LIST_BYTES,
+    ),
     Dimension.GATEWAYS: (*AT_REST, MESSAGE, *TRAFFIC),
     Dimension.TENANTS: (*AT_REST, MESSAGE, *TRAFFIC),
     Dimension.REQUESTS_PER_S: (Figure.CPU_SHARE, REQUEST, *TRAFFIC),
--- a/zincstile/scale/stroke.py
+++ b/zincstile/scale/mass_failure.py
@@ -1,7 +1,7 @@
-"""Many backends gone at one stroke, as with a zone: how long one gateway takes beside its load.
+"""A mass failure, many backends gone at once as with a zone: how long one gateway takes beside its load.
 
 Each change is a message of its own, written at once. The gateway has read all of them when the system holds
-no unread byte of its watch any more (/proc/net/tcp); two PINGs behind that prove that they are acted by.
+no unread byte of its watch any more (/proc/net/tcp); two PINGs behind that prove that they are in force.
 """
 
 from __future__ import annotations
@@ -22,9 +22,9 @@
 def unread_bytes(port: int) -> int:
     """What the system holds for the owner of that local TCP port, who has not read it yet; 0 without one."""
     for line in Path("/proc/net/tcp").read_text().splitlines()[1:]:
-        words = line.split()
-        if int(words[1].rpartition(":")[2], 16) == port and words[3] == "01":  # established
-            return int(words[4].rpartition(":")[2], 16)
+        fields = line.split()
+        if int(fields[1].rpartition(":")[2], 16) == port and fields[3] == "01":  # established
+            return int(fields[4].rpartition(":")[2], 16)
     return 0
 
 
@@ -50,12 +50,12 @@
 async def play(
     discovery: Discovery, clients: Clients, load: Clients, tenants: list[Tenant], count: int, per_s: float
 ) -> tuple[float, float]:
-    """Takes `count` backends of one zone away. Seconds until that is acted by, and the share of the requests
+    """Takes `count` backends of one zone away. Seconds until that is in force, and the share of the requests
     served meanwhile. UnreachableError where the gateway does not come to the end of it."""
     loop = asyncio.get_running_loop()
     requests = loop.create_task(_requests(load, tenants, per_s, random.Random(1)))
     try:
-        await asyncio.sleep(1.0)  # of load before the stroke
+        await asyncio.sleep(1.0)  # of load before the failure
         began_s = loop.time()
         discovery.lose_zone(count)
         while not all(_is_read(watch) for watch in discovery.watches):
--- a/zincstile/scale/point.py
+++ b/zincstile/scale/point.py
@@ -16,7 +16,7 @@
 from hdrh.histogram import HdrHistogram
 
 from ..testbed import places
-from . import load, stroke
+from . import load, mass_failure
 from .configuration import PLAN, QUOTA_PER_S, GatewaySpec, configuration
 from .emulators import SHARES_IN_DATAGRAM, Discovery, EndpointTable, FakeBackends, FakePeers, Traffic
 from .records import Dimension, Figure, Kind, Sample
@@ -55,7 +55,7 @@
     hollow: int = 4  # gateways in the process of the hollow kind
     window_s: float = 3.0
     seed: int = 1
-    stroke: bool = False  # also a zone lost at one stroke, which may take minutes
+    mass_failure: bool = False  # also a zone lost at once, which may take minutes
 
 
 @dataclass
@@ -172,8 +172,8 @@
         if dimension in (Dimension.BACKENDS, Dimension.TABLE_CHANGES_PER_S):
             await self._changes_in_force()
         self._delays()
-        if self.point.stroke and dimension is Dimension.BACKENDS and self.point.kind is Kind.REAL:
-            await self._stroke()
+        if self.point.mass_failure and dimension is Dimension.BACKENDS and self.point.kind is Kind.REAL:
+            await self._mass_failure()
         await self._check()
 
     def _main(self, window: Window) -> None:
@@ -326,14 +326,16 @@
         for task in tasks:
             await task
 
-    async def _stroke(self) -> None:
+    async def _mass_failure(self) -> None:
         """A zone lost, beside requests."""
         clients, rate = self.clients[0], self.point.sizes[Dimension.REQUESTS_PER_S]
         load_clients = load.Clients(clients.host, clients.port)  # counted apart
         count = self.fleet.backends // len(self.fleet.zones)
-        seconds, served = await stroke.play(self.discovery, clients, load_clients, self.tenants, count, rate)
-        self._set(Figure.STROKE_IN_FORCE_S, seconds)
-        self._set(Figure.STROKE_SERVED_SHARE, served)
+        seconds, served = await mass_failure.play(
+            self.discovery, clients, load_clients, self.tenants, count, rate
+        )
+        self._set(Figure.MASS_FAILURE_IN_FORCE_S, seconds)
+        self._set(Figure.MASS_FAILURE_SERVED_SHARE, served)
 
     def _delays(self) -> None:
         if not self.delays:
--- a/zincstile/scale/records.py
+++ b/zincstile/scale/records.py
@@ -49,8 +49,8 @@
     IN_FORCE_P50_S = "in_force_p50_s"
     IN_FORCE_P99_S = "in_force_p99_s"
     IN_FORCE_LAST_S = "in_force_last_s"
-    STROKE_IN_FORCE_S = "stroke_in_force_s"  # a fifth of the backends gone at one stroke, beside load
-    STROKE_SERVED_SHARE = "stroke_served_share"  # of the requests from 1 s before the stroke until then
+    MASS_FAILURE_IN_FORCE_S = "stroke_in_force_s"  # a fifth of the backends gone at once, beside load
+    MASS_FAILURE_SERVED_SHARE = "stroke_served_share"  # of the requests from 1 s before it until then
     READY_S = "ready_s"  # from the start of the process until it takes clients
     LIST_BYTES = "list_bytes"  # the whole list, as told at the start
 
--- a/zincstile/scale/slopes.py
+++ b/zincstile/scale/slopes.py
@@ -86,7 +86,7 @@
     seed: int = 1
     jobs: int = 3
     window_s: float = 3.0
-    stroke: bool = False  # also, over backends: a zone lost at one stroke
+    mass_failure: bool = False  # also, over backends: a zone lost at once
 
 
 def program(text: str) -> Program:
@@ -149,7 +149,7 @@
                     min(hollow, int(sizes[Dimension.GATEWAYS]) - 1),  # one is left to be their peer
                     settings.window_s,
                     settings.seed,
-                    settings.stroke,
+                    settings.mass_failure,
                 )
             )
     return found
--- a/zincstile/scale/tables.py
+++ b/zincstile/scale/tables.py
@@ -30,8 +30,8 @@
     Figure.IN_FORCE_P50_S: "in force ms p50",
     Figure.IN_FORCE_P99_S: "p99",
     Figure.IN_FORCE_LAST_S: "last",
-    Figure.STROKE_IN_FORCE_S: "stroke s",
-    Figure.STROKE_SERVED_SHARE: "served % in it",
+    Figure.MASS_FAILURE_IN_FORCE_S: "mass failure s",
+    Figure.MASS_FAILURE_SERVED_SHARE: "served % in it",
     Figure.READY_S: "ready ms",
     Figure.LIST_BYTES: "list KB",
 }
@@ -45,7 +45,7 @@
     Figure.IN_FORCE_P50_S: 1e3,
     Figure.IN_FORCE_P99_S: 1e3,
     Figure.IN_FORCE_LAST_S: 1e3,
-    Figure.STROKE_SERVED_SHARE: 100.0,
+    Figure.MASS_FAILURE_SERVED_SHARE: 100.0,
     Figure.READY_S: 1e3,
     Figure.LIST_BYTES: 1e-3,
 }
