--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -40,10 +40,10 @@
     agreement,
     capacity_answers,
     capacity_costs,
+    capacity_events,
     capacity_gateway,
     capacity_load,
     capacity_messages,
-    capacity_moments,
     capacity_page,
     capacity_roles,
     records,
@@ -271,18 +271,18 @@
     assert hollow.predict(Dimension.BACKENDS, Figure.MEMORY_BYTES, 1000).basis[0].startswith("hollow")
 
 
-def test_the_bad_moments_follow_from_the_cost_of_a_change(fleet):
+def test_the_bad_events_follow_from_the_cost_of_a_change(fleet):
     measured = Measured(slopes(), "before")
     one = capacity_costs.change_cost(measured, fleet).value
     assert one == pytest.approx(1e-4 + 1e-6 * 32000)
-    lost = rows(capacity_moments.zone_lost(measured, fleet))
+    lost = rows(capacity_events.zone_lost(measured, fleet))
     assert lost["processor time of one gateway, one change at a time"].amount.value == pytest.approx(
         6400 * one
     )
     measured_one = lost["the last change in force"]
     assert measured_one.amount.value == pytest.approx(2e-7 * 32000**2)
     assert measured_one.amount.basis == ("real, worse than linear over backends",) and measured_one.missing
-    burst = rows(capacity_moments.rollout(measured, fleet))["the same, over its minute"]
+    burst = rows(capacity_events.rollout(measured, fleet))["the same, over its minute"]
     assert burst.amount.value == pytest.approx(3 * fleet.service_sizes()[0] * one / 60)
 
 
--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -140,10 +140,10 @@
     assert next(row for row in result.gateways if row.name == f"g{AGAIN}").never == 0
 
 
-def test_moments_reach_both_kinds_of_gateways_and_budgets_exceeded_are_named(played):
+def test_events_reach_both_kinds_of_gateways_and_budgets_exceeded_are_named(played):
     one, result = played
     assert len(one.gateways.processes) == 4 and all(row.starts == 2 for row in result.gateways)
-    assert {d.kind for d in result.delays} == set(Kind) and len({d.moment for d in result.delays}) >= 3
+    assert {d.kind for d in result.delays} == set(Kind) and len({d.event for d in result.delays}) >= 3
     for check in (Check.CONTROL_MEMORY, Check.CONTROL_BYTES):
         found = verdict(result, check)
         assert found.kept is False and found.worst and found.figure > found.limit
--- a/zincstile/cli/scale_run.py
+++ b/zincstile/cli/scale_run.py
@@ -39,7 +39,7 @@
     keep: str | None,
     **given: float | None,
 ) -> int:
-    """Plays the moments of a plan and judges what was seen.
+    """Plays the events of a plan and judges what was seen.
 
     Exit 1 where a verdict broke or the gateways did not start. Interrupted, it ends all that it started,
     keeps what it measured and exits with 130."""
@@ -104,7 +104,7 @@
             "requests_per_s": round(chosen.requests_of_gateway() * plan.real.loaded, 1),
         },
         plan=plan_path,
-        moments=[plans.text(moment) for moment in plan.moments],
+        events=[plans.text(event) for event in plan.events],
         estimated_bytes=needed.memory_bytes,
         estimated_rest_cores=round(needed.rest_cores, 2),
         features={one.name: one.path for one in named},
--- a/zincstile/scale/capacity_moments.py
+++ b/zincstile/scale/capacity_events.py
@@ -1,4 +1,4 @@
-"""The bad moments of a fleet at a topology's sizes: what each asks of whom. No I/O, no clock."""
+"""The bad events of a fleet at a topology's sizes: what each asks of whom. No I/O, no clock."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 QUOTA_SIDES: Final = 2  # regions that hear only themselves
 
 
-def moments(measured: Measured, topology: Topology) -> list[Section]:
+def events(measured: Measured, topology: Topology) -> list[Section]:
     """All of them."""
     zones = len(topology.zones)
     return [
--- a/zincstile/scale/capacity_page.py
+++ b/zincstile/scale/capacity_page.py
@@ -9,9 +9,9 @@
 from .agreement import TOLERANCE, agreements
 from .capacity import NOT_IN_PROGRAM, Amount, Measured, NotMeasuredError, Row, Section, Unit, Verdict, digits
 from .capacity_answers import answers
+from .capacity_events import events
 from .capacity_gateway import delays, memory, messages, processor, routes
 from .capacity_load import load
-from .capacity_moments import moments
 from .capacity_roles import control_machines, list_service, operators, relays
 from .fits import Fit, Law
 from .records import Dimension, Figure, SlopeResult
@@ -55,7 +55,7 @@
 
 
 def sections(measured: Measured, topology: Topology) -> list[Section]:
-    """All tables for one program: the roles, the bad moments, the standard answers."""
+    """All tables for one program: the roles, the bad events, the standard answers."""
     at_target = load(topology)
     return [
         Section("Gateway: state and memory", memory(measured, at_target)),
@@ -67,7 +67,7 @@
         Section("List service", list_service(topology)),
         Section("Quota relays of tenants", relays(measured, topology, at_target)),
         Section("Operators' tools", operators(topology)),
-        *moments(measured, topology),
+        *events(measured, topology),
         Section("Standard answers", answers(measured, topology, at_target)),
     ]
 
--- a/zincstile/scale/day.py
+++ b/zincstile/scale/day.py
@@ -27,9 +27,9 @@
 from .day_gateways import DayGateways
 from .day_probes import InForceProbes
 from .emulators import Traffic
+from .event_player import EventPlayer
 from .machine import CoreTimes, core_times, raise_descriptor_limit, resident_bytes
 from .members import Member, name_of
-from .moments import Happenings
 from .outcome import DayResult
 from .plan import DayPlan, text
 from .surroundings import DayBackends, DayDiscovery, DayEars, DayTable, PeerRelay
@@ -127,7 +127,7 @@
         self.discovery.asked = self._watch_opened
         self._probes = InForceProbes(self.discovery)
         self._create_clients()
-        self.happenings = Happenings(self.discovery, self.backends, self.gateways, plan.seed)
+        self.events = EventPlayer(self.discovery, self.backends, self.gateways, plan.seed)
 
     def _create_clients(self) -> None:
         """Clients that send to the loaded gateways only."""
@@ -184,10 +184,10 @@
             self.loop.create_task(one)
             for one in (
                 day_load.ask(self.front, self.fleet, self.plan),
-                self.happenings.churn(self.plan.churn.replacements_per_s),
+                self.events.churn(self.plan.churn.replacements_per_s),
                 self._sample(),
                 self._record_stalls(),
-                *(self._play_event(number) for number in range(len(self.plan.moments))),
+                *(self._play_event(number) for number in range(len(self.plan.events))),
             )
         ]
         # No change is made in the last seconds, so that all are due before the end.
@@ -207,12 +207,12 @@
         await self._finish()
 
     async def _play_event(self, number: int) -> None:
-        moment = self.plan.moments[number]
-        await asyncio.sleep(moment.at_s)
-        name = f"{number}: {text(moment)}"
+        event = self.plan.events[number]
+        await asyncio.sleep(event.at_s)
+        name = f"{number}: {text(event)}"
         began_s = self._open_spans[name] = time.time()
         try:
-            await self.happenings.play(moment)
+            await self.events.play(event)
         finally:
             del self._open_spans[name]
             self.spans.append((name, began_s, time.time()))
--- a/zincstile/scale/moments.py
+++ b/zincstile/scale/event_player.py
@@ -11,13 +11,13 @@
 from ..emulators.discovery import EndpointEntry
 from .crowd import GatewayProcess
 from .day_gateways import DayGateways
-from .plan import GatewaysRestarted, Moment, Rollout, ZoneLost
+from .plan import GatewaysRestarted, PlannedEvent, Rollout, ZoneLost
 from .surroundings import DayBackends, DayDiscovery
 
 CHURN_DRAIN_S: Final = 2.0  # of a backend that is replaced on an ordinary day
 
 
-class Happenings:
+class EventPlayer:
     """Plays the events and the churn of a plan on the backends and gateways of a run."""
 
     def __init__(
@@ -35,14 +35,14 @@
         self._lost: dict[str, None] = {}  # zones that are away
         self._leaving: dict[str, None] = {}  # backends that are being replaced
 
-    async def play(self, moment: Moment) -> None:
-        """One moment, from now on."""
-        if isinstance(moment, Rollout):
-            await self._roll_out(moment)
-        elif isinstance(moment, ZoneLost):
-            await self._lose_zone(moment)
-        elif isinstance(moment, GatewaysRestarted):
-            await asyncio.gather(*(self._restart(process) for process in self.gateways.in_zone(moment.zone)))
+    async def play(self, event: PlannedEvent) -> None:
+        """Plays one event, from now on."""
+        if isinstance(event, Rollout):
+            await self._roll_out(event)
+        elif isinstance(event, ZoneLost):
+            await self._lose_zone(event)
+        elif isinstance(event, GatewaysRestarted):
+            await asyncio.gather(*(self._restart(process) for process in self.gateways.in_zone(event.zone)))
 
     async def churn(self, replacements_per_s: float) -> None:
         """Replaces backends drawn at random, for ever."""
@@ -75,35 +75,35 @@
         self.backends.add(newer, cold=True)
         self.discovery.put(newer)
 
-    async def _roll_out(self, moment: Rollout) -> None:
-        head = f"s{moment.service:03d}-"
+    async def _roll_out(self, event: Rollout) -> None:
+        head = f"s{event.service:03d}-"
         old = [e for e in self._entries() if e.name.startswith(head) and self._free(e)]
         async with asyncio.TaskGroup() as tasks:
             for entry in old:
                 if self._free(entry):
-                    tasks.create_task(self._replace(entry, moment.drain_s))
-                await asyncio.sleep(moment.over_s / len(old))
+                    tasks.create_task(self._replace(entry, event.drain_s))
+                await asyncio.sleep(event.over_s / len(old))
 
-    async def _lose_zone(self, moment: ZoneLost) -> None:
+    async def _lose_zone(self, event: ZoneLost) -> None:
         """Everything there dies at once; discovery announces it later, and in the end all is back."""
-        self._lost[moment.zone] = None
-        gone = [e for e in self._entries() if e.zone == moment.zone]
+        self._lost[event.zone] = None
+        gone = [e for e in self._entries() if e.zone == event.zone]
         for entry in gone:
             self.backends.kill(entry)
-        processes = self.gateways.in_zone(moment.zone)
+        processes = self.gateways.in_zone(event.zone)
         await asyncio.gather(*(self.gateways.stop(process, at_once=True) for process in processes))
         began_s = asyncio.get_running_loop().time()
-        await asyncio.sleep(moment.noticed_s)
-        await self._put_all([replace(e, status="Gone") for e in gone], moment.over_s)
-        await asyncio.sleep(began_s + moment.for_s - asyncio.get_running_loop().time())
+        await asyncio.sleep(event.noticed_s)
+        await self._put_all([replace(e, status="Gone") for e in gone], event.over_s)
+        await asyncio.sleep(began_s + event.for_s - asyncio.get_running_loop().time())
         for process in processes:
             self.gateways.start(process)
         since_ms = int(time.time() * 1000)
         back = [replace(e, status="Ready", since_ms=since_ms) for e in gone]
         for entry in back:
             self.backends.add(entry, cold=True)
-        await self._put_all(back, moment.over_s)
-        del self._lost[moment.zone]
+        await self._put_all(back, event.over_s)
+        del self._lost[event.zone]
 
     async def _put_all(self, entries: list[EndpointEntry], over_s: float) -> None:
         """One change after the other, evenly over that time."""
--- a/zincstile/scale/judge.py
+++ b/zincstile/scale/judge.py
@@ -36,7 +36,7 @@
         default_factory=dict
     )  # by plan without a bound: the most units beyond
     faults: list[str] = field(default_factory=list)
-    spans: list[tuple[str, float, float]] = field(default_factory=list)  # moments: name, begin, end
+    spans: list[tuple[str, float, float]] = field(default_factory=list)  # events: name, begin, end
     stalls: list[tuple[int, int]] = field(default_factory=list)  # of the driver: from, to, in ns as breaches
     machine: list[tuple[float, float, float]] = field(default_factory=list)  # when; cores' seconds: busy, all
 
@@ -258,7 +258,7 @@
 
 
 def delay_rows(evidence: Evidence) -> list[DelayRow]:
-    """Delays by moment and kind; a change belongs to the moment that was on when it was made."""
+    """Delays by event and kind; a change belongs to the event that was on when it was made."""
     groups: dict[str, list[Change]] = {name: [] for name, _, _ in evidence.spans} | {CHURN: []}
     for change in evidence.changes:
         names = [name for name, began_s, ended_s in evidence.spans if began_s <= change.at_s <= ended_s]
@@ -292,7 +292,7 @@
 
 
 def _share_of_span(evidence: Evidence, name: str) -> float:
-    """Of the machine, during a moment and the time that its changes have; over the whole day for churn."""
+    """Of the machine, during an event and the time that its changes have; over the whole day for churn."""
     for span, began_s, ended_s in evidence.spans:
         if span == name:
             return machine_share(evidence.machine, began_s, ended_s + evidence.budgets.in_force_s)
--- a/zincstile/scale/outcome.py
+++ b/zincstile/scale/outcome.py
@@ -38,10 +38,10 @@
 
 
 class DelayRow(msgspec.Struct):
-    """Delays of one moment's changes, or of all other ones, at the gateways of one kind. Seconds; upper
+    """Delays of one event's changes, or of all other ones, at the gateways of one kind. Seconds; upper
     bounds, as a gateway is asked once in the plan's sample_s."""
 
-    moment: str  # "churn" for changes outside of the moments
+    event: str = msgspec.field(name="moment")  # "churn" for changes outside of the events
     kind: Kind
     changes: int
     p50_s: float
@@ -84,7 +84,7 @@
     factor: str
     sizes: dict[str, float]
     plan: str
-    moments: list[str]
+    events: list[str] = msgspec.field(name="moments")
     estimated_bytes: float
     estimated_rest_cores: float  # that all gateways take at rest
     features: dict[str, str]
--- a/zincstile/scale/plan.py
+++ b/zincstile/scale/plan.py
@@ -1,6 +1,6 @@
-"""The plan file of a scale run: its gateways, its ordinary churn, and the moments of its day.
+"""The plan file of a scale run: its gateways, its ordinary churn, and the events of its day.
 
-Pure apart from reading the file. Times are seconds from the moment that all gateways are ready and settled.
+Pure apart from reading the file. Times are seconds from the time that all gateways are ready and settled.
 """
 
 from __future__ import annotations
@@ -69,7 +69,7 @@
         return self.at_s
 
 
-Moment = Rollout | ZoneLost | GatewaysRestarted
+PlannedEvent = Rollout | ZoneLost | GatewaysRestarted
 
 
 class Real(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -81,7 +81,7 @@
 
 
 class DayChurn(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What goes on beside the moments."""
+    """What goes on beside the events."""
 
     replacements_per_s: Rate  # of backends, each three changes of the endpoint table
 
@@ -92,7 +92,7 @@
     lasts_s: Annotated[float, msgspec.Meta(gt=0, le=LONGEST_S)]
     real: Real
     churn: DayChurn
-    moments: list[Moment]
+    events: list[PlannedEvent] = msgspec.field(name="moments")
     seed: Annotated[int, msgspec.Meta(ge=0)] = 1
     sample_s: Annotated[float, msgspec.Meta(ge=0.1, le=10)] = 2.0
     tenants: Count = 40  # that send to the loaded gateways
@@ -113,40 +113,40 @@
     if real > fleet.gateways:
         found.append(("$.real", f"{real} real gateways, but {fleet.gateways} in all"))
     latest_s = plan.lasts_s - fleet.budgets.in_force_s - plan.sample_s - MARGIN_S
-    for number, moment in enumerate(plan.moments):
+    for number, event in enumerate(plan.events):
         place = f"$.moments[{number}]"
-        if isinstance(moment, Rollout) and moment.service >= fleet.services.count:
-            found.append((f"{place}.service", f"{moment.service}: there are {fleet.services.count}"))
-        if isinstance(moment, ZoneLost | GatewaysRestarted) and moment.zone not in fleet.zones:
-            found.append((f"{place}.zone", f"{moment.zone}: there are {', '.join(fleet.zones)}"))
-        if isinstance(moment, ZoneLost) and moment.for_s < moment.noticed_s + moment.over_s:
+        if isinstance(event, Rollout) and event.service >= fleet.services.count:
+            found.append((f"{place}.service", f"{event.service}: there are {fleet.services.count}"))
+        if isinstance(event, ZoneLost | GatewaysRestarted) and event.zone not in fleet.zones:
+            found.append((f"{place}.zone", f"{event.zone}: there are {', '.join(fleet.zones)}"))
+        if isinstance(event, ZoneLost) and event.for_s < event.noticed_s + event.over_s:
             found.append((f"{place}.for_s", "the zone is back before all of it is told as gone"))
-        if moment.ends_s > latest_s:
-            found.append((f"{place}.at_s", f"ends at {moment.ends_s:g} s; {latest_s:g} s is the latest"))
-        found += _overlaps(plan.moments[:number], moment, place)
+        if event.ends_s > latest_s:
+            found.append((f"{place}.at_s", f"ends at {event.ends_s:g} s; {latest_s:g} s is the latest"))
+        found += _overlaps(plan.events[:number], event, place)
     return found
 
 
-def _overlaps(earlier: list[Moment], moment: Moment, place: str) -> list[tuple[str, str]]:
-    """Moments may overlap, but not on the same zone: whose restart it was could not be told."""
-    zone = getattr(moment, "zone", None)
+def _overlaps(earlier: list[PlannedEvent], event: PlannedEvent, place: str) -> list[tuple[str, str]]:
+    """Events may overlap, but not on the same zone: whose restart it was could not be known."""
+    zone = getattr(event, "zone", None)
     return [
-        (f"{place}.zone", f"{zone}: an earlier moment still has it at {moment.at_s:g} s")
+        (f"{place}.zone", f"{zone}: an earlier event still has it at {event.at_s:g} s")
         for other in earlier
         if zone is not None
         and zone == getattr(other, "zone", None)
-        and other.at_s <= moment.ends_s
-        and moment.at_s <= other.ends_s
+        and other.at_s <= event.ends_s
+        and event.at_s <= other.ends_s
     ]
 
 
-def text(moment: Moment) -> str:
-    """One moment in words."""
-    if isinstance(moment, Rollout):
-        return f"rollout of service {moment.service} within {moment.over_s:g} s"
-    if isinstance(moment, ZoneLost):
-        return f"{moment.zone} lost for {moment.for_s:g} s"
-    return f"all gateways of {moment.zone} restarted"
+def text(event: PlannedEvent) -> str:
+    """One event as a phrase."""
+    if isinstance(event, Rollout):
+        return f"rollout of service {event.service} within {event.over_s:g} s"
+    if isinstance(event, ZoneLost):
+        return f"{event.zone} lost for {event.for_s:g} s"
+    return f"all gateways of {event.zone} restarted"
 
 
 def file_name(path: str | Path) -> str:
--- a/zincstile/scale/report.py
+++ b/zincstile/scale/report.py
@@ -12,7 +12,7 @@
 
 
 def text(result: DayResult) -> str:
-    """Verdicts, each with the kind of gateways that gave it; delays by moment; the worst by name."""
+    """Verdicts, each with the kind of gateways that gave it; delays by event; the worst by name."""
     parts = [_verdicts(result), _delays(result)] if result.verdicts else []
     parts += [f"{_mark(v)} {v.check.value}: {one}\n" for v in result.verdicts for one in v.worst]
     parts += [f"note: {note}\n" for note in result.notes]
@@ -36,7 +36,7 @@
 
 
 def _verdicts(result: DayResult) -> str:
-    table = Table(title=f"verdicts of {result.plan}, {', '.join(result.moments)}")
+    table = Table(title=f"verdicts of {result.plan}, {', '.join(result.events)}")
     for name in ("check", "verdict", "given by", "worst", "limit", "what"):
         table.add_column(name, justify="right" if name in ("worst", "limit") else "left")
     for verdict in result.verdicts:
@@ -48,12 +48,12 @@
 
 def _delays(result: DayResult) -> str:
     table = Table(title="until in force, seconds (upper bounds)")
-    for name in ("moment", "given by", "changes", "p50", "p99", "last", "late", "never", "machine"):
-        table.add_column(name, justify="left" if name in ("moment", "given by") else "right")
+    for name in ("event", "given by", "changes", "p50", "p99", "last", "late", "never", "machine"):
+        table.add_column(name, justify="left" if name in ("event", "given by") else "right")
     for row in result.delays:
         figures = (f"{value:.2f}" for value in (row.p50_s, row.p99_s, row.last_s))
         table.add_row(
-            row.moment,
+            row.event,
             row.kind.value,
             str(row.changes),
             *figures,
