--- a/tests/test_files.py
+++ b/tests/test_files.py
@@ -25,7 +25,7 @@
 
 FINISHED = set(
     "admin checkers cli cold_start decisions emulators leases net quota_service scale serialization "
-    "simulator subsetting virtual zone_failover".split()
+    "simulator subsetting testbed virtual zone_failover".split()
 )
 
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -161,7 +161,7 @@
         row = []
         for _ in range(20):
             try:
-                shim._fail(Knob.ACCEPT_SHARE, (errno.ENFILE, errno.EPERM))
+                shim.fail(Knob.ACCEPT_SHARE, (errno.ENFILE, errno.EPERM))
                 row.append(0)
             except OSError as err:
                 row.append(err.errno)
--- a/zincstile/testbed/datagrams.py
+++ b/zincstile/testbed/datagrams.py
@@ -26,7 +26,11 @@
     def __init__(
         self, loop: asyncio.AbstractEventLoop, links: NetworkFaults, block: int, names: list[str]
     ) -> None:
-        self.loop, self.links, self.block, self.names = loop, links, block, names
+        """Listens for the datagrams of all pairs. `block`: of the gateways' addresses; `names`: theirs."""
+        self.loop = loop
+        self.links = links
+        self.block = block
+        self.names = names
         self.sent = [0] * len(names)
         self.bytes = [0] * len(names)
         self.strange = 0  # of nobody's
--- a/zincstile/testbed/fault_proxy.py
+++ b/zincstile/testbed/fault_proxy.py
@@ -30,7 +30,10 @@
     __slots__ = ("loop", "links", "pair", "_waiting", "_alarm", "_due")
 
     def __init__(self, loop: asyncio.AbstractEventLoop, links: NetworkFaults, pair: NetworkPath) -> None:
-        self.loop, self.links, self.pair = loop, links, pair
+        """Takes the path as (from, to), by names."""
+        self.loop = loop
+        self.links = links
+        self.pair = pair
         self._waiting: deque[tuple[float, Callable[..., None], tuple[Any, ...]]] = deque()
         self._alarm: asyncio.TimerHandle | None = None
         self._due = 0.0
@@ -63,7 +66,9 @@
     """One connection: the system's transport on one side, an emulator's protocol on the other."""
 
     def __init__(self, proxy: FaultProxy, inner: asyncio.Protocol) -> None:
-        self.proxy, self.inner = proxy, inner
+        """Takes the proxy that it belongs to, and the emulator's protocol for this connection."""
+        self.proxy = proxy
+        self.inner = inner
         self.transport: asyncio.Transport | None = None
         self.gateway = "?"
         self.told = False  # the protocol knows of the connection
@@ -160,7 +165,12 @@
         number: int,
         gateways: list[str],
     ) -> None:
-        self.loop, self.links, self.place, self.kind, self.number = loop, links, place, kind, number
+        """Takes the emulator's name, the kind and number of its addresses (`places`), and the gateways."""
+        self.loop = loop
+        self.links = links
+        self.place = place
+        self.kind = kind
+        self.number = number
         self.gateways = gateways
         self.connections: dict[ProxiedConnection, None] = {}
         self.port = 0
@@ -172,6 +182,7 @@
         links.on_change.append(self._changed)
 
     def __getattr__(self, name: str) -> Any:
+        """Returns the loop's own member."""
         return getattr(self.loop, name)
 
     def is_known_by(self, address: str) -> bool:
--- a/zincstile/testbed/places.py
+++ b/zincstile/testbed/places.py
@@ -75,6 +75,7 @@
     before the listener on all addresses, as the more exact one."""
 
     def __init__(self, host: str, port: int) -> None:
+        """Listens there and fills the queue; `close` ends it."""
         self._socks = [socket.socket(socket.AF_INET, socket.SOCK_STREAM)]
         listener = self._socks[0]
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
--- a/zincstile/testbed/probe.py
+++ b/zincstile/testbed/probe.py
@@ -69,7 +69,10 @@
     """Hands all on to the checker, and counts by second for the charts."""
 
     def __init__(self, checker: Checker, series: TimeSeries, began_s: Callable[[], float]) -> None:
-        self.checker, self.series, self._began_s = checker, series, began_s
+        """`began_s`: when the first request was sent, by the monotonic clock."""
+        self.checker = checker
+        self.series = series
+        self._began_s = began_s
         self.died_as_planned: Callable[[str], bool] = lambda gateway: False
         self._ticked_ns = time.monotonic_ns()
         self._delay_ns = self._delayed_until_ns = 0
@@ -123,6 +126,7 @@
     # what needs no more than the checker
 
     def unexpected_answer(self, gateway: str, line: int, text: str) -> None:
+        """A client received an answer to nothing, or one that can't be read."""
         self.checker.unexpected_answer(gateway, line, text)
 
     def request_dropped(self, request: bytes) -> None:
@@ -143,28 +147,36 @@
         self.checker.request_voided(request)
 
     def client_disconnected(self, request: bytes) -> None:
+        """The client closed the connection that it asked on, and waits no more."""
         self.checker.client_disconnected(request)
 
     def request_voided(self, request: bytes) -> None:
+        """No answer is owed: the client left, the gateway died or the request was never read."""
         self.checker.request_voided(request)
 
     def attempt_received(self, box: str, request: bytes, key: bytes, gateway: str, work_ns: int) -> None:
+        """A backend has read the attempt; `work_ns`: what it costs."""
         self.came.append((time.monotonic(), box, work_ns))
         self.checker.attempt_received(box, request, key, self._whose(gateway, request), work_ns)
 
     def attempt_rejected(self, box: str, request: bytes) -> None:
+        """A backend rejected the attempt."""
         self.checker.attempt_rejected(box, request)
 
     def value_produced(self, box: str, request: bytes, value: bytes) -> None:
+        """A backend has worked out the value."""
         self.checker.value_produced(box, request, value)
 
     def protocol_violated(self, where: str, gateway: str, why: str) -> None:
+        """A gateway sent an emulated service what the protocol does not allow."""
         self.checker.protocol_violated(where, gateway, why)
 
     def endpoint_changed(self, box: str, status: str, since_ms: int) -> None:
+        """The endpoint list changed."""
         self.checker.endpoint_changed(box, status, since_ms)
 
     def gateway_notified(self, gateway: str, box: str, status: str, since_ms: int) -> None:
+        """A gateway was sent the change."""
         self.checker.gateway_notified(gateway, box, status, since_ms)
 
 
@@ -174,7 +186,10 @@
     __slots__ = ("probe", "gateway", "box", "_commands", "_first_ns", "_try", "_foreign")
 
     def __init__(self, probe: Probe, gateway: str, box: str) -> None:
-        self.probe, self.gateway, self.box = probe, gateway, box
+        """Takes who is told, and the names of both ends."""
+        self.probe = probe
+        self.gateway = gateway
+        self.box = box
         self._commands = codec.CommandParser()
         self._first_ns = 0
         self._try: Any = None
--- a/zincstile/testbed/programs.py
+++ b/zincstile/testbed/programs.py
@@ -41,7 +41,9 @@
     def __init__(
         self, words: list[str], env: dict[str, str], log: Path, folder: Path, listening: int | None = None
     ) -> None:
-        self.log, self._read = log, log.stat().st_size if log.exists() else 0
+        """Starts it in `folder`. `words`: Python's arguments; `listening`: a descriptor that it inherits."""
+        self.log = log
+        self._read = log.stat().st_size if log.exists() else 0
         self.line = b""
         self.asked_to_end = False
         self.up = False  # its log says that it listens: from here on it knows its signals
--- a/zincstile/testbed/report.py
+++ b/zincstile/testbed/report.py
@@ -67,6 +67,7 @@
     """The series of one run, added up in several ways."""
 
     def __init__(self, result: FieldResult) -> None:
+        """Sorts the series of the result by second and gateway."""
         self.result = result
         self.zones = {row.name: row.zone for row in result.rows}
         self.seconds = sorted({int(row["second"]) for row in result.series})
--- a/zincstile/testbed/run.py
+++ b/zincstile/testbed/run.py
@@ -80,7 +80,7 @@
         self.probe.died_as_planned = self.died_as_planned
         await self._wait_for(lambda: all(c.port for _, c in self.quota_services.values()), READY_S)
         self._first_start_s = time.monotonic()
-        self.checker.quotas = Quotas(self.stated, 0, self.opening, time.monotonic_ns())
+        self.checker.quotas = Quotas(self.stated, 0, self.initial_ratio, time.monotonic_ns())
         for node in self.nodes if start else ():
             self.start_gateway(node)
 
--- a/zincstile/testbed/shim_control.py
+++ b/zincstile/testbed/shim_control.py
@@ -1,4 +1,4 @@
-"""What the testbed tells the shim of one gateway while it runs: a small file that both map into memory.
+"""The settings of one gateway's shim while it runs: a small file that testbed and shim map into memory.
 
 The testbed writes, the shim in the gateway's process reads at each call. All values are floating-point
 numbers at fixed places; what is not set is 0, which disturbs nothing.
@@ -29,18 +29,19 @@
     SEED = 10  # of the draws above; a whole number
 
 
-VALUE: Final = struct.Struct("<d")
-SIZE: Final = VALUE.size * len(Knob)
+VALUE: Final = struct.Struct("<d")  # one value: a double, in the same byte order on every machine
+FILE_BYTES: Final = VALUE.size * len(Knob)
 
 
 class ShimControl:
     """The mapped file. OSError where it can't be opened."""
 
     def __init__(self, path: Path) -> None:
+        """Maps the file, which is created with every value at 0 where there is none."""
         if not path.exists():
-            path.write_bytes(bytes(SIZE))
+            path.write_bytes(bytes(FILE_BYTES))
         with open(path, "r+b") as file:
-            self._map = mmap.mmap(file.fileno(), SIZE)
+            self._map = mmap.mmap(file.fileno(), FILE_BYTES)
 
     def get(self, knob: Knob) -> float:
         """The value at present."""
--- a/zincstile/testbed/start.py
+++ b/zincstile/testbed/start.py
@@ -83,8 +83,10 @@
         patience_s: float = 60.0,
         features: dict[str, str] | None = None,
     ) -> None:
+        """`manners`: how the list service behaves."""
         super().__init__(plan, folder, "start", features)
-        self.manners, self.patience_s = manners, patience_s
+        self.manners = manners
+        self.patience_s = patience_s
         self.rows: list[StartRow] = []
         self.wave: Wave | None = None
 
--- a/zincstile/testbed/sweep.py
+++ b/zincstile/testbed/sweep.py
@@ -43,12 +43,12 @@
         path.write_text("keeper: {skew_ms: 0, most_overshoot: 0.08}\n")
         files["keeper"] = str(path)
     stated: dict[str, tuple[float, float, float]] = {}
-    opening: dict[str, float] = {}
+    initial_ratio: dict[str, float] = {}
     if "shared" in files:
-        stated, opening = shared.stated(plan, features_files.leases(files["shared"])[0])
+        stated, initial_ratio = shared.stated(plan, features_files.leases(files["shared"])[0])
     elif "keeper" in files:
         stated = traffic.stated_bounds(plan, features_files.quota_service(files["keeper"])[0])
-    return run.play(plan, folder, name=name, features=files, stated=stated, opening=opening)
+    return run.play(plan, folder, name=name, features=files, stated=stated, initial_ratio=initial_ratio)
 
 
 def draw(seed: int, gateways: int, kind: str, gossip: bool) -> Plan:
--- a/zincstile/testbed/testbed.py
+++ b/zincstile/testbed/testbed.py
@@ -53,9 +53,16 @@
         name: str = "",
         features: dict[str, str] | None = None,
         stated: dict[str, tuple[float, float, float]] | None = None,
-        opening: dict[str, float] | None = None,
+        initial_ratio: dict[str, float] | None = None,
     ) -> None:
-        self.plan, self.folder, self.name = plan, folder, name or f"seed {plan.seed}"
+        """Prepare a run whose processes keep their files in `folder`.
+
+        `stated`: rate, burst and bound of each plan's quota, in place of the usual ones. `initial_ratio`: the
+        part of each plan's burst that a gateway begins with.
+        """
+        self.plan = plan
+        self.folder = folder
+        self.name = name or f"seed {plan.seed}"
         self.features = features or {}
         self.rng = random.Random(f"field {plan.seed}")
         self.links = NetworkFaults(random.Random(f"links {plan.seed}"))
@@ -70,7 +77,8 @@
             max_notification_ns=figures.max_notification_ns + SLACK_NS,
             cold_slack_ns=2 * figures.cold_slack_ns,
         )
-        self.stated, self.opening = stated or traffic.quotas(), opening
+        self.stated = stated or traffic.quotas()
+        self.initial_ratio = initial_ratio
         self.checker = Checker(figures, lambda: (0, time.monotonic_ns()))
         self.series = TimeSeries()
         self.began_s = time.monotonic()
