--- a/zincstile/cli/commands.py
+++ b/zincstile/cli/commands.py
@@ -13,8 +13,8 @@
 
 # word: module beside this one, and what it is for
 GROUPS = {
-    "sim": ("sim", "Worlds by seed: run one, sweep many, shrink a failing one."),
-    "bound": ("bound", "How far quotas held through a count keeper can be passed, failure by failure."),
+    "sim": ("sim", "Simulations by seed: run one, sweep many, shrink a failing one."),
+    "bound": ("bound", "How far quotas held through a quota service can be passed, failure by failure."),
     "testbed": ("testbed", "Several real processes, and faults between them: run, sweep, report."),
     "zones": ("zones", "Zones and regions: where traffic goes when a zone is lost."),
     "scale": ("scale", "How cost grows with the size of the fleet: sizes, and slopes by dimension."),
--- a/zincstile/cli/sim.py
+++ b/zincstile/cli/sim.py
@@ -1,4 +1,4 @@
-"""`sim`: worlds by seed, on virtual time."""
+"""`sim`: simulations by seed, on virtual time."""
 
 from __future__ import annotations
 
@@ -56,7 +56,7 @@
 
 
 @command.command("run")
-@click.option("--seed", type=click.IntRange(min=0), help="The world to play.")
+@click.option("--seed", type=click.IntRange(min=0), help="The simulation to play.")
 @click.option("--plan", "path", type=click.Path(), help="A plan in YAML in place of the drawn one.")
 @click.option(
     "--trace", type=click.Path(dir_okay=False), help="Write a line for all that crosses the network."
@@ -64,19 +64,19 @@
 @click.option("--logs", is_flag=True, help="Print the gateways' logs.")
 @RULE
 def run(seed: int | None, path: str | None, trace: str | None, logs: bool, rules: tuple[str, ...]) -> int:
-    """Plays one world; exit 1 where a rule is broken."""
+    """Plays one simulation; exit 1 where a rule is broken."""
     from ..simulation.run import Run
 
     plan = _plan(seed, path)
-    world = Run(plan, keep_trace=trace is not None, rules=_rules(rules))
-    result = world.play()
+    simulation = Run(plan, keep_trace=trace is not None, rules=_rules(rules))
+    result = simulation.play()
     if trace is not None:
         try:
-            Path(trace).write_text("\n".join([*world.network.trace, ""]), encoding="utf-8")
+            Path(trace).write_text("\n".join([*simulation.network.trace, ""]), encoding="utf-8")
         except OSError as err:
             raise BadInputError(f"{trace}: {err.strerror}") from None
     if logs:
-        sys.stdout.writelines(world.logs)
+        sys.stdout.writelines(simulation.logs)
     kinds = ", ".join(f"{k} {n}" for k, n in sorted(result.tally.items()))
     click.echo(
         f"{result.seconds:.1f} virtual seconds, {len(plan.faults)} faults, {result.attempts} tries, "
@@ -102,7 +102,7 @@
 @JOBS
 @RULE
 def sweep(span: str, jobs: int, rules: tuple[str, ...]) -> int:
-    """Plays many worlds over many processes; exit 1 where any breaks a rule."""
+    """Plays many simulations over many processes; exit 1 where any breaks a rule."""
     from ..simulation.sweep import digest_of, play_all
 
     chosen, looked_at, began, last = seed_range(span), _rules(rules), time.monotonic(), 0.0
@@ -213,8 +213,8 @@
 @click.option("--depth", type=click.IntRange(1, 12), default=5, show_default=True)
 @JOBS
 def search(depth: int, jobs: int) -> int:
-    """Loans between three gateways in every order: words delivered, lost and doubled, crashes, stops; exit 1
-    where a quota is passed."""
+    """Leases between three gateways in every order: messages delivered, lost and doubled, crashes, stops;
+    exit 1 where a quota is passed."""
     from ..simulation import search as them
 
     rows: dict[str, list[them.Found]] = {}
@@ -241,7 +241,7 @@
 def _played(
     them: Any, chosen: range, *words: Any, title: Callable[[Any], str] = lambda row: f"seed {row.seed}"
 ) -> tuple[list[Any], int]:
-    """Many worlds of a kind, with their table; the rows, and how many of them broke a rule."""
+    """Many simulations of a kind, with their table; the rows, and how many of them broke a rule."""
     rows = []
     for row in them.play_all(chosen, *words):
         rows.append(row)
@@ -263,11 +263,11 @@
     exit 1 where a rule is broken."""
     from ..simulation import shared_trials as them
 
-    worlds = gateways, 1000 * seconds, gossip, jobs
+    simulations = gateways, 1000 * seconds, gossip, jobs
     rows, broken = _played(
-        them, seed_range(span), *worlds, title=lambda row: f"{row.failure} seed {row.seed}"
+        them, seed_range(span), *simulations, title=lambda row: f"{row.failure} seed {row.seed}"
     )
-    click.echo(f"shared worlds={len(rows)} broken={broken}")
+    click.echo(f"shared simulations={len(rows)} broken={broken}")
     return 1 if broken else 0
 
 
@@ -283,7 +283,7 @@
 
     rows, broken = _played(them, seed_range(span), gateways, not plain, jobs)
     late = sum(row.ready_s < 0 for row in rows)
-    click.echo(f"starts worlds={len(rows)} broken={broken} never_ready={late}")
+    click.echo(f"starts simulations={len(rows)} broken={broken} never_ready={late}")
     return 1 if broken or late else 0
 
 
@@ -298,7 +298,7 @@
     from ..simulation import places as them
 
     rows, broken = _played(them, seed_range(span), gateways, not plain, jobs)
-    click.echo(f"places worlds={len(rows)} broken={broken}")
+    click.echo(f"places simulations={len(rows)} broken={broken}")
     return 1 if broken else 0
 
 
@@ -384,7 +384,7 @@
 @click.option("--gateways", type=click.IntRange(2, 20), default=3, show_default=True)
 @JOBS
 def keeper(span: str, gateways: int, jobs: int) -> int:
-    """Accounts against a count keeper that fails: overshoot beside its bound; exit 1 where one is passed."""
+    """Accounts against a quota service that fails: overshoot beside its bound; exit 1 where one is passed."""
     from ..simulation import trial
 
     chosen, passed = seed_range(span), 0
