--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -205,16 +205,18 @@
         window_s=0.4,
         mass_failure=True,
     )
-    result, told = slopes.describe(chosen), []
-    slopes.run(chosen, result, lambda done, of: told.append((done, of)))
-    return result, told
+    result, progress = slopes.describe(chosen), []
+    slopes.run(chosen, result, lambda done, of: progress.append((done, of)))
+    return result, progress
 
 
 def test_a_small_run_has_every_sample_in_its_order(small):
     """A sample is given only where the gateway counted each line of the list and no fault or bad message."""
-    result, told = small
+    result, progress = small
     assert result.failures == [] and result.complete
-    assert [s.order for s in result.samples] == list(range(13)) and told == [(k, 13) for k in range(1, 14)]
+    assert [s.order for s in result.samples] == list(range(13)) and progress == [
+        (k, 13) for k in range(1, 14)
+    ]
     for kind, count in ((Kind.REAL, 7), (Kind.HOLLOW, 6)):
         found = [s for s in result.samples if s.kind is kind]
         assert len(found) == count
--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -99,7 +99,7 @@
     async def _finish(self):
         async with asyncio.timeout(60):
             await self.muted
-            while self.discovery.asks[AGAIN] < 2:
+            while self.discovery.watches_opened[AGAIN] < 2:
                 await asyncio.sleep(0.02)
         await super()._finish()
 
@@ -132,9 +132,9 @@
     assert result.complete and not result.ok and result.changes > 3 * 8 + 2 * 10
 
 
-def test_after_a_second_watch_what_a_gateway_acts_by_is_still_known(played):
+def test_after_a_second_watch_what_a_gateway_has_in_force_is_still_known(played):
     one, result = played
-    assert one.discovery.asks[AGAIN] > 1
+    assert one.discovery.watches_opened[AGAIN] > 1
     life = one.gateways.members[AGAIN].lives[-1]
     assert life.seen[-1].index == one.discovery.changes[-1].index
     assert next(row for row in result.gateways if row.name == f"g{AGAIN}").never == 0
--- a/zincstile/scale/crowd.py
+++ b/zincstile/scale/crowd.py
@@ -1,5 +1,5 @@
 """The gateways of a scale run: real processes, and hollow ones many to a process, with what their logs and
-the system say of them.
+the system show of them.
 
 Only processes started here are signalled. Times are unix seconds, as in the gateways' logs.
 """
@@ -54,17 +54,17 @@
         env = {"TMPDIR": str(self.folder / "tmp")}
         if self.kind is Kind.REAL:
             env["RELAY_CONFIG"] = str(self.members[0].config)
-            words = ["-m", "zincstile"]
+            arguments = ["-m", "zincstile"]
         else:
-            words = ["-P", str(HOLLOW_PROCESS), *(str(member.config) for member in self.members)]
+            arguments = ["-P", str(HOLLOW_PROCESS), *(str(member.config) for member in self.members)]
         for member in self.members:
             member.starts += 1
             member.ready, member.thread, member.counters = False, 0, {}
-        self.program = Program(words, env, self.log, self.folder)
+        self.program = Program(arguments, env, self.log, self.folder)
 
-    def ended(self, at_s: float, told: list[list[int]], asks: list[int]) -> None:
+    def ended(self, at_s: float, sent_indexes: list[list[int]], watches_opened: list[int]) -> None:
         """Its process is no more: what it logged last is taken in, and its gateways can't be reached."""
-        self.read(told, asks)
+        self.read(sent_indexes, watches_opened)
         for member in self.members:
             if member.life is not None:
                 member.life.down_s = at_s
@@ -74,43 +74,45 @@
         if self.alive and all(member.life is not None for member in self.members):
             self.program.signal(signal.SIGUSR1)
 
-    # ---- what is said of it
+    # ---- its log and what it used
 
-    def read(self, told: list[list[int]], asks: list[int]) -> None:
-        """Takes in what was logged since the last time. `told`: by gateway, the index that each line of its
-        watch led to, so that a count of lines taken is what the gateway acts by; not after it asked for
-        another watch, as lines of the first may have been taken or not."""
+    def read(self, sent_indexes: list[list[int]], watches_opened: list[int]) -> None:
+        """Takes in what was logged since the last time.
+
+        `sent_indexes`: by gateway, the index that each line of its watch led to. A count of lines taken gives
+        the index in force there, but not after the gateway opened another watch (`watches_opened`, by
+        gateway): lines of the first may have been taken or not."""
         while self.program is not None and (lines := self.program.news()):
             for line in lines:
-                self._take(line, told, asks)
+                self._take(line, sent_indexes, watches_opened)
 
-    def _take(self, line: str, told: list[list[int]], asks: list[int]) -> None:
+    def _take(self, line: str, sent_indexes: list[list[int]], watches_opened: list[int]) -> None:
         parts = line.split(" ", 3)
         if len(parts) < 4:
             return
-        time, name, word, rest = parts
+        time, name, event, rest = parts
         member = self._by_name.get(name)
-        if word == "baseline":
+        if event == "baseline":
             self._baseline_bytes = json.loads(rest)["resident_bytes"]
         elif member is None:
             return
-        elif word == "thread":
+        elif event == "thread":
             member.thread = json.loads(rest)["tid"]
-        elif word == "start":
+        elif event == "start":
             member.lives.append(Life(float(time)))
-        elif word == "ready":
+        elif event == "ready":
             member.ready = True
-        elif word == "fault":
+        elif event == "fault":
             self.faults.append(f"{name}: {rest[:160]}")
-        elif word == "counters":
-            exact = told[member.number] if asks[member.number] == 1 else []
+        elif event == "counters":
+            exact = sent_indexes[member.number] if watches_opened[member.number] == 1 else []
             self._counted(member, float(time), json.loads(rest), exact)
 
-    def _counted(self, member: Member, at_s: float, counters: dict[str, Any], told: list[int]) -> None:
+    def _counted(self, member: Member, at_s: float, counters: dict[str, Any], indexes: list[int]) -> None:
         member.counters = counters
-        taken = min(counters["tables"], len(told))
+        taken = min(counters["tables"], len(indexes))
         if taken and member.life is not None:
-            member.life.seen.append(Seen(at_s, told[taken - 1]))
+            member.life.seen.append(Seen(at_s, indexes[taken - 1]))
 
     def memory_bytes(self) -> float:
         """Resident memory of one gateway: of a hollow one, what its process held before the first, and the
--- a/zincstile/scale/day.py
+++ b/zincstile/scale/day.py
@@ -32,7 +32,7 @@
 from .members import Member, name_of
 from .outcome import DayResult
 from .plan import DayPlan, text
-from .surroundings import DayBackends, DayDiscovery, DayEars, DayTable, PeerRelay
+from .surroundings import DayBackends, DayDiscovery, DayProbe, DayTable, PeerRelay
 from .topology import Topology
 from .verdicts import ColdBudgets
 
@@ -49,7 +49,7 @@
 
 
 class NotReadyError(RuntimeError):
-    """The gateways did not start; one line with what their logs say."""
+    """The gateways did not start; one line with what their logs show."""
 
 
 class Day:
@@ -111,9 +111,9 @@
         self.cold = ColdBudgets(cold_window_s)
         self.checker = Checker(day_rules.thresholds(), lambda: (0, time.monotonic_ns()))
         self.checker.quotas = day_rules.quotas(fleet, self._features)
-        self.ears = DayEars(self.checker, TimeSeries(), time.monotonic, cold=self.cold, clock=time.time)
+        self.probe = DayProbe(self.checker, TimeSeries(), time.monotonic, cold=self.cold, clock=time.time)
         self.discovery = DayDiscovery(self.loop, fleet.gateways, time.time)
-        self.backends = DayBackends(self.loop, fleet, self.ears, plan.seed, time.time)
+        self.backends = DayBackends(self.loop, fleet, self.probe, plan.seed, time.time)
         self.relay = PeerRelay(self.loop, [Traffic() for _ in range(fleet.gateways)])
         await self.discovery.start()
         await self.backends.start()
@@ -123,8 +123,8 @@
         self.gateways = DayGateways(
             fleet, plan, self.folder, self._features, blocks, self.discovery, self.relay, self.checker
         )
-        self.discovery.written = self._change_sent
-        self.discovery.asked = self._watch_opened
+        self.discovery.on_change_sent = self._change_sent
+        self.discovery.on_watch_opened = self._watch_opened
         self._probes = InForceProbes(self.discovery)
         self._create_clients()
         self.events = EventPlayer(self.discovery, self.backends, self.gateways, plan.seed)
@@ -135,7 +135,7 @@
         self.front = ClientLoadBalancer(
             self.loop,
             random.Random(f"front {self.plan.seed}"),
-            self.ears,
+            self.probe,
             {member.name: member.listen for member in members},
             failure_detection_s=(0.3, 1.5),
         )
@@ -252,7 +252,7 @@
         self._machine.append(core_times())
         now = time.monotonic_ns()
         self.checker.check_due(now)
-        self.ears.came.clear()
+        self.probe.came.clear()
         self._forget_requests(now - int(FORGET_S * 1e9))
         used = self.gateways.resident_bytes() + resident_bytes()
         self.result.measured_bytes = max(self.result.measured_bytes, used)
@@ -295,7 +295,7 @@
 
     def _change_sent(self, gateway: int, entry: EndpointEntry) -> None:
         if self.gateways.members[gateway].loaded:
-            self.ears.gateway_notified(name_of(gateway), entry.name, entry.status, entry.since_ms)
+            self.probe.gateway_notified(name_of(gateway), entry.name, entry.status, entry.since_ms)
 
     def _watch_opened(self, gateway: int, place: int) -> None:
         """A watch begins: the gateway has got the complete list, or what it lacked of it."""
--- a/zincstile/scale/day_gateways.py
+++ b/zincstile/scale/day_gateways.py
@@ -138,7 +138,7 @@
             self.faults.append(f"{process.members[0].name}: exit {code} after SIGTERM")
 
     def _note_ended(self, process: GatewayProcess) -> None:
-        process.ended(time.time(), self._discovery.told, self._discovery.asks)
+        process.ended(time.time(), self._discovery.sent_indexes, self._discovery.watches_opened)
         for member in process.members:
             self._discovery.restarted(member.number)
 
@@ -154,7 +154,7 @@
     def read_logs(self) -> None:
         """Takes in what all gateways have logged since the last call."""
         for process in self.processes:
-            process.read(self._discovery.told, self._discovery.asks)
+            process.read(self._discovery.sent_indexes, self._discovery.watches_opened)
 
     def resident_bytes(self) -> int:
         """Resident memory of all processes that run."""
--- a/zincstile/scale/day_probes.py
+++ b/zincstile/scale/day_probes.py
@@ -25,7 +25,7 @@
 
     def needed(self, member: Member) -> bool:
         """The gateway has opened a second watch."""
-        return self._discovery.asks[member.number] > 1
+        return self._discovery.watches_opened[member.number] > 1
 
     def start(self, member: Member) -> None:
         """Begins a probe, unless one is under way or the gateway is down."""
--- a/zincstile/scale/emulators.py
+++ b/zincstile/scale/emulators.py
@@ -144,10 +144,10 @@
         self.loop = loop
         self.traffic = [Traffic() for _ in range(gateways)]
         self.watches: dict[WatchConnection, None] = {}
-        self.asked: Callable[[int, int], None] = lambda gateway, place: None  # a watch is asked for there
+        self.on_watch_opened: Callable[[int, int], None] = lambda gateway, place: None
         self.table: EndpointTable | None = None
         self.port = 0
-        self.untold = 0  # watches that a change is still on its way to
+        self.pending_sends = 0  # watches that a change is still on its way to
         self._whole: tuple[int, bytes] = (0, b"")
         self._changes: dict[int, bytes] = {}  # by the index that each led to
 
@@ -172,28 +172,29 @@
         found = [self._changes.get(k) for k in range(index + 1, self.table.index + 1)]
         return None if index <= 0 or None in found else found  # type: ignore[return-value]
 
-    def change(self, spread_s: float, told: Callable[[int], None]) -> None:
-        """Makes the next change and tells each gateway of it, one after the other within `spread_s`: those
-        that share a process would hold each other up. `told` hears the gateway when its line is written."""
+    def change(self, spread_s: float, sent: Callable[[int], None]) -> None:
+        """Makes the next change and sends it to each gateway, one after the other within `spread_s`: those
+        that share a process would hold each other up. `sent` is called with the gateway's number
+        when its line is written."""
         line = self.table.delta(self.table.next_change())
         self._changes[self.table.index] = line
         for watch in list(self.watches):
             wait_s = spread_s * watch.gateway / len(self.traffic)
-            self.untold += 1
-            self.loop.call_later(wait_s, self._tell, watch, line, told)
+            self.pending_sends += 1
+            self.loop.call_later(wait_s, self._send_change, watch, line, sent)
 
     def lose_zone(self, count: int) -> None:
-        """Tells all watches at once that so many backends are gone, each in a message of its own."""
+        """Sends all watches at once that so many backends are gone, each in a message of its own."""
         for line in self.table.lose(count):
             self._changes[self.table.index] = line
             for watch in self.watches:
-                watch.tell(line)
+                watch.send_line(line)
 
-    def _tell(self, watch: WatchConnection, line: bytes, told: Callable[[int], None]) -> None:
-        self.untold -= 1
-        if watch in self.watches:  # else it is told when its gateway asks again
-            watch.tell(line)
-            told(watch.gateway)
+    def _send_change(self, watch: WatchConnection, line: bytes, sent: Callable[[int], None]) -> None:
+        self.pending_sends -= 1
+        if watch in self.watches:  # else it is sent when its gateway opens another
+            watch.send_line(line)
+            sent(watch.gateway)
 
 
 class WatchConnection(asyncio.Protocol):
@@ -205,7 +206,7 @@
         self.transport: asyncio.Transport | None = None
         self.gateway = self.place = 0
         self._head = b""
-        self._told_s = 0.0
+        self._last_sent_s = 0.0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Learns from the local address which gateway this is, and at which of its two addresses."""
@@ -232,15 +233,15 @@
             lines = [self.discovery.whole()]
             traffic.list_bytes = traffic.list_bytes or len(lines[0])
         for line in lines or [b"\n"]:
-            self.tell(line)
+            self.send_line(line)
         self.discovery.watches[self] = None
-        self.discovery.asked(self.gateway, self.place)
+        self.discovery.on_watch_opened(self.gateway, self.place)
         self._heartbeat()
 
-    def tell(self, line: bytes) -> None:
-        """A line of the watch."""
+    def send_line(self, line: bytes) -> None:
+        """Sends a line of the watch, unless the connection is closing."""
         if not self.transport.is_closing():
-            self._told_s = self.discovery.loop.time()
+            self._last_sent_s = self.discovery.loop.time()
             self.discovery.traffic[self.gateway].bytes_in += len(line)
             self.transport.write(b"%x\r\n%b\r\n" % (len(line), line))
 
@@ -248,9 +249,9 @@
         if self.transport.is_closing():
             return
         now = self.discovery.loop.time()
-        if now - self._told_s >= HEARTBEAT_S:
-            self.tell(b"\n")
-        self.discovery.loop.call_at(self._told_s + HEARTBEAT_S, self._heartbeat)
+        if now - self._last_sent_s >= HEARTBEAT_S:
+            self.send_line(b"\n")
+        self.discovery.loop.call_at(self._last_sent_s + HEARTBEAT_S, self._heartbeat)
 
 
 class FakeBackends:
@@ -284,11 +285,11 @@
 
     def data_received(self, data: bytes) -> None:
         """Answers calls after the service time, PINGs and load reports at once."""
-        for words in self._commands.feed(data):
-            if words[0] in (b"CALL.GET", b"CALL.POST"):
+        for command in self._commands.feed(data):
+            if command[0] in (b"CALL.GET", b"CALL.POST"):
                 self.backends.calls += 1
-                self.backends.loop.call_later(ANSWER_AFTER_S, self._answer, words[2])
-            elif words == [b"PING"]:
+                self.backends.loop.call_later(ANSWER_AFTER_S, self._answer, command[2])
+            elif command == [b"PING"]:
                 self.transport.write(b"+PONG\r\n")
             else:
                 self.transport.write(b"$31\r\ninflight=0,latency_ms=5,queue=0\r\n")
@@ -302,7 +303,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """A customer of one gateway, as its requests tell it."""
+    """A customer of one gateway, as its requests name it."""
 
     key: int
     spread: int  # gateways in its set
@@ -312,7 +313,8 @@
 
 class FakePeers:
     """All other gateways, behind one socket. Each datagram is answered by one with the same tenants, as a
-    peer with as much load of them would tell, and asks for units are granted. `speak` sends words unasked."""
+    peer with as much load of them would send, and requests for units are granted.
+    `send_usages` sends messages unasked."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, traffic: list[Traffic], seed: int) -> None:
         """Listens at once on all addresses; `traffic` is counted by gateway."""
@@ -351,13 +353,13 @@
         if message is None:
             self.strange += 1
             return
-        told = [
+        usages = [
             CustomerUsage(s.customer, s.plan, 0.0, s.level, 0, s.want, s.query_id, True)
             if s.want > 0
             else CustomerUsage(s.customer, s.plan, s.total, s.level, s.in_flight, 0.0, s.query_id)
             for s in message.usages
         ]
-        for answer in gossip_codec.encode_gossip(SendGossip(0, self._start(peer), told)):
+        for answer in gossip_codec.encode_gossip(SendGossip(0, self._start(peer), usages)):
             self.send(sender, peer, answer)
 
     def send(self, gateway: tuple[str, int], peer: int, data: bytes) -> None:
@@ -371,18 +373,18 @@
             traffic.datagrams_in += 1
             traffic.bytes_in += len(data)
 
-    def speak(
+    def send_usages(
         self, peer: int, tenants: list[Tenant], plan: int, level: float, total: float, spread_s: float
     ) -> None:
-        """That peer tells every gateway what it sent for some tenants, at most `SHARES_IN_DATAGRAM`, to one
+        """That peer sends every gateway its usage by some tenants, at most `SHARES_IN_DATAGRAM`, to one
         after the other within `spread_s`: woken together, those of one process find its caches warm."""
-        told = [CustomerUsage(t.key, plan, total, level, 0) for t in tenants]
-        for data in gossip_codec.encode_gossip(SendGossip(0, self._start(peer), told)):
+        usages = [CustomerUsage(t.key, plan, total, level, 0) for t in tenants]
+        for data in gossip_codec.encode_gossip(SendGossip(0, self._start(peer), usages)):
             for gateway, number in self.places.items():
                 self.loop.call_later(spread_s * number / len(self.places), self.send, gateway, peer, data)
 
     def close(self) -> None:
-        """Hears no more."""
+        """Receives no more."""
         self.loop.remove_reader(self._sock.fileno())
         self._sock.close()
 
--- a/zincstile/scale/load.py
+++ b/zincstile/scale/load.py
@@ -1,4 +1,4 @@
-"""Clients of a measured gateway: requests of its tenants, and PINGs that tell what is in force."""
+"""Clients of a measured gateway: requests of its tenants, and PINGs that show what is in force."""
 
 from __future__ import annotations
 
@@ -78,22 +78,22 @@
         """Connects when the first command is sent."""
         self.host, self.port = host, port
         self.outcomes: dict[str, int] = {}  # of requests: served, denied, failed
-        self._resting: list[Connection] = []
+        self._idle: list[Connection] = []
         self._number = 0
 
     async def _connection(self) -> Connection:
-        while self._resting:
-            connection = self._resting.pop()
+        while self._idle:
+            connection = self._idle.pop()
             if not connection.shut:
                 return connection
         loop = asyncio.get_running_loop()
         return (await loop.create_connection(Connection, self.host, self.port))[1]
 
-    async def command(self, *words: bytes) -> object:
+    async def command(self, *arguments: bytes) -> object:
         """One command on a connection that is free. OSError where there is none, or it ends."""
         connection = await self._connection()
-        reply = await connection.ask(codec.encode_command(*words))
-        self._resting.append(connection)
+        reply = await connection.ask(codec.encode_command(*arguments))
+        self._idle.append(connection)
         return reply
 
     async def ready(self, within_s: float) -> float:
@@ -110,7 +110,7 @@
         raise UnreachableError(f"{self.host}:{self.port} was not ready within {within_s:g} s")
 
     async def behind(self) -> float:
-        """Returns once the gateway has acted by all that was sent to it before this call: the loop's time.
+        """Returns once the gateway has in force all that was sent to it before this call: the loop's time.
 
         The second of two PINGs is read in a later turn of its loop than the one that read what came before
         the first. UnreachableError where it does not answer."""
@@ -127,10 +127,10 @@
         """One request of that tenant, counted by its outcome."""
         self._number += 1
         fields = f"c={CLASS},t={PLAN},d={WAIT_MS},units=1,spread={tenant.spread},first={tenant.first}"
-        words = b"CALL.GET", b"%016x" % tenant.key, b"%016x" % self._number, fields.encode()
+        arguments = b"CALL.GET", b"%016x" % tenant.key, b"%016x" % self._number, fields.encode()
         try:
             async with asyncio.timeout(2 * WAIT_MS / 1000):
-                reply = await self.command(*words)
+                reply = await self.command(*arguments)
         except (OSError, TimeoutError):
             outcome = "failed"
         else:
@@ -140,7 +140,7 @@
         self.outcomes[outcome] = self.outcomes.get(outcome, 0) + 1
 
     def close(self) -> None:
-        """Ends what rests."""
-        for connection in self._resting:
+        """Closes the idle connections."""
+        for connection in self._idle:
             connection.transport.abort()
-        self._resting.clear()
+        self._idle.clear()
--- a/zincstile/scale/outcome.py
+++ b/zincstile/scale/outcome.py
@@ -22,7 +22,7 @@
     COLD = "cold"  # calls of all gateways together to each cold backend
     QUOTA = "quota"  # units sent on beyond a stated bound
     RULES = "rules"  # the checkers of `zincstile/checkers`, at the real gateways
-    PROCESSES = "processes"  # none ended by itself, none told of a fault or of a bad message
+    PROCESSES = "processes"  # none ended by itself, none reported a fault or a bad message
 
 
 class Verdict(msgspec.Struct):
--- a/zincstile/scale/plan.py
+++ b/zincstile/scale/plan.py
@@ -44,13 +44,13 @@
     at_s: Seconds
     zone: Name
     for_s: Seconds
-    noticed_s: Seconds = 1.0  # until discovery begins to tell that the backends are gone
+    noticed_s: Seconds = 1.0  # until discovery begins to announce that the backends are gone
     over_s: Seconds = 1.0  # that it takes for all of them, one change after the other
     name: ClassVar[str] = "zone_lost"
 
     @property
     def ends_s(self) -> float:
-        """Until the last of its backends is told as back."""
+        """Until the last of its backends is announced as back."""
         return self.at_s + self.for_s + self.over_s
 
 
@@ -74,7 +74,7 @@
 
 class Real(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Processes by the deploy file's line `run`. What control costs is read from those without load; what is
-    asked of the loaded ones costs more, and is told apart by this."""
+    asked of the loaded ones costs more, and is kept apart by this."""
 
     loaded: Annotated[int, msgspec.Meta(ge=1, le=250)]
     unloaded: Annotated[int, msgspec.Meta(ge=1, le=250)]
@@ -120,7 +120,7 @@
         if isinstance(event, ZoneLost | GatewaysRestarted) and event.zone not in fleet.zones:
             found.append((f"{place}.zone", f"{event.zone}: there are {', '.join(fleet.zones)}"))
         if isinstance(event, ZoneLost) and event.for_s < event.noticed_s + event.over_s:
-            found.append((f"{place}.for_s", "the zone is back before all of it is told as gone"))
+            found.append((f"{place}.for_s", "the zone is back before all of it is announced as gone"))
         if event.ends_s > latest_s:
             found.append((f"{place}.at_s", f"ends at {event.ends_s:g} s; {latest_s:g} s is the latest"))
         found += _overlaps(plan.events[:number], event, place)
--- a/zincstile/scale/point.py
+++ b/zincstile/scale/point.py
@@ -27,13 +27,13 @@
 SETTLE_S: Final = 1.2  # after ready, before the window at rest
 LONGEST_S: Final = 5.0  # of a window that waits for events which come seldom
 EVENTS: Final = 4  # so many are waited for, if `LONGEST_S` allows
-PRELOAD_PER_S: Final = 250.0  # datagrams that tell of all tenants before anything is measured
+PRELOAD_PER_S: Final = 250.0  # datagrams that name all tenants before anything is measured
 SPREAD: Final = 0.4  # of the time between two events, in which all hollow gateways get one
-RETOLD_S: Final = 10.0  # peers tell of each tenant so often: a gateway forgets one after 15 s
+RESEND_PERIOD_S: Final = 10.0  # peers send each tenant so often: a gateway forgets one after 15 s
 INTAKE_PER_S: Final = (
     48.0  # datagrams that a gateway's peers may send it: four fifths of the platform's bound
 )
-MESSAGES_PER_S: Final = 24.0  # words of peers where their number is not what is varied
+MESSAGES_PER_S: Final = 24.0  # messages of peers where their number is not what is varied
 LEAST_SERVED: Final = 0.8  # of the requests: else their cost is that of rejections
 HIGHEST_US, DIGITS = 60_000_000, 3  # of the histogram of delays
 
@@ -213,7 +213,7 @@
             await self._until(began_s + (number + 0.5) * seconds / count)
             event()
         await self._until(began_s + seconds)
-        while self.discovery.untold:  # on a busy machine the last may come late
+        while self.discovery.pending_sends:  # on a busy machine the last may come late
             await asyncio.sleep(0.001)
         self.subject.check()
         return Window(
@@ -233,8 +233,8 @@
         rate = self.point.sizes[Dimension.TABLE_CHANGES_PER_S]
         return await self._window(rate, self._change), Figure.CPU_PER_CHANGE_S
 
-    def _change(self, told: Callable[[int], None] = lambda gateway: None) -> None:
-        self.discovery.change(SPREAD / self.point.sizes[Dimension.TABLE_CHANGES_PER_S], told)
+    def _change(self, sent: Callable[[int], None] = lambda gateway: None) -> None:
+        self.discovery.change(SPREAD / self.point.sizes[Dimension.TABLE_CHANGES_PER_S], sent)
 
     async def _requests(self) -> tuple[Window, Figure]:
         """Requests of this gateway's tenants."""
@@ -252,16 +252,16 @@
         return window, Figure.CPU_PER_REQUEST_S
 
     async def _messages(self) -> tuple[Window, Figure]:
-        """Words of peers on this gateway's tenants."""
+        """Messages of peers on this gateway's tenants."""
         count, rate = 1, MESSAGES_PER_S
         if self.point.dimension is Dimension.TENANTS:
-            count = math.ceil(len(self.tenants) / RETOLD_S / INTAKE_PER_S)
-            rate = len(self.tenants) / count / RETOLD_S
-        words = self._words(count, SPREAD / rate)
-        return await self._window(rate, lambda: next(words)), Figure.CPU_PER_MESSAGE_S
+            count = math.ceil(len(self.tenants) / RESEND_PERIOD_S / INTAKE_PER_S)
+            rate = len(self.tenants) / count / RESEND_PERIOD_S
+        messages = self._peer_messages(count, SPREAD / rate)
+        return await self._window(rate, lambda: next(messages)), Figure.CPU_PER_MESSAGE_S
 
     async def _reloads(self) -> tuple[Window, Figure]:
-        """Configurations that have discovery elsewhere, each told by SIGHUP."""
+        """Configurations that have discovery elsewhere, each announced by SIGHUP."""
         pending: dict[int, float] = {}  # gateway: since when its new discovery waits to be asked
 
         def arrived(gateway: int, place: int) -> None:
@@ -279,7 +279,7 @@
 
             self.subject.reload(change)
 
-        self.discovery.asked = arrived
+        self.discovery.on_watch_opened = arrived
         window = await self._window(self.point.sizes[Dimension.CONFIG_CHANGES_PER_S], reload)
         until_s = self.loop.time() + load.PATIENCE_S
         while pending and self.loop.time() < until_s:
@@ -288,30 +288,30 @@
             raise load.UnreachableError(f"{len(pending)} gateways did not follow their configurations")
         return window, Figure.CPU_PER_CHANGE_S
 
-    def _words(self, count: int, spread_s: float) -> Iterator[None]:
-        """Endless: each step, one peer tells of the next `count` tenants."""
+    def _peer_messages(self, count: int, spread_s: float) -> Iterator[None]:
+        """Endless: each step, one peer sends the next `count` tenants."""
         groups = [self.tenants[k : k + count] for k in range(0, len(self.tenants), count)]
         others = [n for n in range(self.gateways) if n >= self.count] or [self.gateways - 1]
         plan = plan_number(self.fleet)
         total = 0.0
         for group, peer in zip(cycle(groups), cycle(others), strict=False):
             total += 1.0
-            self.peers.speak(peer, group, plan, QUOTA_PER_S, total, spread_s)
+            self.peers.send_usages(peer, group, plan, QUOTA_PER_S, total, spread_s)
             yield
 
     async def _preload(self) -> None:
-        """Where tenants are varied: peers tell of all of them, so that the gateway remembers them."""
+        """Where tenants are varied: peers name all of them, so that the gateway remembers them."""
         if self.point.dimension is not Dimension.TENANTS:
             return
-        words = self._words(SHARES_IN_DATAGRAM, 0.0)
+        messages = self._peer_messages(SHARES_IN_DATAGRAM, 0.0)
         for _ in range(0, len(self.tenants), SHARES_IN_DATAGRAM):
-            next(words)
+            next(messages)
             await asyncio.sleep(1 / PRELOAD_PER_S)
 
     # ---- in force
 
     async def _changes_in_force(self) -> None:
-        """Changes at the same rate again, and how long each takes until it is acted by."""
+        """Changes at the same rate again, and how long each takes until it is in force."""
         rate = self.point.sizes[Dimension.TABLE_CHANGES_PER_S]
         tasks: list[asyncio.Task[None]] = []
 
@@ -319,10 +319,10 @@
             sent_s = self.loop.time()
             self.delays.append(await clients.behind() - sent_s)
 
-        def told(gateway: int) -> None:
+        def sent(gateway: int) -> None:
             tasks.append(self.loop.create_task(behind(self.clients[gateway])))
 
-        await self._window(rate, lambda: self._change(told))
+        await self._window(rate, lambda: self._change(sent))
         for task in tasks:
             await task
 
@@ -381,7 +381,7 @@
 
 
 def measure(point: Point, folder: Path) -> Sample:
-    """Measures one point in a folder of its own, which stays. Whatever goes wrong is told as SubjectError."""
+    """Measures one point in a folder of its own, which stays. SubjectError where anything goes wrong."""
     folder.mkdir(parents=True)
     try:
         return asyncio.run(Measurement(point, folder).run())
--- a/zincstile/scale/records.py
+++ b/zincstile/scale/records.py
@@ -44,15 +44,16 @@
     BYTES_OUT_PER_S = "bytes_out_per_s"  # the same, sent
     DATAGRAMS_IN_PER_S = "datagrams_in_per_s"
     DATAGRAMS_OUT_PER_S = "datagrams_out_per_s"
-    # From a change being sent until the gateway acts by it. Table: until a second PING behind it is answered,
-    # which can't be before the turn that decides on it. Configuration: until the new discovery is asked.
+    # From a change being sent until it is in force at the gateway. Table: until a second PING behind it is
+    # answered, which can't be before the batch that decides on it. Configuration: until the new discovery is
+    # asked.
     IN_FORCE_P50_S = "in_force_p50_s"
     IN_FORCE_P99_S = "in_force_p99_s"
     IN_FORCE_LAST_S = "in_force_last_s"
     MASS_FAILURE_IN_FORCE_S = "stroke_in_force_s"  # a fifth of the backends gone at once, beside load
     MASS_FAILURE_SERVED_SHARE = "stroke_served_share"  # of the requests from 1 s before it until then
     READY_S = "ready_s"  # from the start of the process until it takes clients
-    LIST_BYTES = "list_bytes"  # the whole list, as told at the start
+    LIST_BYTES = "list_bytes"  # the whole list, as sent at the start
 
 
 class Machine(msgspec.Struct, frozen=True):
--- a/zincstile/scale/slopes.py
+++ b/zincstile/scale/slopes.py
@@ -172,9 +172,11 @@
     )
 
 
-def run(settings: Settings, result: SlopeResult, told: Callable[[int, int], None]) -> None:
-    """Measures all points into the result; `told` hears how many of how many are done. KeyboardInterrupt
-    passes through once all that was started has ended; the result keeps what was measured until then."""
+def run(settings: Settings, result: SlopeResult, progress: Callable[[int, int], None]) -> None:
+    """Measures all points into the result; `progress` is called with how many of how many are done.
+
+    KeyboardInterrupt passes through once all that was started has ended; the result keeps what was measured
+    until then."""
     chosen = points(settings)
     with tempfile.TemporaryDirectory(prefix="zincstile-scale-", ignore_cleanup_errors=True) as folder:
         for point, found in _measured(chosen, min(settings.jobs, len(chosen)), Path(folder)):
@@ -184,7 +186,7 @@
             else:
                 name = f"{point.dimension.value}={point.size:g} {point.kind.value} {point.program}"
                 result.failures.append(f"{name} repeat {point.repeat}: {found}")
-            told(len(result.samples) + len(result.failures), len(chosen))
+            progress(len(result.samples) + len(result.failures), len(chosen))
     result.complete = not result.failures
 
 
--- a/zincstile/scale/subjects.py
+++ b/zincstile/scale/subjects.py
@@ -1,4 +1,4 @@
-"""Measured processes: one real gateway, or many hollow ones, with what the system says of them.
+"""Measured processes: one real gateway, or many hollow ones, with what the system shows of them.
 
 Processor time is that of /proc/PID/task/TID/schedstat (nanoseconds on a processor), memory is VmRSS of
 /proc/PID/status. A hollow gateway is measured by its thread, and by its part of what the process grew.
@@ -40,10 +40,10 @@
         env = {"PYTHONPATH": str(tree), "TMPDIR": str(folder)}
         if kind is Kind.REAL:
             env["RELAY_CONFIG"] = str(files[0])
-            words = ["-m", "zincstile"]
+            arguments = ["-m", "zincstile"]
         else:
-            words = ["-P", str(HOLLOW_PROCESS), *map(str, files)]
-        self.program = Program(words, env, self.log, folder)
+            arguments = ["-P", str(HOLLOW_PROCESS), *map(str, files)]
+        self.program = Program(arguments, env, self.log, folder)
 
     @property
     def pid(self) -> int:
@@ -53,18 +53,18 @@
     def check(self) -> None:
         """SubjectError where the process has ended."""
         if not self.program.alive:
-            tail = self.log.read_text(errors="replace").strip().splitlines()[-1:] or ["no word in its log"]
+            tail = self.log.read_text(errors="replace").strip().splitlines()[-1:] or ["nothing in its log"]
             raise SubjectError(f"the {self.kind.value} gateway ended: {tail[0][:200]}")
 
-    async def _said(self, word: str, count: int) -> list[dict[str, Any]]:
-        """The next `count` log lines of that word."""
+    async def _log_lines(self, event: str, count: int) -> list[dict[str, Any]]:
+        """The next `count` log lines of that event, as their figures."""
         loop = asyncio.get_running_loop()
         until, found = loop.time() + ANSWER_S, []
         while len(found) < count:
             self._lines += self.program.news()
             kept = []
             for line in self._lines:
-                figures = told(line, word)
+                figures = told(line, event)
                 if figures is None:
                     kept.append(line)
                 else:
@@ -72,20 +72,20 @@
             self._lines = kept[-1000:]
             self.check()
             if loop.time() > until:
-                raise SubjectError(f"the {self.kind.value} gateway printed no {word} within {ANSWER_S:g} s")
+                raise SubjectError(f"the {self.kind.value} gateway printed no {event} within {ANSWER_S:g} s")
             await asyncio.sleep(0.01)
         return found
 
     async def started(self) -> None:
         """Once the threads of hollow gateways are known."""
         if self.kind is Kind.HOLLOW:
-            self.baseline_bytes = (await self._said("baseline", 1))[0]["resident_bytes"]
-            self.threads = [figures["tid"] for figures in await self._said("thread", len(self.files))]
+            self.baseline_bytes = (await self._log_lines("baseline", 1))[0]["resident_bytes"]
+            self.threads = [figures["tid"] for figures in await self._log_lines("thread", len(self.files))]
 
     async def counters(self) -> list[dict[str, Any]]:
         """Counters of each gateway, printed now."""
         self.program.signal(signal.SIGUSR1)
-        return await self._said("counters", len(self.files))
+        return await self._log_lines("counters", len(self.files))
 
     def reload(self, change: Callable[[dict[str, Any]], None]) -> None:
         """Changes every configuration file and has it read again."""
--- a/zincstile/scale/surroundings.py
+++ b/zincstile/scale/surroundings.py
@@ -34,12 +34,12 @@
 
 CALL_S: Final = 0.02  # work of one call on a warm core, on average
 CORES: Final = 2
-QUEUE: Final = 24  # calls that wait at a backend; more are turned away
+QUEUE: Final = 24  # calls that wait at a backend; more are rejected
 INDEX_HEAD: Final = b'{"index":'
 
 
 class DayTable(EndpointTable):
-    """Discovery's list, changed entry by entry as the run says."""
+    """Discovery's list, changed entry by entry as the run needs it."""
 
     def put(self, entry: EndpointEntry) -> None:
         """An entry is new or has changed; `Gone` takes it off the list."""
@@ -63,22 +63,22 @@
 
 
 class DayWatch(WatchConnection):
-    """One watch of a gateway; what it is told is kept by the index that it leads to."""
+    """One watch of a gateway; what it is sent is kept by the index that it leads to."""
 
     def data_received(self, data: bytes) -> None:
-        """Counts the watches that the gateway asked for."""
-        self.discovery.asks[self.gateway] += b"\r\n\r\n" in data  # type: ignore[attr-defined]
+        """Counts the watches that the gateway opened."""
+        self.discovery.watches_opened[self.gateway] += b"\r\n\r\n" in data  # type: ignore[attr-defined]
         super().data_received(data)
 
-    def tell(self, line: bytes) -> None:
+    def send_line(self, line: bytes) -> None:
         """Sends a line, unless the gateway is cut off, and notes the index that it leads to."""
         discovery: DayDiscovery = self.discovery  # type: ignore[assignment]
         if self.gateway in discovery.cut or self.transport.is_closing():
             return
-        super().tell(line)
+        super().send_line(line)
         if line.startswith(INDEX_HEAD):
             index = int(line[len(INDEX_HEAD) : line.index(b",")])
-            discovery.told[self.gateway].append(index)
+            discovery.sent_indexes[self.gateway].append(index)
 
 
 class DayDiscovery(Discovery):
@@ -92,10 +92,10 @@
         self._clock = clock
         self.changes: list[Change] = []
         # Of each gateway's present process:
-        self.told: list[list[int]] = [[] for _ in range(gateways)]  # the index that each line led to
-        self.asks = [0] * gateways  # watches asked for
-        self.cut: set[int] = set()  # gateways whose watches are told nothing any more
-        self.written: Callable[[int, EndpointEntry], None] = lambda gateway, entry: None
+        self.sent_indexes: list[list[int]] = [[] for _ in range(gateways)]  # the index that each line led to
+        self.watches_opened = [0] * gateways  # watches that it opened
+        self.cut: set[int] = set()  # gateways whose watches are sent nothing any more
+        self.on_change_sent: Callable[[int, EndpointEntry], None] = lambda gateway, entry: None
 
     async def start(self) -> None:
         """Listens on all addresses of the loopback interface."""
@@ -104,28 +104,28 @@
         await self.loop.create_server(lambda: DayWatch(self), sock=sock, backlog=1024)
 
     def put(self, entry: EndpointEntry) -> None:
-        """Makes one change and tells all watches of it."""
+        """Makes one change and sends it to all watches."""
         self.table.put(entry)
         line = self.table.delta(entry)
         self._changes[self.table.index] = line
         self.changes.append(Change(self.table.index, self._clock()))
         for watch in list(self.watches):
-            watch.tell(line)
-            self.written(watch.gateway, entry)
+            watch.send_line(line)
+            self.on_change_sent(watch.gateway, entry)
 
     def restarted(self, gateway: int) -> None:
-        """A process of that gateway has ended: the next one is told everything anew."""
+        """A process of that gateway has ended: the next one is sent everything anew."""
         for watch in [w for w in self.watches if w.gateway == gateway]:
             self.watches.pop(watch)
             watch.transport.abort()
-        self.told[gateway], self.asks[gateway] = [], 0
+        self.sent_indexes[gateway], self.watches_opened[gateway] = [], 0
 
     def passed_on(self, gateway: int) -> int | None:
-        """The index that it was told last; None while a part of that waits here to be sent."""
+        """The index that it was sent last; None while a part of that waits here to be sent."""
         watches = [w for w in self.watches if w.gateway == gateway]
-        if not self.told[gateway] or any(w.transport.get_write_buffer_size() for w in watches):
+        if not self.sent_indexes[gateway] or any(w.transport.get_write_buffer_size() for w in watches):
             return None
-        return self.told[gateway][-1]
+        return self.sent_indexes[gateway][-1]
 
 
 class PeerRelay(FakePeers):
@@ -134,7 +134,7 @@
     def __init__(self, loop: asyncio.AbstractEventLoop, traffic: list[Traffic]) -> None:
         """Knows no gateway before `add`; `traffic` is counted by gateway."""
         super().__init__(loop, traffic, 0)
-        self.gateways: list[tuple[str, int]] = []  # where each gateway hears its peers, by number
+        self.gateways: list[tuple[str, int]] = []  # where each gateway receives from its peers, by number
 
     def add(self, host: str, port: int) -> None:
         """The next gateway."""
@@ -146,18 +146,18 @@
             self.send(self.gateways[peer], self.places[sender], data)
 
 
-class DayEars(Probe):
-    """Hears backends and clients for the checkers of the rules and for the budgets of cold backends."""
+class DayProbe(Probe):
+    """Observes backends and clients for the checkers of the rules and for the budgets of cold backends."""
 
-    def __init__(self, *words: Any, cold: ColdBudgets, clock: Callable[[], float]) -> None:
+    def __init__(self, *arguments: Any, cold: ColdBudgets, clock: Callable[[], float]) -> None:
         """`clock`: of the cold budgets, in seconds; all else goes to the probe."""
-        super().__init__(*words)
+        super().__init__(*arguments)
         self.cold, self._clock = cold, clock
 
-    def attempt_received(self, box: str, request: bytes, key: bytes, gateway: str, work_ns: int) -> None:
+    def attempt_received(self, backend: str, request: bytes, key: bytes, gateway: str, work_ns: int) -> None:
         """Counts a call to a backend that may be cold, and hands it on to the checkers."""
-        self.cold.take(box, self._clock())
-        super().attempt_received(box, request, key, gateway, work_ns)
+        self.cold.take(backend, self._clock())
+        super().attempt_received(backend, request, key, gateway, work_ns)
 
 
 class DayBackends:
@@ -167,12 +167,12 @@
         self,
         loop: asyncio.AbstractEventLoop,
         fleet: Topology,
-        ears: DayEars,
+        probe: DayProbe,
         seed: int,
         clock: Callable[[], float],
     ) -> None:
         """Listens nowhere before `start`; `clock`: unix seconds."""
-        self.loop, self.fleet, self.ears, self._clock = loop, fleet, ears, clock
+        self.loop, self.fleet, self.probe, self._clock = loop, fleet, probe, clock
         self.port = 0
         self.by_address: dict[str, BackendEmulator] = {}
         self.connections = 0
@@ -196,13 +196,15 @@
             warm_up_s=self._settings["warm_up_ns"] / 1e9,
         )
         rack = self._racks.setdefault(entry.group, Rack(traffic.KEYED_MS / 1000))
-        box = BackendEmulator(self.loop, entry.name, model, rack, self._rng, self.ears, cold=cold)
-        self.by_address[_host(entry)] = box
-        checker = self.ears.checker
+        backend = BackendEmulator(self.loop, entry.name, model, rack, self._rng, self.probe, cold=cold)
+        self.by_address[_host(entry)] = backend
+        checker = self.probe.checker
         checker.add_backend(entry.name, self.fleet.zones.index(entry.zone), entry.group)
         if cold:
-            self.ears.cold.began(entry.name, self.budget(self._clock()))
-            checker.cold.backend_started(entry.name, entry.since_ms, box.capacity, lambda: box.warmth() >= 1)
+            self.probe.cold.began(entry.name, self.budget(self._clock()))
+            checker.cold.backend_started(
+                entry.name, entry.since_ms, backend.capacity, lambda: backend.warmth() >= 1
+            )
 
     def budget(self, began_s: float) -> Callable[[float], float | None]:
         """Calls that a backend started then bears in a window of the settings, by its age."""
@@ -226,9 +228,9 @@
 
     def kill(self, entry: EndpointEntry) -> None:
         """A backend ends: its connections break, and it takes no new ones."""
-        box = self.by_address.pop(_host(entry), None)
-        for line in list(box.connections) if box is not None else ():
-            line.transport.abort()
+        backend = self.by_address.pop(_host(entry), None)
+        for connection in list(backend.connections) if backend is not None else ():
+            connection.transport.abort()
 
 
 def _host(entry: EndpointEntry) -> str:
@@ -245,13 +247,13 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Finds the backend of the local address; breaks the connection where none runs."""
-        box = self.backends.by_address.get(transport.get_extra_info("sockname")[0])
-        if box is None:
+        backend = self.backends.by_address.get(transport.get_extra_info("sockname")[0])
+        if backend is None:
             transport.abort()  # type: ignore[attr-defined]
             return
         self.backends.connections += 1
-        self._line = BackendGatewayConnection(box)
-        self._tap = CommandTap(self.backends.ears, "?", box.name)
+        self._line = BackendGatewayConnection(backend)
+        self._tap = CommandTap(self.backends.probe, "?", backend.name)
         self._line.connection_made(transport)
 
     def data_received(self, data: bytes) -> None:
--- a/zincstile/scale/verdicts.py
+++ b/zincstile/scale/verdicts.py
@@ -23,7 +23,7 @@
 
 
 class Seen(NamedTuple):
-    """What a gateway had acted by at a time."""
+    """What a gateway had in force at a time."""
 
     at_s: float
     index: int
