--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -345,16 +345,19 @@
     found = capacity_load.load(made)
     assert 0 <= found.wide_per_s <= found.requests_per_s * (1 + 1e-9)
     assert 0 <= found.neighbours <= min(gateways - 1, 8)
-    assert found.tells.per_s <= 12 * 8 * (1 + 1e-9) and found.relay_tells.per_s <= found.wide_per_s * (
+    assert found.updates.per_s <= 12 * 8 * (1 + 1e-9) and found.relay_updates.per_s <= found.wide_per_s * (
         1 + 1e-9
     )
-    assert found.beats.per_s == pytest.approx(found.neighbours)
+    assert found.heartbeats.per_s == pytest.approx(found.neighbours)
     assert (found.wide_tenants == 0) == (max(made.tenant_sets()) <= 5)
 
 
 def sent(fleet, seconds=10.0):
     """Messages and bytes a second that one gateway's decision module sends at the fleet's load, by kind."""
-    rng, queue, numbers, found = random.Random(1), [], itertools.count(), {"asks": [0, 0], "others": [0, 0]}
+    rng = random.Random(1)
+    queue = []
+    numbers = itertools.count()
+    found = {"queries": [0, 0], "others": [0, 0]}
     classes = [RequestClass(f"c{k}", 2 * 10**8, 10**9, Idempotency.ALWAYS, 1.0) for k in range(3)]
     plan = CustomerPlan("p", rate=1e5, burst=1e5, max_in_flight=1000)
     gateway = Policy(
@@ -395,7 +398,8 @@
                     answer = CustomerUsage(s.customer, 0, 0.0, 1e4, 0, s.want, s.query_id, True)
                     put(now + 10**6, GossipReceived(action.peer, 1, [answer]))
                 if now >= 0.5e9 * seconds:
-                    datagrams, kind = gossip_codec.encode_gossip(action), found["asks" if asked else "others"]
+                    datagrams = gossip_codec.encode_gossip(action)
+                    kind = found["queries" if asked else "others"]
                     kind[0] += len(datagrams) / seconds
                     kind[1] += sum(map(len, datagrams)) / seconds
     return found
@@ -405,18 +409,18 @@
 def test_the_load_is_what_the_decision_module_sends(fleet, size):
     made = msgspec.structs.replace(fleet, tenants=topology.Tenants(64_000, 0.5, size, size))
     load, found = capacity_load.load(made), sent(made)
-    others = [load.beats, load.tells, load.relay_tells]
-    assert found["asks"] == pytest.approx([load.asks.per_s, load.asks.bytes_per_s], rel=0.15)
+    others = [load.heartbeats, load.updates, load.relay_updates]
+    assert found["queries"] == pytest.approx([load.queries.per_s, load.queries.bytes_per_s], rel=0.15)
     want = [sum(flow.per_s for flow in others), sum(flow.bytes_per_s for flow in others)]
     assert found["others"] == pytest.approx(want, rel=0.15)
 
 
 def test_sizes_of_messages_are_the_packers(fleet):
     head, share = gossip_codec.HEAD.size, gossip_codec.USAGE.size
-    assert capacity_messages.tell_bytes(0) == head
-    assert capacity_messages.tell_bytes(2.5) == pytest.approx(head + 2.5 * share)
+    assert capacity_messages.gossip_bytes(0) == head
+    assert capacity_messages.gossip_bytes(2.5) == pytest.approx(head + 2.5 * share)
     assert (
-        capacity_messages.tell_bytes(1, True, 8)
+        capacity_messages.gossip_bytes(1, figures=True, error_samples=8)
         == head + share + 12 * gossip_codec.FIGURE.size + 8 * gossip_codec.ERROR_SAMPLE.size
     )
     assert capacity_messages.most_parts() == 65_535
@@ -437,7 +441,7 @@
         except HttpError:
             refused = True
         assert refused is (line.verdict is Verdict.OVER)
-        told = capacity_messages.can_be_told(capacity_messages.bucket_lines(backends))
+        told = capacity_messages.can_be_numbered(capacity_messages.bucket_lines(backends))
         assert told is (parts.verdict is Verdict.WITHIN)
 
 
--- a/zincstile/scale/capacity.py
+++ b/zincstile/scale/capacity.py
@@ -94,7 +94,7 @@
     budget: float | None = None
     lacks: str = ""
     needed: bool = True  # False: a figure to compare with, which no mechanism has to carry
-    parts_above: bool = False  # a sum, whose parts tell what they stand on
+    parts_above: bool = False  # a sum, whose parts show what they stand on
 
     @property
     def verdict(self) -> Verdict:
@@ -153,7 +153,7 @@
         raise NotMeasuredError(f"{figure.value} over {dimension.value}")
 
     def has(self, dimension: Dimension, figure: Figure) -> bool:
-        """Whether any sample tells it, be they too few for a fit."""
+        """Whether any sample has it, be they too few for a fit."""
         return any(
             s.program == self.program and s.dimension is dimension and s.figure(figure) is not None
             for s in self.result.samples
@@ -175,14 +175,14 @@
         return self.fit(dimension, figure)[0].smallest
 
     def smallest_or_none(self, dimension: Dimension, figure: Figure) -> float | None:
-        """The same, for words beside a row that says itself what was not measured."""
+        """The same, for the text beside a row that says itself what was not measured."""
         try:
             return self.smallest(dimension, figure)
         except NotMeasuredError:
             return None
 
     def held(self, dimension: Dimension, other: Dimension) -> float | None:
-        """The size of another dimension while one was varied, where the record tells it."""
+        """The size of another dimension while one was varied, where the record has it."""
         return self.result.held.get(dimension.value, {}).get(other.value)
 
 
--- a/zincstile/scale/capacity_answers.py
+++ b/zincstile/scale/capacity_answers.py
@@ -22,8 +22,8 @@
 SUBSET_LEAST: Final = 3  # endpoints that a gateway keeps of each service in each zone in reach, at least
 SUBSET_HOLDERS: Final = 4  # gateways that keep each endpoint, at least: with fewer the load is uneven
 SUBSETTING: Final = "subsetting/selection.Selection"
-CHOICES: Final = 2  # d of the power of d choices, as it is usually told
-SAMPLE_AGE_S: Final = 1.0  # an answer's word on load is of use for so long, about
+CHOICES: Final = 2  # d of the power of d choices, as it is usually described
+SAMPLE_AGE_S: Final = 1.0  # the load in an answer is of use for so long, about
 
 
 def answers(measured: Measured, topology: Topology, load: Load) -> list[Row]:
@@ -115,7 +115,7 @@
     return [
         missing(
             "aggregation tree: reports in, at each control machine",
-            f"{math.ceil(gateways / machines)} of {report} bytes a second; one word each to the root",
+            f"{math.ceil(gateways / machines)} of {report} bytes a second; one message each to the root",
             Unit.BYTES_PER_S,
             math.ceil(gateways / machines) * report,
         ),
@@ -164,13 +164,13 @@
     asked = load.wide_per_s * topology.gateways
     return [
         missing(
-            "sharding by tenant: asks of a control machine",
+            "sharding by tenant: queries of a control machine",
             f"{load.wide_tenants} wide tenants over {machines}, if no shard is hot",
             Unit.PER_S,
             asked / machines,
         ),
         missing(
-            "sharding by tenant: asks of the hottest shard",
+            "sharding by tenant: queries of the hottest shard",
             "a tenant is not parted",
             Unit.PER_S,
             max(hot, asked / machines),
@@ -190,7 +190,7 @@
         ),
         Row(
             "power of d choices: answers of one backend that a gateway sees",
-            f"to tell load by, one each {SAMPLE_AGE_S:g} s would be needed",
+            f"to compare load, one each {SAMPLE_AGE_S:g} s would be needed",
             Unit.PER_S,
             exact(each),
             "decisions/outcomes.Outcomes.on_attempt_outcome",
@@ -201,20 +201,20 @@
 def _leases(topology: Topology) -> list[Row]:
     settings, size = LeaseSettings(), topology.tenant_sets()[0]
     life_s = settings.lease_ns / 1e9
-    asks = size * settings.min_holders / life_s
+    queries = size * settings.min_holders / life_s
     return [
         Row(
-            "leases: asks for the busiest tenant, in all",
+            "leases: queries for the busiest tenant, in all",
             f"{size} gateways, {settings.min_holders} holders, one loan each {life_s:g} s; off unless named",
             Unit.PER_S,
-            exact(asks),
+            exact(queries),
             "leases/lease_messages.LeaseGrant",
         ),
         Row(
-            "leases: asks at each holder",
+            "leases: queries at each holder",
             f"{settings.min_holders} holders",
             Unit.PER_S,
-            exact(asks / settings.min_holders),
+            exact(queries / settings.min_holders),
             "leases/lease_messages.LeaseGrant",
             capacity_load.PEER_IN_PER_S,
         ),
--- a/zincstile/scale/capacity_events.py
+++ b/zincstile/scale/capacity_events.py
@@ -20,7 +20,7 @@
 ROLLOUT_S: Final = 30.0  # a service's backends are all replaced within
 READY_S: Final = 10.0  # nine in ten restarted gateways are to be ready within
 CHANGES_OF_REPLACEMENT: Final = 3  # it drains, goes, and its successor comes
-QUOTA_SIDES: Final = 2  # regions that hear only themselves
+QUOTA_SIDES: Final = 2  # regions that receive only their own messages
 
 
 def events(measured: Measured, topology: Topology) -> list[Section]:
@@ -44,7 +44,7 @@
 def zone_lost(measured: Measured, topology: Topology) -> list[Row]:
     """Every change of it comes in a message of its own."""
     lost, budgets = topology.backends // len(topology.zones), topology.budgets
-    told = lost * capacity_messages.change_bytes()
+    sent_bytes = lost * capacity_messages.change_bytes()
     return [
         *(
             row(
@@ -77,7 +77,7 @@
             "bytes to one gateway, over the time allowed",
             f"{lost:,} × {capacity_messages.change_bytes()} bytes in {budgets.in_force_s:g} s",
             Unit.BYTES_PER_S,
-            exact(told / budgets.in_force_s),
+            exact(sent_bytes / budgets.in_force_s),
             WATCH,
             budgets.control_bytes_per_s,
         ),
@@ -85,7 +85,7 @@
             "the same, over its minute",
             f"{lost:,} × {capacity_messages.change_bytes()} bytes",
             Unit.BYTES_PER_S,
-            exact(told / MINUTE_S),
+            exact(sent_bytes / MINUTE_S),
             WATCH,
             budgets.control_bytes_per_s,
         ),
@@ -93,7 +93,7 @@
             "bytes out of the list service",
             f"to {topology.gateways:,} gateways in {budgets.in_force_s:g} s",
             Unit.BYTES_PER_S,
-            exact(told * topology.gateways / budgets.in_force_s),
+            exact(sent_bytes * topology.gateways / budgets.in_force_s),
             WATCH,
         ),
     ]
@@ -206,7 +206,7 @@
 
 
 def regions_apart(topology: Topology) -> list[Row]:
-    """For minutes, each side hears only itself."""
+    """For minutes, each side receives only its own messages."""
     regions, zones = topology.regions, len(topology.zones)
     smallest = min(len(region.zones) for region in regions)
     spanning = capacity_load.spanning_tenants(topology)
@@ -227,7 +227,7 @@
         ),
         Row(
             f"quota that they get, sets of at most {MAX_DIRECT_PEERS + 1}",
-            "the whole rate on each side, once one peer is heard; bounded by features.shared",
+            "the whole rate on each side, once one peer is known; bounded by features.shared",
             Unit.TIMES,
             exact(QUOTA_SIDES),
             "decisions/quotas.QuotaLedger.refill",
@@ -237,12 +237,12 @@
             "wait of a request whose relay is on the other side",
             "until another stands in",
             Unit.SECONDS,
-            exact(capacity_load.ASK_WAIT_S),
+            exact(capacity_load.QUERY_WAIT_S),
             "decisions/peers.PeerTable.relay_of",
             topology.budgets.added_p99_ms / 1000,
         ),
         Row(
-            "changes to tell when they meet again, an hour apart",
+            "changes to send when they meet again, an hour apart",
             "half of the fleet's, as changes after a version",
             Unit.BYTES,
             exact(3600 * topology.table_changes_per_s() / 2 * capacity_messages.change_bytes()),
--- a/zincstile/scale/capacity_gateway.py
+++ b/zincstile/scale/capacity_gateway.py
@@ -142,11 +142,14 @@
     reloads = topology.churn_per_day.configuration_changes / DAY_S
     parts = [
         _flow_row(flow.name, 2 * flow.per_s, flow.size_bytes, flow.mechanism)
-        for flow in (load.beats, load.tells, load.relay_tells)
+        for flow in (load.heartbeats, load.updates, load.relay_updates)
     ]
     parts += [
         _flow_row(
-            "asks of relays and their answers", 4 * load.asks.per_s, load.asks.size_bytes, load.asks.mechanism
+            "queries to relays and their answers",
+            4 * load.queries.per_s,
+            load.queries.size_bytes,
+            load.queries.mechanism,
         ),
         _flow_row("table changes", changes, change, WATCH),
         _flow_row(
@@ -162,7 +165,7 @@
         *parts,
         summed("**in all**", "", parts, "net/peers.Peers, net/discovery/watch.Watch", budget),
         Row(
-            "all words that a gateway takes",
+            "all messages that a gateway takes",
             f"{capacity_load.PEER_IN_PER_S:g} × {Limits().datagram_bytes} bytes, in alone",
             Unit.BYTES_PER_S,
             exact(capacity_load.PEER_IN_PER_S * Limits().datagram_bytes),
@@ -170,7 +173,7 @@
             budget,
         ),
         Row(
-            "words that come in, against what a gateway takes",
+            "messages that come in, against what a gateway takes",
             "all kinds above",
             Unit.PER_S,
             exact(load.datagrams_per_s),
@@ -205,7 +208,7 @@
     budgets = topology.budgets
     rows = [
         row(
-            f"{name} in force, {word}, {digits(sizes[dimension])} {dimension.value}",
+            f"{name} in force, {quantile}, {digits(sizes[dimension])} {dimension.value}",
             "one gateway, the other sizes as held",
             Unit.SECONDS,
             _predicted(measured, dimension, figure, sizes),
@@ -217,7 +220,7 @@
             ("a table change", Dimension.TABLE_CHANGES_PER_S, WATCH),
             ("a configuration change", Dimension.CONFIG_CHANGES_PER_S, "net/lifecycle.Lifecycle.reload"),
         )
-        for word, figure in (("99 in 100", Figure.IN_FORCE_P99_S), ("last", Figure.IN_FORCE_LAST_S))
+        for quantile, figure in (("99 in 100", Figure.IN_FORCE_P99_S), ("last", Figure.IN_FORCE_LAST_S))
     ]
     added = budgets.added_p99_ms / 1000
     return [
@@ -258,7 +261,7 @@
         ),
         Row(
             "wait for a relay that answers",
-            f"a round trip; {100 * load.wide_per_s / load.requests_per_s:.0f}% of requests ask one",
+            f"a round trip; {100 * load.wide_per_s / load.requests_per_s:.0f}% of requests query one",
             Unit.SECONDS,
             None,
             "decisions/relay_queries.RelayedQuotas.request_units",
@@ -267,9 +270,9 @@
         ),
         Row(
             "wait for a relay that is silent",
-            f"{MAX_QUERIES} asks, {QUERY_WAIT_NS / 1e6:.0f} ms each",
+            f"{MAX_QUERIES} queries, {QUERY_WAIT_NS / 1e6:.0f} ms each",
             Unit.SECONDS,
-            exact(capacity_load.ASK_WAIT_S),
+            exact(capacity_load.QUERY_WAIT_S),
             "decisions/relay_queries.RelayedQuotas.request_units",
             added,
         ),
@@ -358,7 +361,7 @@
 
 def _added(measured: Measured, dimension: Dimension, figure: Figure, size: float) -> Amount:
     """Above what the runs over the table held; over the table itself, above the smallest. Of tenants these
-    runs had heard nothing when memory and rest were measured."""
+    runs had received nothing when memory and rest were measured."""
     held = 0.0 if dimension is Dimension.TENANTS else measured.held(Dimension.BACKENDS, dimension)
     return measured.growth(dimension, figure, held, size)
 
--- a/zincstile/scale/capacity_load.py
+++ b/zincstile/scale/capacity_load.py
@@ -1,7 +1,7 @@
 """What one gateway and the relay of the busiest tenant carry at a topology's sizes. No I/O, no clock.
 
-The messages between gateways follow the decision module: a beat and what changed to the peers that are told
-directly, an ask and its answer for each request of a tenant whose set is wide. Requests and sets of tenants
+The messages between gateways follow the decision module: a heartbeat and what changed to the direct
+peers, a query and its answer for each request of a tenant whose set is wide. Requests and sets of tenants
 are those of the topology; each gateway of a set gets the same part of the tenant's requests.
 """
 
@@ -21,7 +21,7 @@
 from .topology import Topology
 
 PEER_IN_PER_S: Final = 60.0  # datagrams that a gateway takes, as its settings say (`domain.peer_intake`)
-ASK_WAIT_S: Final = (
+QUERY_WAIT_S: Final = (
     MAX_QUERIES * QUERY_WAIT_NS / SECOND_NS
 )  # until a request whose relay is silent is decided on alone
 
@@ -48,18 +48,18 @@
     topology: Topology
     tenants: float
     requests_per_s: float
-    wide_tenants: int  # of the fleet: their quota is asked of a relay
+    wide_tenants: int  # of the fleet: their quota is queried from a relay
     wide_per_s: float  # requests of such tenants
-    neighbours: float  # peers that are told directly
-    beats: Flow
-    tells: Flow  # what changed, to neighbours
-    relay_tells: Flow  # the same, to relays
-    asks: Flow  # answers are as many and as large
+    neighbours: float  # direct peers
+    heartbeats: Flow
+    updates: Flow  # what changed, to neighbours
+    relay_updates: Flow  # the same, to relays
+    queries: Flow  # answers are as many and as large
 
     @property
     def datagrams_per_s(self) -> float:
         """In, and as many out."""
-        return self.beats.per_s + self.tells.per_s + self.relay_tells.per_s + 2 * self.asks.per_s
+        return self.heartbeats.per_s + self.updates.per_s + self.relay_updates.per_s + 2 * self.queries.per_s
 
 
 def load(topology: Topology) -> Load:
@@ -72,7 +72,7 @@
             narrow[size] += weight
     wide = [(size, weight) for size, weight in zip(sets, weights, strict=True) if size > MAX_DIRECT_PEERS + 1]
     wide_per_s = requests * sum(weight for _, weight in wide)
-    asks_per_s = requests * sum(
+    queries_per_s = requests * sum(
         weight * (size - 1) / size for size, weight in wide
     )  # one is the relay itself
     flushes = _flushes_per_s(requests, topology.gateways)
@@ -84,18 +84,18 @@
         wide_tenants=len(wide),
         wide_per_s=wide_per_s,
         neighbours=neighbours,
-        beats=Flow(
-            "beats to neighbours",
+        heartbeats=Flow(
+            "heartbeats to neighbours",
             neighbours * SECOND_NS / HEARTBEAT_NS,
-            messages.tell_bytes(0, doubts=REPORTED_SAMPLES),
+            messages.gossip_bytes(0, error_samples=REPORTED_SAMPLES),
             "decisions/gossip.Gossip.flush",
         ),
-        tells=_tells(requests, narrow, flushes),
-        relay_tells=_relay_tells(topology, wide, flushes),
-        asks=Flow(
-            "asks of relays",
-            asks_per_s,
-            messages.tell_bytes(1, figures=True, doubts=REPORTED_SAMPLES),
+        updates=_updates(requests, narrow, flushes),
+        relay_updates=_relay_updates(topology, wide, flushes),
+        queries=Flow(
+            "queries to relays",
+            queries_per_s,
+            messages.gossip_bytes(1, figures=True, error_samples=REPORTED_SAMPLES),
             "decisions/relay_queries.RelayedQuotas.request_units",
         ),
     )
@@ -131,9 +131,9 @@
 
 
 def _flushes_per_s(requests: float, gateways: int) -> float:
-    """How often changes are told: a period after the last time, where a request has come by then."""
-    told = min(MAX_DIRECT_PEERS, gateways - 1)
-    period_s = told / max(1.0, INTAKE_SHARE * PEER_IN_PER_S)
+    """How often changes are sent: a period after the last time, where a request has come by then."""
+    receivers = min(MAX_DIRECT_PEERS, gateways - 1)
+    period_s = receivers / max(1.0, INTAKE_SHARE * PEER_IN_PER_S)
     return 1 / (period_s + 1 / requests)
 
 
@@ -147,21 +147,21 @@
     return min(found, topology.gateways - 1.0)
 
 
-def _tells(requests: float, narrow: Counter[int], flushes: float) -> Flow:
+def _updates(requests: float, narrow: Counter[int], flushes: float) -> Flow:
     """At each flush, one message to each neighbour that shares a tenant whose request came since the last."""
-    told = shares = 0.0
+    per_s = shares = 0.0
     for distance in range(1, MAX_DIRECT_PEERS + 1):
         rate = requests * sum(w * max(0, size - distance) / size for size, w in narrow.items())
-        told += 2 * flushes * -math.expm1(-rate / flushes)
+        per_s += 2 * flushes * -math.expm1(-rate / flushes)
         shares += 2 * rate
-    size = messages.tell_bytes(shares / told) if told else 0.0
-    return Flow("changes to neighbours", told, size, "decisions/gossip.Gossip.flush")
+    size = messages.gossip_bytes(shares / per_s) if per_s else 0.0
+    return Flow("changes to neighbours", per_s, size, "decisions/gossip.Gossip.flush")
 
 
-def _relay_tells(topology: Topology, wide: list[tuple[int, float]], flushes: float) -> Flow:
+def _relay_updates(topology: Topology, wide: list[tuple[int, float]], flushes: float) -> Flow:
     """At each flush, one message for each wide tenant whose attempts out have changed."""
-    told = 0.0
+    per_s = 0.0
     for size, weight in wide:
         rate = topology.requests_per_s * weight / size  # at a gateway of its set
-        told += (size - 1) / topology.gateways * flushes * -math.expm1(-rate / flushes)
-    return Flow("changes to relays", told, messages.tell_bytes(1), "decisions/gossip.Gossip.flush")
+        per_s += (size - 1) / topology.gateways * flushes * -math.expm1(-rate / flushes)
+    return Flow("changes to relays", per_s, messages.gossip_bytes(1), "decisions/gossip.Gossip.flush")
--- a/zincstile/scale/capacity_messages.py
+++ b/zincstile/scale/capacity_messages.py
@@ -64,28 +64,30 @@
 
 
 def change_bytes() -> int:
-    """A line of the watch that tells one change."""
+    """A line of the watch with one change."""
     return _json({"index": 4_100_000, "snapshot": False, "endpoints": [ENTRY]}) + 1
 
 
-def tell_bytes(shares: float, figures: bool = False, doubts: int = 0) -> float:
-    """Bytes of a message between gateways with so many shares, on average; `figures` go with asks and their
-    answers, `doubts` are the last samples of backends."""
+def gossip_bytes(shares: float, *, figures: bool = False, error_samples: int = 0) -> float:
+    """Bytes of a message between gateways with so many shares, on average; `figures` go with queries
+    and their answers, `error_samples` are the last ones of backends."""
     low = math.floor(shares)
     part = shares - low
-    return (1 - part) * _tell(low, figures, doubts) + part * _tell(low + 1, figures, doubts)
+    fewer = _gossip_bytes(low, figures, error_samples)
+    more = _gossip_bytes(low + 1, figures, error_samples)
+    return (1 - part) * fewer + part * more
 
 
 @cache
-def _tell(shares: int, figures: bool, doubts: int) -> int:
-    told = SendGossip(
+def _gossip_bytes(shares: int, figures: bool, error_samples: int) -> int:
+    message = SendGossip(
         peer=1,
         incarnation=2**31,
         usages=[CustomerUsage(2**32 + k, 1, 1234.5, 17.5, 1, 2.0, 77) for k in range(shares)],
         figures=[1.0] * (LIMIT_INDEX + 1 + CLASSES) if figures else [],
-        error_samples=[ErrorSample(4711, 1, 0.5)] * doubts,
+        error_samples=[ErrorSample(4711, 1, 0.5)] * error_samples,
     )
-    return sum(len(message) for message in gossip_codec.encode_gossip(told))
+    return sum(len(datagram) for datagram in gossip_codec.encode_gossip(message))
 
 
 def report_bytes(zones: int) -> int:
@@ -101,7 +103,7 @@
     return list_codec.split_bucket(41, 0, [line for line in lines if line is not None])
 
 
-def can_be_told(parts: list[BucketPart]) -> bool:
+def can_be_numbered(parts: list[BucketPart]) -> bool:
     """Whether the format of lists from peers has room for the numbers of these datagrams."""
     try:
         list_codec.pack(parts[-1])
@@ -115,7 +117,7 @@
     low, high = 1, 1 << 16
     while low < high:  # the largest count that packs
         middle = (low + high + 1) // 2
-        if can_be_told([BucketPart(41, 0, middle - 1, middle, (b"x",))]):
+        if can_be_numbered([BucketPart(41, 0, middle - 1, middle, (b"x",))]):
             low = middle
         else:
             high = middle - 1
--- a/zincstile/scale/capacity_page.py
+++ b/zincstile/scale/capacity_page.py
@@ -153,15 +153,15 @@
     try:
         found, kind = measured.fit(dimension, figure)
     except NotMeasuredError as err:
-        told = measured.has(dimension, figure)
-        return [[dimension.value, figure.value, measured.program, *[NONE] * 7, str(err)]] if told else []
+        known = measured.has(dimension, figure)
+        return [[dimension.value, figure.value, measured.program, *[NONE] * 7, str(err)]] if known else []
     unit, smallest, largest = _unit(figure), found.smallest, found.largest
     at_ends = [written(found.predict(size).value, unit) for size in (smallest, largest)]
     slope = NONE if found.law is Law.CONSTANT else f"{written(found.slope, unit)} × {_per(found)}"
     interval = f"{written(found.slope_low, unit)} to {written(found.slope_high, unit)}"
     sizes = f"{digits(smallest)} to {digits(largest)}"
-    words = [dimension.value, figure.value, measured.program, kind.value, found.law.value]
-    return [[*words, *at_ends, slope, interval, sizes, f"{found.samples}"]]
+    cells = [dimension.value, figure.value, measured.program, kind.value, found.law.value]
+    return [[*cells, *at_ends, slope, interval, sizes, f"{found.samples}"]]
 
 
 def _agreements(programs: Sequence[Measured]) -> str:
@@ -172,9 +172,9 @@
             unit, by = _unit(found.figure), "growth" if found.grows else "mean"
             ratio = NONE if found.ratio is None else digits(found.ratio)
             sizes = f"{digits(found.smallest)} to {digits(found.largest)}"
-            words = [found.dimension.value, found.figure.value, measured.program, by]
+            cells = [found.dimension.value, found.figure.value, measured.program, by]
             values = [written(found.real.value, unit), written(found.hollow.value, unit)]
-            rows.append([*words, *values, ratio, found.verdict.value, sizes])
+            rows.append([*cells, *values, ratio, found.verdict.value, sizes])
     heads = [
         "over",
         "figure",
@@ -234,8 +234,8 @@
     amount = row.amount
     budget = NONE if row.budget is None else written(row.budget, row.unit)
     if amount is None:
-        told = row.lacks if row.lacks == NOT_IN_PROGRAM else f"not measured: {row.lacks}"
-        return [row.how or NONE, told, NONE, budget, row.verdict.value or NONE, _carried(row)]
+        reason = row.lacks if row.lacks == NOT_IN_PROGRAM else f"not measured: {row.lacks}"
+        return [row.how or NONE, reason, NONE, budget, row.verdict.value or NONE, _carried(row)]
     basis = () if row.parts_above else amount.basis
     how = "; ".join(part for part in (row.how, *basis) if part)
     value = written(amount.value, row.unit)
--- a/zincstile/scale/capacity_roles.py
+++ b/zincstile/scale/capacity_roles.py
@@ -19,7 +19,7 @@
 
 
 def control_machines(measured: Measured, topology: Topology) -> list[Row]:
-    """What the machines that are set aside would hold and say. They run nothing today."""
+    """What the machines that are set aside would hold and send. They run nothing today."""
     machines, gateways = topology.budgets.control_machines, topology.gateways
     each = math.ceil(gateways / machines)
     reports = capacity_messages.report_bytes(len(topology.zones))
@@ -69,7 +69,7 @@
         Row("table changes, out", "to each gateway", Unit.BYTES_PER_S, exact(changes), WATCH),
         Row(
             "a whole list, against the longest line that a gateway reads",
-            f"{topology.backends:,} × {capacity_messages.entry_bytes()} bytes, a start told of each backend",
+            f"{topology.backends:,} × {capacity_messages.entry_bytes()} bytes, a start is sent each backend",
             Unit.BYTES,
             exact(whole),
             "net/limits.Limits.table_line_bytes",
@@ -111,7 +111,7 @@
             "decisions/quotas.QuotaLedger.customer_of",
         ),
         Row(
-            "of them, asked more often than a gateway takes words",
+            "of them, queried more often than a gateway takes messages",
             f"over {intake:g} a second, all requests inside their quotas",
             Unit.COUNT,
             exact(capacity_load.hot_relays(topology)),
@@ -119,7 +119,7 @@
             0.0,
         ),
         Row(
-            "asks of the busiest tenant",
+            "queries of the busiest tenant",
             f"all requests of a set of {size} gateways, at one relay",
             Unit.PER_S,
             exact(hot),
@@ -128,9 +128,9 @@
         ),
         Row(
             "bytes in and out for them",
-            f"{hot:,.0f} asks and answers × {load.asks.size_bytes:.0f} bytes",
+            f"{hot:,.0f} queries and answers × {load.queries.size_bytes:.0f} bytes",
             Unit.BYTES_PER_S,
-            exact(2 * hot * load.asks.size_bytes),
+            exact(2 * hot * load.queries.size_bytes),
             "simulator/gossip_codec.encode_gossip",
             topology.budgets.control_bytes_per_s,
         ),
@@ -143,7 +143,7 @@
             topology.budgets.control_core_share,
         ),
         Row(
-            "words of the set's gateways that a relay remembers",
+            "messages of the set's gateways that a relay remembers",
             "one a gateway",
             Unit.COUNT,
             exact(size),
@@ -171,7 +171,7 @@
             "admin/operator_state.OperatorState",
         ),
         Row(
-            "one word to each gateway, one after another, at worst",
+            "one command to each gateway, one after another, at worst",
             f"{gateways:,} calls, each answered within {call_s:g} s",
             Unit.SECONDS,
             exact(gateways * call_s),
@@ -185,5 +185,5 @@
             exact(gateways * STATUS_BYTES / 10),
             "net/admin_endpoint.AdminEndpoint",
         ),
-        Row("one word to the whole fleet", "", Unit.SECONDS, None, "", None, NOT_IN_PROGRAM),
+        Row("one command to the whole fleet", "", Unit.SECONDS, None, "", None, NOT_IN_PROGRAM),
     ]
