--- a/zincstile/simulation/environment.py
+++ b/zincstile/simulation/environment.py
@@ -1,7 +1,7 @@
 """What a plan's faults need of a run: `run.Run` on virtual time, `testbed.run.Run` with real processes.
 
-Times are milliseconds from now. Whoever implements this says in its own words how a gateway is killed
-or a way is cut; `faults` never asks which of both it is.
+Times are milliseconds from now. Each says in its own way how a gateway is killed or a path is
+cut; `faults` never asks which of both it is.
 """
 
 from __future__ import annotations
@@ -63,15 +63,19 @@
     def note(self, what: str, where: str) -> None:
         """For the record."""
 
-    def after(self, ms: float, then: Callable[..., None], *args: object) -> None: ...
+    def after(self, ms: float, then: Callable[..., None], *args: object) -> None:
+        """Calls `then` that many milliseconds from now."""
 
     # gateways
 
-    def is_running(self, node: Any) -> bool: ...
+    def is_running(self, node: Any) -> bool:
+        """True while a process of it is alive."""
 
-    def start_gateway(self, node: Any) -> None: ...
+    def start_gateway(self, node: Any) -> None:
+        """Starts a process from nothing but its configuration and the last list."""
 
-    def kill(self, node: Any) -> None: ...
+    def kill(self, node: Any) -> None:
+        """SIGKILL."""
 
     def terminate(self, node: Any) -> None:
         """SIGTERM."""
@@ -82,18 +86,22 @@
     def reload(self, node: Any) -> None:
         """SIGHUP, with the file as it is by now."""
 
-    def upgrade(self, node: Any) -> None: ...
+    def upgrade(self, node: Any) -> None:
+        """The next version starts beside this one and takes over."""
 
     def move_discovery(self, node: Any) -> None:
         """Its agent listens at a new address too, which the file names from now on."""
 
-    def connect_misbehaving_client(self, node: Any, client: MisbehavingClient) -> None: ...
+    def connect_misbehaving_client(self, node: Any, client: MisbehavingClient) -> None:
+        """A client that keeps to no protocol connects to it."""
 
     # backends
 
-    def backend_is_running(self, backend: Any) -> bool: ...
+    def backend_is_running(self, backend: Any) -> bool:
+        """True until it is killed."""
 
-    def kill_backend(self, backend: Any) -> None: ...
+    def kill_backend(self, backend: Any) -> None:
+        """Its connections break, and it takes no new ones."""
 
     def add_backend(self, zone: int, cold: bool, group: int | None = None, at: Any = None) -> Any:
         """A new one, at another's address where one is given."""
@@ -104,24 +112,31 @@
     def resume_listening(self, backend: Any) -> None:
         """It takes connections again, if it took none."""
 
-    def reset_backend(self, backend: Any) -> None: ...
+    def reset_backend(self, backend: Any) -> None:
+        """Its connections break; it goes on."""
 
-    def set_backend_unreachable(self, backend: Any, silent: bool) -> None: ...
+    def set_backend_unreachable(self, backend: Any, silent: bool) -> None:
+        """No gateway reaches it any more, or all do again."""
 
-    def set_backend_delay(self, backend: Any, ms: float) -> None: ...
+    def set_backend_delay(self, backend: Any, ms: float) -> None:
+        """What passes between it and the gateways is late by so much; 0: no more."""
 
     def set_partitioned(self, node: Any, backend: Any, apart: bool) -> None:
         """This gateway and this backend reach each other no more, or do again."""
 
     # quota services
 
-    def quota_service(self, number: int) -> QuotaService: ...
+    def quota_service(self, number: int) -> QuotaService:
+        """The quota service of that number."""
 
-    def start_quota_service(self, number: int) -> None: ...
+    def start_quota_service(self, number: int) -> None:
+        """Starts a quota service that knows nothing yet."""
 
-    def kill_quota_service(self, number: int) -> None: ...
+    def kill_quota_service(self, number: int) -> None:
+        """Its connections break, and it takes no new ones."""
 
-    def set_quota_service_unreachable(self, silent: bool) -> None: ...
+    def set_quota_service_unreachable(self, silent: bool) -> None:
+        """No gateway reaches the first quota service any more, or all do again."""
 
 
 class RealEnvironment(Environment, Protocol):
--- a/zincstile/simulation/fleet.py
+++ b/zincstile/simulation/fleet.py
@@ -1,8 +1,8 @@
-"""Worlds of a growing fleet by seed, and counts over all of its gateways.
+"""Scenarios of a growing fleet by seed, and counts over all of its gateways.
 
-Half of the boxes are replaced within a moment, then most gateways are killed; customers come in through
-half of the gateways or more. Boxes are one and a half times the gateways, requests 40 for each, so that
-a gateway sees little of any box at every size.
+Half of the backends are replaced within a moment, then most gateways are killed; customers come in through
+half of the gateways or more. Backends are one and a half times the gateways, requests 40 for each, so that
+a gateway sees little of any backend at every size.
 """
 
 from __future__ import annotations
@@ -14,14 +14,16 @@
 
 
 def draw(seed: int, gateways: int) -> Plan:
-    rng, boxes = random.Random(f"fleet {seed} {gateways}"), gateways * 3 // 2
-    faults = [Fault("deploy", 900, 500, rng.sample(range(boxes), boxes // 2), 0.3)]
-    for g in rng.sample(range(gateways), gateways * 7 // 10):
-        faults.append(Fault("crash", 1900 + rng.randint(0, 100), rng.randint(500, 1200), [g], 0))
+    """The plan of a seed and a size."""
+    rng = random.Random(f"fleet {seed} {gateways}")
+    backends = gateways * 3 // 2
+    faults = [Fault("deploy", 900, 500, rng.sample(range(backends), backends // 2), 0.3)]
+    for gateway in rng.sample(range(gateways), gateways * 7 // 10):
+        faults.append(Fault("crash", 1900 + rng.randint(0, 100), rng.randint(500, 1200), [gateway], 0))
     return Plan(
         seed=seed,
         gateways=gateways,
-        boxes=boxes,
+        boxes=backends,
         wide=True,
         requests=40 * gateways,
         last_ms=5000,
--- a/zincstile/simulation/shrink.py
+++ b/zincstile/simulation/shrink.py
@@ -41,19 +41,24 @@
     runs: int
 
 
-class _Spent(Exception):  # noqa: N818 - no error: the search ends here
-    pass
+class _RunsSpent(Exception):  # noqa: N818 - no error: the search ends here
+    """All runs that the search was given are spent."""
 
 
 class _Search:
-    def __init__(self, plan: Plan, rule: str, most: int, tell: Callable[[str], None]) -> None:
-        self.best, self.rule, self.most, self.tell, self.runs = plan, rule, most, tell, 1
+    """The smallest plan so far, and how many runs it took."""
+
+    def __init__(self, plan: Plan, rule: str, max_runs: int) -> None:
+        self.best = plan
+        self.rule = rule
+        self.max_runs = max_runs
+        self.runs = 1  # the one that showed the rule
         self.result: Result | None = None
 
     def holds(self, candidate: Plan) -> bool:
-        """It breaks the same rule: then it is the best so far."""
-        if self.runs >= self.most:
-            raise _Spent
+        """True if it breaks the same rule: then it is the best so far. _RunsSpent where no run is left."""
+        if self.runs >= self.max_runs:
+            raise _RunsSpent
         self.runs += 1
         result = Run(candidate, rules=(self.rule,)).play()
         if result.breach is None:
@@ -62,7 +67,7 @@
         return True
 
     def fewest(self, items: list[Any], put: Callable[[Plan, list[Any]], Plan]) -> None:
-        """ddmin over a list: parts of it are left out, coarse ones first."""
+        """Leaves out parts of a list, coarse ones first (ddmin); `put` makes a plan with what is left."""
         parts = 2
         while items:
             size = max(1, len(items) // parts)
@@ -78,19 +83,22 @@
 
 
 def smallest(
-    plan: Plan, most: int, tell: Callable[[str], None], rules: tuple[str, ...] = RULE_NAMES
+    plan: Plan, max_runs: int, report: Callable[[str], None], rules: tuple[str, ...] = RULE_NAMES
 ) -> Smallest | None:
-    """None where the plan breaks none of these rules."""
+    """A smallest plan that breaks the same rule, by `max_runs` runs at most; `report` gets a line a step.
+
+    None where the plan breaks none of these rules.
+    """
     first = Run(plan, rules=rules).play()
     if first.breach is None:
         return None
-    search = _Search(plan, first.breach.rule, most, tell)
+    search = _Search(plan, first.breach.rule, max_runs)
     search.result = first
-    tell(f"{first.line()}: {first.breach.text}")
+    report(f"{first.line()}: {first.breach.text}")
     replace = msgspec.structs.replace
     try:
         search.fewest(list(plan.faults), lambda p, faults: replace(p, faults=faults))
-        tell(f"{len(search.best.faults)} faults are left after {search.runs} runs")
+        report(f"{len(search.best.faults)} faults are left after {search.runs} runs")
         for at in range(len(search.best.faults)):  # and each of them concerns as few as can be
             while len(search.best.faults[at].who) > 1:
                 now = search.best.faults[at]
@@ -103,11 +111,11 @@
                     break
         numbers = list(range(plan.requests)) if search.best.only is None else list(search.best.only)
         search.fewest(numbers, lambda p, only: replace(p, only=only))
-        tell(f"{len(search.best.only or numbers)} requests are left after {search.runs} runs")
+        report(f"{len(search.best.only or numbers)} requests are left after {search.runs} runs")
         for name, plain in PLAIN.items():
             if getattr(search.best, name) != plain:
                 search.holds(replace(search.best, **{name: plain}))
         search.fewest(list(search.best.faults), lambda p, faults: replace(p, faults=faults))
-    except _Spent:
-        tell(f"the {most} runs are spent")
+    except _RunsSpent:
+        report(f"the {max_runs} runs are spent")
     return Smallest(search.best, search.result, search.runs)
