--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -212,7 +212,7 @@
 
     monkeypatch.setattr(runs, "RESTART_S", 1.0)
     monkeypatch.setattr(
-        runs.Run, "_known_list", lambda self, node: {} if node.starts > 1 else node.agent.snapshot()
+        runs.Run, "known_list", lambda self, node: {} if node.starts > 1 else node.agent.snapshot()
     )
     faults = [Fault("discovery_silent", 500, 20_000, [1]), Fault("crash", 900, 100, [1])]
     small = SMALL | {"last_ms": 1500, "requests": 90}
--- a/tests/test_field.py
+++ b/tests/test_testbed.py
@@ -1,4 +1,4 @@
-"""Real processes with faults between them: the plans that CI plays, and the field's own parts."""
+"""Real processes with faults between them: the plans that CI plays, and the parts of the testbed."""
 
 from __future__ import annotations
 
@@ -24,9 +24,9 @@
 PLANS = sorted((Path(__file__).parent / "plans" / "field").glob("*.yaml"))
 
 
-def field(*words, **more):
+def run_testbed(*arguments, **more):
     return subprocess.run(
-        [sys.executable, "-m", "zincstile", "testbed", *words],
+        [sys.executable, "-m", "zincstile", "testbed", *arguments],
         cwd=ROOT,
         text=True,
         capture_output=True,
@@ -81,7 +81,7 @@
     assert "quota" in report.page([("x", found)])
 
 
-def test_nothing_is_left_when_the_field_itself_is_killed(tmp_path):
+def test_nothing_is_left_when_the_testbed_itself_is_killed(tmp_path):
     words = [sys.executable, "-m", "zincstile", "testbed", "run", str(PLANS[0]), "--keep", str(tmp_path)]
     run = subprocess.Popen(words, cwd=ROOT, stdout=subprocess.DEVNULL)
     until = time.monotonic() + 30
@@ -119,7 +119,7 @@
 
 
 @pytest.mark.parametrize(
-    ("words", "said"),
+    ("arguments", "expected"),
     [
         (["run", "none.yaml"], "none.yaml: No such file"),
         (["report", "none.json", "--out", "x"], "none.json"),
@@ -128,17 +128,17 @@
         (["run", str(PLANS[0]), "--feature", "shared=none.yaml"], "not NAME=FILE"),
     ],
 )
-def test_bad_words_are_told_in_one_line(words, said):
-    done = field(*words)
-    assert done.returncode == 2 and said in done.stderr and done.stderr.count("\n") == 1
+def test_bad_arguments_are_reported_in_one_line(arguments, expected):
+    done = run_testbed(*arguments)
+    assert done.returncode == 2 and expected in done.stderr and done.stderr.count("\n") == 1
 
 
 def test_a_bad_plan_and_a_spoilt_result_name_file_and_place(tmp_path):
     path = tmp_path / "p.yaml"
     path.write_text("seed: 1\nboxes: 100\ngateways: 251\n")
-    assert "p.yaml:3: $.gateways" in field("run", str(path)).stderr
+    assert "p.yaml:3: $.gateways" in run_testbed("run", str(path)).stderr
     (tmp_path / "r.json").write_text("{}")
-    assert "r.json: not a result" in field("report", str(tmp_path / "r.json"), "--out", "x").stderr
+    assert "r.json: not a result" in run_testbed("report", str(tmp_path / "r.json"), "--out", "x").stderr
 
 
 def test_path_faults_add_up_and_are_removed_once():
@@ -165,7 +165,7 @@
         PathFault(loss_ratio=1.5)
 
 
-def test_addresses_tell_who_speaks_to_whom_and_a_hole_takes_no_connection():
+def test_addresses_name_sender_and_receiver_and_a_black_hole_takes_no_connection():
     assert places.who(places.seen(places.BOX, 199, 7)) == (places.BOX, 199, 7)
     with places.block() as one, places.block() as other:
         assert one != other
--- a/zincstile/scale/crowd.py
+++ b/zincstile/scale/crowd.py
@@ -82,7 +82,7 @@
         `sent_indexes`: by gateway, the index that each line of its watch led to. A count of lines taken gives
         the index in force there, but not after the gateway opened another watch (`watches_opened`, by
         gateway): lines of the first may have been taken or not."""
-        while self.program is not None and (lines := self.program.news()):
+        while self.program is not None and (lines := self.program.new_lines()):
             for line in lines:
                 self._take(line, sent_indexes, watches_opened)
 
--- a/zincstile/scale/subjects.py
+++ b/zincstile/scale/subjects.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 from typing import Any, Final
 
-from ..testbed.programs import Program, told
+from ..testbed.programs import Program, parse_log_line
 from .records import Kind
 
 HOLLOW_PROCESS: Final = Path(__file__).with_name("hollow_process.py")
@@ -61,10 +61,10 @@
         loop = asyncio.get_running_loop()
         until, found = loop.time() + ANSWER_S, []
         while len(found) < count:
-            self._lines += self.program.news()
+            self._lines += self.program.new_lines()
             kept = []
             for line in self._lines:
-                figures = told(line, event)
+                figures = parse_log_line(line, event)
                 if figures is None:
                     kept.append(line)
                 else:
--- a/zincstile/testbed/datagrams.py
+++ b/zincstile/testbed/datagrams.py
@@ -1,7 +1,7 @@
-"""The way of datagrams between gateways: one socket for all pairs, with what is wrong on each.
+"""Relays datagrams between gateways: one socket for all pairs, with the faults of each path.
 
-A gateway sends its peer's datagrams to an address that stands for the pair, and hears the peer from the
-address that it knows it by. What a plan laid on the way (`links`) decides over each datagram.
+A gateway sends its peer's datagrams to an address that stands for the pair, and receives the peer's from the
+address that it knows it by. The faults of a plan (`links`) decide over each datagram.
 """
 
 from __future__ import annotations
@@ -10,14 +10,16 @@
 import contextlib
 import socket
 import struct
+from typing import Final
 
 from ..virtual.network_faults import NetworkFaults
 from . import places
 
 PKTINFO = getattr(socket, "IP_PKTINFO", 8)  # Linux's number; the module names it from Python 3.14 on
 INFO = struct.Struct("=I4s4s")  # interface, own address, address in the header
-TAKEN = 64  # datagrams taken in one go
-MOST = 2048  # bytes of one
+MAX_BATCH: Final = 64  # datagrams read in one go, so that connections get their turn
+MAX_DATAGRAM_BYTES: Final = 2048  # of one datagram
+MAX_CONTROL_BYTES: Final = 64  # room for one IP_PKTINFO
 
 
 class Datagrams:
@@ -33,7 +35,7 @@
         self.names = names
         self.sent = [0] * len(names)
         self.bytes = [0] * len(names)
-        self.strange = 0  # of nobody's
+        self.unknown_senders = 0  # datagrams that no gateway sent to another
         self.sock = places.on_loopback(socket.SOCK_DGRAM)
         self.sock.setsockopt(socket.IPPROTO_IP, PKTINFO, 1)
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4 << 20)
@@ -41,7 +43,7 @@
         loop.add_reader(self.sock.fileno(), self._read)
 
     def peers(self, number: int) -> list[str]:
-        """The `peers` of a gateway's file: its own address, and the way to each other one."""
+        """The `peers` of a gateway's file: its own address, and the relay's for each other one."""
         return [
             f"{places.gateway(self.block, k)}:{places.PEERS_PORT}"
             if k == number
@@ -50,9 +52,9 @@
         ]
 
     def _read(self) -> None:
-        for _ in range(TAKEN):
+        for _ in range(MAX_BATCH):
             try:
-                data, control, _, sender = self.sock.recvmsg(MOST, 64)
+                data, control, _, sender = self.sock.recvmsg(MAX_DATAGRAM_BYTES, MAX_CONTROL_BYTES)
             except (BlockingIOError, InterruptedError):
                 return
             except OSError:
@@ -71,17 +73,17 @@
                 or sender[0] != places.gateway(self.block, source)
                 or not 0 <= target < len(self.names)
             ):
-                self.strange += 1
+                self.unknown_senders += 1
                 continue
             self.sent[source] += 1
             self.bytes[source] += len(data)
-            for late_s in self.links.outcome(self.names[source], self.names[target], self.loop.time()):
-                if late_s:
-                    self.loop.call_later(late_s, self._pass, data, source, target)
+            for delay_s in self.links.outcome(self.names[source], self.names[target], self.loop.time()):
+                if delay_s:
+                    self.loop.call_later(delay_s, self._forward, data, source, target)
                 else:
-                    self._pass(data, source, target)
+                    self._forward(data, source, target)
 
-    def _pass(self, data: bytes, source: int, target: int) -> None:
+    def _forward(self, data: bytes, source: int, target: int) -> None:
         if self.sock.fileno() < 0:
             return
         own = socket.inet_aton(places.seen(places.PEER, target, source))
--- a/zincstile/testbed/emulated.py
+++ b/zincstile/testbed/emulated.py
@@ -38,7 +38,7 @@
 
     # ---- backends and their list
 
-    def _entry_for(self, entry: EndpointEntry, gateway: int) -> EndpointEntry:
+    def entry_for(self, entry: EndpointEntry, gateway: int) -> EndpointEntry:
         """With the address by which that gateway finds it, on its clock."""
         backend = self.backends.get(entry.name)
         seer = places.ALL if self.plan.one_address else gateway
@@ -48,8 +48,8 @@
         self, zone: int, cold: bool, group: int | None = None, at: Backend | None = None
     ) -> Backend:
         """A new backend of drawn speed and size; at another's address where one is given."""
-        self._backends_made += 1
-        number, name = self._backends_made, f"s-{self._backends_made:02x}"
+        self.backends_made += 1
+        number, name = self.backends_made, f"s-{self.backends_made:02x}"
         rng = random.Random(f"box {self.plan.seed} {number}")
         group = number % RACKS if group is None else group
         model = BackendModel(
@@ -67,15 +67,15 @@
         self, name: str, zone: int, group: int, model: BackendModel, cold: bool, at: Backend | None
     ) -> Backend:
         """A backend begins to listen, and its invariants begin to be watched."""
-        number = at.number if at else (self._backends_made - 1) % places.MOST
+        number = at.number if at else (self.backends_made - 1) % places.MOST
         proxy = FaultProxy(self.loop, self.links, name, places.BOX, number, self.names)
         proxy.make_connection, proxy.probe, proxy.keeps_port = _BackendConnection, self.probe, True
         if at is not None:
             proxy.port = at.proxy.port
-        rng = random.Random(f"{name} {self.plan.seed} {self._backends_made}")
+        rng = random.Random(f"{name} {self.plan.seed} {self.backends_made}")
         box = BackendEmulator(proxy, name, model, self.racks[group], rng, self.probe, cold=cold)  # type: ignore[arg-type]
         box.identify_gateway = lambda connection: connection.gateway  # type: ignore[attr-defined]
-        self._spawn(box.start(""))
+        self.spawn(box.start(""))
         since = int(time.time() * 1000) if cold else 0
         entry = EndpointEntry(name, "", traffic.ZONES[zone], "std", group, "Ready", 1.0, since)
         self.checker.add_backend(name, zone, group)
@@ -100,7 +100,7 @@
     def resume_listening(self, backend: Backend) -> None:
         """It takes connections again, if it took none."""
         if backend.alive and not backend.proxy.listens:
-            self._spawn(backend.emulator.start(""))
+            self.spawn(backend.emulator.start(""))
 
     def reset_backend(self, backend: Backend) -> None:
         """Its connections break; it goes on."""
@@ -108,13 +108,13 @@
 
     def set_backend_unreachable(self, backend: Backend, silent: bool) -> None:
         """No gateway reaches it any more, or all do again."""
-        self._set_trouble(
+        self.set_network_fault(
             ("hush", backend), paths_between(self.names, [backend.entry.name]), PathFault(cut=True), silent
         )
 
     def set_backend_delay(self, backend: Backend, ms: float) -> None:
         """What passes between it and the gateways is late by so much; 0: no more."""
-        self._set_trouble(
+        self.set_network_fault(
             ("lag", backend),
             paths_between(self.names, [backend.entry.name]),
             PathFault(delay_s=ms / 1000),
@@ -123,7 +123,7 @@
 
     def set_partitioned(self, node: Node, backend: Backend, apart: bool) -> None:
         """One gateway and this backend reach each other no more, or do again."""
-        self._set_trouble(
+        self.set_network_fault(
             (node, backend), paths_between([node.name], [backend.entry.name]), PathFault(cut=True), apart
         )
 
@@ -142,7 +142,7 @@
         counter = QuotaService(proxy)  # type: ignore[arg-type]
         counter.open = True
         self.quota_services[number] = counter, proxy
-        self._spawn(counter.start(""))
+        self.spawn(counter.start(""))
 
     def kill_quota_service(self, number: int) -> None:
         """Its connections break, and it takes no new ones."""
@@ -150,4 +150,4 @@
 
     def set_quota_service_unreachable(self, silent: bool) -> None:
         """No gateway reaches a quota service any more, or all do again."""
-        self._set_trouble("keeper", paths_between(self.names, ["keeper"]), PathFault(cut=True), silent)
+        self.set_network_fault("keeper", paths_between(self.names, ["keeper"]), PathFault(cut=True), silent)
--- a/zincstile/testbed/fault_proxy.py
+++ b/zincstile/testbed/fault_proxy.py
@@ -1,11 +1,11 @@
-"""Connections to emulated services, with the faults that a plan laid on the way there from a gateway.
+"""Connections to emulated services, with the faults of a plan on the path there from a gateway.
 
 An emulator is handed a `FaultProxy` in place of its event loop: what it listens with knows by the address
 that a gateway used which one it is. Between each connection and the emulator's protocol stands a
-`ProxiedConnection` with a queue for each direction: what passes keeps its order, waits while the way is cut,
+`ProxiedConnection` with a queue for each direction: what passes keeps its order, waits while the path is cut,
 and comes later where it is slow.
 
-Cut ways: open connections say nothing and keep what was written, as TCP does until it is sent again;
+Cut paths: open connections are silent and keep what was written, as TCP does until it is sent again;
 new ones never come up (`places.BlackHole`). `reset`: open ones break, and new ones are closed as soon as
 they are up.
 """
@@ -16,18 +16,20 @@
 import socket
 from collections import deque
 from collections.abc import Callable
-from typing import Any
+from typing import Any, Final
 
 from ..virtual.network_faults import NetworkFaults, NetworkPath
 from . import places
 
-QUEUE = 1024  # connections that wait to be taken
+BACKLOG: Final = 1024  # connections that wait to be accepted
+
+TIMER_SLACK_S: Final = 1e-4  # a timer may fire so much early
 
 
 class Direction:
-    """One direction of one connection. `pair`: the way that it goes."""
+    """One direction of one connection. `pair`: the path that it takes."""
 
-    __slots__ = ("loop", "links", "pair", "_waiting", "_alarm", "_due")
+    __slots__ = ("loop", "links", "pair", "_waiting", "_timer", "_last_due_s")
 
     def __init__(self, loop: asyncio.AbstractEventLoop, links: NetworkFaults, pair: NetworkPath) -> None:
         """Takes the path as (from, to), by names."""
@@ -35,28 +37,28 @@
         self.links = links
         self.pair = pair
         self._waiting: deque[tuple[float, Callable[..., None], tuple[Any, ...]]] = deque()
-        self._alarm: asyncio.TimerHandle | None = None
-        self._due = 0.0
+        self._timer: asyncio.TimerHandle | None = None
+        self._last_due_s = 0.0
 
     def push(self, then: Callable[..., None], *args: Any) -> None:
         """then(*args) once what went before has passed."""
-        way = self.links.path(*self.pair)
-        if not self._waiting and not way.cut and not way.delay_s:
+        path = self.links.path(*self.pair)
+        if not self._waiting and not path.cut and not path.delay_s:
             then(*args)
             return
-        self._due = max(self._due, self.loop.time() + way.delay_s)
-        self._waiting.append((self._due, then, args))
-        self.poke()
-
-    def poke(self) -> None:
-        """What may pass by now does."""
-        if self._alarm is not None:
-            self._alarm.cancel()
-            self._alarm = None
+        self._last_due_s = max(self._last_due_s, self.loop.time() + path.delay_s)
+        self._waiting.append((self._last_due_s, then, args))
+        self.pass_due()
+
+    def pass_due(self) -> None:
+        """Passes on what is due by now."""
+        if self._timer is not None:
+            self._timer.cancel()
+            self._timer = None
         while self._waiting and not self.links.path(*self.pair).cut:
-            at, then, args = self._waiting[0]
-            if at > self.loop.time() + 1e-4:
-                self._alarm = self.loop.call_at(at, self.poke)
+            due_s, then, args = self._waiting[0]
+            if due_s > self.loop.time() + TIMER_SLACK_S:
+                self._timer = self.loop.call_at(due_s, self.pass_due)
                 return
             self._waiting.popleft()
             then(*args)
@@ -71,11 +73,11 @@
         self.inner = inner
         self.transport: asyncio.Transport | None = None
         self.gateway = "?"
-        self.told = False  # the protocol knows of the connection
+        self.announced = False  # the protocol has been notified of the connection
         self.closing = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Tells the inner protocol of the connection, unless the way resets it."""
+        """Notifies the inner protocol of the connection, unless the path resets it."""
         self.transport = transport  # type: ignore[assignment]
         address = transport.get_extra_info("sockname")[0]
         if not self.proxy.is_known_by(address):
@@ -89,12 +91,12 @@
         if proxy.links.path(*self.inwards.pair).reset:
             self.abort()
             return
-        self.told = True
+        self.announced = True
         self.inner.connection_made(self)  # type: ignore[arg-type]
 
     def data_received(self, data: bytes) -> None:
-        """What a gateway sent goes on to the inner protocol by its lane."""
-        if self.told:
+        """What a gateway sent goes on to the inner protocol in its direction."""
+        if self.announced:
             self.inwards.push(self._hand, data)
 
     def _hand(self, data: bytes) -> None:
@@ -106,8 +108,8 @@
         return None
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The inner protocol hears of it after what came before."""
-        if self.told:
+        """The inner protocol is notified after what came before."""
+        if self.announced:
             self.inwards.push(self._lost, exc)
         else:
             self.proxy.connections.pop(self, None)
@@ -118,16 +120,16 @@
         self.inner.connection_lost(exc)
 
     def changed(self) -> None:
-        """Something is else on the ways of this connection."""
+        """The faults on the paths of this connection have changed."""
         if self.proxy.links.path(*self.inwards.pair).reset:
             self.abort()
-        self.inwards.poke()
-        self.outwards.poke()
+        self.inwards.pass_due()
+        self.outwards.pass_due()
 
     # ---- the transport, as the emulator's protocol sees it
 
     def write(self, data: bytes) -> None:
-        """What the inner protocol sends goes to the gateway by its lane."""
+        """What the inner protocol sends goes to the gateway in its direction."""
         if not self.closing:
             self.outwards.push(self.transport.write, data)
 
@@ -137,7 +139,7 @@
         self.outwards.push(self.transport.close)
 
     def abort(self) -> None:
-        """At once, whatever the way: for what breaks."""
+        """At once, whatever the path: for what breaks."""
         self.closing = True
         sock = self.transport.get_extra_info("socket")
         if sock is not None and sock.fileno() >= 0:  # a reset, no orderly end
@@ -176,7 +178,7 @@
         self.port = 0
         self.keeps_port = False  # listens at the same port after it was closed; else each time at a new one
         self.make_connection: Callable[[FaultProxy, asyncio.Protocol], ProxiedConnection] = ProxiedConnection
-        self.probe: Any = None  # for connections that tell what they see
+        self.probe: Any = None  # for connections that are observed
         self._black_holes: dict[str, places.BlackHole] = {}
         self._server: asyncio.AbstractServer | None = None
         links.on_change.append(self._changed)
@@ -191,9 +193,9 @@
 
     def gateway_at(self, address: str) -> str:
         """Who knows this place by that address."""
-        kind, seer, number = places.who(address)
-        fits = kind == self.kind and number == self.number and 0 <= seer < len(self.gateways)
-        return self.gateways[seer] if fits else "?"
+        kind, gateway_number, number = places.who(address)
+        fits = kind == self.kind and number == self.number and 0 <= gateway_number < len(self.gateways)
+        return self.gateways[gateway_number] if fits else "?"
 
     def address(self, gateway_number: int) -> str:
         """Where that gateway finds this place."""
@@ -206,7 +208,7 @@
         sock = places.on_loopback(socket.SOCK_STREAM, True, self.port if self.keeps_port else 0)
         self.port = sock.getsockname()[1]
         self._server = await self.loop.create_server(
-            lambda: self.make_connection(self, factory()), sock=sock, backlog=QUEUE
+            lambda: self.make_connection(self, factory()), sock=sock, backlog=BACKLOG
         )
         return self._server
 
@@ -216,7 +218,7 @@
         return self._server is not None and self._server.is_serving()
 
     def _changed(self, pairs: list[NetworkPath]) -> None:
-        """Something is else on these ways."""
+        """The faults on these paths have changed."""
         hit = {a if b == self.place else b for a, b in pairs if self.place in (a, b)}
         for name in hit:
             self._black_hole(name)
@@ -225,7 +227,7 @@
                 connection.changed()
 
     def _black_hole(self, gateway: str) -> None:
-        """New connections of that gateway never come up while the way there or back is cut."""
+        """New connections of that gateway never come up while the path there or back is cut."""
         if gateway not in self.gateways or not self.port:
             return
         cut = self.links.path(gateway, self.place).cut or self.links.path(self.place, gateway).cut
--- a/zincstile/testbed/gateways.py
+++ b/zincstile/testbed/gateways.py
@@ -8,19 +8,19 @@
 import signal
 import socket
 from pathlib import Path
-from typing import Any
+from typing import Any, Final
 
 from ..emulators.misbehaving_client import MisbehavingClient
 from ..simulation import traffic
 from . import places
 from .counter_names import by_stored_name
 from .members import Node
-from .programs import Program, told
+from .programs import Program, parse_log_line
 from .shim_control import Knob
 from .testbed import MS, Testbed
 
-GONE_S = 12.0  # a process that was told to end may take so long
-UPGRADE_S = 10.0  # an upgrade waits so long for its new version
+GONE_S: Final = 12.0  # a process that was asked to end may take so long
+UPGRADE_S: Final = 10.0  # an upgrade waits so long for its new version
 
 
 class GatewayProcesses(Testbed):
@@ -28,7 +28,7 @@
 
     # ---- configuration
 
-    def _listening_socket(self, node: Node) -> socket.socket:
+    def open_listening_socket(self, node: Node) -> socket.socket:
         """The clients' socket, held here for all versions of a gateway."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -47,13 +47,13 @@
             node.discovery,
             self.datagrams.peers(number),
             seed,
-            self._known_list(node),
+            self.known_list(node),
         )
         if self.features:
             table["features"] = self.features
         if self.quota_services:
             table["counter"] = self.quota_services[node.quota_service_number][1].address(number)
-        if self._operated:
+        if self.has_admin_endpoint:
             node.operators = f"{places.gateway(self.block, number)}:{places.CONTROL_PORT + node.starts}"
             table["control"] = node.operators
         path = node.folder / "config.json"
@@ -61,7 +61,7 @@
         path.write_text(text[: len(text) // 2] if half else text, encoding="utf-8")
         return path
 
-    def _known_list(self, node: Node) -> dict[str, Any]:
+    def known_list(self, node: Node) -> dict[str, Any]:
         """The list that a gateway starts with."""
         return node.agent.snapshot() if self.plan.known else {}
 
@@ -69,7 +69,7 @@
 
     def start_gateway(self, node: Node) -> None:
         """Starts it as the platform does: from nothing but its file and the last list. Not once the run ends:
-        what a plan starts late would be told of the end by nobody."""
+        nobody would end what a plan starts late."""
         if self.ending:
             return
         self._keep_counters(node)
@@ -82,15 +82,15 @@
 
     def _start_program(self, node: Node) -> Program:
         env = {"RELAY_CONFIG": str(self._write_configuration(node)), "TMPDIR": str(node.folder / "tmp")}
-        words = ["-m", "zincstile"]
+        arguments = ["-m", "zincstile"]
         if node.skew_ns:
             node.shim.set(Knob.WALL_OFFSET_S, node.skew_ns / 1e9)
-        if self._shimmed:
-            words = ["-m", "zincstile.testbed.shim", str(node.folder / "shim")]
+        if self.uses_shim:
+            arguments = ["-m", "zincstile.testbed.shim", str(node.folder / "shim")]
         if node.socket is not None:
             env["RELAY_SOCKET_FD"] = str(node.socket.fileno())
         return Program(
-            words,
+            arguments,
             env,
             node.folder / "log",
             self.folder,
@@ -100,7 +100,7 @@
     def _keep_counters(self, node: Node) -> None:
         """Adds what the process that ends has counted to what is kept of its gateway."""
         if node.program is not None:
-            self._read_log(node)
+            self.read_log(node)
             for name, n in node.latest.items():
                 node.counters[name] = node.counters.get(name, 0) + n
             node.latest = {}
@@ -159,7 +159,7 @@
 
     def move_discovery(self, node: Node) -> None:
         """Its discovery listens at a new address too, which the file names from now on."""
-        self._spawn(self._move_discovery(node))
+        self.spawn(self._move_discovery(node))
 
     async def _move_discovery(self, node: Node) -> None:
         await node.agent.start("")
@@ -168,7 +168,7 @@
     def upgrade(self, node: Node) -> None:
         """The next version takes over on the same socket, unless one is doing so already."""
         if self.is_running(node) and node.older is None and not node.stopping:
-            self._spawn(self._upgrade(node))
+            self.spawn(self._upgrade(node))
 
     async def _upgrade(self, node: Node) -> None:
         """The next version starts beside this one; once it is ready, this one gets SIGTERM."""
@@ -176,18 +176,18 @@
         node.older, node.program = node.program, self._start_program(node)
         newer, older = node.program, node.older
         text = b" ready with "
-        await self._wait_for(
+        await self.wait_for(
             lambda: newer.log.read_bytes().count(text) >= node.starts or not newer.alive, UPGRADE_S
         )
         older.terminate()
-        await self._wait_for(lambda: not older.alive, GONE_S)
+        await self.wait_for(lambda: not older.alive, GONE_S)
         older.kill()
-        self._read_log(node)
+        self.read_log(node)
         node.older = None
 
     def connect_misbehaving_client(self, node: Node, client: MisbehavingClient) -> None:
         """A client that keeps to no protocol connects."""
-        self._spawn(self._connect_rude(node, client))
+        self.spawn(self._connect_rude(node, client))
 
     async def _connect_rude(self, node: Node, client: MisbehavingClient) -> None:
         host, port = node.listen.split(":")
@@ -196,8 +196,8 @@
 
     # ---- logs
 
-    def _check_exits(self) -> None:
-        """Reports processes that ended without having been told to."""
+    def check_exits(self) -> None:
+        """Reports processes that ended without having been asked to."""
         for node in self.nodes:
             program = node.program
             gone = program is not None and not program.alive
@@ -219,10 +219,10 @@
                 self.checker.report_fault(node.name, f"the process ended by itself, exit {code}")
                 self.checker.gateway_ended(node.name)
 
-    def _read_log(self, node: Node) -> None:
+    def read_log(self, node: Node) -> None:
         """Takes in what its processes have logged since the last time: faults, counters, state."""
         for program in (node.older, node.program):
-            for line in program.news() if program is not None else ():
+            for line in program.new_lines() if program is not None else ():
                 program.up = program.up or " start listening on " in line
                 if " fault " in line:
                     self.checker.report_fault(node.name, line.split(" fault ", 1)[1])
@@ -232,11 +232,11 @@
                     )
                 if " violated " in line:
                     self.checker.report_invariant(node.name, line.split(" violated ", 1)[1])
-                found = told(line, "counters")
+                found = parse_log_line(line, "counters")
                 if found is not None and program is node.program:
                     node.latest = by_stored_name(found)
                     self._record_figures(node, node.latest)
-                believed = told(line, "state")
+                believed = parse_log_line(line, "state")
                 if believed is not None and program is node.program:
                     node.believes = believed
                     self._record_figures(node, believed)
--- a/zincstile/testbed/programs.py
+++ b/zincstile/testbed/programs.py
@@ -14,12 +14,12 @@
 import subprocess
 import sys
 from pathlib import Path
-from typing import Any
+from typing import Any, Final
 
 ROOT = Path(__file__).resolve().parents[2]
-PR_SET_PDEATHSIG = 1
+PR_SET_PDEATHSIG: Final = 1  # linux/prctl.h
 LIBC = ctypes.CDLL(None, use_errno=True)
-TAIL = 1 << 16  # bytes of a log that are read in one go
+MAX_READ_BYTES: Final = 1 << 16  # of a log in one go
 
 
 def _die_with(parent: int):
@@ -39,12 +39,12 @@
     """One process. `log` is its standard error, a file."""
 
     def __init__(
-        self, words: list[str], env: dict[str, str], log: Path, folder: Path, listening: int | None = None
+        self, arguments: list[str], env: dict[str, str], log: Path, folder: Path, listening: int | None = None
     ) -> None:
-        """Starts it in `folder`. `words`: Python's arguments; `listening`: a descriptor that it inherits."""
+        """Starts it in `folder`. `arguments`: Python's; `listening`: a descriptor that it inherits."""
         self.log = log
         self._read = log.stat().st_size if log.exists() else 0
-        self.line = b""
+        self._partial_line = b""
         self.asked_to_end = False
         self.up = False  # its log says that it listens: from here on it knows its signals
         # as deployed: `build` leaves bytecode, which an environment for tests may tell Python not to write
@@ -56,7 +56,7 @@
         kept["PYTHONPATH"] = str(ROOT)
         with open(log, "ab") as out:
             self.process = subprocess.Popen(
-                [sys.executable, *words],
+                [sys.executable, *arguments],
                 stdout=subprocess.DEVNULL,
                 stderr=out,
                 stdin=subprocess.DEVNULL,
@@ -96,20 +96,20 @@
             return False
         return True
 
-    def news(self) -> list[str]:
-        """Whole lines of the log since the last time."""
-        with open(self.log, "rb") as f:
-            f.seek(self._read)
-            data = f.read(TAIL)
+    def new_lines(self) -> list[str]:
+        """Complete lines of the log since the last call."""
+        with open(self.log, "rb") as file:
+            file.seek(self._read)
+            data = file.read(MAX_READ_BYTES)
         self._read += len(data)
-        *lines, self.line = (self.line + data).split(b"\n")
-        return [x.decode("utf-8", "replace") for x in lines]
+        *lines, self._partial_line = (self._partial_line + data).split(b"\n")
+        return [line.decode("utf-8", "replace") for line in lines]
 
     def cpu_ms(self) -> float:
         """Processor time so far; 0 where it has ended."""
         with contextlib.suppress(OSError, ValueError, IndexError):
-            words = Path(f"/proc/{self.process.pid}/stat").read_text().rpartition(")")[2].split()
-            return (int(words[11]) + int(words[12])) * 1000 / os.sysconf("SC_CLK_TCK")
+            fields = Path(f"/proc/{self.process.pid}/stat").read_text().rpartition(")")[2].split()
+            return (int(fields[11]) + int(fields[12])) * 1000 / os.sysconf("SC_CLK_TCK")
         return 0.0
 
     def memory_kb(self) -> int:
@@ -121,10 +121,10 @@
         return 0
 
 
-def told(line: str, word: str) -> dict[str, Any] | None:
-    """What a line `TIME NAME WORD {...}` of the log says; None where it is another."""
+def parse_log_line(line: str, event: str) -> dict[str, Any] | None:
+    """The object of a log line `TIME NAME EVENT {...}` of this event; None where the line is another."""
     parts = line.split(" ", 3)
-    if len(parts) < 4 or parts[2] != word:
+    if len(parts) < 4 or parts[2] != event:
         return None
     try:
         found = json.loads(parts[3])
--- a/zincstile/testbed/run.py
+++ b/zincstile/testbed/run.py
@@ -12,7 +12,7 @@
 import sys
 import time
 from pathlib import Path
-from typing import Any
+from typing import Any, Final
 
 from ..checkers.quotas import Quotas
 from ..checkers.rules import Rule
@@ -32,19 +32,21 @@
 from .result import FieldResult
 from .shim_control import Knob, ShimControl
 from .summary import summary
-from .testbed import LOOK_S
+from .testbed import POLL_S
 
-READY_S, SETTLE_S, END_S = 60.0, 0.8, 20.0  # until all are ready; beats pass first; until all is answered
-SAMPLE_S = 0.5
-RESTART_S = 10.0  # a process that was started again is ready by then
+READY_S: Final = 60.0  # until all gateways are ready, many processes on one machine
+SETTLE_S: Final = 0.8  # the first heartbeats pass before the load begins
+END_S: Final = 20.0  # after the last request or fault: until all is answered
+SAMPLE_S: Final = 0.5  # between two samples of the processes
+RESTART_S: Final = 10.0  # a process that was started again is ready by then
 
 
 class NotReadyError(RuntimeError):
     """The gateways did not start; the text has what their logs say."""
 
 
-def plan_seed(seed: int, number: int) -> float:
-    """Of the shim of one gateway."""
+def shim_seed(seed: int, number: int) -> float:
+    """The seed of the shim of one gateway, by the plan's."""
     return float(seed * 1000 + number)
 
 
@@ -54,18 +56,18 @@
     async def play(self) -> FieldResult:
         """NotReadyError where the gateways don't start; OSError where the machine gives no sockets."""
         self.loop = asyncio.get_running_loop()
-        self.loop.set_exception_handler(self._on_loop_error)
+        self.loop.set_exception_handler(self.report_loop_error)
         with places.block() as self.block:
             try:
-                await self._build()
+                await self.build()
                 await self._wait_until_ready()
                 await self._play_load()
                 await self._end_gateways()
             finally:
-                self._clean_up()
+                self.clean_up()
         return summary(self)
 
-    async def _build(self, start: bool = True) -> None:
+    async def build(self, start: bool = True) -> None:
         """Everything that takes part, from the services to the clients; with `start` the gateways run too."""
         plan = self.plan
         self.datagrams = Datagrams(self.loop, self.links, self.block, self.names)
@@ -78,8 +80,8 @@
             self.nodes.append(await self._make_node(number, name))
         self.load_balancer = self._make_clients()
         self.probe.died_as_planned = self.died_as_planned
-        await self._wait_for(lambda: all(c.port for _, c in self.quota_services.values()), READY_S)
-        self._first_start_s = time.monotonic()
+        await self.wait_for(lambda: all(c.port for _, c in self.quota_services.values()), READY_S)
+        self.first_start_s = time.monotonic()
         self.checker.quotas = Quotas(self.stated, 0, self.initial_ratio, time.monotonic_ns())
         for node in self.nodes if start else ():
             self.start_gateway(node)
@@ -88,7 +90,7 @@
         """The plan's backends, one after another, so that each listens before discovery names it."""
         for k in range(self.plan.boxes):
             place = self.add_backend(k % len(traffic.ZONES), cold=False)
-            await self._wait_for(lambda place=place: place.proxy.port, READY_S)
+            await self.wait_for(lambda place=place: place.proxy.port, READY_S)
             self.backend_names.append(place.entry.name)
             self.endpoint_list.put(place.entry)
 
@@ -96,7 +98,7 @@
         """A gateway's place: its discovery, its folder and, for upgrades, its listening socket."""
         proxy = FaultProxy(self.loop, self.links, "discovery", places.DISCOVERY, 0, self.names)
         agent = DiscoveryAgent(proxy, self.endpoint_list, name, self.probe)  # type: ignore[arg-type]
-        agent.view = lambda entry: self._entry_for(entry, number)
+        agent.view = lambda entry: self.entry_for(entry, number)
         await agent.start("")
         folder = self.folder / name
         (folder / "tmp").mkdir(parents=True, exist_ok=True)
@@ -110,9 +112,9 @@
             shim=ShimControl(folder / "shim"),
             discovery=proxy.address(number),
         )
-        node.shim.set(Knob.SEED, plan_seed(self.plan.seed, number))
-        if number in self._upgraded:
-            node.socket = self._listening_socket(node)
+        node.shim.set(Knob.SEED, shim_seed(self.plan.seed, number))
+        if number in self.upgraded_gateways:
+            node.socket = self.open_listening_socket(node)
         return node
 
     def _make_clients(self) -> ClientLoadBalancer:
@@ -124,14 +126,14 @@
             {s.name: (places.gateway(self.block, s.number), places.CLIENTS_PORT) for s in self.nodes},
             failure_detection_s=(0.3, 1.5),
         )
-        front.weigh_gateways = self._weigh_gateways
+        front.weigh_gateways = self.weigh_gateways
         front.was_read = lambda transport, request: self.probe.was_sent_on(request.sent.id)
         return front
 
     async def _wait_until_ready(self) -> None:
         """Until every gateway answers PING; NotReadyError where one does not in time."""
         self.load_balancer.watch_gateways()
-        await self._wait_for(
+        await self.wait_for(
             lambda: all(self.load_balancer.admitted.values()) or not all(s.program.alive for s in self.nodes),
             READY_S,
         )
@@ -142,8 +144,8 @@
                 f"{len(down)} of {len(self.names)} gateways did not start; " + " | ".join(tail)
             )
         for node in self.nodes:
-            node.ready_s = self.load_balancer.first_admitted_s[node.name] - self._first_start_s
-        await asyncio.sleep(SETTLE_S)  # the first beats pass
+            node.ready_s = self.load_balancer.first_admitted_s[node.name] - self.first_start_s
+        await asyncio.sleep(SETTLE_S)  # the first heartbeats pass
 
     async def _play_load(self) -> None:
         """Plays requests and faults at their times, and watches until all is answered."""
@@ -158,10 +160,10 @@
         sampled = 0.0
         until = start + last + END_S
         while self.loop.time() < until:
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_S)
             now = self.loop.time()
             self.checker.check_due(time.monotonic_ns())
-            self._check_exits()
+            self.check_exits()
             if now - sampled > SAMPLE_S:
                 sampled = now
                 self._sample_processes()
@@ -186,13 +188,13 @@
     def _sample_processes(self) -> None:
         """Reads the logs and the memory of all gateways, and asks for their counters."""
         for node in self.nodes:
-            self._read_log(node)
+            self.read_log(node)
             if node.program is not None and node.program.up and node.program.alive:
                 node.program.signal(signal.SIGUSR1)
                 node.memory_kb = max(node.memory_kb, node.program.memory_kb())
 
     async def _end_gateways(self) -> None:
-        """All is answered: every process is told to end, and has to, with nothing left open."""
+        """End every process once all is answered; each has to end with nothing left open."""
         left = self.load_balancer.in_flight
         await self._check_ready()
         self.ending = True
@@ -200,9 +202,9 @@
             if node.program is not None:
                 node.program.signal(signal.SIGCONT)
                 node.program.terminate()
-        await self._wait_for(lambda: not any(s.program and s.program.alive for s in self.nodes), GONE_S)
+        await self.wait_for(lambda: not any(s.program and s.program.alive for s in self.nodes), GONE_S)
         for node in self.nodes:
-            self._read_log(node)
+            self.read_log(node)
             if node.program is not None:
                 self._check_end(node, node.program)
         if left:
@@ -210,7 +212,7 @@
 
     async def _check_ready(self) -> None:
         """Whoever runs says yes to the front, or does so within the time that a start may take."""
-        await self._wait_for(lambda: not self._not_ready(), RESTART_S)
+        await self.wait_for(lambda: not self._not_ready(), RESTART_S)
         for name in self._not_ready():
             self.checker.report_violation(Rule.READY, f"{name} runs, and is not ready within {RESTART_S:g} s")
 
@@ -219,7 +221,7 @@
         return [s.name for s in running if not self.load_balancer.admitted[s.name]]
 
     def _check_end(self, node: Node, program: Program) -> None:
-        """The process ended in time, as it was told to, and counted no fault."""
+        """The process ended in time and in order, and counted no fault."""
         code = program.process.returncode
         if program.alive:
             self.checker.report_violation(
@@ -230,7 +232,7 @@
         if node.latest.get("faults"):
             self.checker.report_fault(node.name, f"{node.latest['faults']:g} faults counted")
 
-    def _clean_up(self) -> None:
+    def clean_up(self) -> None:
         """Whatever came: nothing that was started here is left."""
         for node in self.nodes:
             self._clean_up_gateway(node)
@@ -242,8 +244,7 @@
             self.datagrams.close()
         if hasattr(self, "front"):
             self.load_balancer.close()
-        for task in list(self._tasks):
-            task.cancel()
+        self.cancel_tasks()
 
     def _clean_up_gateway(self, node: Node) -> None:
         for program in (node.older, node.program):
@@ -257,8 +258,8 @@
         node.shim.close()
 
 
-def play(plan: Plan, folder: Path, **told_besides: Any) -> FieldResult:
-    """One run, from its start to its end."""
+def play(plan: Plan, folder: Path, **options: Any) -> FieldResult:
+    """Play one run; `options`: those of `Testbed`. PlaceError where the system isn't Linux."""
     if sys.platform != "linux":
         raise places.PlaceError("field runs need Linux's loopback interface")
-    return asyncio.run(Run(plan, folder, **told_besides).play())
+    return asyncio.run(Run(plan, folder, **options).play())
--- a/zincstile/testbed/start.py
+++ b/zincstile/testbed/start.py
@@ -93,7 +93,7 @@
     async def waves(self, names: list[str]) -> list[StartRow]:
         """Plays them one after another, on one fleet. PlaceError, OSError."""
         self.loop = asyncio.get_running_loop()
-        self.loop.set_exception_handler(self._on_loop_error)
+        self.loop.set_exception_handler(self.report_loop_error)
         with places.block() as self.block:
             try:
                 await self._places()
@@ -102,16 +102,17 @@
                 if self.checker.violations:
                     raise NotReadyError(self.checker.violations[0].text)
             finally:
-                self._clean_up()
+                self.clean_up()
         return self.rows
 
     async def _places(self) -> None:
         self.service = ListService(self.loop, self.manners)
-        await self._build(start=False)
+        await self.build(start=False)
         for node in self.nodes:
             node.agent.on_request = self.service.receive_call
 
-    def _known_list(self, node: Node) -> dict:
+    def known_list(self, node: Node) -> dict:
+        """Nothing: what a start costs without a cached list is what the waves measure."""
         return {}
 
     # ---- the waves
@@ -195,7 +196,7 @@
         mark = self.wave.marks[node.name]
         if mark.ready_s >= 0:
             return
-        for line in node.program.news():
+        for line in node.program.new_lines():
             at, _, rest = line.partition(" ")
             if " start listening on " in line:
                 mark.up_s = float(at) - self.wave.begun_s
--- a/zincstile/testbed/testbed.py
+++ b/zincstile/testbed/testbed.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable, Coroutine
 from dataclasses import replace
 from pathlib import Path
-from typing import Any
+from typing import Any, Final
 
 from ..checkers.checker import Checker
 from ..checkers.rules import Rule
@@ -29,15 +29,15 @@
 from .members import Backend, Node
 from .probe import Probe, TimeSeries
 
-MS = 1_000_000
-SLACK_NS = 1500 * MS  # of what has to be done in time, on a machine that does all at once
-NEAR_SLACK_NS = 400 * MS  # of what is a fraction of a second by itself
-LOOK_S = 0.02  # between two looks at a condition
-RACKS = 3  # that the backends stand in
+MS: Final = 1_000_000  # nanoseconds
+SLACK_NS: Final = 1500 * MS  # of what has to be done in time, on a machine that does all at once
+NEAR_SLACK_NS: Final = 400 * MS  # of what is a fraction of a second by itself
+POLL_S: Final = 0.02  # between two checks of a condition
+RACKS: Final = 3  # that the backends stand in
 
 
 class Testbed:
-    """The state of one run, with real processes. `features`: files that every gateway is told of, by name."""
+    """The state of one run, with real processes. `features`: files in every gateway's settings, by name."""
 
     # Made when the run begins:
     loop: asyncio.AbstractEventLoop
@@ -94,45 +94,52 @@
         self.quota_services: dict[int, tuple[QuotaService, FaultProxy]] = {}
         self.events: list[tuple[float, str]] = []
         self.names = [f"g{k}" for k in range(plan.gateways)]
-        self._backends_made = 0
+        self.backends_made = 0
         self._tasks: dict[asyncio.Task, None] = {}
-        self._active_troubles: dict[Any, Any] = {}  # what takes away the troubles that faults laid
+        self._active_faults: dict[Any, Any] = {}  # by key: what removes it
         kinds = {f.kind for f in plan.faults}
         upgraded = [n for f in plan.faults if f.kind == "upgrade" for n in f.who]
-        self._upgraded = {n % plan.gateways for n in upgraded}  # the platform holds their listening sockets
-        self._operated = bool(kinds & {"upgrade", "maintenance"})  # gateways have a control endpoint
-        self._shimmed = bool(kinds & {*SHIM, "skew"})  # their processes run under the shim
-        self._first_start_s = 0.0
-        self.ending = False  # every process is told to end
-
-    def _on_loop_error(self, _: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
+        self.upgraded_gateways = {
+            n % plan.gateways for n in upgraded
+        }  # the platform holds their listening sockets
+        self.has_admin_endpoint = bool(kinds & {"upgrade", "maintenance"})  # gateways have a control endpoint
+        self.uses_shim = bool(kinds & {*SHIM, "skew"})  # their processes run under the shim
+        self.first_start_s = 0.0
+        self.ending = False  # every process has been asked to end
+
+    def report_loop_error(self, _: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
         """An error of the testbed itself: a run that has one proves nothing."""
         err = context.get("exception")
         self.checker.report_violation(
             Rule.PROGRESS, f"the field: {type(err).__name__}: {err} ({context.get('message')})"
         )
 
-    async def _wait_for(self, condition: Callable[[], Any], seconds: float) -> bool:
+    async def wait_for(self, condition: Callable[[], Any], seconds: float) -> bool:
         """True once the condition holds, False where it does not within the time."""
         until = time.monotonic() + seconds
         while not condition():
             if time.monotonic() > until:
                 return False
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_S)
         return True
 
-    def _spawn(self, coro: Coroutine) -> None:
+    def spawn(self, coro: Coroutine) -> None:
         """Runs a coroutine beside everything else; what is left of it at the end of the run is cancelled."""
         task = self.loop.create_task(coro)
         self._tasks[task] = None
         task.add_done_callback(lambda done: self._tasks.pop(done, None))
 
-    def _set_trouble(self, key: Any, pairs: Any, trouble: PathFault, on: bool) -> None:
-        """Lays a trouble on ways under this key, or takes away the one that lies there."""
-        if key in self._active_troubles:
-            self._active_troubles.pop(key)()
+    def cancel_tasks(self) -> None:
+        """Cancels every coroutine of `spawn` that has not ended."""
+        for task in list(self._tasks):
+            task.cancel()
+
+    def set_network_fault(self, key: Any, pairs: Any, fault: PathFault, on: bool) -> None:
+        """Injects a fault on paths under this key, or removes the one that is there."""
+        if key in self._active_faults:
+            self._active_faults.pop(key)()
         if on:
-            self._active_troubles[key] = self.links.inject(pairs, trouble)
+            self._active_faults[key] = self.links.inject(pairs, fault)
 
     def after(self, ms: float, then: Callable[..., Any], *args: object) -> None:
         """Calls `then` that many milliseconds from now."""
@@ -141,5 +148,6 @@
     def note(self, what: str, where: str) -> None:
         """Nothing is recorded step by step: real processes have no steps that are ours."""
 
-    def _weigh_gateways(self, want: PlannedRequest, names: list[str]) -> list[float]:
+    def weigh_gateways(self, want: PlannedRequest, names: list[str]) -> list[float]:
+        """How likely a client asks each of these gateways for this request."""
         return traffic.weigh(self, want, names)  # type: ignore[arg-type]
