--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -19,7 +19,16 @@
 from zincstile.scale import day, estimate, outcome, plan, report, topology
 from zincstile.scale.outcome import Check
 from zincstile.scale.records import Kind
-from zincstile.scale.verdicts import Change, ColdBudgets, Life, Seen, Use, cold_allowance, in_force, peak
+from zincstile.scale.verdicts import (
+    Change,
+    ColdBudgets,
+    Incarnation,
+    Seen,
+    Use,
+    cold_allowance,
+    in_force,
+    peak,
+)
 
 ROOT = Path(__file__).parent.parent
 TARGET = ROOT / "deploy" / "scale" / "target.yaml"
@@ -128,15 +137,15 @@
     assert [row.name for row in result.gateways if row.never] == [f"g{CUT}"]
     last = one.discovery.changes[-1].index
     others = [m for m in one.gateways.members if m.number != CUT]
-    assert all(m.lives[-1].seen[-1].index == last for m in others)
+    assert all(m.incarnations[-1].seen[-1].index == last for m in others)
     assert result.complete and not result.ok and result.changes > 3 * 8 + 2 * 10
 
 
 def test_after_a_second_watch_what_a_gateway_has_in_force_is_still_known(played):
     one, result = played
     assert one.discovery.watches_opened[AGAIN] > 1
-    life = one.gateways.members[AGAIN].lives[-1]
-    assert life.seen[-1].index == one.discovery.changes[-1].index
+    incarnation = one.gateways.members[AGAIN].incarnations[-1]
+    assert incarnation.seen[-1].index == one.discovery.changes[-1].index
     assert next(row for row in result.gateways if row.name == f"g{AGAIN}").never == 0
 
 
@@ -279,21 +288,23 @@
     split = data.draw(st.integers(0, len(times)))
     middle = times[split] if split < len(times) else 100.0
     seen = [Seen(at, index) for at, index in zip(times, indexes, strict=True)]
-    lives = [Life(0.0, middle, seen[:split]), Life(middle, inf, seen[split:])]
+    incarnations = [Incarnation(0.0, middle, seen[:split]), Incarnation(middle, inf, seen[split:])]
     within_s, end_s = data.draw(st.floats(0.1, 10)), data.draw(st.floats(0, 60))
-    found = in_force(changes, lives, within_s, end_s)
+    found = in_force(changes, incarnations, within_s, end_s)
     delays, late, never, undecided = [], 0, 0, 0
-    for life in lives:
-        before = [c for c in changes if c.at_s < life.up_s][-1:]
-        for change in before + [c for c in changes if life.up_s <= c.at_s < min(life.down_s, end_s)]:
-            if change.at_s >= min(life.down_s, end_s):
+    for incarnation in incarnations:
+        before = [c for c in changes if c.at_s < incarnation.up_s][-1:]
+        for change in before + [
+            c for c in changes if incarnation.up_s <= c.at_s < min(incarnation.down_s, end_s)
+        ]:
+            if change.at_s >= min(incarnation.down_s, end_s):
                 continue
-            since_s = max(change.at_s, life.up_s)
-            first = next((s.at_s for s in life.seen if s.index >= change.index), None)
+            since_s = max(change.at_s, incarnation.up_s)
+            first = next((s.at_s for s in incarnation.seen if s.index >= change.index), None)
             if first is not None:
                 delays.append(max(0.0, first - since_s))
                 late += delays[-1] > within_s
-            elif min(life.down_s, end_s) <= since_s + within_s:
+            elif min(incarnation.down_s, end_s) <= since_s + within_s:
                 undecided += 1
             else:
                 never += 1
@@ -308,7 +319,7 @@
     times = sums(gaps)
     uses = [Use(at, c, round(1000 * c), 5.0 + k) for k, (at, c) in enumerate(zip(times, cpu, strict=True))]
     window_s = data.draw(st.floats(0.5, 20))
-    found = peak([Life(0.0, inf, [], uses)], window_s)
+    found = peak([Incarnation(0.0, inf, [], uses)], window_s)
     if len(uses) < 2:
         assert found.cpu_share == found.seconds == 0
         return
--- a/zincstile/cli/scale_run.py
+++ b/zincstile/cli/scale_run.py
@@ -26,7 +26,7 @@
     "features",
     multiple=True,
     metavar="NAME=FILE",
-    help="A file under deploy/ that every gateway is told of.",
+    help="A file under deploy/ that every gateway is configured with.",
 )
 @click.option("--out", type=click.Path(dir_okay=False), help="Write the result as JSON.")
 @click.option("--keep", type=click.Path(file_okay=False), help="Keep configurations and logs in this folder.")
@@ -49,7 +49,7 @@
     try:
         plan, result = prepare(chosen, path, plan_path, factor, features)
         if out is not None:
-            outcome.write(result, out)  # a path that can't be written is told now
+            outcome.write(result, out)  # a path that can't be written is reported now
     except FileError as err:
         raise BadInputError(str(err)) from None
     with tempfile.TemporaryDirectory(prefix="zincstile-day-", ignore_cleanup_errors=True) as scratch:
@@ -85,7 +85,7 @@
 
     plan = plans.load(plan_path, chosen)
     tree = slopes.this_tree()
-    named = [slopes.feature(word, [tree]) for word in features]
+    named = [slopes.feature(text, [tree]) for text in features]
     needed = estimate.estimate(chosen, plan)
     why = estimate.refused(needed)
     if why is not None:
--- a/zincstile/cli/scale_slopes.py
+++ b/zincstile/cli/scale_slopes.py
@@ -41,7 +41,7 @@
 @click.option("--stroke", is_flag=True, hidden=True)  # the former name of --mass-failure
 @click.option("--out", required=True, type=click.Path(dir_okay=False), help="The samples, as JSON.")
 @click.option("--charts", type=click.Path(file_okay=False), help="Write charts into this folder.")
-def command(path: str, out: str, charts: str | None, **words) -> int:
+def command(path: str, out: str, charts: str | None, **options) -> int:
     """Measures memory, processor time, traffic and delays of gateways, one dimension at a time.
 
     Exit 1 where some points gave no sample. Interrupted, it keeps what it measured."""
@@ -49,9 +49,11 @@
     from ..scale import records, slopes
 
     try:
-        settings = read(path, **words)
+        settings = read(path, **options)
         result = slopes.describe(settings)
-        records.write(result, out)  # before anything is measured: a path that can't be written is told now
+        records.write(
+            result, out
+        )  # before anything is measured: a path that can't be written is reported now
     except FileError as err:
         raise BadInputError(str(err)) from None
     began, interrupted = time.monotonic(), False
@@ -95,7 +97,7 @@
     mass_failure: bool,
     stroke: bool,
 ):
-    """The command's words as settings. FileError, or BadInputError, where they can't be used."""
+    """The command's options as settings. FileError, or BadInputError, where they can't be used."""
     from ..scale import slopes, topology
     from ..scale.records import Kind
 
--- a/zincstile/scale/capacity_costs.py
+++ b/zincstile/scale/capacity_costs.py
@@ -56,9 +56,10 @@
 
 
 def reload_cost(measured: Measured, topology: Topology) -> Amount:
-    """Processor time of one change of the configuration, told by SIGHUP: discovery is found elsewhere, and
-    the whole list is read again. It was measured with the table that was held; what a larger one adds is
-    taken to be what it adds to a start, until it takes clients."""
+    """Processor time of one change of the configuration, announced by SIGHUP.
+
+    Discovery is found elsewhere then, and the whole list is read again. It was measured with the table that
+    was held; what a larger one adds is taken to be what it adds to a start, until it takes clients."""
     per_s = topology.churn_per_day.configuration_changes / DAY_S
     found = measured.predict(Dimension.CONFIG_CHANGES_PER_S, Figure.CPU_PER_CHANGE_S, per_s)
     held = measured.held(Dimension.CONFIG_CHANGES_PER_S, Dimension.BACKENDS)
--- a/zincstile/scale/crowd.py
+++ b/zincstile/scale/crowd.py
@@ -20,7 +20,7 @@
 from .records import Kind
 from .subjects import HOLLOW_PROCESS
 from .topology import Topology
-from .verdicts import Life, Seen, Use
+from .verdicts import Incarnation, Seen, Use
 
 NS: Final = 1e-9
 GATEWAYS_OF_BLOCK: Final = places.MOST
@@ -66,12 +66,12 @@
         """Its process is no more: what it logged last is taken in, and its gateways can't be reached."""
         self.read(sent_indexes, watches_opened)
         for member in self.members:
-            if member.life is not None:
-                member.life.down_s = at_s
+            if member.incarnation is not None:
+                member.incarnation.down_s = at_s
 
     def ask_counters(self) -> None:
         """Has every gateway print its counters; not before all know their signals."""
-        if self.alive and all(member.life is not None for member in self.members):
+        if self.alive and all(member.incarnation is not None for member in self.members):
             self.program.signal(signal.SIGUSR1)
 
     # ---- its log and what it used
@@ -99,7 +99,7 @@
         elif event == "thread":
             member.thread = json.loads(rest)["tid"]
         elif event == "start":
-            member.lives.append(Life(float(time)))
+            member.incarnations.append(Incarnation(float(time)))
         elif event == "ready":
             member.ready = True
         elif event == "fault":
@@ -111,8 +111,8 @@
     def _counted(self, member: Member, at_s: float, counters: dict[str, Any], indexes: list[int]) -> None:
         member.counters = counters
         taken = min(counters["tables"], len(indexes))
-        if taken and member.life is not None:
-            member.life.seen.append(Seen(at_s, indexes[taken - 1]))
+        if taken and member.incarnation is not None:
+            member.incarnation.seen.append(Seen(at_s, indexes[taken - 1]))
 
     def memory_bytes(self) -> float:
         """Resident memory of one gateway: of a hollow one, what its process held before the first, and the
@@ -135,8 +135,8 @@
         memory = self.memory_bytes()
         for member in self.members:
             used = self.cpu_s(member)
-            if member.life is not None and used is not None:
-                member.life.uses.append(Use(at_s, used, control_bytes[member.number], memory))
+            if member.incarnation is not None and used is not None:
+                member.incarnation.uses.append(Use(at_s, used, control_bytes[member.number], memory))
 
 
 def _thread_ns(pid: int, thread: int | str) -> int:
--- a/zincstile/scale/day.py
+++ b/zincstile/scale/day.py
@@ -281,7 +281,7 @@
         gateways.faults += [
             f"{member.name} was started and does not listen"
             for member in gateways.members
-            if member.life is None
+            if member.incarnation is None
         ]
         until_s = self.loop.time() + ANSWER_TIMEOUT_S
         while not all(_has_reported(m, since_s) for m in gateways.members) and self.loop.time() < until_s:
@@ -351,8 +351,8 @@
 
 def _has_reported(member: Member, since_s: float) -> bool:
     """The gateway has shown what it has in force since then; or it is down, or nothing was sent to it yet."""
-    life = member.life
-    return life is None or not life.seen or life.seen[-1].at_s >= since_s
+    incarnation = member.incarnation
+    return incarnation is None or not incarnation.seen or incarnation.seen[-1].at_s >= since_s
 
 
 def _raise_errors(done: list[asyncio.Task]) -> None:
--- a/zincstile/scale/day_probes.py
+++ b/zincstile/scale/day_probes.py
@@ -9,7 +9,7 @@
 from . import load
 from .members import Member
 from .surroundings import DayDiscovery
-from .verdicts import Life, Seen
+from .verdicts import Incarnation, Seen
 
 
 class InForceProbes:
@@ -30,18 +30,18 @@
     def start(self, member: Member) -> None:
         """Begins a probe, unless one is under way or the gateway is down."""
         index = self._discovery.passed_on(member.number)
-        life = member.life
-        if index is None or life is None or member.number in self._tasks:
+        incarnation = member.incarnation
+        if index is None or incarnation is None or member.number in self._tasks:
             return
-        task = asyncio.get_running_loop().create_task(_probe(member, life, index))
+        task = asyncio.get_running_loop().create_task(_probe(member, incarnation, index))
         self._tasks[member.number] = task
         task.add_done_callback(lambda _: self._tasks.pop(member.number))
 
 
-async def _probe(member: Member, life: Life, index: int) -> None:
+async def _probe(member: Member, incarnation: Incarnation, index: int) -> None:
     """Once its second PING is answered, a gateway has in force all that was sent to it before the first."""
     clients = load.Clients(*member.listen)
     with contextlib.suppress(load.UnreachableError):
         await clients.behind()
-        life.seen.append(Seen(time.time(), index))
+        incarnation.seen.append(Seen(time.time(), index))
     clients.close()
--- a/zincstile/scale/fits.py
+++ b/zincstile/scale/fits.py
@@ -3,11 +3,12 @@
 Each law is `intercept + slope * basis(size)`, fitted by weighted least squares. The weights are those of
 relative noise (80 MB is measured as well as 20 MB, in percent), with a floor for figures near nought.
 
-Which law is told is decided by AICc (Akaike's criterion, corrected for few samples) on these residuals: it
+Which law is named is decided by AICc (Akaike's criterion, corrected for few samples) on these residuals: it
 compares laws that are not nested, and charges the exponent of the power law as a parameter. Laws within
-`INDISTINCT` of the least are not told apart by the samples (Burnham and Anderson's rule of thumb); of those
-the first in the order constant, linear, logarithmic, power is taken: no growth is told that the samples don't
-show, and where growth is sure and its form is not, a plan has to count on the more expensive line.
+`INDISTINCT` of the least are not distinguished by the samples (Burnham and Anderson's rule of thumb); of
+those the first in the order constant, linear, logarithmic, power is taken: no growth is claimed that the
+samples don't show, and where growth is sure and its form is not, a plan has to count on the more expensive
+line.
 """
 
 from __future__ import annotations
@@ -29,7 +30,7 @@
 
 
 class FitError(ValueError):
-    """The samples can't carry a fit; the text says why."""
+    """The samples can't carry a fit; the text names the reason."""
 
 
 class Law(Enum):
--- a/zincstile/scale/hollow_process.py
+++ b/zincstile/scale/hollow_process.py
@@ -26,9 +26,9 @@
     return 0
 
 
-def say(name: str, word: str, **figures: int) -> None:
+def log_event(name: str, event: str, **figures: int) -> None:
     """A line as the gateways' logs have them."""
-    sys.stderr.write(f"0 {name} {word} {json.dumps(figures)}\n")
+    sys.stderr.write(f"0 {name} {event} {json.dumps(figures)}\n")
     sys.stderr.flush()
 
 
@@ -68,14 +68,14 @@
             gateway = Gateway(host.reload_config(), loop, host)
             gc.freeze()  # as the program itself does
             gateways.append((gateway, loop))
-            say(gateway.config.name, "thread", tid=threading.get_native_id())
+            log_event(gateway.config.name, "thread", tid=threading.get_native_id())
             started.set()
             await gateway.lifecycle.run()
 
         loop.run_until_complete(run())
 
     gc.collect()
-    say("hollow", "baseline", resident_bytes=resident_bytes())
+    log_event("hollow", "baseline", resident_bytes=resident_bytes())
     for path in paths:
         started = threading.Event()
         threading.Thread(target=serve, args=(path, started), daemon=True).start()
--- a/zincstile/scale/judge.py
+++ b/zincstile/scale/judge.py
@@ -75,7 +75,9 @@
     """Each gateway's delays and use."""
     within = evidence.budgets.in_force_s
     return [
-        GatewaySeen(m, in_force(evidence.changes, m.lives, within, evidence.end_s), peak(m.lives))
+        GatewaySeen(
+            m, in_force(evidence.changes, m.incarnations, within, evidence.end_s), peak(m.incarnations)
+        )
         for m in evidence.members
     ]
 
@@ -274,7 +276,7 @@
 def _delay_row(evidence: Evidence, name: str, kind: Kind, changes: list[Change]) -> DelayRow:
     found = Delays()
     for member in (m for m in evidence.members if m.kind is kind):
-        one = in_force(changes, member.lives, evidence.budgets.in_force_s, evidence.end_s)
+        one = in_force(changes, member.incarnations, evidence.budgets.in_force_s, evidence.end_s)
         found.delays_s += one.delays_s
         found.late, found.never = found.late + one.late, found.never + one.never
     delays = sorted(found.delays_s)
--- a/zincstile/scale/load.py
+++ b/zincstile/scale/load.py
@@ -42,7 +42,7 @@
         """Nothing is sent before the connection is made."""
         self.transport: asyncio.Transport | None = None
         self.pending: deque[asyncio.Future[object]] = deque()
-        self.shut = False
+        self.closed = False
         self._replies = codec.ReplyParser()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -65,7 +65,7 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Fails the commands that still wait."""
-        self.shut = True
+        self.closed = True
         for future in self.pending:
             if not future.done():
                 future.set_exception(ConnectionResetError("the gateway closed the connection"))
@@ -84,7 +84,7 @@
     async def _connection(self) -> Connection:
         while self._idle:
             connection = self._idle.pop()
-            if not connection.shut:
+            if not connection.closed:
                 return connection
         loop = asyncio.get_running_loop()
         return (await loop.create_connection(Connection, self.host, self.port))[1]
--- a/zincstile/scale/members.py
+++ b/zincstile/scale/members.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from .records import Kind
-from .verdicts import Life
+from .verdicts import Incarnation
 
 
 def name_of(number: int) -> str:
@@ -29,7 +29,7 @@
     starts: int = 0
     ready: bool = False  # it has the endpoint table
     thread: int = 0  # of a hollow gateway
-    lives: list[Life] = field(default_factory=list)
+    incarnations: list[Incarnation] = field(default_factory=list)
     counters: dict[str, Any] = field(default_factory=dict)  # as last printed by its present process
 
     @property
@@ -38,6 +38,6 @@
         return name_of(self.number)
 
     @property
-    def life(self) -> Life | None:
+    def incarnation(self) -> Incarnation | None:
         """Its present process, where that listens."""
-        return self.lives[-1] if self.lives and self.lives[-1].down_s == inf else None
+        return self.incarnations[-1] if self.incarnations and self.incarnations[-1].down_s == inf else None
--- a/zincstile/scale/slopes.py
+++ b/zincstile/scale/slopes.py
@@ -102,8 +102,8 @@
 
 def feature(text: str, programs: list[Program]) -> Feature:
     """`[LABEL:]NAME=FILE`. FileError where a tree that it is for has no such file."""
-    word, equals, path = text.partition("=")
-    label, colon, name = word.rpartition(":")
+    label_and_name, equals, path = text.partition("=")
+    label, colon, name = label_and_name.rpartition(":")
     if not equals or not name or not path:
         raise FileError(f"--feature {text}: not [LABEL:]NAME=FILE")
     chosen = [p for p in programs if not colon or p.label == label]
@@ -234,8 +234,8 @@
     return head + ("+" if changed else "")
 
 
-def _git(tree: Path, *words: str) -> str:
-    done = subprocess.run(["git", "-C", str(tree), *words], check=True, capture_output=True, text=True)
+def _git(tree: Path, *arguments: str) -> str:
+    done = subprocess.run(["git", "-C", str(tree), *arguments], check=True, capture_output=True, text=True)
     return done.stdout.strip()
 
 
--- a/zincstile/scale/verdicts.py
+++ b/zincstile/scale/verdicts.py
@@ -39,7 +39,7 @@
 
 
 @dataclass
-class Life:
+class Incarnation:
     """One process of a gateway: from when it could be reached until it was ended."""
 
     up_s: float
@@ -64,20 +64,22 @@
         return inf if self.never else max(self.delays_s, default=0.0)
 
 
-def in_force(changes: list[Change], lives: Iterable[Life], within_s: float, end_s: float) -> Delays:
+def in_force(
+    changes: list[Change], incarnations: Iterable[Incarnation], within_s: float, end_s: float
+) -> Delays:
     """What became of each change at one gateway. A change before a process could be reached is due from when
     it could be; all such changes come by one whole list, so that the last of them stands for all."""
     found = Delays()
     times = [change.at_s for change in changes]
-    for life in lives:
-        first = bisect_left(times, life.up_s)
-        last = bisect_left(times, min(life.down_s, end_s))
-        seen = deque(life.seen)
+    for incarnation in incarnations:
+        first = bisect_left(times, incarnation.up_s)
+        last = bisect_left(times, min(incarnation.down_s, end_s))
+        seen = deque(incarnation.seen)
         for change in changes[max(0, first - 1) : last]:
-            since_s = max(change.at_s, life.up_s)
+            since_s = max(change.at_s, incarnation.up_s)
             while seen and seen[0].index < change.index:
                 seen.popleft()
-            _judge(found, change, since_s, seen[0] if seen else None, life, within_s, end_s)
+            _judge(found, change, since_s, seen[0] if seen else None, incarnation, within_s, end_s)
     return found
 
 
@@ -86,7 +88,7 @@
     change: Change,
     since_s: float,
     seen: Seen | None,
-    life: Life,
+    incarnation: Incarnation,
     within_s: float,
     end_s: float,
 ) -> None:
@@ -96,7 +98,7 @@
         if delay <= within_s:
             return
         found.late += 1
-    elif min(life.down_s, end_s) <= since_s + within_s:
+    elif min(incarnation.down_s, end_s) <= since_s + within_s:
         found.undecided += 1
         return
     else:
@@ -115,11 +117,11 @@
     seconds: float = 0.0
 
 
-def peak(lives: Iterable[Life], window_s: float = WINDOW_S) -> Peak:
+def peak(incarnations: Iterable[Incarnation], window_s: float = WINDOW_S) -> Peak:
     """Over all windows of at least that length; over the whole of a process that lived for less."""
     found = Peak()
-    for life in lives:
-        uses = life.uses
+    for incarnation in incarnations:
+        uses = incarnation.uses
         found.memory_bytes = max([found.memory_bytes, *(use.memory_bytes for use in uses)])
         for first, last in _windows(uses, window_s):
             seconds = last.at_s - first.at_s
