--- a/zincstile/scale/capacity_page.py
+++ b/zincstile/scale/capacity_page.py
@@ -31,7 +31,9 @@
 AT_REST: Final = (Figure.MEMORY_BYTES, Figure.CPU_REST_SHARE)
 IN_FORCE: Final = (Figure.IN_FORCE_P99_S, Figure.IN_FORCE_LAST_S)
 MASS_FAILURE: Final = (Figure.MASS_FAILURE_IN_FORCE_S, Figure.MASS_FAILURE_SERVED_SHARE)
-CHANGE, MESSAGE, REQUEST = Figure.CPU_PER_CHANGE_S, Figure.CPU_PER_MESSAGE_S, Figure.CPU_PER_REQUEST_S
+CHANGE: Final = Figure.CPU_PER_CHANGE_S
+MESSAGE: Final = Figure.CPU_PER_MESSAGE_S
+REQUEST: Final = Figure.CPU_PER_REQUEST_S
 SHOWN: Final = {  # the laws that the tables stand on
     Dimension.BACKENDS: (
         *AT_REST,
--- a/zincstile/scale/emulators.py
+++ b/zincstile/scale/emulators.py
@@ -26,9 +26,11 @@
 from ..testbed.places import on_loopback
 from .topology import Topology, shares
 
-BACKENDS_NETWORK, PEERS_NETWORK, DISCOVERY_NETWORK = 120, 130, 140  # second byte of 127.x.x.x
+BACKENDS_NETWORK: Final = 120  # second byte of 127.x.x.x, as of the next two
+PEERS_NETWORK: Final = 130
+DISCOVERY_NETWORK: Final = 140  # and 141: the second address of discovery
 ANSWER_AFTER_S: Final = 0.005  # a backend's service time
-TAKEN: Final = 256  # datagrams taken in one go
+MAX_DATAGRAMS_READ: Final = 256  # in one go
 DATAGRAM_BYTES: Final = 2048
 RECEIVE_BUFFER_BYTES: Final = 4 << 20
 SHARES_IN_DATAGRAM: Final = (
@@ -337,7 +339,7 @@
         return self._starts.setdefault(peer, self._rng.getrandbits(32))
 
     def _read(self) -> None:
-        for _ in range(TAKEN):
+        for _ in range(MAX_DATAGRAMS_READ):
             try:
                 data, control, _, sender = self._sock.recvmsg(DATAGRAM_BYTES, 64)
             except OSError:  # nothing left; or a gateway that has ended
--- a/zincstile/scale/point.py
+++ b/zincstile/scale/point.py
@@ -35,7 +35,8 @@
 )
 MESSAGES_PER_S: Final = 24.0  # messages of peers where their number is not what is varied
 LEAST_SERVED: Final = 0.8  # of the requests: else their cost is that of rejections
-HIGHEST_US, DIGITS = 60_000_000, 3  # of the histogram of delays
+MAX_DELAY_US: Final = 60_000_000  # of the histogram; longer delays count as this
+SIGNIFICANT_DIGITS: Final = 3  # of the histogram of delays
 
 
 @dataclass(frozen=True)
@@ -340,9 +341,9 @@
     def _delays(self) -> None:
         if not self.delays:
             return
-        histogram = HdrHistogram(1, HIGHEST_US, DIGITS)
+        histogram = HdrHistogram(1, MAX_DELAY_US, SIGNIFICANT_DIGITS)
         for delay in self.delays:
-            histogram.record_value(max(1, min(HIGHEST_US, int(delay * 1e6))))
+            histogram.record_value(max(1, min(MAX_DELAY_US, int(delay * 1e6))))
         self._set(Figure.IN_FORCE_P50_S, histogram.get_value_at_percentile(50.0) / 1e6)
         self._set(Figure.IN_FORCE_P99_S, histogram.get_value_at_percentile(99.0) / 1e6)
         self._set(Figure.IN_FORCE_LAST_S, max(self.delays))
