--- a/zincstile/scale/day.py
+++ b/zincstile/scale/day.py
@@ -252,7 +252,7 @@
         self._machine.append(core_times())
         now = time.monotonic_ns()
         self.checker.check_due(now)
-        self.probe.came.clear()
+        self.probe.arrivals.clear()
         self._forget_requests(now - int(FORGET_S * 1e9))
         used = self.gateways.resident_bytes() + resident_bytes()
         self.result.measured_bytes = max(self.result.measured_bytes, used)
--- a/zincstile/testbed/probe.py
+++ b/zincstile/testbed/probe.py
@@ -1,7 +1,7 @@
 """What the checkers and the charts observe of a run with real processes.
 
-Attempts are seen when their bytes reach the field's side of a connection, before anything that a plan
-laid on the way: what a gateway let out is counted when it let it out. All clocks are this machine's
+Attempts are seen when their bytes reach the testbed's side of a connection, before the faults of a plan
+delay them: what a gateway sent is counted when it sent it. All clocks are this machine's
 monotonic one.
 """
 
@@ -11,14 +11,14 @@
 import time
 from collections.abc import Callable
 from dataclasses import dataclass, field
-from typing import Any
+from typing import Any, Final
 
 from ..checkers.checker import Checker
 from ..emulators import codec
 from ..emulators.observer import Observer
 
-TICK_NS = 5_000_000
-CATCH_UP_NS = 1_000_000_000  # behind a delay, what is read may be of its time
+TICK_NS: Final = 5_000_000  # between two looks at the own loop's delay
+CATCH_UP_NS: Final = 1_000_000_000  # after a delay, what is read may have come during it
 KINDS = ("served", "denied", "failed", "unreached")
 FIGURES = (
     "level",
@@ -76,7 +76,7 @@
         self.died_as_planned: Callable[[str], bool] = lambda gateway: False
         self._ticked_ns = time.monotonic_ns()
         self._delay_ns = self._delayed_until_ns = 0
-        self.came: list[tuple[float, str, int]] = []  # when, at which box, work in ns
+        self.arrivals: list[tuple[float, str, int]] = []  # time, backend, work in ns
 
     def watch_own_delay(self, loop: asyncio.AbstractEventLoop) -> None:
         """From now on it is known how long the testbed's own loop was held up."""
@@ -92,36 +92,36 @@
         what came meanwhile: no gateway is to blame."""
         return max(self._delay_ns, time.monotonic_ns() - self._ticked_ns - 2 * TICK_NS)
 
-    def _whose(self, gateway: str, request: bytes) -> str:
-        """Where a box has one address for all, a gateway is known by the request that it was asked."""
-        case = self.checker.histories.get(request) if gateway == "?" else None
-        return gateway if case is None else case.gateway
+    def _sender(self, gateway: str, request_id: bytes) -> str:
+        """The gateway; where a backend has one address for all, the one that received this request."""
+        history = self.checker.histories.get(request_id) if gateway == "?" else None
+        return gateway if history is None else history.gateway
 
     def _second(self) -> int:
         return int(time.monotonic() - self._began_s())
 
-    def request_sent(self, what: Any) -> None:
+    def request_sent(self, request: Any) -> None:
         """Counts what one all-seeing store would let in of it."""
         quotas = self.checker.quotas
         before = quotas.ideal if quotas else 0.0
-        self.checker.request_sent(what)
+        self.checker.request_sent(request)
         if quotas:
             second = self._second()
             self.series.best[second] = self.series.best.get(second, 0.0) + quotas.ideal - before
 
-    def request_answered(self, request: bytes, kind: str, value: bytes) -> None:
+    def request_answered(self, request_id: bytes, kind: str, value: bytes) -> None:
         """Counts the answer by its kind."""
-        self.series.answer(self._second(), self.checker.histories[request].gateway, kind)
-        self.checker.request_answered(request, kind, value)
-
-    def let_out(self, gateway: str, box: str, request: bytes, first_ns: int) -> Any:
-        """The head of an attempt has come."""
-        case = self.checker.histories.get(request)
-        gateway = self._whose(gateway, request)
-        if case is not None and not case.attempts:
+        self.series.answer(self._second(), self.checker.histories[request_id].gateway, kind)
+        self.checker.request_answered(request_id, kind, value)
+
+    def attempt_first_byte(self, gateway: str, backend: str, request_id: bytes, first_ns: int) -> Any:
+        """The head of an attempt has come; returns the checker's record of the attempt."""
+        history = self.checker.histories.get(request_id)
+        gateway = self._sender(gateway, request_id)
+        if history is not None and not history.attempts:
             key = self._second(), gateway
-            self.series.units[key] = self.series.units.get(key, 0.0) + case.units
-        return self.checker.attempt_started(gateway, box, request, first_ns)
+            self.series.units[key] = self.series.units.get(key, 0.0) + history.units
+        return self.checker.attempt_started(gateway, backend, request_id, first_ns)
 
     # what needs no more than the checker
 
@@ -129,86 +129,92 @@
         """A client received an answer to nothing, or one that can't be read."""
         self.checker.unexpected_answer(gateway, line, text)
 
-    def request_dropped(self, request: bytes) -> None:
+    def request_dropped(self, request_id: bytes) -> None:
         """Its connection was ended after it was read, without an answer."""
-        if self.died_as_planned(self.checker.histories[request].gateway):
-            self.checker.request_voided(request)
+        if self.died_as_planned(self.checker.histories[request_id].gateway):
+            self.checker.request_voided(request_id)
             return
-        self.checker.request_dropped(request)
+        self.checker.request_dropped(request_id)
 
-    def was_sent_on(self, request: bytes) -> bool:
-        """It has been sent on since it was asked: the gateway had read it, and owes its answer on the very
-        connection. Of one that is sent on later it can't be told between processes where it was read."""
-        case = self.checker.histories[request]
-        return case.attempted
+    def was_forwarded(self, request_id: bytes) -> bool:
+        """It was forwarded since it was sent: the gateway had read it, and owes its answer on the same
+        connection. Of one that is forwarded later it isn't known which process read it."""
+        history = self.checker.histories[request_id]
+        return history.attempted
 
-    def request_unread(self, request: bytes) -> None:
+    def request_unread(self, request_id: bytes) -> None:
         """Its connection was ended before it was read."""
-        self.checker.request_voided(request)
+        self.checker.request_voided(request_id)
 
-    def client_disconnected(self, request: bytes) -> None:
+    def client_disconnected(self, request_id: bytes) -> None:
         """The client closed the connection that it asked on, and waits no more."""
-        self.checker.client_disconnected(request)
+        self.checker.client_disconnected(request_id)
 
-    def request_voided(self, request: bytes) -> None:
+    def request_voided(self, request_id: bytes) -> None:
         """No answer is owed: the client left, the gateway died or the request was never read."""
-        self.checker.request_voided(request)
+        self.checker.request_voided(request_id)
 
-    def attempt_received(self, box: str, request: bytes, key: bytes, gateway: str, work_ns: int) -> None:
+    def attempt_received(
+        self, backend: str, request_id: bytes, key: bytes, gateway: str, work_ns: int
+    ) -> None:
         """A backend has read the attempt; `work_ns`: what it costs."""
-        self.came.append((time.monotonic(), box, work_ns))
-        self.checker.attempt_received(box, request, key, self._whose(gateway, request), work_ns)
+        self.arrivals.append((time.monotonic(), backend, work_ns))
+        self.checker.attempt_received(backend, request_id, key, self._sender(gateway, request_id), work_ns)
 
-    def attempt_rejected(self, box: str, request: bytes) -> None:
+    def attempt_rejected(self, backend: str, request_id: bytes) -> None:
         """A backend rejected the attempt."""
-        self.checker.attempt_rejected(box, request)
+        self.checker.attempt_rejected(backend, request_id)
 
-    def value_produced(self, box: str, request: bytes, value: bytes) -> None:
+    def value_produced(self, backend: str, request_id: bytes, value: bytes) -> None:
         """A backend has worked out the value."""
-        self.checker.value_produced(box, request, value)
+        self.checker.value_produced(backend, request_id, value)
 
     def protocol_violated(self, where: str, gateway: str, why: str) -> None:
         """A gateway sent an emulated service what the protocol does not allow."""
         self.checker.protocol_violated(where, gateway, why)
 
-    def endpoint_changed(self, box: str, status: str, since_ms: int) -> None:
+    def endpoint_changed(self, backend: str, status: str, since_ms: int) -> None:
         """The endpoint list changed."""
-        self.checker.endpoint_changed(box, status, since_ms)
+        self.checker.endpoint_changed(backend, status, since_ms)
 
-    def gateway_notified(self, gateway: str, box: str, status: str, since_ms: int) -> None:
+    def gateway_notified(self, gateway: str, backend: str, status: str, since_ms: int) -> None:
         """A gateway was sent the change."""
-        self.checker.gateway_notified(gateway, box, status, since_ms)
+        self.checker.gateway_notified(gateway, backend, status, since_ms)
 
 
 class CommandTap:
-    """Reads the commands of one connection as they come, before the way holds them back."""
+    """Reads the commands of one connection as they come, before the path delays them."""
 
-    __slots__ = ("probe", "gateway", "box", "_commands", "_first_ns", "_try", "_foreign")
+    __slots__ = ("probe", "gateway", "backend", "_commands", "_first_ns", "_attempt", "_malformed")
 
-    def __init__(self, probe: Probe, gateway: str, box: str) -> None:
-        """Takes who is told, and the names of both ends."""
+    def __init__(self, probe: Probe, gateway: str, backend: str) -> None:
+        """Takes the probe to notify, and the names of both ends."""
         self.probe = probe
         self.gateway = gateway
-        self.box = box
+        self.backend = backend
         self._commands = codec.CommandParser()
         self._first_ns = 0
-        self._try: Any = None
-        self._foreign = False  # the box tells of it
+        self._attempt: Any = None
+        self._malformed = False  # the backend reports it
 
     def feed(self, data: bytes) -> None:
-        """Reads on; tells of each attempt as soon as its head has come, and of its end."""
-        if self._foreign:
+        """Reads on; reports each attempt as soon as its head has come, and its end."""
+        if self._malformed:
             return
         if self._commands.idle:
             self._first_ns = time.monotonic_ns() - self.probe.delay_ns()
         try:
-            whole = self._commands.feed(data)
+            complete = self._commands.feed(data)
         except codec.ProtocolError:
-            self._foreign = True
+            self._malformed = True
             return
-        for words in whole or [self._commands.arguments]:
-            if self._try is None and len(words) > 2:
-                self._try = self.probe.let_out(self.gateway, self.box, words[2], self._first_ns)
-            if whole and self._try is not None:
-                self.probe.checker.attempt_complete(words[2], self._try, codec.forwarded_timeout_ms(words))
-                self._try = None
+        for arguments in complete or [self._commands.arguments]:
+            if self._attempt is None and len(arguments) > 2:
+                self._attempt = self.probe.attempt_first_byte(
+                    self.gateway, self.backend, arguments[2], self._first_ns
+                )
+            if complete and self._attempt is not None:
+                self.probe.checker.attempt_complete(
+                    arguments[2], self._attempt, codec.forwarded_timeout_ms(arguments)
+                )
+                self._attempt = None
--- a/zincstile/testbed/report.py
+++ b/zincstile/testbed/report.py
@@ -13,7 +13,7 @@
 from pygal.style import CleanStyle
 
 from ..serialization.errors import FileError
-from .result import BreachRow, FieldResult, GatewayRow
+from .result import BreachRow, GatewayRow, RunResult
 
 STYLE = CleanStyle(title_font_size=15, legend_font_size=11, label_font_size=11, major_label_font_size=11)
 PAGE = """<!doctype html><html lang="en"><meta charset="utf-8"><title>zincstile field report</title><style>
@@ -66,7 +66,7 @@
 class Charts:
     """The series of one run, added up in several ways."""
 
-    def __init__(self, result: FieldResult) -> None:
+    def __init__(self, result: RunResult) -> None:
         """Sorts the series of the result by second and gateway."""
         self.result = result
         self.zones = {row.name: row.zone for row in result.rows}
@@ -149,7 +149,7 @@
 ]
 
 
-def _gateway_rows(result: FieldResult) -> list[list[object]]:
+def _gateway_rows(result: RunResult) -> list[list[object]]:
     def count(row: GatewayRow, name: str) -> int:
         return int(row.counters.get(name, 0))
 
@@ -176,7 +176,7 @@
     return rows
 
 
-def one(result: FieldResult) -> str:
+def one(result: RunResult) -> str:
     """What there is to say of one run."""
     parts = [_head(result), *(_breach(breach) for breach in result.breaches)]
     if result.plans:
@@ -189,7 +189,7 @@
     return "".join(parts)
 
 
-def _head(result: FieldResult) -> str:
+def _head(result: RunResult) -> str:
     verdict = "every rule held" if result.ok else '<span class="bad">not every rule held</span>'
     return (
         f"<p>{html.escape(result.plan)}, seed {result.seed}, {result.gateways} gateways, {result.boxes} "
@@ -207,7 +207,7 @@
     )
 
 
-def _quotas(result: FieldResult) -> str:
+def _quotas(result: RunResult) -> str:
     heads = ["plan", "worst beyond a quota", "stated bound", "of it", "sent", "all-seeing store"]
     rows = [
         [p.plan, p.worst, p.bound, p.worst / p.bound if p.bound else 0.0, p.sent, p.best]
@@ -216,7 +216,7 @@
     return "<h2>Quotas over all gateways</h2>" + table(heads, rows)
 
 
-def _answers(result: FieldResult) -> str:
+def _answers(result: RunResult) -> str:
     return (
         "<h2>Answers</h2>"
         + table(["kind", "count"], [[k, n] for k, n in sorted(result.tally.items())])
@@ -225,7 +225,7 @@
     )
 
 
-FIGURES: dict[str, Callable[[FieldResult], float]] = {
+FIGURES: dict[str, Callable[[RunResult], float]] = {
     "served": lambda r: float(r.tally.get("served", 0)),
     "denied": lambda r: float(r.tally.get("denied", 0)),
     "failed": lambda r: float(r.tally.get("failed", 0)),
@@ -244,7 +244,7 @@
 }
 
 
-def page(results: list[tuple[str, FieldResult]]) -> str:
+def page(results: list[tuple[str, RunResult]]) -> str:
     """The HTML of one run, or of several side by side under a table that compares them."""
     title = "zincstile field: " + ", ".join(name for name, _ in results)
     if len(results) == 1:
@@ -257,7 +257,7 @@
     return PAGE.format(title=html.escape(title), body=compared + f'<div class="side">{columns}</div>')
 
 
-def write(results: list[tuple[str, FieldResult]], path: Path) -> None:
+def write(results: list[tuple[str, RunResult]], path: Path) -> None:
     """FileError where the page can't be written."""
     try:
         path.write_text(page(results), encoding="utf-8")
--- a/zincstile/testbed/result.py
+++ b/zincstile/testbed/result.py
@@ -3,13 +3,15 @@
 from __future__ import annotations
 
 from pathlib import Path
+from typing import Final
 
 import msgspec
 from hdrh.histogram import HdrHistogram
 
 from ..serialization import typed_json
 
-HIGHEST_US, DIGITS = 60_000_000, 3  # of the histogram of latencies
+HIGHEST_US: Final = 60_000_000  # the longest latency that the histogram of latencies tells apart
+DIGITS: Final = 3  # its precision
 
 
 class PlanRow(msgspec.Struct):
@@ -44,7 +46,7 @@
     history: list[str] = []
 
 
-class FieldResult(msgspec.Struct):
+class RunResult(msgspec.Struct):
     """One run. `ok`: every rule held, every process lived or ended as it was told to, all was answered."""
 
     plan: str
@@ -99,11 +101,11 @@
     }
 
 
-def write(result: FieldResult, path: str | Path) -> None:
+def write(result: RunResult, path: str | Path) -> None:
     """The result as JSON. FileError where the file can't be written."""
     typed_json.write(result, path)
 
 
-def read(path: str | Path) -> FieldResult:
+def read(path: str | Path) -> RunResult:
     """A result of `write`. FileError names file, place and reason."""
-    return typed_json.read(path, FieldResult, "a field run")
+    return typed_json.read(path, RunResult, "a field run")
--- a/zincstile/testbed/run.py
+++ b/zincstile/testbed/run.py
@@ -29,7 +29,7 @@
 from .members import Node
 from .operators import Operators
 from .programs import Program
-from .result import FieldResult
+from .result import RunResult
 from .shim_control import Knob, ShimControl
 from .summary import summary
 from .testbed import POLL_S
@@ -53,7 +53,7 @@
 class Run(EmulatedServices, GatewayProcesses, Operators):
     """`environment.Environment` with real processes: the run from its first process to its last."""
 
-    async def play(self) -> FieldResult:
+    async def play(self) -> RunResult:
         """NotReadyError where the gateways don't start; OSError where the machine gives no sockets."""
         self.loop = asyncio.get_running_loop()
         self.loop.set_exception_handler(self.report_loop_error)
@@ -127,7 +127,7 @@
             failure_detection_s=(0.3, 1.5),
         )
         front.weigh_gateways = self.weigh_gateways
-        front.was_read = lambda transport, request: self.probe.was_sent_on(request.sent.id)
+        front.was_read = lambda transport, request: self.probe.was_forwarded(request.sent.id)
         return front
 
     async def _wait_until_ready(self) -> None:
@@ -258,7 +258,7 @@
         node.shim.close()
 
 
-def play(plan: Plan, folder: Path, **options: Any) -> FieldResult:
+def play(plan: Plan, folder: Path, **options: Any) -> RunResult:
     """Play one run; `options`: those of `Testbed`. PlaceError where the system isn't Linux."""
     if sys.platform != "linux":
         raise places.PlaceError("field runs need Linux's loopback interface")
--- a/zincstile/testbed/start.py
+++ b/zincstile/testbed/start.py
@@ -1,5 +1,5 @@
-"""Cold starts of many real processes with a list service that has to be asked: when each is ready, and
-what the service has to bear.
+"""Cold starts of many real processes with a list service that has to be polled: when each is ready, and
+the load of the service.
 
 Readiness is read from each program's own log, so that the measure costs it nothing. Clocks are this
 machine's.
@@ -12,6 +12,7 @@
 import time
 from dataclasses import dataclass, field, replace
 from pathlib import Path
+from typing import Final
 
 import msgspec
 
@@ -22,8 +23,10 @@
 from .run import NotReadyError, Run
 
 WAVES = ("all", "tenths", "seven-in-ten", "outage", "down", "empty")
-TENTH_S, OUTAGE_S, KILLED = 1.0, 20.0, 0.7
-ANY_S = 0.1  # the span in which the most calls are counted
+TENTH_S: Final = 1.0  # between two tenths of the fleet
+OUTAGE_S: Final = 20.0  # for so long the list service is silent
+KILLED_RATIO: Final = 0.7  # of the fleet, in the wave of seven in ten
+COUNTED_SPAN_S: Final = 0.1  # the span in which the most calls are counted
 
 
 class StartRow(msgspec.Struct):
@@ -55,7 +58,7 @@
 
 
 @dataclass(slots=True)
-class Mark:
+class ProcessStart:
     """One process's start."""
 
     begun_s: float
@@ -69,7 +72,7 @@
     """Starts that belong together."""
 
     begun_s: float
-    marks: dict[str, Mark] = field(default_factory=dict)
+    starts: dict[str, ProcessStart] = field(default_factory=dict)
 
 
 class StartRun(Run):
@@ -79,13 +82,13 @@
         self,
         plan: Plan,
         folder: Path,
-        manners: ListServiceBehaviour,
+        behaviour: ListServiceBehaviour,
         patience_s: float = 60.0,
         features: dict[str, str] | None = None,
     ) -> None:
-        """`manners`: how the list service behaves."""
+        """`behaviour`: how the list service behaves."""
         super().__init__(plan, folder, "start", features)
-        self.manners = manners
+        self.behaviour = behaviour
         self.patience_s = patience_s
         self.rows: list[StartRow] = []
         self.wave: Wave | None = None
@@ -96,7 +99,7 @@
         self.loop.set_exception_handler(self.report_loop_error)
         with places.block() as self.block:
             try:
-                await self._places()
+                await self._build_services()
                 for name in names:
                     await getattr(self, "_" + name.replace("-", "_"))(name)
                 if self.checker.violations:
@@ -105,8 +108,8 @@
                 self.clean_up()
         return self.rows
 
-    async def _places(self) -> None:
-        self.service = ListService(self.loop, self.manners)
+    async def _build_services(self) -> None:
+        self.service = ListService(self.loop, self.behaviour)
         await self.build(start=False)
         for node in self.nodes:
             node.agent.on_request = self.service.receive_call
@@ -122,16 +125,16 @@
         for k, node in enumerate(nodes):
             if not at_once and k and k % max(1, len(nodes) // 10) == 0:
                 await asyncio.sleep(TENTH_S)
-            self._one(node)
+            self._start_one(node)
         await self._until_ready(nodes)
-        self._row(name, nodes)
+        self._add_row(name, nodes)
 
     def _begin(self) -> None:
         self.wave = Wave(time.time())
         self.service.reset_records()
 
-    def _one(self, node: Node) -> None:
-        self.wave.marks[node.name] = Mark(time.time())
+    def _start_one(self, node: Node) -> None:
+        self.wave.starts[node.name] = ProcessStart(time.time())
         self.start_gateway(node)
 
     def _kill(self, nodes: list[Node]) -> None:
@@ -147,14 +150,14 @@
         await self._start(self.nodes, name, at_once=False)
 
     async def _seven_in_ten(self, name: str) -> None:
-        chosen = self.rng.sample(self.nodes, int(len(self.nodes) * KILLED))
+        chosen = self.rng.sample(self.nodes, int(len(self.nodes) * KILLED_RATIO))
         self._kill(chosen)
         await self._start(chosen, name)
 
     async def _outage(self, name: str) -> None:
         """The service falls silent in the middle of the start."""
         self._kill(self.nodes)
-        middle_s = max(1.0, len(self.nodes) / self.manners.snapshots_per_s / 2)
+        middle_s = max(1.0, len(self.nodes) / self.behaviour.snapshots_per_s / 2)
         self.after(1000 * middle_s, self._silent, True)
         self.after(1000 * (middle_s + OUTAGE_S), self._silent, False)
         await self._start(self.nodes, name)
@@ -177,7 +180,7 @@
         await self._start(self.nodes, name)
 
     def _silent(self, silent: bool) -> None:
-        self.manners.silent = silent
+        self.behaviour.silent = silent
         if not silent:
             self.service.resume()
 
@@ -188,38 +191,38 @@
         while time.monotonic() < until:
             await asyncio.sleep(0.1)
             for node in nodes:
-                self._marks(node)
-            if all(self.wave.marks[s.name].ready_s >= 0 for s in nodes):
+                self._read_readiness(node)
+            if all(self.wave.starts[s.name].ready_s >= 0 for s in nodes):
                 return
 
-    def _marks(self, node: Node) -> None:
-        mark = self.wave.marks[node.name]
-        if mark.ready_s >= 0:
+    def _read_readiness(self, node: Node) -> None:
+        start = self.wave.starts[node.name]
+        if start.ready_s >= 0:
             return
         for line in node.program.new_lines():
             at, _, rest = line.partition(" ")
             if " start listening on " in line:
-                mark.up_s = float(at) - self.wave.begun_s
+                start.up_s = float(at) - self.wave.begun_s
                 node.program.up = True
             elif " ready with " in line:
-                mark.ready_s = float(at) - self.wave.begun_s
-                mark.cpu_ms = node.program.cpu_ms()
+                start.ready_s = float(at) - self.wave.begun_s
+                start.cpu_ms = node.program.cpu_ms()
             elif " fault " in line:
                 self.checker.report_fault(node.name, rest)
 
-    def _row(self, name: str, nodes: list[Node]) -> None:
-        marks = [self.wave.marks[s.name] for s in nodes]
-        ready = sorted(m.ready_s for m in marks if m.ready_s >= 0)
-        up = max((m.up_s for m in marks), default=0.0)
+    def _add_row(self, name: str, nodes: list[Node]) -> None:
+        starts = [self.wave.starts[s.name] for s in nodes]
+        ready = sorted(m.ready_s for m in starts if m.ready_s >= 0)
+        up = max((m.up_s for m in starts), default=0.0)
         service, count = self.service, len(nodes)
-        work = count / self.manners.snapshots_per_s + (OUTAGE_S if name in ("outage", "down") else 0.0)
+        work = count / self.behaviour.snapshots_per_s + (OUTAGE_S if name in ("outage", "down") else 0.0)
         memory = [s.program.memory_kb() / 1024 for s in nodes]
         self.rows.append(
             StartRow(
                 name,
                 count,
                 len(self.endpoint_list.entries),
-                self.manners.snapshots_per_s,
+                self.behaviour.snapshots_per_s,
                 round(up, 2),
                 round(_at(ready, count, 0.5), 2),
                 round(_at(ready, count, 0.99), 2),
@@ -228,11 +231,11 @@
                 round(work + up, 2),
                 round(service.counts.calls / count, 3),
                 max(service.calls_by_gateway.values(), default=0),
-                service.max_calls_within(ANY_S),
+                service.max_calls_within(COUNTED_SPAN_S),
                 service.counts.for_disconnected,
                 round(service.counts.bytes / 1e6, 2),
                 round(sorted(memory)[count // 2], 1),
-                round(sorted(m.cpu_ms for m in marks)[count // 2]),
+                round(sorted(m.cpu_ms for m in starts)[count // 2]),
             )
         )
 
@@ -246,14 +249,14 @@
 def play(
     plan: Plan,
     folder: Path,
-    manners: ListServiceBehaviour,
+    behaviour: ListServiceBehaviour,
     names: list[str],
     patience_s: float,
     features: dict[str, str] | None = None,
 ) -> list[StartRow]:
     """The waves, one after another."""
     signal.signal(signal.SIGUSR1, signal.SIG_IGN)
-    return asyncio.run(StartRun(plan, folder, manners, patience_s, features).waves(names))
+    return asyncio.run(StartRun(plan, folder, behaviour, patience_s, features).waves(names))
 
 
 def table(rows: list[StartRow]) -> str:
--- a/zincstile/testbed/summary.py
+++ b/zincstile/testbed/summary.py
@@ -7,14 +7,14 @@
 from ..simulation import traffic
 from ..virtual.network_faults import DatagramCounts
 from .members import Node
-from .result import BreachRow, FieldResult, GatewayRow, PlanRow, latencies
+from .result import BreachRow, GatewayRow, PlanRow, RunResult, latencies
 from .testbed import Testbed
 
 
-def summary(run: Testbed) -> FieldResult:
+def summary(run: Testbed) -> RunResult:
     """The result of a run that has ended."""
     checker, breaches = run.checker, _breaches(run)
-    return FieldResult(
+    return RunResult(
         plan=run.name,
         seed=run.plan.seed,
         gateways=run.plan.gateways,
--- a/zincstile/testbed/sweep.py
+++ b/zincstile/testbed/sweep.py
@@ -15,21 +15,21 @@
 from . import run
 from .places import PlaceError
 from .programs import ROOT
-from .result import BreachRow, FieldResult
+from .result import BreachRow, RunResult
 
 
-def features(words: tuple[str, ...]) -> dict[str, str]:
-    """`NAME=FILE` words. FileError where one is none, or names no file."""
+def features(arguments: tuple[str, ...]) -> dict[str, str]:
+    """The files by name, of `NAME=FILE` arguments. FileError where one is none, or names no file."""
     found = {}
-    for word in words:
-        name, equals, path = word.partition("=")
+    for argument in arguments:
+        name, equals, path = argument.partition("=")
         if not equals or not name or not Path(path).is_file():
-            raise FileError(f"--feature {word}: not NAME=FILE with a file that is there")
+            raise FileError(f"--feature {argument}: not NAME=FILE with a file that is there")
         found[name] = str(Path(path).resolve())
     return found
 
 
-def one(plan: Plan, folder: Path, name: str, files: dict[str, str]) -> FieldResult:
+def one(plan: Plan, folder: Path, name: str, files: dict[str, str]) -> RunResult:
     """Plays a plan, with the bound that its gateways state for themselves. FileError, PlaceError,
     NotReadyError."""
     files = dict(files)
@@ -64,14 +64,14 @@
 
 def _drawn(
     gateways: int, kinds: tuple[str, ...], files: dict[str, str], gossip: bool, seed: int
-) -> FieldResult:
+) -> RunResult:
     kind = kinds[seed % len(kinds)]
     plan = draw(seed, gateways, kind, gossip)
     try:
         with tempfile.TemporaryDirectory(prefix="zincstile-field-") as folder:
             return one(plan, Path(folder), kind, files)
     except (PlaceError, run.NotReadyError) as err:  # told as a run that is not all right
-        return FieldResult(
+        return RunResult(
             plan=kind,
             seed=seed,
             gateways=gateways,
@@ -100,20 +100,20 @@
     jobs: int,
     files: dict[str, str],
     gossip: bool = False,
-) -> Iterator[FieldResult]:
+) -> Iterator[RunResult]:
     """In the order in which they end. Failures go round by the seed."""
     with multiprocessing.get_context("spawn").Pool(min(jobs, len(seeds)), maxtasksperchild=8) as pool:
         yield from pool.imap_unordered(partial(_drawn, gateways, kinds, files, gossip), seeds)
 
 
-def _cpu(rows: list[FieldResult]) -> float:
+def _cpu(rows: list[RunResult]) -> float:
     """Milliseconds of a request, the start of the processes among them."""
     counters = [x.counters for r in rows for x in r.rows]
     requests = sum(c.get("requests", 0.0) for c in counters)
     return sum(c.get("cpu_ms", 0.0) for c in counters) / max(1.0, requests)
 
 
-def table(done: list[FieldResult]) -> str:
+def table(done: list[RunResult]) -> str:
     """One line a failure: runs, worst beside stated, goodput, messages."""
     lines = [
         f"{'failure':14}{'runs':>5}{'broken':>8}{'worst units':>13}{'of its bound':>14}"
