--- a/tests/test_files.py
+++ b/tests/test_files.py
@@ -9,10 +9,10 @@
 import pytest
 from scenario import ROOT
 
-MOST_LINES = 600
+MOST_LINES = {"zincstile": 500, "tests": 600}
 
 
-@pytest.mark.parametrize("folder", ["zincstile", "tests"])
+@pytest.mark.parametrize("folder", sorted(MOST_LINES))
 def test_no_file_has_more_lines_than_can_be_kept_in_mind(folder):
     root = Path(ROOT)
     sizes = {
@@ -20,7 +20,7 @@
         for path in (root / folder).rglob("*.py")
     }
     assert sizes
-    assert {name: size for name, size in sizes.items() if size > MOST_LINES} == {}
+    assert {name: size for name, size in sizes.items() if size > MOST_LINES[folder]} == {}
 
 
 FINISHED = set(
