--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -196,7 +196,7 @@
         g = rng.choice(row)
         seat = seats[g]
         account = seat.account(9, 0, limit, row)
-        if seat.has_free(account, now + longest):
+        if seat.has_free_slot(account, now + longest):
             number += 1
             seat.acquire(account, number, now + longest)
             requests[number] = g, now + rng.randint(0, longest)
@@ -207,7 +207,7 @@
                 seats[at].release(one)
                 del requests[one]
         if rng.random() < 0.001:  # what it had lent is in use until it ends; its own requests end with it
-            spare, until = spare + account.lent_slots, now + seat.lease_ns
+            spare, until = spare + account.leased_out_slots, now + seat.lease_ns
             requests = {k: v for k, v in requests.items() if v[0] != g}
             seats[g] = start(g)
         for k, one in enumerate(seats):
--- a/tests/test_quota_service.py
+++ b/tests/test_quota_service.py
@@ -74,7 +74,7 @@
         return self.accounts[gateway].account(key, self.quota, self.gateways, self.now)
 
     def take(self, gateway, units=1.0):
-        return self.accounts[gateway].take(self.now, self.account(gateway), units)
+        return self.accounts[gateway].reserve(self.now, self.account(gateway), units)
 
     def add(self, call):
         """Adds what a call asks for, and returns the total."""
@@ -128,14 +128,14 @@
     for call in setup.accounts[0].calls():
         call.on_answer(setup.now, setup.add(call))
     setup.answer(0)  # there is no retry
-    assert setup.account(0).unspent <= setup.account(0).max_unspent + 1e-6
-    assert setup.leased() == pytest.approx(setup.account(0).unspent)
+    assert setup.account(0).unspent_units <= setup.account(0).max_unspent_units + 1e-6
+    assert setup.leased() == pytest.approx(setup.account(0).unspent_units)
 
 
 def test_a_lease_that_is_not_answered_grants_nothing(setup):
     setup.take(0)
     setup.answer(0, lose=True)
-    assert setup.account(0).unspent == 0 and not setup.take(0)
+    assert setup.account(0).unspent_units == 0 and not setup.take(0)
     setup.answer(0)
     assert setup.take(0)  # the next, which is answered, does
 
@@ -179,7 +179,7 @@
 
 def test_a_report_of_units_that_is_not_answered_closes_the_epoch(setup):
     epoch = setup.account(0).epoch(setup.now // SETTINGS.epoch_ns)
-    epoch.unreported.append(2.0)
+    epoch.unreported_units.append(2.0)
     setup.take(0, 1.0)
     setup.accounts[0].calls()[0].on_answer(setup.now, None)
     assert epoch.closed and not setup.take(0, 1.0) and not setup.accounts[0].calls()
@@ -316,8 +316,8 @@
     """That the rule can break: leases are granted whatever the total is."""
 
     def grant_all(accounts, now, request, total):
-        request.account.requested = 0.0
-        request.account.unspent += request.amount
+        request.account.requested_units = 0.0
+        request.account.unspent_units += request.amount
 
     monkeypatch.setattr(Accounts, "_lease_answered", grant_all)
     rules = {
--- a/zincstile/leases/codec.py
+++ b/zincstile/leases/codec.py
@@ -78,7 +78,7 @@
         message.first_gateway,
         message.request_id,
         _unit_parts(message.units),
-        _unit_parts(message.least_units),
+        _unit_parts(message.min_units),
         message.last_answer % 2**32,
     )
 
@@ -90,7 +90,7 @@
     first_gateway: int,
     request_id: int,
     unit_parts: int,
-    least_unit_parts: int,
+    min_unit_parts: int,
     last_answer: int,
 ) -> LeaseRequest:
     return LeaseRequest(
@@ -101,7 +101,7 @@
         first_gateway,
         request_id,
         unit_parts / UNIT_PARTS,
-        least_unit_parts / UNIT_PARTS,
+        min_unit_parts / UNIT_PARTS,
         last_answer,
     )
 
--- a/zincstile/leases/concurrency_budget.py
+++ b/zincstile/leases/concurrency_budget.py
@@ -55,7 +55,7 @@
     sequence: int
     units_in_flight: float
     wanted_units: float
-    made_ns: int  # by this gateway's clock
+    created_ns: int  # by this gateway's clock
 
 
 @dataclass(slots=True)
@@ -66,7 +66,7 @@
     gateway_count: int
     incarnation: int  # grows with each start of the process, and past any that is still reported
     units_per_endpoint: float  # limit for all gateways together, for each ready endpoint
-    known: dict[int, KnownReport] = field(default_factory=dict)  # by gateway
+    known_reports: dict[int, KnownReport] = field(default_factory=dict)  # by gateway
     factor: float = 1.0  # on the own part
     sequence: int = 0  # of the last own report
     last_tick_ns: int = -1
@@ -90,10 +90,10 @@
             if (report.incarnation, report.sequence) > (self.incarnation, self.sequence):
                 self.incarnation = report.incarnation + 1
             return False
-        known = self.known.get(report.origin)
+        known = self.known_reports.get(report.origin)
         if known is not None and (report.incarnation, report.sequence) <= (known.incarnation, known.sequence):
             return False
-        self.known[report.origin] = KnownReport(
+        self.known_reports[report.origin] = KnownReport(
             report.incarnation,
             report.sequence,
             report.units_in_flight,
@@ -104,7 +104,7 @@
 
     def live_gateways(self, now: int) -> int:
         """Returns the number of gateways that are not silent, this one among them."""
-        return 1 + sum(now - report.made_ns < self.silence_ns for report in self.known.values())
+        return 1 + sum(now - report.created_ns < self.silence_ns for report in self.known_reports.values())
 
     def tick(self, now: int) -> float:
         """Updates and returns the factor on this gateway's part; it falls at once and rises by steps."""
@@ -113,8 +113,10 @@
             self.factor = 1.0
         elapsed_s = (now - self.last_tick_ns) / SECOND_NS if self.last_tick_ns >= 0 else 0.0
         self.last_tick_ns = now
-        for origin in [key for key, report in self.known.items() if now - report.made_ns > FORGET_NS]:
-            del self.known[origin]
+        for origin in [
+            key for key, report in self.known_reports.items() if now - report.created_ns > FORGET_NS
+        ]:
+            del self.known_reports[origin]
         wanted_factor = min(MAX_FACTOR, self.gateway_count / self.live_gateways(now))
         if now - self.running_since_ns < self.silence_ns:
             wanted_factor = 1.0
@@ -144,10 +146,10 @@
                 report.sequence,
                 report.units_in_flight,
                 report.wanted_units,
-                now - report.made_ns,
+                now - report.created_ns,
             )
-            for origin, report in self.known.items()
-            if now - report.made_ns < self.silence_ns
+            for origin, report in self.known_reports.items()
+            if now - report.created_ns < self.silence_ns
         ]
         rng.shuffle(relayed)
         step_ns = self.silence_ns // AGE_STEPS
--- a/zincstile/leases/covered_plans.py
+++ b/zincstile/leases/covered_plans.py
@@ -8,15 +8,15 @@
 from .settings import LeaseSettings
 
 
-def covered_plans(settings: Settings, shared: LeaseSettings) -> list[bool]:
+def covered_plans(settings: Settings, lease_settings: LeaseSettings) -> list[bool]:
     """Returns for each plan whether its quota holds what goes out under the ceiling, whatever fails.
 
     The quota does where it is lower than the ceiling by more than may go out beyond it.
     """
-    return [_is_covered(plan, settings, shared) for plan in settings.plans]
+    return [_is_covered(plan, settings, lease_settings) for plan in settings.plans]
 
 
-def _is_covered(plan: CustomerPlan, settings: Settings, shared: LeaseSettings) -> bool:
+def _is_covered(plan: CustomerPlan, settings: Settings, lease_settings: LeaseSettings) -> bool:
     if not plan.rate or plan.over_quota_weight > plan.over_quota_cost or plan.ceiling_rate < plan.rate:
         return False
     quotas = [
@@ -26,6 +26,6 @@
     return all(
         bound.units <= quota.most + ROUNDING_TOLERANCE
         for quota in quotas
-        for bound in overshoot_bounds(quota, shared)
-        if bound.failure in shared.tolerated_failures
+        for bound in overshoot_bounds(quota, lease_settings)
+        if bound.failure in lease_settings.tolerated_failures
     )
--- a/zincstile/leases/failure_detector.py
+++ b/zincstile/leases/failure_detector.py
@@ -57,7 +57,7 @@
 
     error_score: float
     zone: int  # of the origin
-    made_ns: int  # by this gateway's clock
+    created_ns: int  # by this gateway's clock
 
 
 @dataclass(slots=True)
@@ -85,9 +85,9 @@
     settings: LeaseSettings
     gateway: int  # this one
     zone: int  # of this one
-    own: dict[tuple[int, int], OwnSamples] = field(default_factory=dict)  # by endpoint and group
+    own_samples: dict[tuple[int, int], OwnSamples] = field(default_factory=dict)  # by endpoint and group
     # by endpoint and group, then by origin
-    received: dict[tuple[int, int], dict[int, ReceivedSuspicion]] = field(default_factory=dict)
+    received_suspicions: dict[tuple[int, int], dict[int, ReceivedSuspicion]] = field(default_factory=dict)
     observers: dict[int, Observer] = field(default_factory=dict)  # by gateway
     isolated: bool = False  # this gateway is cut off from the back end
 
@@ -104,7 +104,7 @@
         unreachable: bool = False,
     ) -> None:
         """Records an own attempt that has ended; `weight` is its part of the moving average."""
-        samples = self.own.setdefault((endpoint, group), OwnSamples())
+        samples = self.own_samples.setdefault((endpoint, group), OwnSamples())
         if now - samples.last_ns > OWN_SAMPLES_VALID_NS:
             samples.count = 0
         samples.error_score += weight * (error_score - samples.error_score)
@@ -120,12 +120,12 @@
         """Takes a suspicion of another gateway; returns whether it is news, as an own one never is."""
         if suspicion.origin == self.gateway or suspicion.age_ns >= self.settings.suspicion_ns:
             return False
-        made_ns = now - suspicion.age_ns
-        by_origin = self.received.setdefault((suspicion.endpoint, suspicion.group), {})
+        created_ns = now - suspicion.age_ns
+        by_origin = self.received_suspicions.setdefault((suspicion.endpoint, suspicion.group), {})
         known = by_origin.get(suspicion.origin)
-        if known is not None and known.made_ns >= made_ns:
+        if known is not None and known.created_ns >= created_ns:
             return False
-        by_origin[suspicion.origin] = ReceivedSuspicion(suspicion.error_score, suspicion.zone, made_ns)
+        by_origin[suspicion.origin] = ReceivedSuspicion(suspicion.error_score, suspicion.zone, created_ns)
         return True
 
     # ---- what follows from it
@@ -144,12 +144,12 @@
 
         It is what the last of the zones that are needed says at least; it falls with the suspicions' age.
         """
-        by_origin = self.received.get((endpoint, group))
+        by_origin = self.received_suspicions.get((endpoint, group))
         if not by_origin:
             return 0.0
         scores: dict[int, float] = {}  # by zone, the highest
         for suspicion in by_origin.values():
-            rest_ratio = 1 - (now - suspicion.made_ns) / self.settings.suspicion_ns
+            rest_ratio = 1 - (now - suspicion.created_ns) / self.settings.suspicion_ns
             if rest_ratio > 0:
                 score = suspicion.error_score * rest_ratio
                 scores[suspicion.zone] = max(scores.get(suspicion.zone, 0.0), score)
@@ -160,12 +160,12 @@
 
     def recent_samples(self, now: int, endpoint: int, group: int) -> OwnSamples | None:
         """Returns own attempts that go before suspicions of others; None where there are too few."""
-        samples = self.own.get((endpoint, group))
+        samples = self.own_samples.get((endpoint, group))
         if samples is None or samples.count < MIN_OWN_SAMPLES:
             return None
         return samples if now - samples.last_ns < OWN_SAMPLES_VALID_NS else None
 
-    def suspected(
+    def suspected_scores(
         self, now: int, endpoints: Iterable[int], groups: Iterable[int]
     ) -> dict[int, dict[int, float]]:
         """Returns error scores by endpoint and group where suspicions of others count, as own attempts lack.
@@ -174,7 +174,7 @@
         """
         chosen = list(endpoints)
         found: dict[int, dict[int, float]] = {}
-        for endpoint, group in self.received:
+        for endpoint, group in self.received_suspicions:
             if group in groups and self.recent_samples(now, endpoint, group) is None:
                 score = self.received_error_score(now, endpoint, group)
                 if score >= MIN_ERROR_SCORE:
@@ -199,18 +199,18 @@
     def _drop_old(self, now: int) -> None:
         """Drops suspicions that have ended, and own attempts of long ago."""
         ended_ns = now - self.settings.suspicion_ns
-        for key, by_origin in list(self.received.items()):
-            for origin in [origin for origin, one in by_origin.items() if one.made_ns <= ended_ns]:
+        for key, by_origin in list(self.received_suspicions.items()):
+            for origin in [origin for origin, one in by_origin.items() if one.created_ns <= ended_ns]:
                 del by_origin[origin]
             if not by_origin:
-                del self.received[key]
-        for key in [key for key, one in self.own.items() if now - one.last_ns > FORGET_SAMPLES_NS]:
-            del self.own[key]
+                del self.received_suspicions[key]
+        for key in [key for key, one in self.own_samples.items() if now - one.last_ns > FORGET_SAMPLES_NS]:
+            del self.own_samples[key]
 
     def _is_isolated(self, now: int, endpoints: set[int]) -> bool:
         """Returns whether most endpoints are dead for this gateway alone, and others are there to say so."""
         is_dead: dict[int, bool] = {}  # by endpoint that was tried lately
-        for (endpoint, _), samples in self.own.items():
+        for (endpoint, _), samples in self.own_samples.items():
             is_recent = now - samples.last_ns < OWN_SAMPLES_VALID_NS
             if endpoint in endpoints and is_recent and samples.count >= MIN_OWN_SAMPLES:
                 failed = samples.unreachable and samples.error_score >= SUSPECT_ERROR_SCORE
@@ -233,8 +233,8 @@
         """Returns own suspicions, unless this gateway is isolated, and others'; the youngest of each."""
         own = [] if self.isolated else self._own_suspicions(now)
         relayed = [
-            Suspicion(endpoint, group, one.error_score, origin, one.zone, now - one.made_ns)
-            for (endpoint, group), by_origin in self.received.items()
+            Suspicion(endpoint, group, one.error_score, origin, one.zone, now - one.created_ns)
+            for (endpoint, group), by_origin in self.received_suspicions.items()
             for origin, one in by_origin.items()
             if one.error_score >= SUSPECT_ERROR_SCORE
         ]
@@ -247,6 +247,6 @@
         valid_ns = self.settings.suspicion_ns
         return [
             Suspicion(endpoint, group, one.error_score, self.gateway, self.zone, now - one.last_ns)
-            for (endpoint, group), one in self.own.items()
+            for (endpoint, group), one in self.own_samples.items()
             if one.error_score >= SUSPECT_ERROR_SCORE and now - one.last_ns < valid_ns
         ]
--- a/zincstile/leases/feature.py
+++ b/zincstile/leases/feature.py
@@ -35,18 +35,18 @@
 class LeasesFeature:
     """Connects the owners of leases, suspicions and budgets to a policy, and has them tick and report."""
 
-    def __init__(self, settings: Settings, seed: int, shared: LeaseSettings) -> None:
+    def __init__(self, settings: Settings, seed: int, lease_settings: LeaseSettings) -> None:
         """Takes the seed of all random draws, and times and sizes."""
         self.settings = settings
-        self.shared = shared
+        self.lease_settings = lease_settings
         self.rng = random.Random(f"shared {seed}")
         self.process = self.rng.getrandbits(32)
-        self.failure_detector = FailureDetector(shared, settings.gateway_index, settings.zone)
+        self.failure_detector = FailureDetector(lease_settings, settings.gateway_index, settings.zone)
         self.budget = ConcurrencyBudget(
-            settings.gateway_index, settings.gateway_count, 0, shared.units_per_endpoint
+            settings.gateway_index, settings.gateway_count, 0, lease_settings.units_per_endpoint
         )
-        self.units = LeasedUnits(settings, shared, self.process, self.rng)
-        self.suspected = SuspectedEndpoints(self.failure_detector)
+        self.units = LeasedUnits(settings, lease_settings, self.process, self.rng)
+        self.suspected_endpoints = SuspectedEndpoints(self.failure_detector)
         self.in_flight = InFlightLimit(self.budget)
         self.receiver = MessageReceiver(settings, self.units, self.failure_detector, self.budget)
         self._reported_ns = 0
@@ -57,11 +57,15 @@
         """Holds quotas, suspects endpoints and limits what is in flight from now on."""
         self.parts = policy.parts
         self.deferred = DeferredQuotas(
-            self.parts, self.units, self.shared.answer_timeout_ns, reports_usage=False, limits_in_flight=False
+            self.parts,
+            self.units,
+            self.lease_settings.answer_timeout_ns,
+            reports_usage=False,
+            limits_in_flight=False,
         )
         self.parts.use_quotas(self.deferred)
         self.units.attach(self.parts)
-        self.suspected.attach(self.parts)
+        self.suspected_endpoints.attach(self.parts)
         self.in_flight.attach(policy)
         policy.timers[LEASE_HEARTBEAT_TOKEN] = self._heartbeat
         policy.timers[LEASE_RESEND_TOKEN] = self._resend
@@ -90,7 +94,7 @@
         return accounts | {
             "factor": round(self.budget.factor, 2),
             "alive": self.budget.live_gateways(ticked_ns),
-            "accused": len(self.suspected.scores),
+            "accused": len(self.suspected_endpoints.scores),
             "trouble": int(self.failure_detector.isolated),
         }
 
@@ -108,13 +112,13 @@
     def _heartbeat(self, now: int) -> None:
         self.units.tick(now)
         self.parts.capacity.fleet_gateways = self.settings.gateway_count / self.budget.tick(now)
-        self.suspected.tick(now)
-        self.units.forget_idle(now)
+        self.suspected_endpoints.tick(now)
+        self.units.drop_idle_accounts(now)
         if now - self._reported_ns >= REPORT_INTERVAL_NS:
-            self._reported_ns = now + self.rng.randrange(self.shared.tick_interval_ns)
+            self._reported_ns = now + self.rng.randrange(self.lease_settings.tick_interval_ns)
             self._send_reports(now)
         self.units.flush(now)
-        self.parts.actions.set_timer(now + self.shared.tick_interval_ns, LEASE_HEARTBEAT_TOKEN)
+        self.parts.actions.set_timer(now + self.lease_settings.tick_interval_ns, LEASE_HEARTBEAT_TOKEN)
 
     def _send_reports(self, now: int) -> None:
         """Sends suspicions and budgets to some peers."""
--- a/zincstile/leases/lease_manager.py
+++ b/zincstile/leases/lease_manager.py
@@ -89,7 +89,7 @@
         self.accounts[customer] = account
         return account
 
-    def forget_idle(self, now: int, idle_ns: int) -> None:
+    def drop_idle_accounts(self, now: int, idle_ns: int) -> None:
         """Drops accounts that were not used for so long and of which nothing needs to be remembered."""
         for account in list(self.accounts.values()):
             if now - account.used_ns > idle_ns and self._is_forgettable(now, account):
@@ -165,7 +165,7 @@
             "purses": len(accounts),
             "own": round(sum(account.own_units for account in accounts), 2),
             "hand": round(leased_units, 2),
-            "lent": round(sum(account.lent_units for account in accounts), 2),
+            "lent": round(sum(account.leased_out_units for account in accounts), 2),
             "loans": counters.grants,
             "asks": counters.requests,
             "unanswered": counters.overdue_requests,
--- a/zincstile/leases/lease_messages.py
+++ b/zincstile/leases/lease_messages.py
@@ -29,7 +29,7 @@
     first_gateway: int  # the first of them; the others follow it in order
     request_id: int
     units: float
-    least_units: float  # fewer are of no use
+    min_units: float  # fewer are of no use
     last_answer: int  # number of the lessor's last answer that arrived
 
 
--- a/zincstile/leases/lease_records.py
+++ b/zincstile/leases/lease_records.py
@@ -77,7 +77,7 @@
     process: int = 0
     # as a lessor
     last_answer: int = 0  # number of its last answer that arrived
-    quiet_until_ns: int = -1  # it left requests unanswered: no request is sent to it before
+    backoff_until_ns: int = -1  # it left requests unanswered: no request is sent to it before
     backoff_ns: int = 0
     overdue_requests: int = 0  # in a row
     round_trip_ns: float = 0.0  # from a request to its answer, a moving average
--- a/zincstile/leases/leased_units.py
+++ b/zincstile/leases/leased_units.py
@@ -34,17 +34,19 @@
 
     leases: LeaseManager
 
-    def __init__(self, settings: Settings, shared: LeaseSettings, process: int, rng: random.Random) -> None:
+    def __init__(
+        self, settings: Settings, lease_settings: LeaseSettings, process: int, rng: random.Random
+    ) -> None:
         """Takes a number that no other process of this gateway had, and the source of random draws."""
         self.settings = settings
-        self.shared = shared
+        self.lease_settings = lease_settings
         self.process = process
         self.rng = rng
         self.started = False
-        self.slots = SlotManager(shared, settings.gateway_index, process, settings.longest_ns, rng)
+        self.slots = SlotManager(lease_settings, settings.gateway_index, process, settings.longest_ns, rng)
         self.quotas: dict[tuple[int, int], Quota] = {}  # by plan and spread
-        self.covered_plans = covered_plans(settings, shared)
-        self.reserved: QuotaAccount | None = None  # of the request that is decided on just now
+        self.covered_plans = covered_plans(settings, lease_settings)
+        self.reserved_account: QuotaAccount | None = None  # of the request that is decided on just now
         self.resend_due_ns = NOT_DUE_NS  # when requests to lessors are looked at, whether to send them again
         self._forgot_ns = 0  # when idle accounts were searched for last
 
@@ -57,7 +59,9 @@
 
     def start(self, now: int) -> None:
         """Opens the accounts: their token buckets fill from now on."""
-        self.leases = LeaseManager(self.shared, self.settings.gateway_index, self.process, now, self.rng)
+        self.leases = LeaseManager(
+            self.lease_settings, self.settings.gateway_index, self.process, now, self.rng
+        )
         self.started = True
 
     # ---- time and messages
@@ -67,11 +71,11 @@
         self.leases.tick(now)
         self.slots.tick(now)
 
-    def forget_idle(self, now: int) -> None:
+    def drop_idle_accounts(self, now: int) -> None:
         """Drops idle accounts, now and then."""
         if now - self._forgot_ns >= FORGET_INTERVAL_NS:
             self._forgot_ns = now
-            self.leases.forget_idle(now, IDLE_ACCOUNT_NS)
+            self.leases.drop_idle_accounts(now, IDLE_ACCOUNT_NS)
 
     def flush(self, now: int) -> None:
         """Sends the messages of leases and slots, and those to lessors again that were not answered."""
@@ -128,11 +132,11 @@
         customer = pending.customer
         first = request.first % self.settings.gateway_count
         slots = self.slot_account(customer.key, customer.plan, customer.spread, first)
-        if slots is not None and not self.slots.has_free(slots, request.deadline_ns):
+        if slots is not None and not self.slots.has_free_slot(slots, request.deadline_ns):
             return Reservation.PENDING if self.slots.request_slot(now, slots) else Reservation.REFUSED
         account = self.quota_account(now, customer.key, customer.plan, customer.spread, first)
         if self.leases.reserve(now, account, request.units):
-            self.reserved = account
+            self.reserved_account = account
             if slots is not None:
                 self.slots.acquire(slots, request.id, request.deadline_ns)
             self.leases.lessee.request_ahead(now, account)
@@ -145,15 +149,15 @@
 
     def release(self, now: int, customer: Customer, units: float) -> None:
         """Units come back, or (below 0) go besides."""
-        if self.reserved is not None:  # the request was rejected in the batch that reserved them
-            self.leases.cancel_reservation(now, self.reserved)
-            self.reserved = None
+        if self.reserved_account is not None:  # the request was rejected in the batch that reserved them
+            self.leases.cancel_reservation(now, self.reserved_account)
+            self.reserved_account = None
         elif customer.key in self.leases.accounts:
             self.leases.charge(now, self.leases.accounts[customer.key], -units)
 
     def decided(self, pending: PendingRequest) -> None:
         """What was reserved is spent."""
-        self.reserved = None
+        self.reserved_account = None
 
     def request_closed(self, pending: PendingRequest) -> None:
         """The slot of a request that is over is free again."""
@@ -183,4 +187,4 @@
         for usage in event.usages:
             account = self.leases.accounts.get(usage.customer)
             if account is not None and event.sender < self.settings.gateway_count:
-                self.leases.lessee.note_available(now, account, event.sender, usage.level)
+                self.leases.lessee.record_availability(now, account, event.sender, usage.level)
--- a/zincstile/leases/lessee.py
+++ b/zincstile/leases/lessee.py
@@ -63,8 +63,8 @@
         if coming_units + NEGLIGIBLE_UNITS >= missing_units:
             return True
         ahead_units = min(self._expected_need(now, account), account.batch_limit_units - leased_units)
-        least_units = missing_units - coming_units
-        return self._request(now, account, max(least_units, ahead_units), least_units)
+        min_units = missing_units - coming_units
+        return self._request(now, account, max(min_units, ahead_units), min_units)
 
     def request_ahead(self, now: int, account: QuotaAccount) -> None:
         """Requests what recent use will need, before it is missing."""
@@ -87,7 +87,7 @@
             account.recent_use_per_s(now) * (self.state.settings.request_ahead_ns + round_trip_ns) / SECOND_NS
         )
 
-    def _request(self, now: int, account: QuotaAccount, units: float, least_units: float) -> bool:
+    def _request(self, now: int, account: QuotaAccount, units: float, min_units: float) -> bool:
         """Requests leases of those who may have most; returns False where they have too few units together.
 
         A gateway that left the last requests unanswered gets one beside them now and then, and is not
@@ -104,13 +104,13 @@
         if silent:
             tested = max(silent)
             self._send_request(now, account, tested.gateway, min(units, tested.units), 0.0)
-        if found_units + NEGLIGIBLE_UNITS < least_units:
+        if found_units + NEGLIGIBLE_UNITS < min_units:
             return False
         rest_units = units
         for candidate in chosen:
             part = min(rest_units, candidate.units) if found_units > candidate.units else rest_units
             rest_units -= part
-            enough = least_units if len(chosen) == 1 else least_units / len(chosen)
+            enough = min_units if len(chosen) == 1 else min_units / len(chosen)
             self._send_request(now, account, candidate.gateway, part, min(part, enough))
         return True
 
@@ -125,7 +125,7 @@
             if holder == self.state.gateway or self._has_request_at(account, holder):
                 continue
             peer = self.state.peers.get(holder)
-            if peer is not None and now < peer.quiet_until_ns:
+            if peer is not None and now < peer.backoff_until_ns:
                 continue
             available_units = self._estimate_available(now, account, holder)
             if available_units >= min_units and available_units > NEGLIGIBLE_UNITS:
@@ -143,7 +143,7 @@
         )
 
     def _send_request(
-        self, now: int, account: QuotaAccount, holder: int, units: float, least_units: float
+        self, now: int, account: QuotaAccount, holder: int, units: float, min_units: float
     ) -> None:
         """Sends a new request to a holder."""
         state = self.state
@@ -156,7 +156,7 @@
             first_gateway=account.gateways[0],
             request_id=self.last_request_id,
             units=units,
-            least_units=least_units,
+            min_units=min_units,
             last_answer=state.peer(holder).last_answer,
         )
         state.outbox.messages.append(request)
@@ -212,10 +212,10 @@
             self.state.counters.overdue_requests += 1
             peer = self.state.peer(pending.request.recipient)
             peer.overdue_requests += 1
-            if now >= peer.quiet_until_ns and peer.overdue_requests >= MAX_OVERDUE_REQUESTS:
+            if now >= peer.backoff_until_ns and peer.overdue_requests >= MAX_OVERDUE_REQUESTS:
                 doubled_ns = max(settings.backoff_ns, 2 * peer.backoff_ns)
                 peer.backoff_ns = min(settings.max_backoff_ns, doubled_ns)
-                peer.quiet_until_ns = now + int(peer.backoff_ns * (0.5 + self.rng.random()))
+                peer.backoff_until_ns = now + int(peer.backoff_ns * (0.5 + self.rng.random()))
 
     # ---- what holders have
 
@@ -234,7 +234,7 @@
         assumed_units = account.quota.rate * part_ratio * max(0.0, age_s - GAIN_VALID_S)
         return min(account.quota.burst * part_ratio, last.units + (said_units + assumed_units))
 
-    def note_available(
+    def record_availability(
         self, now: int, account: QuotaAccount, holder: int, units: float, gain_per_s: float | None = None
     ) -> None:
         """Notes that a holder has so many units; without its gain, that of an even part is assumed."""
@@ -257,9 +257,9 @@
             return None
         peer = state.peer_of_process(sender, process)
         peer.last_answer = max(peer.last_answer, grant.answer_number)
-        peer.quiet_until_ns = -1
+        peer.backoff_until_ns = -1
         peer.backoff_ns = 0
-        self.note_available(now, account, sender, grant.available_units, grant.gain_per_s)
+        self.record_availability(now, account, sender, grant.available_units, grant.gain_per_s)
         pending = account.pending.get(grant.request_id)
         if pending is None or pending.request.recipient != sender:
             return None
--- a/zincstile/leases/lessor.py
+++ b/zincstile/leases/lessor.py
@@ -29,7 +29,7 @@
         """Answers a request; a duplicate gets the same answer, and nothing is taken twice."""
         peer = self.state.peer_of_process(sender, process)
         key = LeaseKey(sender, process, request.request_id)
-        granted = account.granted.get(key)
+        granted = account.granted_leases.get(key)
         if granted is None:
             granted = self._decide(now, key, request, account, peer)
         elif granted.units and not granted.active:
@@ -55,10 +55,10 @@
         account.refill(state.clock.observe(now))
         use_per_s = account.recent_use_per_s(now)
         available_units = max(0.0, account.own_units - RESERVE_S * use_per_s)
-        units = self._units_to_lend(now, request, peer, available_units)
+        units = self._units_to_grant(now, request, peer, available_units)
         peer.answers_sent += 1
         if units:
-            account.lend(units)
+            account.lease_out(units)
             peer.unconfirmed.append(SentGrant(peer.answers_sent, now))
             state.counters.grants += 1
         granted = GrantedLease(
@@ -69,11 +69,11 @@
             answer_number=peer.answers_sent,
             active=units > 0,
         )
-        account.granted[key] = granted
+        account.granted_leases[key] = granted
         state.expiring[account.customer] = None
         return granted
 
-    def _units_to_lend(
+    def _units_to_grant(
         self, now: int, request: LeaseRequest, peer: PeerState, available_units: float
     ) -> float:
         """Returns the units for a request, 0 for a rejection.
@@ -85,7 +85,7 @@
         if peer.unconfirmed and now - peer.unconfirmed[0].sent_ns >= self.state.settings.answer_timeout_ns:
             return 0.0
         units = rounded_down(min(request.units, available_units))
-        too_few = units + NEGLIGIBLE_UNITS < min(request.least_units, request.units)
+        too_few = units + NEGLIGIBLE_UNITS < min(request.min_units, request.units)
         return 0.0 if too_few or units <= NEGLIGIBLE_UNITS else units
 
     def on_release(self, now: int, sender: int, process: int, release: LeaseRelease) -> None:
@@ -93,7 +93,7 @@
         account = self.state.accounts.get(release.customer)
         if account is None or release.process != self.state.process:
             return
-        granted = account.granted.get(LeaseKey(sender, process, release.request_id))
+        granted = account.granted_leases.get(LeaseKey(sender, process, release.request_id))
         if granted is None or not granted.active:
             return
         account.refill(self.state.clock.observe(now))
@@ -103,9 +103,9 @@
     def expire(self, now: int, account: QuotaAccount) -> None:
         """Ends granted leases whose time is up, and forgets those of which no duplicate can come any more."""
         lease_ns = self.state.settings.lease_ns
-        for key, granted in list(account.granted.items()):
+        for key, granted in list(account.granted_leases.items()):
             age_ns = now - granted.granted_ns
             if granted.active and age_ns >= lease_ns:
                 account.end_grant(granted)
             if age_ns >= REMEMBERED_LEASE_TERMS * lease_ns:
-                del account.granted[key]
+                del account.granted_leases[key]
--- a/zincstile/leases/quota_account.py
+++ b/zincstile/leases/quota_account.py
@@ -29,11 +29,11 @@
     batch_limit_units: float  # leased units that may be spent in one batch
     own_units: float  # in the own token bucket
     filled_ns: int  # when it was last filled, by the process's running time
-    lent_units: float = 0.0  # granted to others and neither released nor expired
+    leased_out_units: float = 0.0  # granted to others and neither released nor expired
     leases: list[Lease] = field(default_factory=list)
     pending: dict[int, PendingRequest] = field(default_factory=dict)  # by request id
     availability: dict[int, Availability] = field(default_factory=dict)  # by holder
-    granted: dict[LeaseKey, GrantedLease] = field(default_factory=dict)
+    granted_leases: dict[LeaseKey, GrantedLease] = field(default_factory=dict)
     use_per_s: float = 0.0  # recent use at `used_ns`
     used_ns: int = 0
     batch_ns: int = -1  # the batch that `batch_leased_units` belongs to
@@ -43,7 +43,7 @@
     @property
     def has_leases(self) -> bool:
         """Whether there is a lease on either side, or a request for one."""
-        return bool(self.leases or self.pending or self.granted)
+        return bool(self.leases or self.pending or self.granted_leases)
 
     @property
     def is_full(self) -> bool:
@@ -55,25 +55,25 @@
 
         It holds its capacity less what is lent, so that buckets and leases never exceed the burst together.
         """
-        room = max(0.0, self.capacity_units - self.lent_units)
+        room = max(0.0, self.capacity_units - self.leased_out_units)
         gained = self.rate_per_s * (running_ns - self.filled_ns) / SECOND_NS
         self.own_units = min(room, self.own_units + gained)
         self.filled_ns = running_ns
 
     def credit(self, units: float) -> None:
         """Puts units back into the own token bucket, as far as they fit; negative units are taken out."""
-        room = max(0.0, self.capacity_units - self.lent_units)
+        room = max(0.0, self.capacity_units - self.leased_out_units)
         self.own_units = min(room, self.own_units + units)
 
-    def lend(self, units: float) -> None:
+    def lease_out(self, units: float) -> None:
         """Takes units out of the own token bucket for a lease to another gateway."""
         self.own_units -= units
-        self.lent_units += units
+        self.leased_out_units += units
 
     def end_grant(self, granted: GrantedLease) -> None:
         """Ends a lease to another gateway: the own token bucket may fill up again by its units."""
         granted.active = False
-        self.lent_units = max(0.0, self.lent_units - granted.units)
+        self.leased_out_units = max(0.0, self.leased_out_units - granted.units)
 
     def drop_expired_leases(self, now: int) -> None:
         """Drops leases from other gateways whose time is up."""
--- a/zincstile/leases/slots.py
+++ b/zincstile/leases/slots.py
@@ -63,25 +63,25 @@
     holders: tuple[int, ...]  # those that hold slots
     own_slots: int
     used_slots: int = 0  # of the own ones
-    granted: dict[LeaseKey, GrantedSlot] = field(default_factory=dict)
+    granted_leases: dict[LeaseKey, GrantedSlot] = field(default_factory=dict)
     leases: list[SlotLease] = field(default_factory=list)
     pending: dict[int, PendingSlotRequest] = field(default_factory=dict)  # by request id
     empty_until_ns: dict[int, int] = field(default_factory=dict)  # by holder: it has no slot free until then
 
     @property
-    def lent_slots(self) -> int:
+    def leased_out_slots(self) -> int:
         """Own slots that are leased out."""
-        return sum(granted.active for granted in self.granted.values())
+        return sum(granted.active for granted in self.granted_leases.values())
 
     @property
     def free_slots(self) -> int:
         """Own slots that may be used or leased out."""
-        return self.own_slots - self.used_slots - self.lent_slots
+        return self.own_slots - self.used_slots - self.leased_out_slots
 
     @property
     def is_idle(self) -> bool:
         """Whether the account may be forgotten."""
-        return not (self.used_slots or self.granted or self.leases or self.pending)
+        return not (self.used_slots or self.granted_leases or self.leases or self.pending)
 
     def usable_lease(self, until_ns: int) -> SlotLease | None:
         """Returns a leased slot for a request that is over by then; None where there is none."""
@@ -91,7 +91,7 @@
         return None
 
 
-class HeldSlot(NamedTuple):
+class AcquiredSlot(NamedTuple):
     """The slot of a request in flight."""
 
     account: SlotAccount
@@ -116,7 +116,7 @@
         self.lease_ns = longest_ns + settings.answer_timeout_ns
         self.accounts: dict[int, SlotAccount] = {}  # by customer
         self.outbox: list[SlotMessage] = []
-        self.held_slots: dict[int, HeldSlot] = {}  # by request
+        self.acquired_slots: dict[int, AcquiredSlot] = {}  # by request
         self.granted_slots = 0  # so far
         self._last_request_id = rng.getrandbits(31)
 
@@ -135,22 +135,22 @@
 
     # ---- requests in flight
 
-    def has_free(self, account: SlotAccount, until_ns: int) -> bool:
+    def has_free_slot(self, account: SlotAccount, until_ns: int) -> bool:
         """Returns whether there is a slot for a request that is over by then."""
         return account.free_slots > 0 or account.usable_lease(until_ns) is not None
 
     def acquire(self, account: SlotAccount, request: int, until_ns: int) -> None:
-        """Gives the request a slot until `release`, after `has_free`; a leased one first, as it ends."""
+        """Gives the request a slot until `release`, after `has_free_slot`; a leased one first, as it ends."""
         lease = account.usable_lease(until_ns)
         if lease is None:
             account.used_slots += 1
         else:
             lease.used = True
-        self.held_slots[request] = HeldSlot(account, lease)
+        self.acquired_slots[request] = AcquiredSlot(account, lease)
 
     def release(self, request: int) -> None:
         """Takes back the slot of a request that is over; nothing happens where it held none."""
-        held = self.held_slots.pop(request, None)
+        held = self.acquired_slots.pop(request, None)
         if held is None:
             return
         if held.lease is None:
@@ -217,10 +217,10 @@
     ) -> None:
         """Answers a request; a duplicate gets the same answer, and no slot is granted twice."""
         key = LeaseKey(sender, process, request.request_id)
-        granted = account.granted.get(key)
+        granted = account.granted_leases.get(key)
         if granted is None:
             granted = GrantedSlot(now, account.free_slots > 0)
-            account.granted[key] = granted
+            account.granted_leases[key] = granted
             self.granted_slots += granted.active
         elif not granted.active:
             return  # a duplicate of a request that was rejected, or whose lease is over
@@ -231,7 +231,7 @@
         account = self.accounts.get(release.customer)
         if account is None or release.process != self.process:
             return
-        granted = account.granted.get(LeaseKey(sender, process, release.request_id))
+        granted = account.granted_leases.get(LeaseKey(sender, process, release.request_id))
         if granted is not None:
             granted.active = False
 
@@ -252,12 +252,12 @@
 
     def _expire_granted(self, now: int, account: SlotAccount) -> None:
         """Ends leases to others whose time is up, and forgets those that ended long ago."""
-        for key, granted in list(account.granted.items()):
+        for key, granted in list(account.granted_leases.items()):
             age_ns = now - granted.granted_ns
             if age_ns >= self.lease_ns:
                 granted.active = False
             if age_ns >= REMEMBERED_LEASE_TERMS * self.lease_ns:
-                del account.granted[key]
+                del account.granted_leases[key]
 
     def _release_unused(self, now: int, account: SlotAccount) -> None:
         """Gives back leased slots that no request took for some time."""
--- a/zincstile/leases/suspected_endpoints.py
+++ b/zincstile/leases/suspected_endpoints.py
@@ -49,9 +49,9 @@
         hashes = [endpoint.hash for endpoint in endpoints.ready]
         self.failure_detector.tick(now, hashes)
         self.scores = {}
-        if self.failure_detector.received:
+        if self.failure_detector.received_suspicions:
             groups = range(ALL_CLASSES + 1)
-            self.scores = self.failure_detector.suspected(now, hashes, groups)
+            self.scores = self.failure_detector.suspected_scores(now, hashes, groups)
         for endpoint_hash in self.scores:
             endpoint = endpoints.touch(endpoints.by_hash[endpoint_hash])
             endpoint.error_scores.setdefault(0, MARKING_SCORE)
--- a/zincstile/net/feature_messages.py
+++ b/zincstile/net/feature_messages.py
@@ -47,7 +47,7 @@
 
     dispatcher.action_handlers[events.CallQuotaService] = call
     dispatcher.action_handlers[events.SendPeerHeartbeat] = send
-    peers.decoders[codec.FIRST_BYTE] = receive
+    peers.decoders[codec.MAGIC] = receive
     return client
 
 
--- a/zincstile/quota_service/account.py
+++ b/zincstile/quota_service/account.py
@@ -17,12 +17,12 @@
 class Epoch:
     """One of a customer's epochs, as far as this gateway knows it. All amounts in units."""
 
-    opening: float = 0.0  # what the epochs before left
+    carried_units: float = 0.0  # what the epochs before left
     service_part: float = 1.0  # the least part that belonged to this gateway's service in it
-    added: float = 0.0  # by this gateway's answered calls
+    added_units: float = 0.0  # by this gateway's answered calls
     closed: bool = False  # nothing more is leased of it
     exhausted_until_ns: int = 0  # no further call before then: the last one found it spent
-    unreported: list[float] = field(
+    unreported_units: list[float] = field(
         default_factory=list
     )  # sent without a service, to be added to its counter
 
@@ -34,17 +34,17 @@
     key: int
     quota: Quota
     gateways: list[int]  # of the customer's set
-    max_carry: float  # from one epoch to the next
-    max_unspent: float
-    unspent: float = 0.0  # leased and not sent
-    requested: float = 0.0  # in calls in flight
+    max_carry_units: float  # from one epoch to the next
+    max_unspent_units: float
+    unspent_units: float = 0.0  # leased and not sent
+    requested_units: float = 0.0  # in calls in flight
     use_per_s: float = 0.0  # lately
     used_at_ns: int = 0
-    fallback: float = 0.0  # token bucket of the even part
+    fallback_units: float = 0.0  # token bucket of the even part
     fallback_filled_ns: int = -1  # when it was filled last; -1: not in use
     epochs: dict[int, Epoch] = field(default_factory=dict)  # by number: the current one and the one before
     past_totals: dict[int, float] = field(default_factory=dict)  # of epochs that are over
-    opening_epoch: int = -1  # the epoch whose opening was worked out last, or is being worked out
+    carry_over_epoch: int = -1  # the epoch whose opening was worked out last, or is being worked out
     pending_reads: int = 0  # calls in flight for that
 
     def note_use(self, now: int, units: float) -> None:
--- a/zincstile/quota_service/accounts.py
+++ b/zincstile/quota_service/accounts.py
@@ -14,9 +14,9 @@
 
 from ..decisions.quota_bounds import Quota
 from .account import NEGLIGIBLE_UNITS, Account, Epoch
+from .carry_over import TOTAL_PRECISION_RATIO, CarryOver, counter_was_reset
 from .failure_detector import FailureDetector
 from .messages import CounterCall
-from .opening_level import TOTAL_PRECISION_RATIO, OpeningLevels, service_forgot
 from .overshoot_bound import max_carry_units, max_lease_units
 from .settings import SECOND_NS, QuotaServiceSettings
 
@@ -30,7 +30,7 @@
 
     calls: int = 0
     unanswered_leases: int = 0
-    forgotten: int = 0  # times that the service had forgotten totals
+    counter_losses: int = 0  # times that the service was found to have lost its counters
     granted_units: float = 0.0
     returned_units: float = 0.0  # taken off a counter again
     fallback_units: float = 0.0  # sent out of the even part
@@ -56,7 +56,7 @@
         self.detector = detector
         self.accounts: dict[int, Account] = {}  # by the customer's key
         self.counts = LeaseCounts()
-        self._opening_levels = OpeningLevels(settings, detector, self._make_call, self._service_forgot)
+        self._carry_over = CarryOver(settings, detector, self._make_call, self._on_counters_lost)
         self._calls: list[CounterCall] = []
         self._granted: dict[int, int] = {}  # customers that got a lease since the last calls, and its epoch
         self._limits: dict[Quota, tuple[float, float]] = {}  # max_carry and max_unspent
@@ -86,31 +86,31 @@
 
     # ---- attempts
 
-    def take(self, now: int, account: Account, units: float, *, waited: bool = False) -> bool:
+    def reserve(self, now: int, account: Account, units: float, *, waited: bool = False) -> bool:
         """Takes the units of an attempt: True where they are leased. Asks for more ahead of need.
 
         `waited`: it has asked before, and its use is counted.
         """
         if not waited:
             account.note_use(now, units)
-        if account.unspent + NEGLIGIBLE_UNITS >= units:
-            account.unspent -= units
+        if account.unspent_units + NEGLIGIBLE_UNITS >= units:
+            account.unspent_units -= units
             self._lease_ahead(now, account, 0.0)
             return True
-        if self._take_fallback(now, account, units):
+        if self._reserve_fallback(now, account, units):
             return True
         self._lease_ahead(now, account, units)
         return False
 
-    def waits_for_answer(self, account: Account) -> bool:
+    def awaits_answer(self, account: Account) -> bool:
         """Whether a call is in flight that may bring what is lacking: the attempt may be deferred."""
-        return account.requested > NEGLIGIBLE_UNITS or account.pending_reads > 0
+        return account.requested_units > NEGLIGIBLE_UNITS or account.pending_reads > 0
 
-    def give_back(self, account: Account, units: float) -> None:
+    def release(self, account: Account, units: float) -> None:
         """Takes units back that were taken for an attempt and never sent."""
-        account.unspent += units
+        account.unspent_units += units
 
-    def _take_fallback(self, now: int, account: Account, units: float) -> bool:
+    def _reserve_fallback(self, now: int, account: Account, units: float) -> bool:
         """Takes from the even part, where no service is trusted and no peer counts on this gateway."""
         detector, quota = self.detector, account.quota
         if detector.trusts_service or now < detector.fallback_from_ns():
@@ -119,18 +119,18 @@
         rate = quota.rate / len(account.gateways)
         burst = quota.burst / len(account.gateways)
         if account.fallback_filled_ns < 0:  # empty at first: what was leased before has been sent
-            account.fallback = 0.0
+            account.fallback_units = 0.0
             account.fallback_filled_ns = detector.fallback_from_ns()
-        account.fallback = min(
+        account.fallback_units = min(
             max(burst, quota.largest if burst else 0.0),
-            account.fallback + rate * (now - account.fallback_filled_ns) / SECOND_NS,
+            account.fallback_units + rate * (now - account.fallback_filled_ns) / SECOND_NS,
         )
         account.fallback_filled_ns = now
-        if account.fallback + NEGLIGIBLE_UNITS < units:
+        if account.fallback_units + NEGLIGIBLE_UNITS < units:
             return False
-        account.fallback -= units
+        account.fallback_units -= units
         self.counts.fallback_units += units
-        account.epoch(self._epoch_number(now)).unreported.append(units)
+        account.epoch(self._epoch_number(now)).unreported_units.append(units)
         return True
 
     # ---- leases
@@ -138,28 +138,28 @@
     def _lease_ahead(self, now: int, account: Account, shortfall: float) -> None:
         """Leases what recent use will need, and the units that an attempt lacks."""
         detector = self.detector
-        if not detector.may_lease(now) or account.requested > NEGLIGIBLE_UNITS:
+        if not detector.may_lease(now) or account.requested_units > NEGLIGIBLE_UNITS:
             return
         number = now // self.settings.epoch_ns
         epoch = account.epoch(number)
-        if epoch.unreported:
+        if epoch.unreported_units:
             self._report(account, number, epoch)
             return
         if epoch.closed or now < epoch.exhausted_until_ns:
             return
-        if account.opening_epoch != number:
-            self._opening_levels.prepare(now, account, number)
+        if account.carry_over_epoch != number:
+            self._carry_over.prepare(now, account, number)
         if account.pending_reads:
             return
         epoch.service_part = min(epoch.service_part, detector.service_part(now, account.gateways))
-        wanted = min(account.use_per_s * self.settings.lease_cover_ns / SECOND_NS, account.max_unspent)
-        amount = max(shortfall, wanted) - account.unspent
-        if amount <= NEGLIGIBLE_UNITS or account.unspent > wanted / 2 and not shortfall:
+        wanted = min(account.use_per_s * self.settings.lease_cover_ns / SECOND_NS, account.max_unspent_units)
+        amount = max(shortfall, wanted) - account.unspent_units
+        if amount <= NEGLIGIBLE_UNITS or account.unspent_units > wanted / 2 and not shortfall:
             return
         self._request(LeaseRequest(account, number, amount, now))
 
     def _request(self, request: LeaseRequest) -> None:
-        request.account.requested = request.amount
+        request.account.requested_units = request.amount
         name = request.account.counter_name(request.epoch_number)
         self._make_call(
             CounterCall(name, request.amount, lambda now, total: self._lease_answered(now, request, total))
@@ -167,7 +167,7 @@
 
     def _lease_answered(self, now: int, request: LeaseRequest, total: float | None) -> None:
         account, number, amount = request.account, request.epoch_number, request.amount
-        account.requested = 0.0
+        account.requested_units = 0.0
         if total is None:
             # The amount may have been added: then it is lost, and no gateway sends it.
             self.counts.unanswered_leases += 1
@@ -175,12 +175,12 @@
         epoch = account.epochs.get(number)
         if epoch is None:
             epoch = Epoch(closed=True)  # too long ago
-        epoch.added += amount
-        if service_forgot(total, epoch.added):
-            self._service_forgot(now)
+        epoch.added_units += amount
+        if counter_was_reset(total, epoch.added_units):
+            self._on_counters_lost(now)
             return
         granted = self._granted_units(now, request, epoch, total)
-        account.unspent += granted
+        account.unspent_units += granted
         self._granted[account.key] = number
         self.counts.granted_units += granted
         refused = amount - granted
@@ -198,15 +198,15 @@
         part = self.detector.service_part(now, account.gateways)
         epoch.service_part = min(epoch.service_part, part)
         into_epoch_ns = min(epoch_ns, max(0, request.requested_ns - request.epoch_number * epoch_ns))
-        allowed = epoch.service_part * (epoch.opening + account.quota.rate * into_epoch_ns / SECOND_NS)
+        allowed = epoch.service_part * (epoch.carried_units + account.quota.rate * into_epoch_ns / SECOND_NS)
         beyond = total * (1 + TOTAL_PRECISION_RATIO) - allowed
         return min(request.amount, max(0.0, request.amount - beyond))
 
     def _return_excess(self, account: Account, number: int) -> None:
         """Returns what is unspent beyond `max_unspent`."""
-        excess = account.unspent - account.max_unspent
+        excess = account.unspent_units - account.max_unspent_units
         if excess > NEGLIGIBLE_UNITS:
-            account.unspent -= excess
+            account.unspent_units -= excess
             # To the counter of the epoch that it was leased in: the total of another one would fall below
             # what was added there, which is the sign of a service that forgot.
             self._return(account, number, account.epochs.get(number), excess)
@@ -214,30 +214,30 @@
     def _return(self, account: Account, number: int, epoch: Epoch | None, units: float) -> None:
         """Takes units off an epoch's counter again, once, whether that is answered or not."""
         if epoch is not None:
-            epoch.added -= units
+            epoch.added_units -= units
         self.counts.returned_units += units
         self._make_call(CounterCall(account.counter_name(number), -units, lambda now, total: None))
 
     def _report(self, account: Account, number: int, epoch: Epoch) -> None:
         """Adds what was sent without a service in this epoch, once, before anything is leased of it."""
-        amount = sum(epoch.unreported)
-        account.requested = NEGLIGIBLE_UNITS * 2  # holds leases back until the answer
+        amount = sum(epoch.unreported_units)
+        account.requested_units = NEGLIGIBLE_UNITS * 2  # holds leases back until the answer
 
         def answered(now: int, total: float | None) -> None:
-            account.requested = 0.0
-            epoch.unreported.clear()
+            account.requested_units = 0.0
+            epoch.unreported_units.clear()
             if total is None:
                 epoch.closed = True  # it may have been added or not
                 return
-            epoch.added += amount
+            epoch.added_units += amount
             self.counts.reported_units += amount
 
         self._make_call(CounterCall(account.counter_name(number), amount, answered))
 
-    def _service_forgot(self, now: int) -> None:
-        """The service has forgotten leases: nothing more of this epoch is leased, for any customer."""
-        self.counts.forgotten += 1
-        self.detector.service_forgot(now)
+    def _on_counters_lost(self, now: int) -> None:
+        """The service has lost its counters: nothing more of this epoch is leased, for any customer."""
+        self.counts.counter_losses += 1
+        self.detector.on_counters_lost(now)
         for account in self.accounts.values():
             account.epoch(self._epoch_number(now)).closed = True
             account.past_totals.clear()
--- a/zincstile/quota_service/opening_level.py
+++ b/zincstile/quota_service/carry_over.py
@@ -19,16 +19,16 @@
 TOTAL_PRECISION_RATIO: Final = 1e-6  # the service returns totals with seven digits
 
 
-def service_forgot(total: float, added: float) -> bool:
+def counter_was_reset(total: float, added: float) -> bool:
     """Whether a total is less than what was added to it, beyond its precision."""
     return total + TOTAL_PRECISION_RATIO * max(1.0, abs(total), abs(added)) < added
 
 
-class OpeningLevels:
+class CarryOver:
     """Reads past totals by calls, and works out the openings of a gateway's epochs.
 
-    `make_call` takes each call that is to be made; `on_forgotten(now)` is called where a total shows that the
-    service has forgotten.
+    `make_call` takes each call that is to be made. `on_counters_lost(now)` is called where a total shows that
+    the service has lost its counters.
     """
 
     def __init__(
@@ -36,13 +36,13 @@
         settings: QuotaServiceSettings,
         detector: FailureDetector,
         make_call: Callable[[CounterCall], None],
-        on_forgotten: Callable[[int], None],
+        on_counters_lost: Callable[[int], None],
     ) -> None:
         """Takes the gateway's settings and failure detector, and the two callbacks."""
         self.settings = settings
         self.detector = detector
         self._make_call = make_call
-        self._on_forgotten = on_forgotten
+        self._on_counters_lost = on_counters_lost
 
     def prepare(self, now: int, account: Account, number: int) -> None:
         """Works out the opening of epoch `number`, once the totals of the epochs before stand."""
@@ -50,7 +50,7 @@
         stands_ns = number * settings.epoch_ns + settings.call_timeout_ns + settings.clock_skew_ns
         if now < stands_ns:
             return
-        account.opening_epoch = number
+        account.carry_over_epoch = number
         first = number - self._epochs_to_fill(account)
         unknown = [past for past in range(first, number) if past not in account.past_totals]
         if not unknown:
@@ -63,7 +63,7 @@
     def _epochs_to_fill(self, account: Account) -> int:
         """How many epochs it takes to fill the bucket that is carried over, from nothing."""
         given = account.quota.rate * self.settings.epoch_ns / SECOND_NS
-        return min(MAX_EPOCHS_READ, math.ceil(account.max_carry / given))
+        return min(MAX_EPOCHS_READ, math.ceil(account.max_carry_units / given))
 
     def _read(self, account: Account, number: int, past: int) -> CounterCall:
         return CounterCall(
@@ -75,11 +75,11 @@
     def _read_answered(self, now: int, account: Account, number: int, past: int, total: float | None) -> None:
         account.pending_reads -= 1
         epoch = account.epochs.get(past)
-        if total is not None and epoch is not None and service_forgot(total, epoch.added):
-            self._on_forgotten(now)
+        if total is not None and epoch is not None and counter_was_reset(total, epoch.added_units):
+            self._on_counters_lost(now)
         elif total is not None:
             account.past_totals[past] = total
-        if not account.pending_reads and account.opening_epoch == number:
+        if not account.pending_reads and account.carry_over_epoch == number:
             self._open(now, account, number)
 
     def _open(self, now: int, account: Account, number: int) -> None:
@@ -97,7 +97,7 @@
                 continue
             given = part * account.quota.rate * epoch_ns / SECOND_NS
             level = max(0.0, level + given - account.past_totals[past])
-            level = min(part * account.max_carry, level)
+            level = min(part * account.max_carry_units, level)
         account.past_totals = {past: total for past, total in account.past_totals.items() if past >= first}
         if number in account.epochs:
-            account.epochs[number].opening = level
+            account.epochs[number].carried_units = level
--- a/zincstile/quota_service/codec.py
+++ b/zincstile/quota_service/codec.py
@@ -11,7 +11,7 @@
 
 from .messages import MAX_TOTALS, PeerHeartbeat
 
-FIRST_BYTE: Final = 0xBA
+MAGIC: Final = 0xBA
 CHECKSUM_MASK: Final = 0xFFFF  # the lower half of a CRC-32: enough for damage, and two bytes shorter
 # First byte, trusts the service, number of totals, counter number, sent at, last answer at.
 HEADER: Final = struct.Struct("<BBBIQQ")
@@ -22,7 +22,7 @@
 def pack(message: PeerHeartbeat) -> bytes:
     """The datagram of a heartbeat whose totals are integers below 2^32."""
     header = HEADER.pack(
-        FIRST_BYTE,
+        MAGIC,
         message.trusts_service,
         len(message.totals),
         max(0, message.counter_number),
@@ -35,7 +35,7 @@
 
 def unpack(sender: int, data: bytes) -> PeerHeartbeat | None:
     """The heartbeat of a datagram; None where it is damaged, or of another layout."""
-    if len(data) < HEADER.size + CHECKSUM.size or data[0] != FIRST_BYTE:
+    if len(data) < HEADER.size + CHECKSUM.size or data[0] != MAGIC:
         return None
     body = data[: -CHECKSUM.size]
     (checksum,) = CHECKSUM.unpack(data[-CHECKSUM.size :])
--- a/zincstile/quota_service/failure_detector.py
+++ b/zincstile/quota_service/failure_detector.py
@@ -62,13 +62,13 @@
         if counter_number > totals.counter_number:
             totals.begin_counter(counter_number)
         if total <= totals.last:
-            self.service_forgot(now)
+            self.on_counters_lost(now)
             totals.clear()
         elif self.state is not ServiceState.NEW or now >= self.leases_from_ns:
             self._change_state(now, ServiceState.TRUSTED)
         totals.record(now, int(total))
 
-    def service_forgot(self, now: int) -> None:
+    def on_counters_lost(self, now: int) -> None:
         """The total of some counter fell: the service is a new one.
 
         What was leased of the current epoch is forgotten there, so nothing more of it is leased.
--- a/zincstile/quota_service/feature.py
+++ b/zincstile/quota_service/feature.py
@@ -40,10 +40,12 @@
     detector: FailureDetector
     accounts: Accounts
 
-    def __init__(self, settings: Settings, service: QuotaServiceSettings, clock_offset_ns: int) -> None:
+    def __init__(
+        self, settings: Settings, service_settings: QuotaServiceSettings, clock_offset_ns: int
+    ) -> None:
         """Takes what the gateways' common clock is ahead of the policy's, in nanoseconds."""
         self.settings = settings
-        self.service = service
+        self.service_settings = service_settings
         self.clock_offset_ns = clock_offset_ns
         self.calls: dict[int, OnAnswer] = {}  # by call id, until they are answered
         self.reported_state: ServiceState | None = None  # in the log
@@ -70,8 +72,10 @@
 
     def started(self, now: int) -> None:
         """Builds the failure detector and the accounts, and sends the first heartbeat."""
-        self.detector = FailureDetector(self.service, self.settings.gateway_index, self._common_ns(now))
-        self.accounts = Accounts(self.service, self.detector)
+        self.detector = FailureDetector(
+            self.service_settings, self.settings.gateway_index, self._common_ns(now)
+        )
+        self.accounts = Accounts(self.service_settings, self.detector)
         self._heartbeat(now)
 
     def figures(self) -> dict[str, float]:
@@ -109,7 +113,7 @@
 
         self._call(heartbeat.name, 1.0, COUNTER_LIFETIME_MS, on_answer)
         self._report_to_peers(now)
-        self.parts.actions.set_timer(now + self.service.heartbeat_interval_ns, QUOTA_SERVICE_TOKEN)
+        self.parts.actions.set_timer(now + self.service_settings.heartbeat_interval_ns, QUOTA_SERVICE_TOKEN)
 
     def _report_to_peers(self, now: int) -> None:
         heartbeat = self.detector.peer_heartbeat(self._common_ns(now))
@@ -131,16 +135,16 @@
         """Takes the units of a request from the customer's lease."""
         account = self._account(now, pending)
         common_ns = self._common_ns(now)
-        if self.accounts.take(common_ns, account, pending.request.units, waited=waited):
+        if self.accounts.reserve(common_ns, account, pending.request.units, waited=waited):
             return Reservation.RESERVED
-        waits = self.accounts.waits_for_answer(account)
+        waits = self.accounts.awaits_answer(account)
         return Reservation.PENDING if waits else Reservation.REFUSED
 
     def release(self, now: int, customer: Customer, units: float) -> None:
         """Units come back to the customer's lease."""
         account = self.accounts.accounts.get(customer.key)
         if account is not None:
-            self.accounts.give_back(account, units)
+            self.accounts.release(account, units)
 
     def flush(self, now: int) -> None:
         """Makes the calls that the accounts want."""
--- a/zincstile/simulation/mutants_shared.py
+++ b/zincstile/simulation/mutants_shared.py
@@ -95,7 +95,7 @@
     """What is released is taken each time that it comes."""
 
     def end_grant(self, granted):
-        self.lent_units = max(0.0, self.lent_units - granted.units)
+        self.leased_out_units = max(0.0, self.leased_out_units - granted.units)
 
     return replace_attribute(QuotaAccount, "end_grant", end_grant)
 
@@ -174,9 +174,9 @@
 
 def _all_ruled_out() -> Undo:
     """Suspicions of others may rule out every endpoint."""
-    old = FailureDetector.suspected
+    old = FailureDetector.suspected_scores
 
-    def suspected(self, now, endpoints, groups):
+    def suspected_scores(self, now, endpoints, groups):
         return {
             endpoint: {
                 group: max(score, self.received_error_score(now, endpoint, group))
@@ -185,14 +185,14 @@
             for endpoint, by_group in old(self, now, endpoints, groups).items()
         }
 
-    return replace_attribute(FailureDetector, "suspected", suspected)
+    return replace_attribute(FailureDetector, "suspected_scores", suspected_scores)
 
 
 def _old_level_speaks() -> Undo:
     """A report of a process that was followed by another counts."""
 
     def merge(self, now, report):
-        self.known[report.origin] = KnownReport(
+        self.known_reports[report.origin] = KnownReport(
             report.incarnation,
             report.sequence,
             report.units_in_flight,
@@ -256,7 +256,7 @@
         rng.shuffle(lies)
         for suspicion in lies:
             detector.merge(now, suspicion)
-        if detector.suspected(now, servers, range(256)):
+        if detector.suspected_scores(now, servers, range(256)):
             return "suspicions: one zone alone ruled endpoints out"
         seen = rng.choice(servers)
         for _ in range(3):
@@ -269,7 +269,7 @@
         rng.shuffle(shared_by_zones)
         for suspicion in shared_by_zones:
             detector.merge(now, suspicion)
-        found = detector.suspected(now, servers, range(256))
+        found = detector.suspected_scores(now, servers, range(256))
         out = [s for s, by in found.items() if max(by.values()) >= SUSPECT_ERROR_SCORE]
         if seen in out:
             return "suspicions: those of others went before own attempts"
@@ -285,7 +285,7 @@
             now, Suspicion(servers[0], ALL_CLASSES, 1.0, 5, 2, settings.suspicion_ns + MILLISECOND_NS)
         )
         detector.tick(now, servers)
-        if detector.suspected(now, servers, range(256)):
+        if detector.suspected_scores(now, servers, range(256)):
             return "suspicions: they did not end"
     return ""
 
@@ -329,7 +329,7 @@
             if total > stated + 1e-6:
                 return f"concurrency budget: {total:.1f} units in flight, {stated:.1f} stated"
             for one in alive:
-                for origin, known in one.known.items():
+                for origin, known in one.known_reports.items():
                     if known.incarnation < newest.get((one.gateway, one.incarnation, origin), 0):
                         return "concurrency budget: an old report counted again"
                     newest[one.gateway, one.incarnation, origin] = known.incarnation
--- a/zincstile/simulation/search.py
+++ b/zincstile/simulation/search.py
@@ -237,7 +237,7 @@
     return (
         account.customer,
         round(account.own_units, 6),
-        round(account.lent_units, 6),
+        round(account.leased_out_units, 6),
         [(x.lessor, x.process, x.request_id, round(x.units, 6), x.end_ns - now) for x in account.leases],
         [
             (k, x.request.recipient, x.request.units, x.requested_ns - now, x.sends, x.overdue)
@@ -247,7 +247,7 @@
             (holder, round(x.units, 6), round(x.gain_per_s, 6), max(-(10**9), x.observed_ns - now))
             for holder, x in account.availability.items()
         ],
-        [(k, round(x.units, 6), x.granted_ns - now, x.active) for k, x in account.granted.items()],
+        [(k, round(x.units, 6), x.granted_ns - now, x.active) for k, x in account.granted_leases.items()],
         round(account.batch_leased_units, 6) if account.batch_ns == at else 0,
     )
 
@@ -257,7 +257,7 @@
         number,
         peer.process,
         peer.last_answer,
-        max(-1, peer.quiet_until_ns - now),
+        max(-1, peer.backoff_until_ns - now),
         peer.backoff_ns,
         peer.overdue_requests,
         peer.answers_sent,
--- a/zincstile/simulation/trial.py
+++ b/zincstile/simulation/trial.py
@@ -120,9 +120,9 @@
         quota, row, ideal = self.trial.customers[key]
         account = self.accounts.account(key, quota, row, self.now())
         ideal.ask(self.trial.scheduler.now_ns, units)
-        if self.accounts.take(self.now(), account, units):
+        if self.accounts.reserve(self.now(), account, units):
             ideal.take(self.trial.scheduler.now_ns, units)
-        elif self.accounts.waits_for_answer(account):
+        elif self.accounts.awaits_answer(account):
             self.held.append((self.now() + HELD_NS, account, units, ideal))
         self.flush()
 
@@ -136,9 +136,9 @@
         self.held = []
         for until, account, units, ideal in held:
             if now < until:
-                if self.accounts.take(now, account, units, waited=True):
+                if self.accounts.reserve(now, account, units, waited=True):
                     ideal.take(self.trial.scheduler.now_ns, units)
-                elif self.accounts.waits_for_answer(account):
+                elif self.accounts.awaits_answer(account):
                     self.held.append((until, account, units, ideal))
         self.flush()
 
