--- a/zincstile/quota_service/accounts.py
+++ b/zincstile/quota_service/accounts.py
@@ -1,10 +1,10 @@
-"""Leases of units: what a gateway may send for each customer, taken from the quota service ahead of need.
+"""Leases units of customers' quotas from the quota service, ahead of need.
 
-For each customer and epoch the service holds one counter, the units leased in it. What may be leased by a
-time `s` into an epoch is `part x (opening + rate x s)`. An answer gives the total after the call; what of the
-call lies within the allowance is granted, and the remainder is taken off again. The total is never less than
-what was granted: a call that is not answered grants nothing, and what is taken off again is taken off once.
-So the grants of all gateways never add up to more than the allowance.
+For each customer and epoch the service has one counter: the units leased in that epoch. The allowance at `s`
+seconds into an epoch is `part x (carried units + rate x s)`. A call adds the wanted units and is answered
+with the new total; the units within the allowance are granted, and the excess is subtracted again. A call
+without an answer grants nothing, and an excess is subtracted at most once, so a counter is never below the
+units granted. Therefore the grants of all gateways together never exceed the allowance.
 """
 
 from __future__ import annotations
@@ -20,26 +20,29 @@
 from .overshoot_bound import max_carry_units, max_lease_units
 from .settings import SECOND_NS, QuotaServiceSettings
 
-MIN_EXHAUSTED_S: Final = 0.02  # a spent epoch is not asked again sooner: calls are few
-MAX_EXHAUSTED_S: Final = 1.0  # nor later: the part, or the opening, may have grown meanwhile
+# After a lease was not granted in full, the gateway waits at least this long before it calls again: the
+# service allows few calls.
+MIN_EXHAUSTED_S: Final = 0.02
+# It waits no longer than this: this gateway's part or the carried units may have grown meanwhile.
+MAX_EXHAUSTED_S: Final = 1.0
 
 
 @dataclass(slots=True)
 class LeaseCounts:
-    """What a gateway's accounts have done since the start."""
+    """Counts of what a gateway's accounts have done since the start."""
 
     calls: int = 0
     unanswered_leases: int = 0
     counter_losses: int = 0  # times that the service was found to have lost its counters
     granted_units: float = 0.0
-    returned_units: float = 0.0  # taken off a counter again
-    fallback_units: float = 0.0  # sent out of the even part
-    reported_units: float = 0.0  # sent without a service, and added to its counter later
+    returned_units: float = 0.0  # subtracted from a counter again
+    fallback_units: float = 0.0  # taken from the fallback bucket
+    reported_units: float = 0.0  # sent while no service was trusted, and added to a counter later
 
 
 @dataclass(slots=True)
 class LeaseRequest:
-    """A call in flight that asks for `amount` units of a customer's epoch."""
+    """A call in flight that asks for `amount` units from a customer's epoch."""
 
     account: Account
     epoch_number: int
@@ -48,48 +51,51 @@
 
 
 class Accounts:
-    """The accounts of one gateway. Whoever carries out its `calls` hands their answers back."""
+    """The accounts of one gateway. The caller makes the `calls` and passes each answer to its `on_answer`."""
 
     def __init__(self, settings: QuotaServiceSettings, detector: FailureDetector) -> None:
-        """Starts without accounts; `detector` is the gateway's own."""
+        """Creates an empty set of accounts; `detector` is this gateway's failure detector."""
         self.settings = settings
         self.detector = detector
         self.accounts: dict[int, Account] = {}  # by the customer's key
         self.counts = LeaseCounts()
         self._carry_over = CarryOver(settings, detector, self._make_call, self._on_counters_lost)
         self._calls: list[CounterCall] = []
-        self._granted: dict[int, int] = {}  # customers that got a lease since the last calls, and its epoch
-        self._limits: dict[Quota, tuple[float, float]] = {}  # max_carry and max_unspent
+        # epoch number of the last lease, by customer key, for customers granted one since the last `calls()`
+        self._granted: dict[int, int] = {}
+        self._limits: dict[Quota, tuple[float, float]] = {}  # max_carry_units and max_unspent_units
 
     def account(self, key: int, quota: Quota, gateways: list[int], now: int) -> Account:
-        """A customer's account, made where there is none."""
-        found = self.accounts.get(key)
-        if found is None:
+        """Returns a customer's account, creating it if needed."""
+        account = self.accounts.get(key)
+        if account is None:
             max_carry, max_unspent = self._limits_of(quota)
-            found = Account(key, quota, gateways, max_carry, max_unspent, used_at_ns=now)
-            self.accounts[key] = found
-        return found
+            account = Account(key, quota, gateways, max_carry, max_unspent, used_at_ns=now)
+            self.accounts[key] = account
+        return account
 
     def calls(self) -> list[CounterCall]:
-        """The calls to make since the last time; attempts that waited for an answer are retried before.
+        """Returns the calls to make, each once.
 
-        What was leased for a single attempt and is still unspent is returned.
+        The caller first retries the attempts that waited for an answer: units that are unspent after that,
+        beyond `max_unspent_units`, are returned to the service.
         """
         granted, self._granted = self._granted, {}
         for key, number in granted.items():
             account = self.accounts.get(key)
             if account is not None:
                 self._return_excess(account, number)
-        made, self._calls = self._calls, []
-        self.counts.calls += len(made)
-        return made
+        drained, self._calls = self._calls, []
+        self.counts.calls += len(drained)
+        return drained
 
     # ---- attempts
 
     def reserve(self, now: int, account: Account, units: float, *, waited: bool = False) -> bool:
-        """Takes the units of an attempt: True where they are leased. Asks for more ahead of need.
+        """Takes the units of an attempt if they are available, and requests leases ahead of need.
 
-        `waited`: it has asked before, and its use is counted.
+        Returns whether the units were taken. `waited` marks a retry of an attempt whose use is already
+        counted.
         """
         if not waited:
             account.note_use(now, units)
@@ -103,22 +109,26 @@
         return False
 
     def awaits_answer(self, account: Account) -> bool:
-        """Whether a call is in flight that may bring what is lacking: the attempt may be deferred."""
+        """Returns whether an attempt may wait, as a call in flight may bring the units that it lacks."""
         return account.requested_units > NEGLIGIBLE_UNITS or account.pending_reads > 0
 
     def release(self, account: Account, units: float) -> None:
-        """Takes units back that were taken for an attempt and never sent."""
+        """Puts back units that were taken for an attempt which was not sent."""
         account.unspent_units += units
 
     def _reserve_fallback(self, now: int, account: Account, units: float) -> bool:
-        """Takes from the even part, where no service is trusted and no peer counts on this gateway."""
+        """Takes units from the fallback bucket, which this gateway may use once it has lost the service.
+
+        By that time no peer still counts this gateway among those on the service.
+        """
         detector, quota = self.detector, account.quota
         if detector.trusts_service or now < detector.fallback_from_ns():
             account.fallback_filled_ns = -1
             return False
         rate = quota.rate / len(account.gateways)
         burst = quota.burst / len(account.gateways)
-        if account.fallback_filled_ns < 0:  # empty at first: what was leased before has been sent
+        # The bucket starts empty, as this gateway may have spent its part through leases.
+        if account.fallback_filled_ns < 0:
             account.fallback_units = 0.0
             account.fallback_filled_ns = detector.fallback_from_ns()
         account.fallback_units = min(
@@ -136,7 +146,7 @@
     # ---- leases
 
     def _lease_ahead(self, now: int, account: Account, shortfall: float) -> None:
-        """Leases what recent use will need, and the units that an attempt lacks."""
+        """Requests a lease for the expected use, and for the units that an attempt lacks."""
         detector = self.detector
         if not detector.may_lease(now) or account.requested_units > NEGLIGIBLE_UNITS:
             return
@@ -169,12 +179,12 @@
         account, number, amount = request.account, request.epoch_number, request.amount
         account.requested_units = 0.0
         if total is None:
-            # The amount may have been added: then it is lost, and no gateway sends it.
+            # The amount may have been added to the counter. It is then lost: no gateway can use it.
             self.counts.unanswered_leases += 1
             return
         epoch = account.epochs.get(number)
         if epoch is None:
-            epoch = Epoch(closed=True)  # too long ago
+            epoch = Epoch(closed=True)  # the epoch was dropped, so nothing is granted
         epoch.added_units += amount
         if counter_was_reset(total, epoch.added_units):
             self._on_counters_lost(now)
@@ -191,7 +201,7 @@
             self._return(account, number, epoch, refused)
 
     def _granted_units(self, now: int, request: LeaseRequest, epoch: Epoch, total: float) -> float:
-        """What of an answered amount lies within the allowance at the time of the request."""
+        """Returns how many of the requested units are within the allowance at the time of the request."""
         if epoch.closed or not self.detector.may_lease(now):
             return 0.0
         account, epoch_ns = request.account, self.settings.epoch_ns
@@ -199,29 +209,29 @@
         epoch.service_part = min(epoch.service_part, part)
         into_epoch_ns = min(epoch_ns, max(0, request.requested_ns - request.epoch_number * epoch_ns))
         allowed = epoch.service_part * (epoch.carried_units + account.quota.rate * into_epoch_ns / SECOND_NS)
-        beyond = total * (1 + TOTAL_PRECISION_RATIO) - allowed
-        return min(request.amount, max(0.0, request.amount - beyond))
+        excess = total * (1 + TOTAL_PRECISION_RATIO) - allowed
+        return min(request.amount, max(0.0, request.amount - excess))
 
     def _return_excess(self, account: Account, number: int) -> None:
-        """Returns what is unspent beyond `max_unspent`."""
+        """Returns the unspent units beyond `max_unspent_units` to the service."""
         excess = account.unspent_units - account.max_unspent_units
         if excess > NEGLIGIBLE_UNITS:
             account.unspent_units -= excess
-            # To the counter of the epoch that it was leased in: the total of another one would fall below
-            # what was added there, which is the sign of a service that forgot.
+            # They go to the counter of the epoch that they were leased in. The total of any other epoch would
+            # fall below what was added to it, which looks like a service that has lost its counters.
             self._return(account, number, account.epochs.get(number), excess)
 
     def _return(self, account: Account, number: int, epoch: Epoch | None, units: float) -> None:
-        """Takes units off an epoch's counter again, once, whether that is answered or not."""
+        """Subtracts units from an epoch's counter, with a single call that is not repeated."""
         if epoch is not None:
             epoch.added_units -= units
         self.counts.returned_units += units
         self._make_call(CounterCall(account.counter_name(number), -units, lambda now, total: None))
 
     def _report(self, account: Account, number: int, epoch: Epoch) -> None:
-        """Adds what was sent without a service in this epoch, once, before anything is leased of it."""
+        """Adds the units sent without a service to the epoch's counter, once, before it grants any lease."""
         amount = sum(epoch.unreported_units)
-        account.requested_units = NEGLIGIBLE_UNITS * 2  # holds leases back until the answer
+        account.requested_units = NEGLIGIBLE_UNITS * 2  # non-zero, so no lease is requested before the answer
 
         def answered(now: int, total: float | None) -> None:
             account.requested_units = 0.0
@@ -235,7 +245,7 @@
         self._make_call(CounterCall(account.counter_name(number), amount, answered))
 
     def _on_counters_lost(self, now: int) -> None:
-        """The service has lost its counters: nothing more of this epoch is leased, for any customer."""
+        """Handles a service that has lost its counters: nothing more is leased in the current epoch."""
         self.counts.counter_losses += 1
         self.detector.on_counters_lost(now)
         for account in self.accounts.values():
--- a/zincstile/quota_service/codec.py
+++ b/zincstile/quota_service/codec.py
@@ -1,6 +1,7 @@
-"""Peer heartbeats as datagrams of 64 bytes at most: packing and unpacking, no I/O.
+"""Encodes and decodes peer heartbeats as datagrams of at most 64 bytes. No I/O.
 
-A datagram begins with a byte that no message of the decision module begins with, and ends with a checksum.
+A datagram starts with a magic byte that no other message between gateways starts with, and ends with a
+checksum.
 """
 
 from __future__ import annotations
@@ -12,15 +13,15 @@
 from .messages import MAX_TOTALS, PeerHeartbeat
 
 MAGIC: Final = 0xBA
-CHECKSUM_MASK: Final = 0xFFFF  # the lower half of a CRC-32: enough for damage, and two bytes shorter
-# First byte, trusts the service, number of totals, counter number, sent at, last answer at.
+CHECKSUM_MASK: Final = 0xFFFF  # half of a CRC-32 detects damage well enough and saves two bytes
+# Magic byte, trusts_service, number of totals, counter_number, sent_ns, last_answer_ns.
 HEADER: Final = struct.Struct("<BBBIQQ")
 TOTAL: Final = struct.Struct("<I")
 CHECKSUM: Final = struct.Struct("<H")
 
 
 def pack(message: PeerHeartbeat) -> bytes:
-    """The datagram of a heartbeat whose totals are integers below 2^32."""
+    """Encodes a heartbeat, whose totals have to be integers below 2^32."""
     header = HEADER.pack(
         MAGIC,
         message.trusts_service,
@@ -34,7 +35,7 @@
 
 
 def unpack(sender: int, data: bytes) -> PeerHeartbeat | None:
-    """The heartbeat of a datagram; None where it is damaged, or of another layout."""
+    """Decodes a datagram; returns None if it is damaged or has another layout."""
     if len(data) < HEADER.size + CHECKSUM.size or data[0] != MAGIC:
         return None
     body = data[: -CHECKSUM.size]
--- a/zincstile/quota_service/events.py
+++ b/zincstile/quota_service/events.py
@@ -1,4 +1,4 @@
-"""What the quota service adds to the events that a policy handles and to the actions that it returns."""
+"""Events and actions that the quota service adds to those of a policy."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(slots=True)
 class CallQuotaService:
-    """An action: add the amount to the counter `name`; a `QuotaServiceAnswered` of this id has to follow."""
+    """Action: add `amount` to the counter `name`. A `QuotaServiceAnswered` with the same id has to follow."""
 
     call_id: int
     name: str
@@ -19,7 +19,7 @@
 
 @dataclass(slots=True)
 class QuotaServiceAnswered:
-    """An event: the counter's total by a call; None where none came in time, or no number."""
+    """Event: the total that a call returned; None if there was no answer in time or it was not a number."""
 
     call_id: int
     total: float | None
@@ -27,7 +27,7 @@
 
 @dataclass(slots=True)
 class SendPeerHeartbeat:
-    """An action: send a heartbeat to one peer."""
+    """Action: send a heartbeat to one peer."""
 
     peer: int
     heartbeat: PeerHeartbeat
@@ -35,6 +35,6 @@
 
 @dataclass(slots=True)
 class PeerHeartbeatReceived:
-    """An event: a heartbeat of a peer has come."""
+    """Event: a heartbeat has arrived from a peer."""
 
     heartbeat: PeerHeartbeat
--- a/zincstile/quota_service/failure_detector.py
+++ b/zincstile/quota_service/failure_detector.py
@@ -1,12 +1,12 @@
-"""Failure detection: whether a gateway trusts its quota service, and which part of a quota belongs there.
+"""Decides whether a gateway trusts its quota service, and which part of each quota belongs to that service.
 
-Every gateway adds 1 to one counter of the service, its heartbeat. A total that falls comes from a service
-that has forgotten: a new one.
+As a heartbeat, every gateway adds 1 to one common counter of the service. If the total does not grow, the
+service has lost its counters and counts as a new one.
 
-A gateway uses only the part of a quota that belongs to itself and to those peers that said within
-`peer_timeout_ns` that they trust the same service. One that trusts none uses its even part, but not before
-every peer must have stopped counting on it (`fallback_delay_ns` after its last message of trust). So no part
-of a quota has two owners at any time.
+Of each quota, the gateways on a service use only the part that belongs to themselves: a gateway counts itself
+and the peers that reported trust in the same service within `peer_timeout_ns`. A gateway that trusts no
+service falls back to an equal part, but not until every peer has stopped counting it (`fallback_delay_ns`
+after it last reported trust). So no part of a quota has two owners at any time.
 """
 
 from __future__ import annotations
@@ -19,46 +19,47 @@
 
 
 class ServiceState(Enum):
-    """How far a gateway trusts its quota service. The values stand in the log."""
+    """Whether a gateway trusts its quota service. The values appear in the log."""
 
     TRUSTED = "trusted"
-    SUSPECT = "suspect"  # a heartbeat has no answer yet: nothing is leased, and what was sent still holds
+    SUSPECT = "suspect"  # a heartbeat was not answered: no new leases, but the gateway still counts as on it
     LOST = "lost"
-    NEW = "new"  # it has forgotten totals: nothing is leased before the next epoch
+    NEW = "new"  # it lost its counters: no new leases before the next epoch
 
 
 class FailureDetector:
-    """The state of one gateway's quota service. Starts without a service."""
+    """Tracks the state of one gateway's quota service. The initial state is LOST."""
 
     def __init__(self, settings: QuotaServiceSettings, gateway: int, now: int) -> None:
-        """Takes the gateway's number, and the time by the gateways' common clock in nanoseconds."""
+        """Starts at `now`, on the gateways' common clock; `gateway` is this gateway's number."""
         self.settings = settings
         self.gateway = gateway
         self.state = ServiceState.LOST
-        self.state_changes: list[tuple[int, ServiceState]] = []  # when, and to which state
-        self.leases_from_ns = 0  # nothing is leased before then
-        self.trusted_since_ns = 0  # without a gap
+        self.state_changes: list[tuple[int, ServiceState]] = []  # time and new state
+        self.leases_from_ns = 0  # no new leases before this time
+        self.trusted_since_ns = 0  # start of the current uninterrupted time of trust
         self._totals = HeartbeatTotals()
         self.peers = Peers(settings, self._totals)
-        self._trust_sent_ns = now  # by this process, or at the latest by the one before it
+        # When this gateway last reported trust to its peers. A previous process may have done so until now.
+        self._trust_sent_ns = now
         self._missed_heartbeats = 0
 
     # ---- the quota service
 
     def heartbeat_call(self, now: int) -> HeartbeatCall:
-        """The heartbeat that is due now."""
+        """Returns the heartbeat to send now."""
         number = now // self.settings.heartbeat_counter_ns
         return HeartbeatCall(f"zs.beat.{number}", number)
 
     def heartbeat_answered(self, now: int, counter_number: int, total: float | None) -> None:
-        """Takes the answer to a heartbeat; None where none came in time, or none with a number."""
+        """Handles the answer to a heartbeat; `total` is None if there was no valid answer in time."""
         if total is None or total < 1 or total != int(total):
             self._heartbeat_missed(now)
             return
         self._missed_heartbeats = 0
         totals = self._totals
         if counter_number < totals.counter_number:
-            return  # a late answer of the counter before
+            return  # a late answer from an earlier counter
         if counter_number > totals.counter_number:
             totals.begin_counter(counter_number)
         if total <= totals.last:
@@ -69,9 +70,9 @@
         totals.record(now, int(total))
 
     def on_counters_lost(self, now: int) -> None:
-        """The total of some counter fell: the service is a new one.
+        """Handles a total that shows that the service has lost its counters.
 
-        What was leased of the current epoch is forgotten there, so nothing more of it is leased.
+        The service no longer knows what was leased in the current epoch, so nothing more of it is leased.
         """
         self.leases_from_ns = (now // self.settings.epoch_ns + 1) * self.settings.epoch_ns
         self._change_state(now, ServiceState.NEW)
@@ -93,17 +94,17 @@
 
     @property
     def trusts_service(self) -> bool:
-        """Whether the gateway's part belongs to the service, for itself and for its peers."""
+        """Whether this gateway's part of the quotas belongs to the service."""
         return self.state in (ServiceState.TRUSTED, ServiceState.SUSPECT)
 
     def may_lease(self, now: int) -> bool:
-        """Whether new leases may be taken."""
+        """Returns whether new leases may be requested."""
         return self.state is ServiceState.TRUSTED and now >= self.leases_from_ns
 
     # ---- peers
 
     def peer_heartbeat(self, now: int) -> PeerHeartbeat:
-        """The message for all peers: at every heartbeat, and at once when trust ends."""
+        """Returns the message for all peers, sent with every heartbeat and whenever the state changes."""
         if self.trusts_service:
             self._trust_sent_ns = now
         totals = self._totals
@@ -117,32 +118,32 @@
         )
 
     def service_part(self, now: int, gateways: list[int]) -> float:
-        """The part of a quota of these gateways that belongs to those on this service; 0 without one."""
+        """Returns the fraction of these gateways that are on this gateway's service; 0 if it trusts none."""
         if not self.trusts_service:
             return 0.0
-        on_it = sum(peer == self.gateway or self.peers.on_same_service(now, peer) for peer in gateways)
-        return on_it / len(gateways)
+        on_service = sum(peer == self.gateway or self.peers.on_same_service(now, peer) for peer in gateways)
+        return on_service / len(gateways)
 
     def service_part_since(self, now: int, gateways: list[int], since_ns: int) -> float:
-        """The same, of those that have used the service without a gap since then.
+        """Like `service_part`, but counts only gateways that have been on the service since `since_ns`.
 
-        The others may have sent what this service never counted.
+        The others may have sent units that this service has not counted.
         """
         if not self.trusts_service or max(self.trusted_since_ns, self.leases_from_ns) > since_ns:
             return 0.0
-        on_it = sum(
+        on_service = sum(
             peer == self.gateway or self.peers.on_same_service_since(now, peer, since_ns) for peer in gateways
         )
-        return on_it / len(gateways)
+        return on_service / len(gateways)
 
     def fallback_from_ns(self) -> int:
-        """From when this gateway may use its even part, if it trusts no service till then."""
+        """Returns when this gateway may fall back to its equal part, if it trusts no service until then."""
         return self._trust_sent_ns + self.settings.fallback_delay_ns
 
     def log_line(self, now: int) -> str:
-        """The state as a line of the log."""
-        on_it, known = self.peers.counts(now)
+        """Returns the state as a log line."""
+        on_service, known = self.peers.counts(now)
         return (
-            f"quota service {self.state.value}, {on_it} of {known} peers on it, "
-            f"{(now - self._trust_sent_ns) / SECOND_NS:.1f} s since the last message of trust"
+            f"quota service {self.state.value}, {on_service} of {known} peers use it, "
+            f"{(now - self._trust_sent_ns) / SECOND_NS:.1f} s since this gateway last reported trust in it"
         )
--- a/zincstile/quota_service/feature.py
+++ b/zincstile/quota_service/feature.py
@@ -1,8 +1,8 @@
-"""Quotas held through a quota service (`features.keeper`), in place of the parts that gossip gives.
+"""Enforces quotas through a quota service (`features.keeper`) instead of by gossip.
 
-A request whose units are not in hand waits for a lease, for some tens of milliseconds at most, where a call
-is on its way; else it is outside the quota here, and rejected early as ever. The gossip goes on beside it:
-ceilings and limits on attempts in flight need it.
+A request whose units are not available waits for a lease, at most some tens of milliseconds, if a call to the
+service is in flight. Otherwise it counts as over quota at this gateway. Gossip continues, as ceilings and
+limits on attempts in flight depend on it.
 """
 
 from __future__ import annotations
@@ -24,17 +24,17 @@
 from .failure_detector import FailureDetector, ServiceState
 from .settings import COUNTER_LIFETIME_MS, QuotaServiceSettings
 
-# A request waits so long for a lease: a call to the service, which is given up after 50 ms by default, and
-# what comes before and after it.
+# How long a request waits for a lease. It covers one call to the service, which times out after 50 ms by
+# default, and the processing before and after it.
 LEASE_WAIT_NS: Final = SECOND_NS // 12
 
-OnAnswer = Callable[[int, float | None], None]  # common time, total
+OnAnswer = Callable[[int, float | None], None]  # time on the common clock, total
 
 
 class QuotaServiceFeature:
-    """Owner of the leases of customers' quotas (`accounts`) and of the service's failure detector.
+    """Owns the customers' accounts and the failure detector of the quota service.
 
-    Both are there from `started` on. Times of both are by the gateways' common clock.
+    Both are created by `started`, and use the gateways' common clock.
     """
 
     detector: FailureDetector
@@ -43,18 +43,18 @@
     def __init__(
         self, settings: Settings, service_settings: QuotaServiceSettings, clock_offset_ns: int
     ) -> None:
-        """Takes what the gateways' common clock is ahead of the policy's, in nanoseconds."""
+        """Stores the settings; `clock_offset_ns` is the common clock minus the policy's clock."""
         self.settings = settings
         self.service_settings = service_settings
         self.clock_offset_ns = clock_offset_ns
-        self.calls: dict[int, OnAnswer] = {}  # by call id, until they are answered
-        self.reported_state: ServiceState | None = None  # in the log
+        self.calls: dict[int, OnAnswer] = {}  # calls in flight, by call id
+        self.logged_state: ServiceState | None = None
         self._last_call_id = 0
 
     # ---- the feature
 
     def attach(self, policy: Policy) -> None:
-        """Holds the quotas of the policy from now on."""
+        """Replaces the policy's quotas, and registers the timer and the event handlers."""
         self.parts = policy.parts
         self.deferred = DeferredQuotas(
             self.parts, self, LEASE_WAIT_NS, reports_usage=True, limits_in_flight=True
@@ -65,13 +65,13 @@
         policy.handlers[PeerHeartbeatReceived] = self.on_peer_heartbeat
 
     def before_start(self, now: int) -> None:
-        """Nothing is called before the start."""
+        """Does nothing: no call is made before the start."""
 
     def state_inherited(self, now: int) -> None:
-        """Nothing is inherited: leases belong to a process."""
+        """Does nothing: leases belong to a process and are not inherited."""
 
     def started(self, now: int) -> None:
-        """Builds the failure detector and the accounts, and sends the first heartbeat."""
+        """Creates the failure detector and the accounts, and sends the first heartbeat."""
         self.detector = FailureDetector(
             self.service_settings, self.settings.gateway_index, self._common_ns(now)
         )
@@ -79,26 +79,26 @@
         self._heartbeat(now)
 
     def figures(self) -> dict[str, float]:
-        """Nothing beyond the policy's own."""
+        """Returns no figures besides those of the policy."""
         return {}
 
     # ---- the quota service
 
     def on_answer(self, now: int, event: QuotaServiceAnswered) -> None:
-        """The answer to one call, which may let requests go that wait for it."""
+        """Handles the answer to a call, and retries the requests that wait for units."""
         on_answer = self.calls.pop(event.call_id, None)
         if on_answer is None:
             return
         on_answer(self._common_ns(now), event.total)
         self.deferred.retry_waiting(now, list(self.deferred.waiting))
         self.flush(now)
-        if self.detector.state is not self.reported_state:
-            self.reported_state = self.detector.state
+        if self.detector.state is not self.logged_state:
+            self.logged_state = self.detector.state
             self.parts.actions.append(LogMessage(self.detector.log_line(self._common_ns(now))))
-            self._report_to_peers(now)  # at once: peers depend on it where trust ends
+            self._report_to_peers(now)  # without waiting for the next heartbeat, as trust may have ended
 
     def on_peer_heartbeat(self, now: int, event: PeerHeartbeatReceived) -> None:
-        """What a peer has seen of its quota service."""
+        """Handles a peer's report about its quota service."""
         if 0 <= event.heartbeat.sender < self.settings.gateway_count:
             self.detector.peers.receive(self._common_ns(now), event.heartbeat)
 
@@ -132,7 +132,7 @@
     # ---- the units of quotas
 
     def reserve(self, now: int, pending: PendingRequest, *, waited: bool) -> Reservation:
-        """Takes the units of a request from the customer's lease."""
+        """Reserves the units of a request from the customer's account."""
         account = self._account(now, pending)
         common_ns = self._common_ns(now)
         if self.accounts.reserve(common_ns, account, pending.request.units, waited=waited):
@@ -141,29 +141,29 @@
         return Reservation.PENDING if waits else Reservation.REFUSED
 
     def release(self, now: int, customer: Customer, units: float) -> None:
-        """Units come back to the customer's lease."""
+        """Puts units back into the customer's account; a negative number takes more out."""
         account = self.accounts.accounts.get(customer.key)
         if account is not None:
             self.accounts.release(account, units)
 
     def flush(self, now: int) -> None:
-        """Makes the calls that the accounts want."""
+        """Makes the calls that the accounts have queued."""
         for call in self.accounts.calls():
             self._call(call.name, call.amount, call.ttl_ms, call.on_answer)
 
     def decided(self, pending: PendingRequest) -> None:
-        """Nothing is remembered of a request."""
+        """Does nothing: no state is kept per request."""
 
     def request_closed(self, pending: PendingRequest) -> None:
-        """Nothing is remembered of a request."""
+        """Does nothing: no state is kept per request."""
 
     def customers_forgotten(self, keys: list[int]) -> None:
-        """Their accounts go too."""
+        """Drops the accounts of these customers."""
         for key in keys:
             self.accounts.accounts.pop(key, None)
 
     def ceiling_part(self, now: int, customer: Customer, plan: CustomerPlan) -> float:
-        """As with quotas by gossip."""
+        """Returns the same part as with quotas by gossip."""
         return self.parts.ledger.ceiling_part(now, customer, plan)
 
     def _account(self, now: int, pending: PendingRequest) -> Account:
--- a/zincstile/quota_service/messages.py
+++ b/zincstile/quota_service/messages.py
@@ -1,4 +1,4 @@
-"""What goes to the quota service and between gateways: counter calls, and heartbeats of peers."""
+"""Calls to the quota service, and the heartbeats between gateways."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 from .settings import COUNTER_LIFETIME_MS
 
-MAX_TOTALS: Final = 8  # latest totals in a peer heartbeat: its datagram stays at 64 bytes
+MAX_TOTALS: Final = 8  # in a peer heartbeat, so that its datagram has at most 64 bytes
 
 
 @dataclass(slots=True)
 class CounterCall:
     """A call to the quota service: add `amount` units to the counter `name`.
 
-    Whoever carries it out calls `on_answer(now, total)` once, with None where no total came in time.
+    `on_answer(now, total)` is called exactly once; `total` is None if no total arrived in time.
     """
 
     name: str
@@ -26,7 +26,10 @@
 
 @dataclass(frozen=True, slots=True)
 class HeartbeatCall:
-    """The heartbeat that is due: add 1 to the counter `name`; the answer has to bear `counter_number`."""
+    """A heartbeat to the quota service: add 1 to the counter `name`.
+
+    `counter_number` is passed to `FailureDetector.heartbeat_answered` together with the answer.
+    """
 
     name: str
     counter_number: int
@@ -34,11 +37,11 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerHeartbeat:
-    """What a gateway sends its peers of its quota service. Times by the gateways' common clock."""
+    """A gateway's report about its quota service to its peers. Times are on the gateways' common clock."""
 
     sender: int
     sent_ns: int
     trusts_service: bool
-    counter_number: int  # of the heartbeat counter that the totals are of; -1: none yet
-    totals: tuple[int, ...]  # the latest answers to its own heartbeats
-    last_answer_ns: int = 0  # when the last of these came
+    counter_number: int  # the heartbeat counter that returned the totals; -1 before the first answer
+    totals: tuple[int, ...]  # the latest totals that the sender's heartbeats returned
+    last_answer_ns: int = 0  # when the last of them arrived
--- a/zincstile/quota_service/settings.py
+++ b/zincstile/quota_service/settings.py
@@ -1,6 +1,6 @@
-"""Settings of the quota service's users: intervals, timeouts, and which failures a bound has to cover.
+"""Settings of gateways that use a quota service: intervals, timeouts, and the failures that a bound covers.
 
-All times are in nanoseconds of one clock that the gateways share, up to `clock_skew_ns`.
+All times are in nanoseconds. The gateways' clocks are synchronized to within `clock_skew_ns`.
 """
 
 from __future__ import annotations
@@ -13,19 +13,19 @@
 
 MILLISECOND_NS: Final = 1_000_000
 SECOND_NS: Final = 1_000 * MILLISECOND_NS
-COUNTER_LIFETIME_MS: Final = 60_000  # asked for with each call; no counter is used for longer than 30 s
+COUNTER_LIFETIME_MS: Final = 60_000  # requested with each call; no counter is used for longer than 30 s
 
 
 class Failure(StrEnum):
-    """A failure for which the overshoot has a stated bound. The values are the names that operators write."""
+    """A failure for which the overshoot has a stated bound. The values are the names in operators' files."""
 
     NONE = "none"
     UNREACHABLE = "gone"  # no call is answered
     SLOW = "slow"  # answers come after the call's timeout
     CALLS_LOST = "calls lost"  # some calls, or their answers, are lost
     GATEWAY_CRASH = "gateway dead"
-    SPLIT = "split"  # two services answer, each to a part of the gateways
-    REPLACED = "swapped"  # an empty service answers in place of the one before
+    SPLIT = "split"  # two services answer, each for some of the gateways
+    REPLACED = "swapped"  # an empty service has replaced the previous one
 
 
 FAILURES: Final = tuple(Failure)
@@ -35,22 +35,22 @@
 class QuotaServiceSettings:
     """How leases are taken and how failures are detected."""
 
-    epoch_ns: int = SECOND_NS  # each customer has a new counter every epoch
-    lease_cover_ns: int = 400 * MILLISECOND_NS  # a lease covers the recent use for this long
-    max_lease_ns: int = 600 * MILLISECOND_NS  # and the plan's rate for this long at most
-    heartbeat_interval_ns: int = 250 * MILLISECOND_NS  # to the service and to all peers
-    peer_timeout_ns: int = 900 * MILLISECOND_NS  # a peer's heartbeat counts for this long
+    epoch_ns: int = SECOND_NS  # each customer gets a new counter in each epoch
+    lease_cover_ns: int = 400 * MILLISECOND_NS  # a lease covers this much time of recent use
+    max_lease_ns: int = 600 * MILLISECOND_NS  # and at most this much time of the plan's rate
+    heartbeat_interval_ns: int = 250 * MILLISECOND_NS  # of heartbeats to the service and to all peers
+    peer_timeout_ns: int = 900 * MILLISECOND_NS  # how long a peer's heartbeat is valid
     max_message_delay_ns: int = 150 * MILLISECOND_NS  # a peer's heartbeat that took longer is dropped
     call_timeout_ns: int = 50 * MILLISECOND_NS
-    max_missed_heartbeats: int = 2  # after so many unanswered ones in a row the service counts as lost
-    clock_skew_ns: int = 5 * MILLISECOND_NS  # between the clocks of two gateways, at most
-    split_parts: int = 2  # a split into so many services has to be tolerated
-    tolerated_failures: tuple[str, ...] = FAILURES  # their bounds have to be under max_overshoot_ratio
-    max_overshoot_ratio: float = 0.05  # of what a quota gives in any minute
-    heartbeat_counter_ns: int = 30 * SECOND_NS  # heartbeats go to a new counter this often
+    max_missed_heartbeats: int = 2  # after this many unanswered ones in a row, the service counts as lost
+    clock_skew_ns: int = 5 * MILLISECOND_NS  # maximum difference between the clocks of two gateways
+    split_parts: int = 2  # number of services into which a tolerated split divides the gateways
+    tolerated_failures: tuple[str, ...] = FAILURES  # their bounds have to be within max_overshoot_ratio
+    max_overshoot_ratio: float = 0.05  # relative to the units that a quota provides in one minute
+    heartbeat_counter_ns: int = 30 * SECOND_NS  # a new heartbeat counter is used after this time
 
     def __post_init__(self) -> None:
-        """Raises ValueError, which names the field, where a value can't work."""
+        """Raises ValueError with the name of the field if a value is invalid."""
         require_above_zero(
             self,
             "epoch_ns",
@@ -71,38 +71,38 @@
         if self.peer_timeout_ns < 2 * self.heartbeat_interval_ns + self.max_message_delay_ns:
             raise ValueError(
                 "peer_timeout_ns: must cover two heartbeats and a late message: "
-                "one lost message would part the gateways"
+                "otherwise one lost message separates the gateways"
             )
         if self.heartbeat_counter_ns < 4 * self.peer_timeout_ns or self.heartbeat_counter_ns > 30 * SECOND_NS:
             raise ValueError(
-                "heartbeat_counter_ns: must be at least four times peer_timeout_ns, and 30 s at most, "
-                "as names live 60 s"
+                "heartbeat_counter_ns: must be at least four times peer_timeout_ns and at most 30 s, "
+                "as the service keeps counters for 60 s"
             )
         if self.epoch_ns < 2 * self.call_timeout_ns or self.epoch_ns > 20 * SECOND_NS:
-            raise ValueError("epoch_ns: must be at least twice call_timeout_ns, and 20 s at most")
+            raise ValueError("epoch_ns: must be at least twice call_timeout_ns, and at most 20 s")
         require_known(self, "tolerated_failures", FAILURES)
 
     @property
     def fallback_delay_ns(self) -> int:
-        """From a gateway's last message of trust until it may use its even part.
+        """Time from a gateway's last report of trust until it may fall back to its equal part.
 
-        By then no peer counts on it any more, however late that message came.
+        After this time no peer still counts the gateway as on the service, even if the report was delayed.
         """
         return self.peer_timeout_ns + self.max_message_delay_ns
 
     @property
     def separation_ns(self) -> int:
-        """How long two peers whose totals contradict each other are taken to use different services.
+        """How long peers with contradictory totals are considered to use different services.
 
-        On two services each heartbeat renews the contradiction. After a replacement that all gateways went
-        through, it ends.
+        While they do use different services, each heartbeat extends this time. If all gateways have moved to
+        a replaced service, the contradictions end, and so does the separation.
         """
         return 4 * self.peer_timeout_ns
 
     @property
     def split_detection_ns(self) -> int:
-        """From a split until both sides have stopped counting each other.
+        """Time from a split until the gateways on either side no longer count those on the other side.
 
-        The later of the two signs decides: silence, and totals that contradict each other.
+        A split shows by missing heartbeats or by contradictory totals; this is the longer of the two times.
         """
         return max(self.peer_timeout_ns, 3 * self.heartbeat_interval_ns) + self.max_message_delay_ns
