--- a/zincstile/quota_service/codec.py
+++ b/zincstile/quota_service/codec.py
@@ -1,6 +1,7 @@
-"""Peer heartbeats as datagrams of 64 bytes at most: packing and unpacking, no I/O.
+"""Encodes and decodes peer heartbeats as datagrams of at most 64 bytes. No I/O.
 
-A datagram begins with a byte that no message of the decision module begins with, and ends with a checksum.
+A datagram starts with a magic byte that no other message between gateways starts with, and ends with a
+checksum.
 """
 
 from __future__ import annotations
@@ -11,18 +12,18 @@
 
 from .messages import MAX_TOTALS, PeerHeartbeat
 
-FIRST_BYTE: Final = 0xBA
-CHECKSUM_MASK: Final = 0xFFFF  # the lower half of a CRC-32: enough for damage, and two bytes shorter
-# First byte, trusts the service, number of totals, counter number, sent at, last answer at.
+MAGIC: Final = 0xBA
+CHECKSUM_MASK: Final = 0xFFFF  # half of a CRC-32 detects damage well enough and saves two bytes
+# Magic byte, trusts_service, number of totals, counter_number, sent_ns, last_answer_ns.
 HEADER: Final = struct.Struct("<BBBIQQ")
 TOTAL: Final = struct.Struct("<I")
 CHECKSUM: Final = struct.Struct("<H")
 
 
 def pack(message: PeerHeartbeat) -> bytes:
-    """The datagram of a heartbeat whose totals are integers below 2^32."""
+    """Encodes a heartbeat, whose totals have to be integers below 2^32."""
     header = HEADER.pack(
-        FIRST_BYTE,
+        MAGIC,
         message.trusts_service,
         len(message.totals),
         max(0, message.counter_number),
@@ -34,8 +35,8 @@
 
 
 def unpack(sender: int, data: bytes) -> PeerHeartbeat | None:
-    """The heartbeat of a datagram; None where it is damaged, or of another layout."""
-    if len(data) < HEADER.size + CHECKSUM.size or data[0] != FIRST_BYTE:
+    """Decodes a datagram; returns None if it is damaged or has another layout."""
+    if len(data) < HEADER.size + CHECKSUM.size or data[0] != MAGIC:
         return None
     body = data[: -CHECKSUM.size]
     (checksum,) = CHECKSUM.unpack(data[-CHECKSUM.size :])
