--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -393,9 +393,9 @@
                 done = AttemptOutcome(action.request, 0, action.endpoint, AttemptResult.OK, 5 * 10**6, True)
                 put(now + 5 * 10**6, done)
             elif isinstance(action, SendGossip):
-                asked = [s for s in action.usages if s.want > 0]
+                asked = [s for s in action.usages if s.requested_units > 0]
                 for s in asked:
-                    answer = CustomerUsage(s.customer, 0, 0.0, 1e4, 0, s.want, s.query_id, True)
+                    answer = CustomerUsage(s.customer, 0, 0.0, 1e4, 0, s.requested_units, s.query_id, True)
                     put(now + 10**6, GossipReceived(action.peer, 1, [answer]))
                 if now >= 0.5e9 * seconds:
                     datagrams = gossip_codec.encode_gossip(action)
--- a/tests/test_inherit_memory.py
+++ b/tests/test_inherit_memory.py
@@ -72,7 +72,9 @@
     assert heir.latency.calm_ns == g.policy.parts.latency.calm_ns
     slow = heir.endpoints.by_id[g.policy.parts.endpoints.ready[0].entry.id]
     assert (slow.latency_ratio, slow.error_scores) == (2.5, {0: 0.6})
-    assert [x.arrivals for x in heir.budget.groups] == [x.arrivals for x in g.policy.parts.budget.groups]
+    assert [x.arrival_rate for x in heir.budget.groups] == [
+        x.arrival_rate for x in g.policy.parts.budget.groups
+    ]
     assert heir.peers.last_message == g.policy.parts.peers.last_message
 
 
@@ -90,7 +92,7 @@
     for key, c in g.policy.parts.ledger.customers.items():
         mine = heir.policy.parts.ledger.customers[key]
         assert mine.level == pytest.approx(c.level) and mine.total == c.total
-        assert mine.ceiling == pytest.approx(c.ceiling) and mine.usage.keys() == c.usage.keys()
+        assert mine.ceiling_level == pytest.approx(c.ceiling_level) and mine.usage.keys() == c.usage.keys()
 
 
 def test_a_peer_counts_across_both_processes_by_one_running_total():
@@ -105,7 +107,7 @@
 
     told(g.policy)
     heir = new_process(left(g), g)
-    heir.policy.parts.ledger.customers[key].spend(3.0, TOTAL_MODULUS)
+    heir.policy.parts.ledger.customers[key].charge(3.0, TOTAL_MODULUS)
     told(heir.policy)
     assert level[0] - level[1] == pytest.approx(3.0)  # its own sends alone, and the old one's not again
     assert c.total == heir.policy.parts.ledger.customers[key].total - 3.0
@@ -116,14 +118,14 @@
     table = left(g)
     heir = new_process(table, g)
     key = next(iter(g.policy.parts.ledger.customers))
-    g.policy.parts.ledger.customers[key].spend(2.0, TOTAL_MODULUS)
+    g.policy.parts.ledger.customers[key].charge(2.0, TOTAL_MODULUS)
     before = heir.policy.parts.ledger.customers[key].level
     totals = {c["key"]: c["total"] for c in table["customers"]}
-    t = json.loads(json.dumps(state_transfer.totals(g.policy.parts)))
+    t = json.loads(json.dumps(state_transfer.running_totals(g.policy.parts)))
     assert state_transfer.apply_totals(heir.policy.parts, t, totals, TOTAL_MODULUS) == 1
     assert heir.policy.parts.ledger.customers[key].level == pytest.approx(before - 2.0)
     assert heir.policy.parts.ledger.customers[key].total == g.policy.parts.ledger.customers[key].total
-    with pytest.raises(state_transfer.TableError):
+    with pytest.raises(state_transfer.InheritedStateError):
         state_transfer.apply_totals(heir.policy.parts, t | {"start": 5}, totals, TOTAL_MODULUS)
 
 
@@ -155,7 +157,7 @@
     holder[key] = data.draw(JUNK)
     try:
         heir = new_process(table, g)
-    except state_transfer.TableError as err:
+    except state_transfer.InheritedStateError as err:
         assert str(err)
         return
     for _ in range(3):
--- a/tests/test_leavers.py
+++ b/tests/test_leavers.py
@@ -14,7 +14,7 @@
 from scenario import HOME, LONG_DIAL, NEVER, PATIENCE, READY, World, call, encode, play, settings, where
 
 from zincstile.decisions.messages import CustomerUsage, SendGossip
-from zincstile.decisions.records import scatter
+from zincstile.decisions.records import hash_id
 from zincstile.simulator import gossip_codec
 
 BURST = range(1, 21)
@@ -43,7 +43,7 @@
             try:
                 while True:
                     message = gossip_codec.decode_gossip(0, sock.recv(4096))
-                    found += [(sock, share) for share in message.usages if share.want > 0]
+                    found += [(sock, share) for share in message.usages if share.requested_units > 0]
             except BlockingIOError:
                 pass
         return found
@@ -57,7 +57,7 @@
         return list(found.values())
 
     def grant(self, world: World, sock: socket.socket, ask: CustomerUsage) -> None:
-        share = CustomerUsage(ask.customer, ask.plan, 0.0, 0.0, 0, ask.want, ask.query_id, True)
+        share = CustomerUsage(ask.customer, ask.plan, 0.0, 0.0, 0, ask.requested_units, ask.query_id, True)
         for message in gossip_codec.encode_gossip(SendGossip(0, 5, [share])):
             sock.sendto(message, world.peer_address)
 
@@ -77,7 +77,7 @@
 def customers(burst: int, count: int) -> list[int]:
     """Some of whom this gateway, the first of the set, is not the relay itself."""
     numbers = itertools.count(100 * burst)
-    return list(itertools.islice((n for n in numbers if scatter(n) % GATEWAYS), count))
+    return list(itertools.islice((n for n in numbers if hash_id(n) % GATEWAYS), count))
 
 
 def ask(world: World, client: str, customer: int) -> None:
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -28,7 +28,7 @@
 
 
 def group(arrivals, worth):
-    return [TrafficGroup(worth, arrivals=arrivals)]
+    return [TrafficGroup(worth, arrival_rate=arrivals)]
 
 
 def test_split_favours_payoff_caps_at_arrivals_and_hands_on():
@@ -250,7 +250,7 @@
 
 def test_no_second_copies_under_pressure(gateway):
     g = gateway(backends=3)
-    g.policy.parts.budget.groups[-1].rate = 0.5
+    g.policy.parts.budget.groups[-1].admission_rate = 0.5
     g.policy.parts.limit.limit, g.policy.parts.limit.high_water_mark = 1.0, 1.0
     g.policy.parts.limit.overload_signal = 2.0
     g.ask()
@@ -338,7 +338,7 @@
         )
         g.list([backend(1), backend(2, started=99 * SECOND)])
         for leaf in g.policy.parts.budget.groups:
-            leaf.arrivals = 10.0 / len(g.policy.parts.budget.groups)
+            leaf.arrival_rate = 10.0 / len(g.policy.parts.budget.groups)
         g.policy.parts.slow_start.seen_rate = seen
         g.policy.parts.capacity.classify(g.now)
         cold = 0
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -177,7 +177,7 @@
     parts = []
     for g in (one, other):
         c = g.policy.parts.ledger.customers[7]
-        c.spread, c.peers = 2, [1]
+        c.gateway_set_size, c.peers = 2, [1]
         parts.append(g.policy.parts.ledger.ceiling_part(g.now, c, g.policy.settings.plans[0]))
     assert parts[0] > 0.6 and abs(sum(parts) - 1) < 0.05
 
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -35,7 +35,7 @@
     assert len(failed) == (not sent) and not only(actions, RejectRequest)
     if sent and cls == KEYED and result not in NEVER_RAN:
         assert (
-            sent[0].written_by_ns == harness.now - 10 * MS + 500 * MS
+            sent[0].write_deadline_ns == harness.now - 10 * MS + 500 * MS
         )  # its window, from when the first was sent
 
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -204,16 +204,16 @@
             assert not may_have_run, "sent again, though it may have run"
         elif spec.idempotency is Idempotency.BY_KEY and may_have_run:
             assert (
-                0 < a.written_by_ns <= may_have_run[0]["at"] + spec.deduplication_window_ns
-                and self.now < a.written_by_ns
+                0 < a.write_deadline_ns <= may_have_run[0]["at"] + spec.deduplication_window_ns
+                and self.now < a.write_deadline_ns
             )
         assert len(may_have_run) < 2 or spec.idempotency is not Idempotency.NEVER
         sent = {"at": self.now, "result": None}
         self.out[a.request, len(before)] = sent
         result = self.rng.choice(RESULTS)
         took = self.rng.randint(1, max(2, int(spec.latency_objective_ns / 3)))
-        if result is AttemptResult.TIMEOUT or self.now + took > a.until_ns:
-            result, took = AttemptResult.TIMEOUT, max(0, a.until_ns - self.now)
+        if result is AttemptResult.TIMEOUT or self.now + took > a.give_up_ns:
+            result, took = AttemptResult.TIMEOUT, max(0, a.give_up_ns - self.now)
         self.later(self.now + took, (a.request, len(before), a.endpoint, result, took))
         before.append(sent)
 
@@ -296,7 +296,7 @@
     module = Policy(settings, 1)
     module.parts.limit.limit = 3.0
     for leaf in module.parts.budget.groups:
-        leaf.rate, leaf.arrivals = 0.5, 2.0
+        leaf.admission_rate, leaf.arrival_rate = 0.5, 2.0
     shares = [CustomerUsage(k, 1, 3.0, 2.0, 0) for k in range(9)]
     doubts = [ErrorSample(1, group, 0.5) for group in (0, 11, 250, 251, 255)]
     messages = gossip_codec.encode_gossip(SendGossip(1, 7, shares, module.parts.estimates.figures(), doubts))
@@ -304,13 +304,15 @@
     heard = [gossip_codec.decode_gossip(1, data) for data in messages]
     assert [s.customer for m in heard for s in m.usages] == list(range(9))
     assert [d.group for m in heard for d in m.error_samples] == [0, 11, 250, 251, 255]
-    told = heard[0].figures
+    told = heard[0].estimates
     assert told[8] == 3.0 and len(told) > 9 + len(settings.classes)
     other = Policy(settings, 2)
     for leaf in other.parts.budget.groups:
-        leaf.rate = 0.5
+        leaf.admission_rate = 0.5
     other.handle(SECOND, heard[0])
-    assert other.parts.budget.groups[0].arrivals == 1.0 and other.parts.budget.groups[-1].arrivals == 0.0
+    assert (
+        other.parts.budget.groups[0].arrival_rate == 1.0 and other.parts.budget.groups[-1].arrival_rate == 0.0
+    )
 
 
 # ---- the network code and the program
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -41,7 +41,7 @@
     StateInherited,
 )
 from zincstile.decisions.policy import Policy
-from zincstile.decisions.state_transfer import apply_totals, restore, snapshot, totals
+from zincstile.decisions.state_transfer import apply_totals, restore, running_totals, snapshot
 from zincstile.decisions.state_validation import validate
 from zincstile.net.config import read as read_config
 from zincstile.scale import records
@@ -184,7 +184,7 @@
     found = customers(snapshot(policy.parts, NOW_NS, 100))
     assert round(found[USED_LATER]["level"], 3) == 5.0 and found[USED_LATER]["total"] == 7.0
     assert round(found[HALF_USED]["level"], 3) == 7.0 and found[HALF_USED]["total"] == 4.0
-    again = totals(policy.parts)
+    again = running_totals(policy.parts)
     assert again.keys() == table.keys() and sorted(again["totals"]) == sorted(table["totals"])
     assert (again["form"], again["start"]) == (table["form"], table["start"])
 
--- a/tests/test_subsetting.py
+++ b/tests/test_subsetting.py
@@ -219,8 +219,8 @@
         policy = Policy(own, 1, [SubsettingFeature(own, SubsetSettings(min_endpoints=least), [], [])])
         policy.handle(now, Started())
         feed(policy, [backend(n, started=now if n == cold else 0) for n in range(1, total + 1)])
-        policy.parts.budget.groups[0].arrivals = rate / gateways
-        sending = sum(x.arrivals * x.rate for x in policy.parts.budget.groups)
+        policy.parts.budget.groups[0].arrival_rate = rate / gateways
+        sending = sum(x.arrival_rate * x.admission_rate for x in policy.parts.budget.groups)
         policy.parts.capacity.classify(now)
         first += (
             policy.parts.slow_start.shares[0] * policy.parts.slow_start.max_multiple * sending
@@ -270,7 +270,7 @@
     assert len(usual) == 4
     fail(policy, usual, now)
     wider = ready(policy)
-    assert len(wider) == 8 and usual < wider and policy.figures()["widened"] == 1
+    assert len(wider) == 8 and usual < wider and policy.state_values()["widened"] == 1
     for _ in range(4):
         now += SECOND
         fail(policy, ready(policy), now)
@@ -415,12 +415,12 @@
         feed(policy, [*many(30), EndpointEntry(99, 2, 9, 0, READY, 1.0, 0)])
         assert 99 in ready(policy)
         fail(policy, [99], 11 * SECOND, bad=0.2)
-        assert policy.figures()["widened"] == 0
+        assert policy.state_values()["widened"] == 0
         fail(policy, [99], 11 * SECOND)
         assert 99 in ready(policy)
         feed(policy, [EndpointEntry(99, 2, 9, 0, DRAINING, 1.0, 0)])
         tick(policy, 12 * SECOND)
-        assert 99 not in ready(policy) and policy.figures()["widened"] == 0
+        assert 99 not in ready(policy) and policy.state_values()["widened"] == 0
 
 
 @pytest.mark.parametrize(("gateways", "total", "size"), [(3, 30, 30), (8, 100, 50), (200, 6, 3), (200, 2, 2)])
--- a/tests/test_unanswered_attempts.py
+++ b/tests/test_unanswered_attempts.py
@@ -52,7 +52,7 @@
     request, actions = harness.ask(cls=0)
     first = only(actions, ForwardRequest)[0]
     actions = harness.outcome(
-        request, 0, first.endpoint, AttemptResult.TIMEOUT, after=first.until_ns - harness.now
+        request, 0, first.endpoint, AttemptResult.TIMEOUT, after=first.give_up_ns - harness.now
     )
     assert not only(actions, ForwardRequest) and [a.request for a in only(actions, RejectRequest)] == [
         request
@@ -61,7 +61,7 @@
     actions = harness.outcome(
         request, 0, only(actions, ForwardRequest)[0].endpoint, AttemptResult.RESET, after=300 * MS
     )
-    assert [a.until_ns for a in only(actions, ForwardRequest)] == [harness.now + 700 * MS]
+    assert [a.give_up_ns for a in only(actions, ForwardRequest)] == [harness.now + 700 * MS]
 
 
 def play_requests(harness, count=12, latency=50 * MS, silent=0):
@@ -104,10 +104,11 @@
         0.9,
     )  # an even part of the level: two units out
     for leaf in policy.parts.budget.groups[:2]:
-        leaf.arrivals = 1.5
+        leaf.arrival_rate = 1.5
     policy.parts.limit.units_in_flight, policy.parts.limit.completed_per_s = 3.0, 2.0
     harness.tick()
-    assert policy.parts.budget.groups[1].rate > 0.5  # the best group; 2 a second may go, as many as were done
+    # the best group; 2 a second may go, as many as were done
+    assert policy.parts.budget.groups[1].admission_rate > 0.5
 
 
 def test_the_budget_does_not_sink_with_the_rate_of_answers():
@@ -118,9 +119,9 @@
         (
             policy.parts.limit.limit,
             policy.parts.limit.overload_signal,
-            policy.parts.budget.groups[1].arrivals,
+            policy.parts.budget.groups[1].arrival_rate,
         ) = 0.25, 0.9, 60.0
         policy.parts.limit.units_in_flight, policy.parts.limit.completed_per_s = 1.0 * part, 10.0 * part
         harness.tick()
-        rates.append(policy.parts.budget.groups[1].rate)
+        rates.append(policy.parts.budget.groups[1].admission_rate)
     assert 0 < rates[0] < 1 and rates[1] > 0.9 * rates[0]
--- a/tests/test_wide.py
+++ b/tests/test_wide.py
@@ -39,13 +39,13 @@
 
 
 def pass_on(told, sender, to):
-    return to.feed(GossipReceived(sender, told.incarnation, told.usages, told.figures, told.error_samples))
+    return to.feed(GossipReceived(sender, told.incarnation, told.usages, told.estimates, told.error_samples))
 
 
 def test_a_wide_set_asks_one_relay_and_waits():
     g = gateway()
     rid, acts, told = asked(g)
-    assert not sends(acts) and len(told) == 1 and told[0].usages[0].want == 1.0
+    assert not sends(acts) and len(told) == 1 and told[0].usages[0].requested_units == 1.0
     assert all(asked(gateway(me=m))[2][0].peer == told[0].peer for m in range(1, 5))
 
 
@@ -198,7 +198,7 @@
 def answer(g, told, level, granted):
     """The relay's word on what was asked."""
     s = told.usages[0]
-    want = s.want if granted else -s.want
+    want = s.requested_units if granted else -s.requested_units
     return g.feed(
         GossipReceived(told.peer, 1, [CustomerUsage(s.customer, 0, 0.0, level, 0, want, s.query_id, True)])
     )
@@ -223,7 +223,7 @@
     g = gateway()
     for row in g.policy.parts.budget.inside:
         for leaf in row:
-            leaf.rate = 0.0
+            leaf.admission_rate = 0.0
     _, acts, told = asked(g)
     assert not told and len(only(acts, RejectRequest)) == 1
 
@@ -374,7 +374,7 @@
 def test_backends_that_are_doubted_do_not_count_in_the_budget():
     g = gateway(plans=[CustomerPlan("p", rate=1e6, burst=1e6)])
     for leaf, units in zip(g.policy.parts.budget.groups, (30.0, 10.0), strict=False):
-        leaf.sent = units  # three of four units are of the first class
+        leaf.sent_units = units  # three of four units are of the first class
     for peer in range(3, 9):
         bad = [ErrorSample(name(n), 0, 1.0) for n in (1, 2)] + [ErrorSample(name(3), 1, 1.0)]
         g.feed(GossipReceived(peer, 5, [], [], bad))
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -137,7 +137,9 @@
 
 def test_peer_messages_survive_the_trip_and_damage_is_dropped():
     shares = [
-        CustomerUsage(2**33 - k, 0, 12.5 + k, -1.25, k, want=-2.5, query_id=65535 - k, is_answer=k % 2 == 0)
+        CustomerUsage(
+            2**33 - k, 0, 12.5 + k, -1.25, k, requested_units=-2.5, query_id=65535 - k, is_answer=k % 2 == 0
+        )
         for k in range(40)
     ]
     figures, doubts = [0.5, 2.0, 1024.0], [ErrorSample(2**16 - 1, 5, 1.0), ErrorSample(7, 0, 0.0)]
@@ -145,7 +147,7 @@
     assert all(len(m) <= 256 for m in messages)
     back = [gossip_codec.decode_gossip(2, m) for m in messages]
     assert [s for b in back for s in b.usages] == shares
-    assert [x for b in back for x in b.figures] == figures and [
+    assert [x for b in back for x in b.estimates] == figures and [
         d for b in back for d in b.error_samples
     ] == doubts
     for at in range(len(messages[0])):
--- a/zincstile/cold_start/feature.py
+++ b/zincstile/cold_start/feature.py
@@ -40,7 +40,7 @@
         self._choose_endpoint: EndpointChooser = self.parts.admission.choose
         self.parts.admission.choose = self.choose
         self.parts.outcomes.listeners.append(self.on_outcome)
-        policy.ticker.limited.append(self.on_limit_updated)
+        policy.ticker.limit_listeners.append(self.on_limit_updated)
         policy.handlers[FleetServes] = self.on_fleet_serves
 
     @property
@@ -61,7 +61,7 @@
         if self.ramp is not None:
             self.ramp.inherit(self.parts.limit.completed_per_s)
 
-    def figures(self) -> dict[str, float]:
+    def state_values(self) -> dict[str, float]:
         """`pace`: units a second that may be sent; -1: admission is open.
 
         Stored results have this key.
--- a/zincstile/decisions/admission.py
+++ b/zincstile/decisions/admission.py
@@ -21,7 +21,7 @@
 from .units import SECOND_NS
 
 CEILING_SLACK_SHARE: Final = 0.5  # of the ceiling's slack that is used
-RETRY_EARNED: Final = 0.1  # retries earned by each request that is forwarded
+RETRIES_PER_REQUEST: Final = 0.1  # retries earned by each request that is forwarded
 MAX_RETRY_BUDGET: Final = 4.0  # retries that can be saved up
 
 
@@ -60,13 +60,13 @@
         self.ledger.begin(now)
         customer = self.ledger.customer_of(now, request)
         request_class = self.settings.classes[request.class_index]
-        worthless_ns = request.deadline_ns
+        value_deadline_ns = request.deadline_ns
         if not request_class.late_weight and not request_class.streaming:
             # what can earn nothing more is worth no place in a queue
-            worthless_ns = min(worthless_ns, now + request_class.latency_objective_ns)
+            value_deadline_ns = min(value_deadline_ns, now + request_class.latency_objective_ns)
         plan = self.settings.plans[request.plan]
         draw = self.rng.random()
-        pending = PendingRequest(request, request_class, plan, now, worthless_ns, customer, draw)
+        pending = PendingRequest(request, request_class, plan, now, value_deadline_ns, customer, draw)
         self.requests.add(pending)
         self.quotas.request_units(now, pending)
 
@@ -83,12 +83,12 @@
             # forwarded and not counted yet, or counted and not forwarded
             self.quotas.spend(now, customer, -request.units if counted else request.units)
         if endpoint is None:
-            self.actions.append(RejectRequest(request.id, self.come_back_ns(pending), reason))
+            self.actions.append(RejectRequest(request.id, self.retry_after_ns(pending), reason))
             self.requests.close(pending)
             return
-        group.sent += request.units
-        self.retry_budget = min(MAX_RETRY_BUDGET, self.retry_budget + RETRY_EARNED)
-        customer.ceiling -= request.units
+        group.sent_units += request.units
+        self.retry_budget = min(MAX_RETRY_BUDGET, self.retry_budget + RETRIES_PER_REQUEST)
+        customer.ceiling_level -= request.units
         self.forwarder.forward(now, pending, endpoint)
 
     def _admitted_to(
@@ -101,21 +101,24 @@
             return None, RejectionReason.CEILING
         if not pending.inside_quota and plan.over_quota_weight <= plan.over_quota_cost:
             return None, RejectionReason.QUOTA
-        group.arrived += units
+        group.arrived_units += units
         self.limit.record_request(units)
-        if pending.draw >= group.rate:
+        if pending.admission_draw >= group.admission_rate:
             return None, RejectionReason.BUDGET
         return self.choose(now, pending), RejectionReason.NO_ENDPOINT
 
     def _over_ceiling(self, now: int, customer: Customer, plan: CustomerPlan, units: float) -> bool:
         """The units are beyond this gateway's part of the plan's ceiling."""
         part = self.quotas.ceiling_part(now, customer, plan)
-        customer.fill_ceiling(now, plan.ceiling_rate * part, plan.ceiling_burst * part)
+        customer.refill_ceiling(now, plan.ceiling_rate * part, plan.ceiling_burst * part)
         if plan.ceiling_rate <= 0:
             return False
-        return customer.ceiling + CEILING_SLACK_SHARE * plan.ceiling_slack / customer.spread < units
+        return (
+            customer.ceiling_level + CEILING_SLACK_SHARE * plan.ceiling_slack / customer.gateway_set_size
+            < units
+        )
 
-    def come_back_ns(self, pending: PendingRequest) -> int:
+    def retry_after_ns(self, pending: PendingRequest) -> int:
         """When the client may come again, also where the settings don't count on clients that heed it.
 
         Beyond the quota once the bucket has filled; inside it after the longest that clients comply with, as
--- a/zincstile/decisions/budget_split.py
+++ b/zincstile/decisions/budget_split.py
@@ -21,15 +21,17 @@
 def payoff(groups: list[TrafficGroup]) -> float:
     """Value earned per unit sent, of one group or of several by their arrivals."""
     value = sum(
-        (g.arrivals + 1e-9) * (g.earned + PRIOR_UNITS * g.prior_value) / (g.sent + PRIOR_UNITS)
+        (g.arrival_rate + 1e-9)
+        * (g.earned_value + PRIOR_UNITS * g.prior_value)
+        / (g.sent_units + PRIOR_UNITS)
         for g in groups
     )
-    return value / sum(g.arrivals + 1e-9 for g in groups)
+    return value / sum(g.arrival_rate + 1e-9 for g in groups)
 
 
 def split(budget: float, children: list[list[TrafficGroup]]) -> list[float]:
     """The part of each child; none gets more than arrives, and what is left goes to the others."""
-    arrivals = [sum(g.arrivals for g in groups) for groups in children]
+    arrivals = [sum(g.arrival_rate for g in groups) for groups in children]
     payoffs = [payoff(groups) for groups in children]
     mean = max(sum(payoffs) / len(payoffs), 1e-9)
     weights = [_logistic(STEEPNESS * (one - mean) / mean) for one in payoffs]
@@ -76,12 +78,12 @@
     @property
     def binds(self) -> bool:
         """Some of what arrives is rejected by the budget."""
-        return any(group.rate < 1 for group in self.groups)
+        return any(group.admission_rate < 1 for group in self.groups)
 
     @property
     def arrivals(self) -> float:
         """Units a second that arrive in all groups."""
-        return sum(group.arrivals for group in self.groups)
+        return sum(group.arrival_rate for group in self.groups)
 
     def decay(self, span_s: float, keep: float, keep_earned: float) -> None:
         """Lets arrivals and earnings decay by a tick of `span_s` seconds."""
@@ -91,22 +93,24 @@
     def sent_by_class(self) -> list[float]:
         """Recent units of each class, a trace above 0."""
         return [
-            1e-9 + sum(group.sent for side in self.sides for group in side[index])
+            1e-9 + sum(group.sent_units for side in self.sides for group in side[index])
             for index in range(len(self.inside))
         ]
 
     def sent_per_s(self) -> float:
         """Units a second that are admitted at present."""
-        return sum(group.arrivals * group.rate for group in self.groups)
+        return sum(group.arrival_rate * group.admission_rate for group in self.groups)
 
     def assign(self, budget: float) -> None:
         """Splits a budget of units a second: each group's rate is its part over its arrivals."""
         if budget >= self.arrivals:  # all get what arrives, by any weights
             for group in self.groups:
-                group.rate = 1.0
+                group.admission_rate = 1.0
             return
         flat = [[group for row in side for group in row] for side in self.sides]
         for side, side_budget in zip(self.sides, split(budget, flat), strict=True):
             for row, row_budget in zip(side, split(side_budget, side), strict=True):
                 for group, units in zip(row, split(row_budget, [[g] for g in row]), strict=True):
-                    group.rate = min(1.0, units / group.arrivals) if group.arrivals > 0 else 1.0
+                    group.admission_rate = (
+                        min(1.0, units / group.arrival_rate) if group.arrival_rate > 0 else 1.0
+                    )
--- a/zincstile/decisions/capacity.py
+++ b/zincstile/decisions/capacity.py
@@ -54,7 +54,7 @@
     def decay(self, span_s: float) -> None:
         """Draining endpoints, and what waited at any that were removed, are done with up to the longest
         deadline later: what they do is no work of those that are left."""
-        keep = math.exp(-span_s * SECOND_NS / self.settings.longest_ns)
+        keep = math.exp(-span_s * SECOND_NS / self.settings.max_deadline_ns)
         self.working = max(self.healthy, self.working * keep)
 
     def classify_if_due(self, now: int) -> None:
--- a/zincstile/decisions/collaborators.py
+++ b/zincstile/decisions/collaborators.py
@@ -61,5 +61,5 @@
     def state_inherited(self, now: int) -> None:
         """What an older process of this gateway knew was taken over; comes before the start."""
 
-    def figures(self) -> dict[str, float]:
+    def state_values(self) -> dict[str, float]:
         """What it believes at present, for the log line `state`."""
--- a/zincstile/decisions/fleet_estimates.py
+++ b/zincstile/decisions/fleet_estimates.py
@@ -35,7 +35,7 @@
     def figures(self) -> list[float]:
         """The own row."""
         limit = self.limit
-        arrivals = [group.arrivals for group in self.budget.groups] if self.budget.binds else []
+        arrivals = [group.arrival_rate for group in self.budget.groups] if self.budget.binds else []
         return [
             limit.answer_lateness,
             limit.answers,
@@ -79,4 +79,4 @@
         unit_s = figures[LIMIT_INDEX + 1 : groups_from]
         self.latency.unit_ns = [max(1.0, seconds * SECOND_NS) for seconds in unit_s]
         for group, arrivals in zip(self.budget.groups, figures[groups_from:], strict=False):
-            group.arrivals = arrivals
+            group.arrival_rate = arrivals
--- a/zincstile/decisions/forwarding.py
+++ b/zincstile/decisions/forwarding.py
@@ -15,7 +15,7 @@
 from .units import SECOND_NS
 
 RECENT_NS: Final = SECOND_NS  # an endpoint that answered less than so long ago: its connections work
-KEPT_WORSE_BY: Final = 0.1  # so much more often kept connections may fail than new ones
+KEPT_ERROR_MARGIN: Final = 0.1  # so much more often kept connections may fail than new ones
 STALE_RATE_LIMIT: Final = 0.01  # from which what may not run twice gets a new connection
 
 
@@ -56,11 +56,13 @@
         idempotency = request_class.idempotency
         # what may not run twice stays off kept connections, where those end beneath requests
         new_connection = idempotency is not Idempotency.ALWAYS and self.detector.stale_rate > STALE_RATE_LIMIT
-        written_by_ns = pending.worthless_ns
+        write_deadline_ns = pending.value_deadline_ns
         if pending.may_have_run_at is not None and idempotency is Idempotency.BY_KEY:
-            written_by_ns = pending.may_have_run_ns + request_class.deduplication_window_ns
+            write_deadline_ns = pending.may_have_run_ns + request_class.deduplication_window_ns
         self.actions.append(
-            ForwardRequest(request.id, endpoint.entry.id, pending.worthless_ns, new_connection, written_by_ns)
+            ForwardRequest(
+                request.id, endpoint.entry.id, pending.value_deadline_ns, new_connection, write_deadline_ns
+            )
         )
 
     def _connection(self, now: int, endpoint: Endpoint) -> int:
@@ -73,7 +75,10 @@
         if now - endpoint.last_answer_ns <= RECENT_NS:
             return RECENT_CONNECTION
         errors = self.detector.connection_errors
-        if endpoint.last_answer_ns > 0 and errors[KEPT_CONNECTION] <= errors[NEW_CONNECTION] + KEPT_WORSE_BY:
+        if (
+            endpoint.last_answer_ns > 0
+            and errors[KEPT_CONNECTION] <= errors[NEW_CONNECTION] + KEPT_ERROR_MARGIN
+        ):
             return KEPT_CONNECTION
         self.actions.append(CloseIdleConnections(endpoint.entry.id))
         endpoint.last_answer_ns = now
--- a/zincstile/decisions/gossip.py
+++ b/zincstile/decisions/gossip.py
@@ -58,7 +58,7 @@
 
     def spend(self, now: int, customer: Customer, units: float) -> None:
         """Own units leave a customer's bucket (0: its attempts in flight have changed), to be reported."""
-        customer.spend(units, TOTAL_MODULUS)
+        customer.charge(units, TOTAL_MODULUS)
         self.changed[customer.key] = customer
         if not self._flush_due:
             self._flush_due = True
--- a/zincstile/decisions/gossip_receiver.py
+++ b/zincstile/decisions/gossip_receiver.py
@@ -56,8 +56,8 @@
             self._apply_samples(event.error_samples)
         for usage in event.usages:
             self._apply_usage(now, event, usage)
-        if event.figures:
-            self.estimates.blend(event.figures)
+        if event.estimates:
+            self.estimates.blend(event.estimates)
 
     def _report_all(self, peer: int) -> None:
         """A peer has just started and knows nothing yet."""
@@ -84,10 +84,12 @@
             self.relayed.answered(now, usage, customer)
             return
         flight_ns = MAX_QUERIES * QUERY_WAIT_NS
-        used = customer.merge(event.sender, event.incarnation, usage, now, TOTAL_MODULUS, flight_ns)
+        used = customer.apply_report(event.sender, event.incarnation, usage, now, TOTAL_MODULUS, flight_ns)
         if used is None:
             customer.level = min(customer.level, usage.level)  # no total to count from: its level holds
         else:
-            customer.take(used, -self.settings.max_request_units * self.settings.settles_actual_units)
-        if usage.want > 0:
+            customer.charge_peer_units(
+                used, -self.settings.max_request_units * self.settings.settles_actual_units
+            )
+        if usage.requested_units > 0:
             self.relayed.grant(now, event.sender, usage, customer)
--- a/zincstile/decisions/load_balancing.py
+++ b/zincstile/decisions/load_balancing.py
@@ -91,7 +91,7 @@
         detector = self.detector
         random_ = self.rng.random
         own_zone = self.settings.zone
-        pair = self.settings.pair(request.class_index, request.plan)
+        pair = self.settings.class_plan_index(request.class_index, request.plan)
         unscored = -min(detector.baseline[request.class_index], detector.baseline[pair])
         candidates = self.endpoints.warm
         if len(candidates) > 2 * CANDIDATES:
@@ -115,7 +115,7 @@
         """Each endpoint once; a keyed request that may have run stays where its repeats are dropped."""
         if self.accepts is not None and not self.accepts(endpoint):
             return False
-        if endpoint in pending.tried:
+        if endpoint in pending.attempted_endpoints:
             return False
         first = pending.may_have_run_at
         if first is None:
--- a/zincstile/decisions/messages.py
+++ b/zincstile/decisions/messages.py
@@ -82,7 +82,11 @@
 
 @dataclass(slots=True)
 class Request:
-    """A client's request. Its customer's set is `spread` gateways in a row from number `first` on."""
+    """A client's request.
+
+    Its customer's gateway set is `gateway_set_size` gateways with consecutive numbers, from `first_gateway`
+    on; the numbers wrap around at the gateway count.
+    """
 
     id: int
     class_index: int
@@ -90,8 +94,8 @@
     customer: int
     deadline_ns: int  # the client gives up then
     units: float
-    spread: int
-    first: int
+    gateway_set_size: int
+    first_gateway: int
     is_retry: bool = False  # of the client
 
 
@@ -134,8 +138,8 @@
 class CustomerUsage:
     """What a gateway reports of a customer.
 
-    With `want` above 0 it asks a relay for so many units, under an id that the answer bears too; in the
-    answer `want` is below 0 where they are not granted.
+    With `requested_units` above 0 it is a query to a relay for that many units, and the answer carries the
+    same `query_id`. In an answer, `requested_units` below 0 means that the units are not granted.
     """
 
     customer: int
@@ -143,7 +147,7 @@
     total: float  # own units since the start of the process
     level: float  # units in the token bucket
     in_flight: int  # own attempts
-    want: float = 0.0
+    requested_units: float = 0.0
     query_id: int = 0
     is_answer: bool = False
 
@@ -164,7 +168,7 @@
     sender: int
     incarnation: int
     usages: list[CustomerUsage]
-    figures: list[float] = field(default_factory=list)  # `fleet_estimates`
+    estimates: list[float] = field(default_factory=list)  # `fleet_estimates`
     error_samples: list[ErrorSample] = field(default_factory=list)
 
 
@@ -172,7 +176,7 @@
 class CounterAnswer:
     """The answer of the operators' counter to a call by its number."""
 
-    name: int
+    call_number: int
     result: AttemptResult
     total: float
     latency_ns: int
@@ -211,13 +215,13 @@
 
 @dataclass(slots=True)
 class ForwardRequest:
-    """Sends an attempt of a request to an endpoint; it is given up at `until_ns`."""
+    """Sends an attempt of a request to an endpoint; it is given up at `give_up_ns`."""
 
     request: int
     endpoint: int
-    until_ns: int
+    give_up_ns: int
     new_connection: bool = False  # on one that carried nothing before
-    written_by_ns: int = 0  # above 0: complete by then, or never; a repeat later would run twice
+    write_deadline_ns: int = 0  # above 0: complete by then, or never; a repeat later would run twice
 
 
 class RejectionReason(Enum):
@@ -285,7 +289,7 @@
     peer: int
     incarnation: int
     usages: list[CustomerUsage]
-    figures: list[float] = field(default_factory=list)
+    estimates: list[float] = field(default_factory=list)
     error_samples: list[ErrorSample] = field(default_factory=list)
 
 
--- a/zincstile/decisions/outcomes.py
+++ b/zincstile/decisions/outcomes.py
@@ -70,7 +70,7 @@
         if result is AttemptResult.OK:
             self.limit.completed_units += attempt.units
         timed_out = result is AttemptResult.TIMEOUT
-        if (timed_out or result is AttemptResult.OK) and not attempt.late:
+        if (timed_out or result is AttemptResult.OK) and not attempt.silence_recorded:
             self.limit.record_latency(outcome.latency_ns, attempt, timed_out=timed_out)
         for listener in self.listeners:
             listener(now, outcome, attempt)
@@ -84,7 +84,7 @@
         part = 1.0 if in_time else request_class.late_weight
         part *= 1.0 if pending.inside_quota else pending.plan.over_quota_weight
         if group is not None:
-            group.earned += request_class.priority_weight * pending.plan.price * part * request.units
+            group.earned_value += request_class.priority_weight * pending.plan.price * part * request.units
         self.latency.learn(request.class_index, outcome.latency_ns, pending.expected_ns)
         if self.settings.settles_actual_units and outcome.actual_units and pending.inside_quota:
             self.admission.quotas.spend(now, pending.customer, outcome.actual_units - request.units)
--- a/zincstile/decisions/outlier_detection.py
+++ b/zincstile/decisions/outlier_detection.py
@@ -2,9 +2,9 @@
 outlier.
 
 Scores go from 0 (good) to 1 (every attempt fails). They are kept by group: a request class, or a class and
-plan together (`Settings.pair`). Own samples are reported to the peers, so that the samples of many add up and
-those of one gateway with a bad path are outvoted. Latency is not reported: all would herd onto whatever
-endpoint all take for quick.
+plan together (`Settings.class_plan_index`). Own samples are reported to the peers, so that the samples of
+many add up and those of one gateway with a bad path are outvoted. Latency is not reported: all would herd
+onto whatever endpoint all take for quick.
 """
 
 from __future__ import annotations
@@ -111,7 +111,7 @@
         if (
             result is AttemptResult.REJECTED
         ):  # speaks of one class and plan at that endpoint, not of the fleet
-            pair = self.settings.pair(attempt.class_index, attempt.plan_index)
+            pair = self.settings.class_plan_index(attempt.class_index, attempt.plan_index)
             self.record(now, attempt, pair, 1.0, ERROR_WEIGHT)
         elif result is AttemptResult.CONNECT_FAILED:
             self.record(now, attempt, ANY_CLASS, 1.0, CONNECT_FAILURE_WEIGHT)
@@ -149,7 +149,7 @@
 
     def excess(self, endpoint: Endpoint, class_index: int, plan_index: int) -> float:
         """The score above the baseline: an endpoint may fail one class, or reject one plan of a class."""
-        pair = self.settings.pair(class_index, plan_index)
+        pair = self.settings.class_plan_index(class_index, plan_index)
         scores = endpoint.error_scores
         own = max(
             scores.get(class_index, 0.0) - self.baseline[class_index],
--- a/zincstile/decisions/parts.py
+++ b/zincstile/decisions/parts.py
@@ -45,7 +45,7 @@
     def use_quotas(self, quotas: QuotaSource) -> None:
         """Has quotas held by this source from now on."""
         self.admission.quotas = quotas
-        self.requests.closed = quotas.request_closed
+        self.requests.close_listener = quotas.request_closed
 
     def _make_estimates(self) -> None:
         """What is believed of endpoints and of the fleet."""
--- a/zincstile/decisions/policy.py
+++ b/zincstile/decisions/policy.py
@@ -117,7 +117,7 @@
             pending = self.parts.requests.pending.get(request_id)
             self.parts.admission.quotas.timer_fired(now, request_id, pending)
         elif kind == DEADLINE_TIMER:
-            for pending in self.parts.requests.overdue(now):
+            for pending in self.parts.requests.pop_overdue(now):
                 self.parts.actions.append(FailRequest(pending.request.id))
                 self.parts.requests.close(pending)
 
@@ -133,7 +133,7 @@
         if pending is not None:
             self.parts.requests.close(pending)
 
-    def figures(self) -> dict[str, float]:
+    def state_values(self) -> dict[str, float]:
         """What is believed at present, for the log line `state`. Stored results have these names.
 
         `level`: the concurrency limit, in units for each healthy endpoint (-1: none yet); `out`: units in
@@ -158,5 +158,5 @@
             "attempts": len(parts.attempts.in_flight),
         }
         for feature in self.features:
-            found |= feature.figures()
+            found |= feature.state_values()
         return found
--- a/zincstile/decisions/quotas.py
+++ b/zincstile/decisions/quotas.py
@@ -12,7 +12,7 @@
 
 from .messages import Request
 from .peers import CEILING_SILENCE_NS, MAX_DIRECT_PEERS, SILENCE_NS, PeerTable
-from .records import Customer, scatter
+from .records import Customer, hash_id
 from .settings import CustomerPlan, Settings
 from .units import NEVER_NS, SECOND_NS
 
@@ -64,7 +64,7 @@
     def customer_of(self, now: int, request: Request) -> Customer:
         """The customer of a request, with its set of gateways."""
         customer = self.customer(request.customer, request.plan, self.settings.plans[request.plan].burst, now)
-        if not customer.known:
+        if not customer.gateway_set_known:
             self._meet(customer, request)
             if self.met is not None:
                 self.met(customer)
@@ -74,19 +74,23 @@
         """A customer's first request here. All of a small set get its usage, the relay of a wide one."""
         settings = self.settings
         plan = settings.plans[customer.plan]
-        customer.known = True
-        customer.spread = min(max(1, request.spread), settings.gateway_count)
+        customer.gateway_set_known = True
+        customer.gateway_set_size = min(max(1, request.gateway_set_size), settings.gateway_count)
         customer.ceiling_filled_ns = self.ceilings_spent_ns
-        members = [(request.first + k) % settings.gateway_count for k in range(customer.spread)]
+        members = [
+            (request.first_gateway + k) % settings.gateway_count for k in range(customer.gateway_set_size)
+        ]
         # What was spent before held the quota, so that the ceiling has its lead over that at least: else a
         # tier too large for a message of each soon would reject inside the quota for seconds after each
         # start.
         lead = max(0.0, plan.ceiling_burst - plan.burst)
-        customer.ceiling = lead / customer.spread * (plan.over_quota_weight <= plan.over_quota_cost)
-        customer.relayed = customer.spread > MAX_DIRECT_PEERS + 1 and settings.gossips
+        customer.ceiling_level = (
+            lead / customer.gateway_set_size * (plan.over_quota_weight <= plan.over_quota_cost)
+        )
+        customer.relayed = customer.gateway_set_size > MAX_DIRECT_PEERS + 1 and settings.gossips
         if customer.relayed:
-            first = scatter(request.customer)
-            customer.peers = [members[(first + k) % customer.spread] for k in range(RELAYS)]
+            first = hash_id(request.customer)
+            customer.peers = [members[(first + k) % customer.gateway_set_size] for k in range(RELAYS)]
         else:
             customer.peers = [peer for peer in members if peer != settings.gateway_index]
             self.peers.direct.update(dict.fromkeys(customer.peers, True))
@@ -102,11 +106,11 @@
                 now - peers.last_message[p][1] < SILENCE_NS for p in customer.peers if p in peers.last_message
             )
         plan = self.settings.plans[customer.plan]
-        part = 1.0 if reachable else 1.0 / customer.spread
+        part = 1.0 if reachable else 1.0 / customer.gateway_set_size
         # after a relay's answer the own bucket goes on from it
         whole = reachable or now - customer.relay_answer_ns < RELAY_ANSWER_VALID_NS
         capacity = plan.burst if whole else max(plan.burst * part, self.settings.max_request_units)
-        customer.fill(now, plan.rate * part, capacity, RECENT_USE_S)
+        customer.refill(now, plan.rate * part, capacity, RECENT_USE_S)
 
     def admits(self, customer: Customer, units: float) -> bool:
         """The units are inside this gateway's part of the quota, and of the plan's attempts in flight.
@@ -123,7 +127,7 @@
             share = 1.0
         else:
             recent = customer.own_recent + customer.peers_recent
-            share = max(1 / customer.spread, (customer.own_recent + units) / (recent + units))
+            share = max(1 / customer.gateway_set_size, (customer.own_recent + units) / (recent + units))
         # what peers have sent by now and not reported yet
         level = customer.level - customer.peers_recent * REPORT_LAG_S / RECENT_USE_S
         if level < units:
@@ -133,7 +137,7 @@
 
     def at_max_in_flight(self, customer: Customer, plan: CustomerPlan) -> bool:
         """As many attempts are in flight, here and by the reports of peers, as the plan allows."""
-        since_ns = customer.filled_ns - self.settings.longest_ns
+        since_ns = customer.filled_ns - self.settings.max_deadline_ns
         return customer.in_flight + customer.in_flight_at_peers(since_ns) >= plan.max_in_flight
 
     def ceiling_part(self, now: int, customer: Customer, plan: CustomerPlan) -> float:
@@ -143,7 +147,7 @@
         reachable. Views differ for as long as reports travel; the quota, which is lower, then holds what goes
         out. Where more than the quota is admitted nothing does: parts are even there.
         """
-        even = 1 / customer.spread
+        even = 1 / customer.gateway_set_size
         if (
             not plan.ceiling_rate
             or customer.relayed
@@ -156,7 +160,7 @@
         if any(p not in last_message or last_message[p][1] < oldest_ns for p in customer.peers):
             return even
         prior = EVEN_PART_S * plan.rate
-        own = customer.own_recent + prior / customer.spread
+        own = customer.own_recent + prior / customer.gateway_set_size
         return own / (customer.own_recent + customer.peers_recent + prior)
 
     def idle_customers(self, now: int) -> list[int]:
@@ -167,7 +171,7 @@
         """A forgotten customer starts with a full bucket, so the own one has to be full by now."""
         plan = self.settings.plans[customer.plan]
         idle_s = (now - customer.filled_ns) / SECOND_NS
-        full = customer.level + plan.rate * idle_s / customer.spread >= plan.burst
+        full = customer.level + plan.rate * idle_s / customer.gateway_set_size >= plan.burst
         return not customer.in_flight and idle_s > (IDLE_S if full and not customer.relayed else FORGET_S)
 
     def forget(self, keys: list[int]) -> None:
--- a/zincstile/decisions/records.py
+++ b/zincstile/decisions/records.py
@@ -17,7 +17,7 @@
 RECENT_CONNECTION: Final = 2  # the endpoint has answered a moment ago
 
 
-def scatter(number: int) -> int:
+def hash_id(number: int) -> int:
     """Spreads identifiers over 32 bits, alike at every gateway (multiplicative hashing, Knuth)."""
     return number * 2654435761 % 2**32
 
@@ -34,7 +34,7 @@
     class_index: int
     plan_index: int
     connection: int  # KEPT_CONNECTION, NEW_CONNECTION or RECENT_CONNECTION
-    late: bool = False  # its silence was counted already
+    silence_recorded: bool = False  # its silence was counted already
 
 
 @dataclass(slots=True)
@@ -42,18 +42,18 @@
     """Requests of one class and plan, inside or beyond the quota: the leaves of the budget's tree."""
 
     prior_value: float  # by the settings: what a unit earns
-    arrived: float = 0.0  # units since the last tick
-    arrivals: float = 0.0  # units a second
-    sent: float = 0.0  # units, decaying
-    earned: float = 0.0  # value, decaying alike
-    rate: float = 1.0  # share of the arrivals that is admitted
+    arrived_units: float = 0.0  # units since the last tick
+    arrival_rate: float = 0.0  # units a second
+    sent_units: float = 0.0  # units, decaying
+    earned_value: float = 0.0  # value, decaying alike
+    admission_rate: float = 1.0  # share of the arrivals that is admitted
 
     def decay(self, span_s: float, keep: float, keep_earned: float) -> None:
         """Folds the units of the last `span_s` seconds into the rate of arrivals; lets the rest decay."""
-        self.arrivals = self.arrivals * keep + self.arrived / span_s * (1 - keep)
-        self.arrived = 0.0
-        self.sent = self.sent * keep_earned
-        self.earned = self.earned * keep_earned
+        self.arrival_rate = self.arrival_rate * keep + self.arrived_units / span_s * (1 - keep)
+        self.arrived_units = 0.0
+        self.sent_units = self.sent_units * keep_earned
+        self.earned_value = self.earned_value * keep_earned
 
 
 @dataclass(slots=True)
@@ -77,10 +77,10 @@
     plan: int
     level: float  # units in the token bucket; may be below 0
     filled_ns: int
-    ceiling: float = 0.0  # units in the bucket of the ceiling
+    ceiling_level: float = 0.0  # units in the bucket of the ceiling
     ceiling_filled_ns: int = 0
-    spread: int = 1  # gateways of the customer's set
-    known: bool = False  # its set of gateways is known
+    gateway_set_size: int = 1  # gateways of the customer's set
+    gateway_set_known: bool = False  # its set of gateways is known
     relayed: bool = False  # its set is too wide to gossip directly: a relay is asked
     peers: list[int] = field(default_factory=list)  # of a relayed customer: the relays, in order
     relay_answer_ns: int = NEVER_NS  # when a relay answered last
@@ -93,7 +93,7 @@
     in_flight: int = 0  # own attempts
     usage: dict[int, PeerUsage] = field(default_factory=dict)  # by peer
 
-    def merge(
+    def apply_report(
         self, peer: int, incarnation: int, report: CustomerUsage, now: int, modulus: int, flight_ns: int
     ) -> float | None:
         """Units that the peer has sent since its last report, by running totals; None without such a report.
@@ -105,10 +105,10 @@
         if known is None or known.incarnation != incarnation:
             self.usage[peer] = PeerUsage(incarnation, report.total, report.in_flight, now)
             return None
-        repeated = known.granted if report.want > 0 and report.query_id == known.query_id else 0.0
+        repeated = known.granted if report.requested_units > 0 and report.query_id == known.query_id else 0.0
         used = (report.total - known.total + repeated + modulus / 2) % modulus - modulus / 2
         crossing = now - known.granted_ns < flight_ns and (
-            report.want > 0 or report.query_id != known.query_id
+            report.requested_units > 0 or report.query_id != known.query_id
         )
         if used < 0 and crossing:
             used = 0.0
@@ -119,7 +119,7 @@
             known.granted = 0.0
         return used - repeated
 
-    def fill(self, now: int, rate: float, capacity: float, memory_s: float) -> None:
+    def refill(self, now: int, rate: float, capacity: float, memory_s: float) -> None:
         """Fills the bucket up to `capacity` units at `rate` units a second; recent use decays."""
         span_s = max(0, now - self.filled_ns) / SECOND_NS
         self.filled_ns = now
@@ -128,32 +128,34 @@
         self.own_recent = self.own_recent * keep
         self.peers_recent = self.peers_recent * keep
 
-    def fill_ceiling(self, now: int, rate: float, capacity: float) -> None:
+    def refill_ceiling(self, now: int, rate: float, capacity: float) -> None:
         """Fills the bucket of the ceiling up to `capacity` units at `rate` units a second."""
-        self.ceiling = min(capacity, self.ceiling + rate * (now - self.ceiling_filled_ns) / SECOND_NS)
+        self.ceiling_level = min(
+            capacity, self.ceiling_level + rate * (now - self.ceiling_filled_ns) / SECOND_NS
+        )
         self.ceiling_filled_ns = now
 
-    def spend(self, units: float, modulus: int) -> None:
+    def charge(self, units: float, modulus: int) -> None:
         """Own units leave the bucket (below 0: they come back)."""
         self.level = self.level - units
         self.unreported = self.unreported + units
         self.own_recent = self.own_recent + max(0.0, units)
         self.total = (self.total + units) % modulus
 
-    def take(self, units: float, least: float) -> None:
+    def charge_peer_units(self, units: float, least: float) -> None:
         """A peer's units leave the bucket, which goes no lower than `least` by it."""
         self.peers_recent += max(0.0, units)
         self.level = max(self.level - units, min(self.level, least))
 
-    def grant(self, peer: int, query: CustomerUsage, now: int, modulus: int) -> None:
+    def record_grant(self, peer: int, query: CustomerUsage, now: int, modulus: int) -> None:
         """Counts what the peer will send as reported already."""
         known = self.usage[peer]
-        known.total = (known.total + query.want) % modulus
+        known.total = (known.total + query.requested_units) % modulus
         known.in_flight = known.in_flight + 1
         known.query_id = query.query_id
-        known.granted = query.want
+        known.granted = query.requested_units
         known.granted_ns = now
-        self.level -= query.want
+        self.level -= query.requested_units
 
     def in_flight_at_peers(self, since_ns: int) -> int:
         """Attempts in flight at peers, by their reports since a time."""
@@ -168,14 +170,14 @@
     request_class: RequestClass
     plan: CustomerPlan
     arrived_ns: int
-    worthless_ns: int  # from then on it can earn nothing
+    value_deadline_ns: int  # from then on it can earn nothing
     customer: Customer
-    draw: float = 0.0  # against the rate of its group: made once, so that no relay is asked in vain
+    admission_draw: float = 0.0  # against the rate of its group: made once, so that no relay is asked in vain
     group: TrafficGroup | None = None  # None until it is decided on
     inside_quota: bool = False
     relay: int = -1  # the gateway that was asked last
     relay_queries: int = 0
-    tried: list[Endpoint] = field(default_factory=list)  # endpoint of each attempt, in order
+    attempted_endpoints: list[Endpoint] = field(default_factory=list)  # endpoint of each attempt, in order
     in_flight: int = 0
     may_have_run_at: Endpoint | None = None  # endpoint of the first attempt that may have run
     may_have_run_ns: int = 0  # when that attempt was sent
--- a/zincstile/decisions/relay_queries.py
+++ b/zincstile/decisions/relay_queries.py
@@ -66,13 +66,15 @@
             self.peers.unanswered_ns[pending.relay] = now
         self.ledger.refill(now, customer)
         age_ns = now - customer.relay_answer_ns
-        hoped_rate = pending.plan.rate * min(1.0, HOPED_PARTS / customer.spread)
+        hoped_rate = pending.plan.rate * min(1.0, HOPED_PARTS / customer.gateway_set_size)
         empty = (
             customer.relayed
             and age_ns < SILENCE_NS
             and customer.relay_level + hoped_rate * age_ns / SECOND_NS < request.units
         )
-        over_budget = pending.draw >= self.budget.inside[request.class_index][request.plan].rate
+        over_budget = (
+            pending.admission_draw >= self.budget.inside[request.class_index][request.plan].admission_rate
+        )
         no_use = empty or over_budget or lost or not customer.relayed
         if no_use or not self._query(now, pending):
             self.decide(
@@ -126,10 +128,10 @@
 
         What is granted leaves the bucket at once, so that two that ask together get it once.
         """
-        granted = self.ledger.admits(customer, query.want)
+        granted = self.ledger.admits(customer, query.requested_units)
         if granted:
-            customer.grant(peer, query, now, TOTAL_MODULUS)
-        want = query.want if granted else -query.want
+            customer.record_grant(peer, query, now, TOTAL_MODULUS)
+        want = query.requested_units if granted else -query.requested_units
         answer = CustomerUsage(query.customer, query.plan, 0.0, customer.level, 0, want, query.query_id, True)
         self.gossip.send(peer, [answer], with_estimates=True)
 
@@ -144,7 +146,7 @@
         customer.relay_level = answer.level
         customer.relay_answer_ns = now
         customer.query_id = answer.query_id
-        granted = answer.want > 0
+        granted = answer.requested_units > 0
         if granted:  # the relay has counted it already
             customer.total = (customer.total + pending.request.units) % TOTAL_MODULUS
         self.decide(now, pending, granted, counted=granted)
--- a/zincstile/decisions/requests.py
+++ b/zincstile/decisions/requests.py
@@ -34,9 +34,9 @@
 
     def launch(self, pending: PendingRequest, attempt: Attempt) -> None:
         """An attempt is sent."""
-        self.in_flight[pending.request.id, len(pending.tried)] = attempt
+        self.in_flight[pending.request.id, len(pending.attempted_endpoints)] = attempt
         attempt.endpoint.in_flight += 1
-        pending.tried.append(attempt.endpoint)
+        pending.attempted_endpoints.append(attempt.endpoint)
         pending.in_flight += 1
         pending.customer.in_flight += 1
         if self.observer is not None:
@@ -69,7 +69,8 @@
         self.actions = actions
         self.attempts = attempts
         self.pending: dict[int, PendingRequest] = {}
-        self.closed: Callable[[PendingRequest], None] | None = None  # the quota source, called for each
+        # Called with each request that is over: `QuotaSource.request_closed`.
+        self.close_listener: Callable[[PendingRequest], None] | None = None
         self._deadlines: list[tuple[int, int]] = []  # heap of times and request ids, ended ones too
         self._timer_ns = math.inf  # when the first of them is looked at
 
@@ -83,7 +84,7 @@
             self._timer_ns = request.deadline_ns
             self.actions.set_timer(request.deadline_ns, DEADLINE_TIMER)
 
-    def overdue(self, now: int) -> list[PendingRequest]:
+    def pop_overdue(self, now: int) -> list[PendingRequest]:
         """Requests whose deadline has come, but for streams; asks for the next timer where the last is
         spent."""
         due = []
@@ -101,13 +102,13 @@
 
     def close(self, pending: PendingRequest) -> None:
         """The request is over; where the settings allow it, so are its attempts that are still in flight."""
-        if self.closed is not None:
-            self.closed(pending)
+        if self.close_listener is not None:
+            self.close_listener(pending)
         request_id = pending.request.id
         del self.pending[request_id]
         pending.customer.in_flight -= pending.in_flight
         if not self.settings.cancels_attempts:
             return
-        for number in range(len(pending.tried)):
+        for number in range(len(pending.attempted_endpoints)):
             if (request_id, number) in self.attempts.in_flight:
                 self.actions.append(CancelAttempt(request_id, number))
--- a/zincstile/decisions/retries.py
+++ b/zincstile/decisions/retries.py
@@ -65,9 +65,12 @@
 
     def retry(self, now: int, pending: PendingRequest, cost: float) -> bool:
         """A further attempt, where the class allows one and the retry budget covers its cost."""
-        if not self._may_run_again(now, pending) or len(pending.tried) >= self.settings.max_attempts:
+        if (
+            not self._may_run_again(now, pending)
+            or len(pending.attempted_endpoints) >= self.settings.max_attempts
+        ):
             return False
-        if self.admission.retry_budget < cost or pending.worthless_ns - now <= pending.expected_ns / 2:
+        if self.admission.retry_budget < cost or pending.value_deadline_ns - now <= pending.expected_ns / 2:
             return False
         endpoint = self.admission.choose(now, pending)
         if endpoint is None:
@@ -85,8 +88,8 @@
             return
         request = pending.request
         if pending.may_have_run_at is None or pending.request_class.idempotency is Idempotency.ALWAYS:
-            come_back_ns = self.admission.come_back_ns(pending)
-            self.actions.append(RejectRequest(request.id, come_back_ns, RejectionReason.NO_RETRY))
+            retry_after_ns = self.admission.retry_after_ns(pending)
+            self.actions.append(RejectRequest(request.id, retry_after_ns, RejectionReason.NO_RETRY))
         else:
             self.actions.append(FailRequest(request.id))
         self.requests.close(pending)
--- a/zincstile/decisions/settings.py
+++ b/zincstile/decisions/settings.py
@@ -126,12 +126,12 @@
         if not 0 < self.slow_start_share <= 1:
             raise ValueError("cold_share: must be above 0 and at most 1")
 
-    def pair(self, class_index: int, plan_index: int) -> int:
+    def class_plan_index(self, class_index: int, plan_index: int) -> int:
         """The number of a class and plan together, after those of the classes."""
         return len(self.classes) + class_index * len(self.plans) + plan_index
 
     @property
-    def longest_ns(self) -> int:
+    def max_deadline_ns(self) -> int:
         """The longest deadline of all classes."""
         return max(request_class.deadline_ns for request_class in self.classes)
 
--- a/zincstile/decisions/state_transfer.py
+++ b/zincstile/decisions/state_transfer.py
@@ -7,9 +7,9 @@
 of writing, in seconds.
 
 A customer's running totals and the incarnation that they count for go along, so that peers hear one
-gateway: what the old process sends after `snapshot` is brought by `totals`, once it has ended. Attempts and
-requests are not taken over: they stay with the process that has them. The names of the keys are those that
-older versions read.
+gateway: what the old process sends after `snapshot` is brought by `running_totals`, once it has ended.
+Attempts and requests are not taken over: they stay with the process that has them. The names of the keys
+are those that older versions read.
 """
 
 from __future__ import annotations
@@ -23,11 +23,11 @@
 from .records import Customer, PeerUsage
 from .units import SECOND_NS
 
-FORM: Final = 1  # of the table
+FORMAT_VERSION: Final = 1  # of the table
 MAX_AGE_S: Final = 1e9
 
 # Numbers that are kept as they are, in the order of the key `plain`: part and attribute.
-PLAIN: Final = (
+FINITE_ATTRIBUTES: Final = (
     ("limit", "answer_lateness"),
     ("limit", "answers"),
     ("limit", "timeout_lateness"),
@@ -40,18 +40,18 @@
     ("admission", "retry_budget"),
 )
 # Numbers that may be infinite, in the order of the key `levels`.
-LEVELS: Final = (("limit", "limit"), ("limit", "high_water_mark"))
-GROUP_FIELDS: Final = ("arrivals", "sent", "earned", "rate")
-CUSTOMER_FIELDS: Final = {  # key of the table: attribute
+POSSIBLY_INFINITE_ATTRIBUTES: Final = (("limit", "limit"), ("limit", "high_water_mark"))
+GROUP_ATTRIBUTES: Final = ("arrival_rate", "sent_units", "earned_value", "admission_rate")
+CUSTOMER_ATTRIBUTES: Final = {  # key of the table: attribute
     "level": "level",
-    "ceiling": "ceiling",
+    "ceiling": "ceiling_level",
     "mine": "own_recent",
     "theirs": "peers_recent",
     "untold": "unreported",
     "total": "total",
     "word": "relay_level",
 }
-USAGE_FIELDS: Final = {
+USAGE_ATTRIBUTES: Final = {
     "start": "incarnation",
     "total": "total",
     "open": "in_flight",
@@ -60,7 +60,7 @@
 }
 
 
-class TableError(ValueError):
+class InheritedStateError(ValueError):
     """A table that is not trusted; the text names the key."""
 
 
@@ -68,19 +68,19 @@
     """The memory as a table; of the customers the last used where there are more."""
     by_use = sorted(parts.ledger.customers.values(), key=attrgetter("filled_ns"))
     return {
-        "form": FORM,
+        "form": FORMAT_VERSION,
         "start": parts.gossip.incarnation,
         "begun": parts.ledger.began,
         "rose": parts.limit.rose,
         "met": parts.limit.requests,
         "cut_s": _age_s(now, parts.limit.decreased_ns),
-        "plain": [getattr(getattr(parts, part), name) for part, name in PLAIN],
-        "levels": [getattr(getattr(parts, part), name) for part, name in LEVELS],
+        "plain": [getattr(getattr(parts, part), name) for part, name in FINITE_ATTRIBUTES],
+        "levels": [getattr(getattr(parts, part), name) for part, name in POSSIBLY_INFINITE_ATTRIBUTES],
         "unit_ns": parts.latency.unit_ns,
         "calm_ns": parts.latency.calm_ns,
         "seen": parts.latency.samples,
         "broken": parts.detector.connection_errors,
-        "leaves": [[getattr(group, name) for name in GROUP_FIELDS] for group in parts.budget.groups],
+        "leaves": [[getattr(group, name) for name in GROUP_ATTRIBUTES] for group in parts.budget.groups],
         "servers": [
             _endpoint_row(now, endpoint)
             for endpoint in parts.endpoints.by_id.values()
@@ -93,11 +93,11 @@
     }
 
 
-def totals(parts: DecisionParts) -> dict[str, Any]:
+def running_totals(parts: DecisionParts) -> dict[str, Any]:
     """How far each customer's running total has come, for what was sent after `snapshot`."""
     customers = parts.ledger.customers.values()
     return {
-        "form": FORM,
+        "form": FORMAT_VERSION,
         "start": parts.gossip.incarnation,
         "totals": [[customer.key, customer.total] for customer in customers],
     }
@@ -118,12 +118,12 @@
 
 
 def _customer_row(now: int, customer: Customer) -> dict[str, Any]:
-    row = {key: getattr(customer, name) for key, name in CUSTOMER_FIELDS.items()}
+    row = {key: getattr(customer, name) for key, name in CUSTOMER_ATTRIBUTES.items()}
     return row | {
         "key": customer.key,
         "plan": customer.plan,
-        "spread": customer.spread,
-        "known": customer.known,
+        "spread": customer.gateway_set_size,
+        "known": customer.gateway_set_known,
         "wide": customer.relayed,
         "told": customer.peers,
         "mark": customer.query_id,
@@ -140,7 +140,7 @@
         "told_s": _age_s(now, usage.received_ns),
         "granted_s": _age_s(now, usage.granted_ns),
     }
-    return row | {key: getattr(usage, name) for key, name in USAGE_FIELDS.items()}
+    return row | {key: getattr(usage, name) for key, name in USAGE_ATTRIBUTES.items()}
 
 
 def restore(parts: DecisionParts, now: int, table: dict[str, Any]) -> None:
@@ -151,14 +151,14 @@
     parts.limit.requests = table["met"]
     parts.limit.decreased_ns = _at_ns(now, table["cut_s"])
     numbers = table["plain"] + table["levels"]
-    for (part, name), value in zip(PLAIN + LEVELS, numbers, strict=True):
+    for (part, name), value in zip(FINITE_ATTRIBUTES + POSSIBLY_INFINITE_ATTRIBUTES, numbers, strict=True):
         setattr(getattr(parts, part), name, value)
     parts.latency.unit_ns = list(table["unit_ns"])
     parts.latency.calm_ns = list(table["calm_ns"])
     parts.latency.samples = [int(count) for count in table["seen"]]
     parts.detector.connection_errors = list(table["broken"])
     for group, row in zip(parts.budget.groups, table["leaves"], strict=True):
-        for name, value in zip(GROUP_FIELDS, row, strict=True):
+        for name, value in zip(GROUP_ATTRIBUTES, row, strict=True):
             setattr(group, name, value)
     parts.endpoints.inherited = {row["id"]: _inherited_scores(now, row) for row in table["servers"]}
     parts.peers.last_message = {peer: (start, _at_ns(now, age_s)) for peer, start, age_s in table["heard"]}
@@ -177,10 +177,10 @@
 
 def _restore_customer(parts: DecisionParts, now: int, row: dict[str, Any]) -> None:
     customer = parts.ledger.customer(row["key"], row["plan"], 0.0, _at_ns(now, row["filled_s"]))
-    for key, name in CUSTOMER_FIELDS.items():
+    for key, name in CUSTOMER_ATTRIBUTES.items():
         setattr(customer, name, row[key])
-    customer.spread = row["spread"]
-    customer.known = row["known"]
+    customer.gateway_set_size = row["spread"]
+    customer.gateway_set_known = row["known"]
     customer.relayed = row["wide"]
     customer.query_id = row["mark"]
     customer.peers = list(row["told"])
@@ -203,25 +203,32 @@
 
 
 def apply_totals(parts: DecisionParts, table: Any, taken_over: dict[int, float], modulus: float) -> int:
-    """What the old process sent after `snapshot`, from `totals`; `taken_over`: the totals in the snapshot, by
-    customer. Returns the number of customers that it concerns; TableError where the table is none."""
-    if not isinstance(table, dict) or table.get("form") != FORM or not isinstance(table.get("totals"), list):
-        raise TableError("key form: not 1, or no totals")
+    """Charges each customer for what the old process sent after `snapshot`, as `running_totals` reports it.
+
+    `taken_over`: the totals in the snapshot, by customer. Returns the number of customers charged. Raises
+    InheritedStateError if the table is malformed or of another process.
+    """
+    if (
+        not isinstance(table, dict)
+        or table.get("form") != FORMAT_VERSION
+        or not isinstance(table.get("totals"), list)
+    ):
+        raise InheritedStateError("key form: not 1, or no totals")
     if table.get("start") != parts.gossip.incarnation:
-        raise TableError("key start: of another process")
+        raise InheritedStateError("key start: of another process")
     count = 0
     for row in table["totals"]:
         try:
             key, total = row
             units = (float(total) - taken_over[key] + modulus / 2) % modulus - modulus / 2
         except (TypeError, ValueError):
-            raise TableError("key totals: not a list of customers") from None
+            raise InheritedStateError("key totals: not a list of customers") from None
         except KeyError:
             continue  # met after `snapshot`: reported to the peers by the old process itself
         customer = parts.ledger.customers.get(key) if units > 0 and math.isfinite(units) else None
         if customer is not None:
             customer.level -= units
-            customer.ceiling -= units
+            customer.ceiling_level -= units
             customer.own_recent += units
             customer.total = (customer.total + units) % modulus
             count += 1
--- a/zincstile/decisions/ticker.py
+++ b/zincstile/decisions/ticker.py
@@ -30,9 +30,11 @@
         self.parts = parts
         self.ticked_ns = 0
         # features: called with the factor by which scores decayed
-        self.decayed: list[Callable[[float], None]] = []
-        self.limited: list[Callable[[int], None]] = []  # features: called when the limit was taken anew
-        self.ticked: list[Callable[[int], None]] = []  # features: called at the end of each tick
+        self.decay_listeners: list[Callable[[float], None]] = []
+        self.limit_listeners: list[
+            Callable[[int], None]
+        ] = []  # features: called when the limit was taken anew
+        self.tick_listeners: list[Callable[[int], None]] = []  # features: called at the end of each tick
         self._heartbeat_ns = 0
 
     def start(self, now: int) -> None:
@@ -61,7 +63,7 @@
             self._heartbeat_ns = now
             self._forget_idle_customers(now)
             self.parts.gossip.flush(now, heartbeat=True)
-        for listener in self.ticked:
+        for listener in self.tick_listeners:
             listener(now)
 
     def _set_ticked(self, now: int) -> None:
@@ -76,7 +78,7 @@
         parts.capacity.decay(span_s)
         keep_scores = math.exp(-span_s / SCORE_DECAY_S)
         parts.detector.decay(keep_scores)
-        for listener in self.decayed:
+        for listener in self.decay_listeners:
             listener(keep_scores)
 
     def _find_silent_attempts(self, now: int) -> None:
@@ -85,10 +87,10 @@
         silent = [
             (request_id, attempt)
             for (request_id, _), attempt in parts.attempts.in_flight.items()
-            if not attempt.late and now - attempt.sent_ns > SILENT_RATIO * attempt.expected_ns
+            if not attempt.silence_recorded and now - attempt.sent_ns > SILENT_RATIO * attempt.expected_ns
         ]
         for request_id, attempt in silent:
-            attempt.late = True
+            attempt.silence_recorded = True
             parts.detector.record(now, attempt, attempt.class_index, 1.0, TIMING_WEIGHT)
             parts.limit.record_latency(now - attempt.sent_ns, attempt, timed_out=True)
             pending = parts.requests.pending.get(request_id)
@@ -105,7 +107,7 @@
         )
         if parts.limit.limit < math.inf:
             parts.budget.assign(parts.limit.budget_per_s(capacity.healthy))
-        for listener in self.limited:
+        for listener in self.limit_listeners:
             listener(now)
 
     def _forget_idle_customers(self, now: int) -> None:
--- a/zincstile/leases/feature.py
+++ b/zincstile/leases/feature.py
@@ -80,7 +80,7 @@
     def state_inherited(self, now: int) -> None:
         """Nothing is inherited: leases belong to a process."""
 
-    def figures(self) -> dict[str, float]:
+    def state_values(self) -> dict[str, float]:
         """The accounts of units, the budget's factor, gateways alive, suspected endpoints, isolation.
 
         Stored results have these keys.
--- a/zincstile/leases/in_flight_limit.py
+++ b/zincstile/leases/in_flight_limit.py
@@ -25,7 +25,7 @@
         self._choose_endpoint: EndpointChooser = self.parts.admission.choose
         self.parts.admission.choose = self.choose
         self.parts.attempts.observer = self
-        policy.ticker.limited.append(self.on_limit_updated)
+        policy.ticker.limit_listeners.append(self.on_limit_updated)
 
     def launched(self, attempt: Attempt) -> None:
         """Counts the units of an attempt that is sent."""
--- a/zincstile/leases/leased_units.py
+++ b/zincstile/leases/leased_units.py
@@ -41,7 +41,7 @@
         self.process = process
         self.rng = rng
         self.started = False
-        self.slots = SlotManager(shared, settings.gateway_index, process, settings.longest_ns, rng)
+        self.slots = SlotManager(shared, settings.gateway_index, process, settings.max_deadline_ns, rng)
         self.quotas: dict[tuple[int, int], Quota] = {}  # by plan and spread
         self.covered_plans = covered_plans(settings, shared)
         self.reserved: QuotaAccount | None = None  # of the request that is decided on just now
@@ -126,11 +126,11 @@
         """Takes units and, where the plan has a limit, a slot; the one is not taken without the other."""
         request = pending.request
         customer = pending.customer
-        first = request.first % self.settings.gateway_count
-        slots = self.slot_account(customer.key, customer.plan, customer.spread, first)
+        first = request.first_gateway % self.settings.gateway_count
+        slots = self.slot_account(customer.key, customer.plan, customer.gateway_set_size, first)
         if slots is not None and not self.slots.has_free(slots, request.deadline_ns):
             return Reservation.PENDING if self.slots.request_slot(now, slots) else Reservation.REFUSED
-        account = self.quota_account(now, customer.key, customer.plan, customer.spread, first)
+        account = self.quota_account(now, customer.key, customer.plan, customer.gateway_set_size, first)
         if self.leases.reserve(now, account, request.units):
             self.reserved = account
             if slots is not None:
@@ -138,7 +138,7 @@
             self.leases.lessee.request_ahead(now, account)
             return Reservation.RESERVED
         group = self.parts.budget.inside[request.class_index][request.plan]
-        over_budget = pending.draw >= group.rate  # rejected with or without the units
+        over_budget = pending.admission_draw >= group.admission_rate  # rejected with or without the units
         if not over_budget and self.leases.lessee.request_missing(now, account, request.units):
             return Reservation.PENDING
         return Reservation.REFUSED
@@ -164,14 +164,14 @@
 
     def ceiling_part(self, now: int, customer: Customer, plan: CustomerPlan) -> float:
         """All of the ceiling where the quota alone holds it; else an even part, whoever is reached."""
-        return 1.0 if self.covered_plans[customer.plan] else 1 / customer.spread
+        return 1.0 if self.covered_plans[customer.plan] else 1 / customer.gateway_set_size
 
     # ---- gossip
 
     def on_customer_met(self, customer: Customer) -> None:
         """The first request of a customer: its ceiling is full where the quota alone holds it."""
         if self.covered_plans[customer.plan]:
-            customer.ceiling = self.settings.plans[customer.plan].ceiling_burst
+            customer.ceiling_level = self.settings.plans[customer.plan].ceiling_burst
 
     def own_units(self, customer: Customer) -> float | None:
         """The units that gossip reports of a customer: this gateway's own part, for those that lack some."""
--- a/zincstile/net/backends/attempts.py
+++ b/zincstile/net/backends/attempts.py
@@ -74,8 +74,8 @@
             return
         if number:
             self.dispatcher.counters.count_retry(self._retry_reason(session))
-        until_ns = min(action.until_ns, session.deadline_ns)
-        by_ns = min(until_ns, action.written_by_ns or until_ns)
+        until_ns = min(action.give_up_ns, session.deadline_ns)
+        by_ns = min(until_ns, action.write_deadline_ns or until_ns)
         self._launch(now_ns, session, number, action.endpoint, until_ns, by_ns, fresh=action.new_connection)
 
     def _retry_reason(self, session: Session) -> RetryReason:
--- a/zincstile/net/config.py
+++ b/zincstile/net/config.py
@@ -136,7 +136,7 @@
                 sessions=int(settings_limits.get("max_open", DEFAULT_SESSIONS)),
                 connect_ns=int(settings_limits.get("connect_timeout_ns", DEFAULT_CONNECT_NS)),
                 idle_close_ns=int(settings_limits.get("idle_close_ns", DEFAULT_IDLE_CLOSE_NS)),
-                longest_request_ns=settings.longest_ns,
+                longest_request_ns=settings.max_deadline_ns,
                 gateways=settings.gateway_count,
                 poll_interval_ns=_poll_interval_ns(settings_table, settings),
                 operators=bool(env.get("RELAY_CONTROL") or table.get("control")),
--- a/zincstile/net/lifecycle.py
+++ b/zincstile/net/lifecycle.py
@@ -164,7 +164,7 @@
     def log_counters(self) -> None:
         """Logs the counters and the state of the policy; at SIGUSR1 and at the end."""
         self._log.line(self._dispatcher.counters.line(self._host))
-        self._log.line("state " + json.dumps(self._dispatcher.policy.figures()))
+        self._log.line("state " + json.dumps(self._dispatcher.policy.state_values()))
 
     def reload(self, attempts: int = RELOAD_ATTEMPTS) -> None:
         """Reads again where discovery and the quota service are found (SIGHUP); all else stays as it is.
--- a/zincstile/net/state_files.py
+++ b/zincstile/net/state_files.py
@@ -95,8 +95,8 @@
         try:
             validate(memory, self._dispatcher.policy.parts)
             if not isinstance(written_ns, int) or isinstance(written_ns, bool):
-                raise state_transfer.TableError("key written_monotonic_ns: not a whole number")
-        except state_transfer.TableError as err:
+                raise state_transfer.InheritedStateError("key written_monotonic_ns: not a whole number")
+        except state_transfer.InheritedStateError as err:
             self._dispatcher.counters.handover_bad += 1
             return f"ignored: {self._base_path}{MEMORY_SUFFIX}: {err}"
         customers = memory["customers"]
@@ -112,7 +112,7 @@
             count = state_transfer.apply_totals(
                 self._dispatcher.policy.parts, totals, self._inherited_totals, TOTAL_MODULUS
             )
-        except state_transfer.TableError as err:
+        except state_transfer.InheritedStateError as err:
             self._dispatcher.counters.handover_bad += 1
             self._dispatcher.log.line(f"memory: ignored: {self._base_path}{TOTALS_SUFFIX}: {err}")
             return
@@ -155,7 +155,7 @@
     def leave_totals(self) -> None:
         """Writes at the end of this process what it sent since a new one took its memory."""
         if self._successor:
-            totals = state_transfer.totals(self._dispatcher.policy.parts)
+            totals = state_transfer.running_totals(self._dispatcher.policy.parts)
             self._write(TOTALS_SUFFIX, json.dumps({"for": self._successor, "spent": totals}).encode())
 
     # ---- both
--- a/zincstile/quota_service/feature.py
+++ b/zincstile/quota_service/feature.py
@@ -74,7 +74,7 @@
         self.accounts = Accounts(self.service, self.detector)
         self._heartbeat(now)
 
-    def figures(self) -> dict[str, float]:
+    def state_values(self) -> dict[str, float]:
         """Nothing beyond the policy's own."""
         return {}
 
@@ -166,7 +166,9 @@
         customer = pending.customer
         plan = self.settings.plans[customer.plan]
         gateways = self.settings.gateway_count
-        first = pending.request.first
-        members = [(first + offset) % gateways for offset in range(customer.spread)]
-        quota = Quota(plan.name, plan.rate, plan.burst, customer.spread, self.settings.max_request_units)
+        first = pending.request.first_gateway
+        members = [(first + offset) % gateways for offset in range(customer.gateway_set_size)]
+        quota = Quota(
+            plan.name, plan.rate, plan.burst, customer.gateway_set_size, self.settings.max_request_units
+        )
         return self.accounts.account(customer.key, quota, members, self._common_ns(now))
--- a/zincstile/scale/emulators.py
+++ b/zincstile/scale/emulators.py
@@ -356,8 +356,8 @@
             self.strange += 1
             return
         usages = [
-            CustomerUsage(s.customer, s.plan, 0.0, s.level, 0, s.want, s.query_id, True)
-            if s.want > 0
+            CustomerUsage(s.customer, s.plan, 0.0, s.level, 0, s.requested_units, s.query_id, True)
+            if s.requested_units > 0
             else CustomerUsage(s.customer, s.plan, s.total, s.level, s.in_flight, 0.0, s.query_id)
             for s in message.usages
         ]
--- a/zincstile/simulation/mutants_decisions.py
+++ b/zincstile/simulation/mutants_decisions.py
@@ -19,7 +19,7 @@
 def keyed_retry_in_any_group() -> Undo:
     """A request whose idempotency key may have run is sent to any group of endpoints."""
     return replace_attribute(
-        LoadBalancer, "may_use", lambda self, pending, endpoint: endpoint not in pending.tried
+        LoadBalancer, "may_use", lambda self, pending, endpoint: endpoint not in pending.attempted_endpoints
     )
 
 
--- a/zincstile/simulation/mutants_network.py
+++ b/zincstile/simulation/mutants_network.py
@@ -134,7 +134,7 @@
 
     return undo_all(
         replace_attribute(attempts.Attempts, "set_deadline", limit),
-        replace_attribute(RequestTable, "overdue", lambda self, now: []),
+        replace_attribute(RequestTable, "pop_overdue", lambda self, now: []),
     )
 
 
--- a/zincstile/simulation/places.py
+++ b/zincstile/simulation/places.py
@@ -157,7 +157,9 @@
     calmly = sum(begin <= t < end for t in beside.served)
     served = sum(begin <= t < end for t in watch.served) / max(1, calmly)
     changes = (
-        sum(s.gateway.dispatcher.policy.figures()["tables"] for s in run.nodes) / gateways if place else 0.0
+        sum(s.gateway.dispatcher.policy.state_values()["tables"] for s in run.nodes) / gateways
+        if place
+        else 0.0
     )
     return Row(
         kind,
--- a/zincstile/simulator/codec.py
+++ b/zincstile/simulator/codec.py
@@ -243,7 +243,7 @@
 
 
 def _encode_forward(action: ForwardRequest) -> bytes:
-    head = struct.pack("<BIQ", 10, action.request, max(0, action.until_ns))
+    head = struct.pack("<BIQ", 10, action.request, max(0, action.give_up_ns))
     return head + _encode_endpoint(action.endpoint)
 
 
--- a/zincstile/simulator/gossip_codec.py
+++ b/zincstile/simulator/gossip_codec.py
@@ -39,7 +39,7 @@
     room = (
         MAX_DATAGRAM_BYTES - HEAD.size - USAGE.size * bool(message.usages) - ERROR_SAMPLE.size * len(samples)
     )
-    figures = message.figures[: max(0, room // FIGURE.size)]
+    figures = message.estimates[: max(0, room // FIGURE.size)]
     extra = b"".join(FIGURE.pack(min(MAX_FIGURE, max(0.0, figure))) for figure in figures)
     extra += b"".join(_encode_sample(sample) for sample in samples)
     counts = (len(figures), len(samples))
@@ -68,7 +68,7 @@
         round(usage.total * UNIT_STEPS) % 2**32,
         _short(usage.level),
         max(0, min(MAX_IN_FLIGHT, usage.in_flight)),
-        _short(usage.want),
+        _short(usage.requested_units),
         usage.query_id,
     )
 
--- a/zincstile/subsetting/feature.py
+++ b/zincstile/subsetting/feature.py
@@ -72,7 +72,7 @@
         self.parts = policy.parts
         self._apply: Callable[[int, EndpointList], None] = policy.on_endpoint_list
         policy.handlers[EndpointList] = self.on_endpoint_list
-        policy.ticker.ticked.append(self.on_ticked)
+        policy.ticker.tick_listeners.append(self.on_ticked)
         self.parts.endpoints.recall = self.recall
         self.parts.capacity.dilution = 1.0
 
@@ -85,7 +85,7 @@
     def state_inherited(self, now: int) -> None:
         """Scores come back with the endpoints of the subset."""
 
-    def figures(self) -> dict[str, float]:
+    def state_values(self) -> dict[str, float]:
         """Endpoints of the list and of the subset, widened slices, and endpoints that left the subset.
 
         Stored results have these keys.
--- a/zincstile/zone_failover/feature.py
+++ b/zincstile/zone_failover/feature.py
@@ -89,7 +89,7 @@
         self.parts.balancer.accepts = self.accepts
         self.parts.capacity.classified = self.on_classified
         self.parts.outcomes.listeners.append(self.health.on_outcome)
-        policy.ticker.decayed.append(self.health.on_decayed)
+        policy.ticker.decay_listeners.append(self.health.on_decayed)
         policy.timers[ZONE_HEARTBEAT_TOKEN] = self._heartbeat
         policy.handlers[ZoneMessageReceived] = self.on_message_received
         policy.handlers[ZoneOverridden] = self.on_zone_overridden
@@ -106,7 +106,7 @@
     def state_inherited(self, now: int) -> None:
         """Nothing is inherited: the table comes from the peers."""
 
-    def figures(self) -> dict[str, float]:
+    def state_values(self) -> dict[str, float]:
         """Attempts by where they went, tables seen so far, and the leader term of the last.
 
         Stored results have these keys.
@@ -207,9 +207,9 @@
     def choose(self, now: int, pending: PendingRequest) -> Endpoint | None:
         """The endpoint of the next attempt, in the zone that the weights draw."""
         idempotent = pending.request_class.idempotency is Idempotency.ALWAYS
-        if pending.may_have_run_at is not None and pending.tried:
+        if pending.may_have_run_at is not None and pending.attempted_endpoints:
             return self._choose_retry(now, pending, idempotent=idempotent)
-        if idempotent and not pending.tried:
+        if idempotent and not pending.attempted_endpoints:
             endpoint = self._choose_probe(now, pending)
             if endpoint is not None:
                 return endpoint
--- a/zincstile/zone_failover/zone_health.py
+++ b/zincstile/zone_failover/zone_health.py
@@ -103,7 +103,7 @@
             connections.record(failed=True)
         elif outcome.result in CONNECTED_RESULTS:
             connections.record(failed=False)
-        elif outcome.result is AttemptResult.TIMEOUT and attempt.late:
+        elif outcome.result is AttemptResult.TIMEOUT and attempt.silence_recorded:
             connections.record(failed=True)
 
     def on_decayed(self, keep: float) -> None:
