--- a/tests/test_incremental.py
+++ b/tests/test_incremental.py
@@ -112,7 +112,7 @@
 def test_the_endpoints_are_what_a_plain_model_works_out_from_the_complete_list(steps):
     g, plain = Gateway(COLD, backends=0, now=100 * SECOND), Plain()
     policy = g.policy
-    healthy = policy.parts.capacity.healthy
+    healthy = policy.parts.capacity.healthy_endpoints
     for what, about in steps:
         if what == "lists":
             for kind, entries in about:
@@ -126,12 +126,12 @@
             plain.fade(keep)
         elif about[0] in plain.known and what == "doubt":
             where, group, bad = about
-            policy.parts.detector.apply(policy.parts.endpoints.by_id[where], group, bad, 0.5)
+            policy.parts.detector.apply_sample(policy.parts.endpoints.by_id[where], group, bad, 0.5)
             doubts = plain.known[where][2]
             if bad or group in doubts:
                 doubts[group] = doubts.get(group, 0.0) * 0.5 + 0.5 * bad
         elif about[0] in plain.known:
-            policy.parts.endpoints.touch(policy.parts.endpoints.by_id[about[0]]).latency_ratio = plain.known[
+            policy.parts.endpoints.track(policy.parts.endpoints.by_id[about[0]]).latency_ratio = plain.known[
                 about[0]
             ][1] = about[1]
         g.feed(RequestAbandoned(-1))  # whatever comes after a change decides by the list as it is
@@ -143,7 +143,7 @@
         assert {n: s.entry.id for n, s in policy.parts.endpoints.by_hash.items()} == {
             peer_hash(k): k for k in plain.ready
         }
-        assert len(policy.parts.slow_start.shares) == len(policy.parts.endpoints.warming) and all(
+        assert len(policy.parts.slow_start.cumulative_shares) == len(policy.parts.endpoints.warming) and all(
             s.started_ns for s in [c.entry for c in policy.parts.endpoints.warming]
         )
         for s in policy.parts.endpoints.by_id.values():
@@ -152,21 +152,21 @@
                 s.error_scores == pytest.approx(known[2])
                 and abs(s.latency_ratio - known[1]) <= NEUTRAL_RATIO_TOLERANCE
             )
-            assert s.entry.id in policy.parts.endpoints.touched or (
+            assert s.entry.id in policy.parts.endpoints.tracked or (
                 not s.error_scores and s.latency_ratio == 1.0
             )
-            assert (s.members is not None) == (s.entry.state is EndpointState.READY)
-            assert s.members is None or s.members[s.position] is s
+            assert (s.ready_list is not None) == (s.entry.state is EndpointState.READY)
+            assert s.ready_list is None or s.ready_list[s.ready_index] is s
         assert all(
-            policy.parts.endpoints.by_id.get(k) is s for k, s in policy.parts.endpoints.touched.items()
+            policy.parts.endpoints.by_id.get(k) is s for k, s in policy.parts.endpoints.tracked.items()
         )
         if what == "lists":  # an empty change leaves all as it was, so that nothing is worked out anew
             changed = any(
                 kind in (EndpointListKind.FULL, EndpointListKind.CACHED) or entries for kind, entries in about
             )
-            assert changed or policy.parts.capacity.healthy == healthy
+            assert changed or policy.parts.capacity.healthy_endpoints == healthy
         healthy_is_new = what == "tick" or (what == "lists" and changed)
-        healthy = policy.parts.capacity.healthy
+        healthy = policy.parts.capacity.healthy_endpoints
         if healthy_is_new:
 
             def warmth(x):
@@ -176,10 +176,12 @@
                 x[0].id for x in ready if warmth(x) >= 1
             }
             assert policy.parts.detector.baseline == pytest.approx(plain.usual)
-            assert policy.parts.capacity.healthy == pytest.approx(plain.good(warmth))
+            assert policy.parts.capacity.healthy_endpoints == pytest.approx(plain.good(warmth))
     for _ in range(20):
         g.tick(5 * SECOND)
-    assert not [s for s in policy.parts.endpoints.touched.values() if s.members is not None]  # all has faded
+    assert not [
+        s for s in policy.parts.endpoints.tracked.values() if s.ready_list is not None
+    ]  # all has faded
 
 
 # ---- the connection pool and the endpoint table
@@ -341,7 +343,7 @@
     known = [b for b, _ in pool.listed.values()]
     g.list(known)
     for s in known[:6]:
-        g.policy.parts.detector.apply(g.policy.parts.endpoints.by_id[s.id], 0, 1.0, 0.5)
+        g.policy.parts.detector.apply_sample(g.policy.parts.endpoints.by_id[s.id], 0, 1.0, 0.5)
         open_idle(pool, s.id)
     g.tick()
 
--- a/tests/test_inherit_memory.py
+++ b/tests/test_inherit_memory.py
@@ -36,7 +36,7 @@
         sent = only(acts, ForwardRequest)
         if sent:
             g.outcome(rid, 0, sent[0].endpoint, AttemptResult.OK, after=50 * MS, latency=50 * MS)
-    g.policy.parts.limit.limit, g.policy.parts.slow_start.seen_rate = 7.0, 21.0
+    g.policy.parts.limit.limit, g.policy.parts.slow_start.peak_endpoint_rate = 7.0, 21.0
     g.policy.parts.endpoints.ready[0].latency_ratio, g.policy.parts.endpoints.ready[0].error_scores = (
         2.5,
         {0: 0.6},
@@ -63,13 +63,13 @@
 def test_what_was_learnt_goes_along():
     g = old_process()
     heir = new_process(left(g), g).policy.parts
-    assert (heir.limit.limit, heir.slow_start.seen_rate, heir.gossip.incarnation) == (
+    assert (heir.limit.limit, heir.slow_start.peak_endpoint_rate, heir.gossip.incarnation) == (
         7.0,
         21.0,
         g.policy.parts.gossip.incarnation,
     )
     assert heir.latency.unit_ns == g.policy.parts.latency.unit_ns
-    assert heir.latency.calm_ns == g.policy.parts.latency.calm_ns
+    assert heir.latency.unloaded_unit_ns == g.policy.parts.latency.unloaded_unit_ns
     slow = heir.endpoints.by_id[g.policy.parts.endpoints.ready[0].entry.id]
     assert (slow.latency_ratio, slow.error_scores) == (2.5, {0: 0.6})
     assert [x.arrivals for x in heir.budget.groups] == [x.arrivals for x in g.policy.parts.budget.groups]
@@ -161,4 +161,4 @@
     for _ in range(3):
         heir.ask(units=2.0, spread=3, after=SECOND)
         heir.tick()
-    assert not math.isnan(heir.policy.parts.capacity.healthy)
+    assert not math.isnan(heir.policy.parts.capacity.healthy_endpoints)
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -96,11 +96,11 @@
     found = {b.failure: b for b in overshoot_bounds(quota, SET)}
     assert refusal_reason(quota, SET) is None and set(found) == set(FAILURES)
     assert found["cut"].units == found["none"].units == pytest.approx(quota.rate * 0.2)
-    assert all(found[f].share <= 0.05 + 1e-9 for f in SET.tolerated_failures)
+    assert all(found[f].overshoot_ratio <= 0.05 + 1e-9 for f in SET.tolerated_failures)
     assert (
         batch_limit_units(quota, SET) + quota.burst / holder_count(quota, SET) >= 5.0
     )  # nearly the largest request
-    assert 0.3 < initial_fill_ratio(quota, SET) <= 1.0 and gossip_bound(quota, 2, 10.0).share > 0.08
+    assert 0.3 < initial_fill_ratio(quota, SET) <= 1.0 and gossip_bound(quota, 2, 10.0).overshoot_ratio > 0.08
 
 
 def test_a_file_that_asks_for_too_much_is_refused_with_the_term_that_dominates():
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -144,7 +144,7 @@
 
 def test_a_new_process_starts_without_the_old_ones_record():
     g = Gateway(backends=2)
-    g.policy.parts.endpoints.touch(g.policy.parts.endpoints.by_id[1]).error_scores[0] = 1.0
+    g.policy.parts.endpoints.track(g.policy.parts.endpoints.by_id[1]).error_scores[0] = 1.0
     g.list([backend(1, started=g.now)], EndpointListKind.DELTA)
     assert not g.policy.parts.endpoints.by_id[1].error_scores
 
@@ -273,7 +273,7 @@
         where = only(acts, ForwardRequest)[0].endpoint
         assert only(g.outcome(rid, 0, where, result), FailRequest)
         server = g.policy.parts.endpoints.by_id[where]
-        assert (g.policy.parts.detector.excess(server, 1, 0) >= 0.3) is left
+        assert (g.policy.parts.detector.excess_score(server, 1, 0) >= 0.3) is left
 
 
 def test_what_may_not_run_again_gets_a_new_connection_where_kept_ones_end(gateway):
@@ -317,7 +317,7 @@
     for k in range(600):
         if k % 10 == 0:
             for s in g.policy.parts.endpoints.ready[:2]:
-                g.policy.parts.endpoints.touch(s).error_scores = {0: 1.0}
+                g.policy.parts.endpoints.track(s).error_scores = {0: 1.0}
             g.tick(0)
         rid, acts = g.ask(after=10 * MS)
         for where in [a.endpoint for a in only(acts, ForwardRequest)]:
@@ -339,7 +339,7 @@
         g.list([backend(1), backend(2, started=99 * SECOND)])
         for leaf in g.policy.parts.budget.groups:
             leaf.arrivals = 10.0 / len(g.policy.parts.budget.groups)
-        g.policy.parts.slow_start.seen_rate = seen
+        g.policy.parts.slow_start.peak_endpoint_rate = seen
         g.policy.parts.capacity.classify(g.now)
         cold = 0
         for _ in range(400):
--- a/tests/test_quota_service.py
+++ b/tests/test_quota_service.py
@@ -233,7 +233,8 @@
 def test_bounds_grow_with_their_terms_and_name_what_dominates():
     assert [bound.failure for bound in overshoot_bounds(QUOTA, SETTINGS)] == list(FAILURES)
     assert all(
-        bound.share <= SETTINGS.max_overshoot_ratio + 1e-9 for bound in overshoot_bounds(QUOTA, SETTINGS)
+        bound.overshoot_ratio <= SETTINGS.max_overshoot_ratio + 1e-9
+        for bound in overshoot_bounds(QUOTA, SETTINGS)
     )
     tight = QuotaServiceSettings(max_overshoot_ratio=0.001)
     assert max_carry_units(QUOTA, tight) == 0.0
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -299,7 +299,9 @@
         leaf.rate, leaf.arrivals = 0.5, 2.0
     shares = [CustomerUsage(k, 1, 3.0, 2.0, 0) for k in range(9)]
     doubts = [ErrorSample(1, group, 0.5) for group in (0, 11, 250, 251, 255)]
-    messages = gossip_codec.encode_gossip(SendGossip(1, 7, shares, module.parts.estimates.figures(), doubts))
+    messages = gossip_codec.encode_gossip(
+        SendGossip(1, 7, shares, module.parts.estimates.own_values(), doubts)
+    )
     assert max(map(len, messages)) <= gossip_codec.MAX_DATAGRAM_BYTES
     heard = [gossip_codec.decode_gossip(1, data) for data in messages]
     assert [s.customer for m in heard for s in m.usages] == list(range(9))
--- a/tests/test_subsetting.py
+++ b/tests/test_subsetting.py
@@ -26,7 +26,7 @@
 )
 from zincstile.decisions.policy import Policy
 from zincstile.decisions.settings import DeduplicationScope, Idempotency, RequestClass
-from zincstile.decisions.slow_start import FIRST_RATE_DIVISOR, OVERLOAD_SHARE
+from zincstile.decisions.slow_start import INITIAL_RATE_DIVISOR, OVERLOAD_SHARE
 from zincstile.net import config, features
 from zincstile.net.discovery.messages import endpoint_id
 from zincstile.net.discovery.reader import EndpointReader
@@ -79,7 +79,7 @@
 def fail(policy, numbers, now, bad=1.0):
     """Records failed attempts of these endpoints, by the module's own rule."""
     for endpoint in numbers:
-        policy.parts.detector.apply(policy.parts.endpoints.by_id[endpoint], 255, bad, 1.0)
+        policy.parts.detector.apply_sample(policy.parts.endpoints.by_id[endpoint], 255, bad, 1.0)
     return tick(policy, now)
 
 
@@ -223,26 +223,30 @@
         sending = sum(x.arrivals * x.rate for x in policy.parts.budget.groups)
         policy.parts.capacity.classify(now)
         first += (
-            policy.parts.slow_start.shares[0] * policy.parts.slow_start.max_multiple * sending
-            if policy.parts.slow_start.shares
+            policy.parts.slow_start.cumulative_shares[0]
+            * policy.parts.slow_start.max_share_multiple
+            * sending
+            if policy.parts.slow_start.cumulative_shares
             else 0.0
         )
         policy.parts.limit.completed_per_s = rate / gateways
         policy.parts.capacity.classify(now)
         seen += (
-            policy.parts.slow_start.shares[0] * policy.parts.slow_start.max_multiple * sending
-            if policy.parts.slow_start.shares
+            policy.parts.slow_start.cumulative_shares[0]
+            * policy.parts.slow_start.max_share_multiple
+            * sending
+            if policy.parts.slow_start.cumulative_shares
             else 0.0
         )
         warm.update(
             {
-                s.entry.id: policy.parts.limit.completed_per_s / policy.parts.capacity.healthy
+                s.entry.id: policy.parts.limit.completed_per_s / policy.parts.capacity.healthy_endpoints
                 for s in policy.parts.endpoints.warm
             }
         )
     multiple = 0.2 * OVERLOAD_SHARE * 2.0
-    assert first <= multiple * 4.0 / FIRST_RATE_DIVISOR * 1.000001
-    assert seen <= multiple * max(1.25 * max(warm.values()), 4.0 / FIRST_RATE_DIVISOR) * 1.000001
+    assert first <= multiple * 4.0 / INITIAL_RATE_DIVISOR * 1.000001
+    assert seen <= multiple * max(1.25 * max(warm.values()), 4.0 / INITIAL_RATE_DIVISOR) * 1.000001
 
 
 def test_a_cold_endpoint_left_alone_is_not_taken_to_do_what_all_did():
@@ -254,7 +258,7 @@
     policy.parts.capacity.classify(10 * SECOND)
     feed(policy, [*many(12, zone=0, mode=DRAINING), backend(13, started=10 * SECOND)])
     policy.parts.capacity.classify(10 * SECOND)
-    assert policy.parts.slow_start.seen_rate == 2.0 and policy.parts.limit.completed_per_s == 24.0
+    assert policy.parts.slow_start.peak_endpoint_rate == 2.0 and policy.parts.limit.completed_per_s == 24.0
 
 
 # ---- hard cases
@@ -324,7 +328,7 @@
     feed(policy, many(60, zone=0, started=SECOND))
     usual = ready(policy)
     one = min(usual)
-    policy.parts.endpoints.touch(policy.parts.endpoints.by_id[one]).latency_ratio = 3.0
+    policy.parts.endpoints.track(policy.parts.endpoints.by_id[one]).latency_ratio = 3.0
     feed(policy, [backend(one, mode=REMOVED, started=SECOND)])
     feed(policy, [backend(one, started=SECOND)])
     assert (
@@ -467,7 +471,7 @@
     feed(policy, many(60, zone=0))
     usual = ready(policy)
     for n in usual:
-        policy.parts.endpoints.touch(policy.parts.endpoints.by_id[n]).latency_ratio = 2.0
+        policy.parts.endpoints.track(policy.parts.endpoints.by_id[n]).latency_ratio = 2.0
     feed(
         policy,
         [backend(n, mode=DRAINING) for n in range(1, 61) if n not in usual] + [backend(n) for n in (61, 62)],
@@ -483,7 +487,7 @@
     feed(policy, many(60, zone=0), FULL)
     usual = ready(policy)
     for n in usual:
-        policy.parts.endpoints.touch(policy.parts.endpoints.by_id[n]).latency_ratio = 2.0
+        policy.parts.endpoints.track(policy.parts.endpoints.by_id[n]).latency_ratio = 2.0
     feed(policy, many(30, first=31, zone=0), FULL)
     assert len(ready(policy)) == 4 and min(ready(policy)) > 30 and policy.features[0].rings.ready_count == 30
     feed(policy, many(60, zone=0), FULL)
@@ -493,9 +497,9 @@
 def test_budgets_are_shared_out_among_those_that_use_an_endpoint():
     """Else pressure is seen with fewer attempts out for each endpoint, the smaller the subset."""
     policy = gateway(gateways=60, min_endpoints=4, zones=[])
-    assert policy.parts.capacity.sharing_gateways == 60
+    assert policy.parts.capacity.gateways_per_endpoint == 60
     feed(policy, many(60, zone=0))
-    assert policy.parts.capacity.dilution == 15.0 and policy.parts.capacity.sharing_gateways == 4.0
+    assert policy.parts.capacity.subset_ratio == 15.0 and policy.parts.capacity.gateways_per_endpoint == 4.0
 
 
 def test_types_that_the_settings_do_not_name_are_told_apart():
--- a/tests/test_throng.py
+++ b/tests/test_throng.py
@@ -44,12 +44,12 @@
     for _ in range(50):
         g.policy.parts.limit.completed_units = 6.0  # 10 units a second of each
         g.tick(100 * MS)
-    known = g.policy.parts.slow_start.seen_rate
+    known = g.policy.parts.slow_start.peak_endpoint_rate
     g.list([backend(n, mode=EndpointState.DRAINING) for n in range(2, 7)], EndpointListKind.DELTA)
     for _ in range(10):
         g.policy.parts.limit.completed_units = 6.0  # they finish what they have
         g.tick(100 * MS)
-    assert 9 < known < 11 and g.policy.parts.slow_start.seen_rate < 1.5 * known
+    assert 9 < known < 11 and g.policy.parts.slow_start.peak_endpoint_rate < 1.5 * known
 
 
 def test_nine_in_ten_of_thirty_processes_restarted_at_once_are_ready_in_10_s(tmp_path):
--- a/tests/test_wide.py
+++ b/tests/test_wide.py
@@ -187,7 +187,10 @@
     rate, seconds = 133.0, [0.0] * 5  # units that a warm one is seen to do in a second
     for step in range(50):
         for g in fleet[step % 10 :: 10]:
-            g.policy.parts.limit.completed_per_s, g.policy.parts.capacity.healthy = 2 * rate / 200, 2
+            g.policy.parts.limit.completed_per_s, g.policy.parts.capacity.healthy_endpoints = (
+                2 * rate / 200,
+                2,
+            )
             rid, acts = g.ask(cls=1, units=2.0, after=SECOND if step >= 10 else (1 + step) * 100 * MS)
             seconds[step // 10] += 2.0 * sends(acts).count(3)
             if sends(acts):
@@ -221,7 +224,7 @@
 
 def test_no_relay_is_asked_where_the_budgets_draw_refuses():
     g = gateway()
-    for row in g.policy.parts.budget.inside:
+    for row in g.policy.parts.budget.inside_quota:
         for leaf in row:
             leaf.rate = 0.0
     _, acts, told = asked(g)
@@ -297,8 +300,11 @@
 def test_words_of_peers_do_not_end_the_learning_of_the_calm_time():
     g = gateway()
     for _ in range(200):
-        g.feed(GossipReceived(3, 1, [], g.policy.parts.estimates.figures()))
-    assert g.policy.parts.latency.calm_ns == [float("inf")] * 3 and g.policy.parts.latency.samples == [0] * 3
+        g.feed(GossipReceived(3, 1, [], g.policy.parts.estimates.own_values()))
+    assert (
+        g.policy.parts.latency.unloaded_unit_ns == [float("inf")] * 3
+        and g.policy.parts.latency.samples == [0] * 3
+    )
 
 
 def test_a_plan_with_a_ceiling_is_served_at_the_start_of_a_tier_that_nobody_hears():
@@ -329,7 +335,7 @@
     g.list([backend(n) for n in range(1, 31)] + [backend(99, started=g.now)])
     got = 0
     for _ in range(600):  # 3 a second on 30 warm ones: a cold one is due about 0.06 of them
-        g.policy.parts.limit.completed_per_s, g.policy.parts.capacity.healthy = 3.0, 30.5
+        g.policy.parts.limit.completed_per_s, g.policy.parts.capacity.healthy_endpoints = 3.0, 30.5
         rid, acts = g.ask(cls=1, after=SECOND // 3)
         got += sends(acts).count(99)
         g.outcome(rid, 0, sends(acts)[0], AttemptResult.OK, after=0, latency=50 * MS)
@@ -338,7 +344,7 @@
 
 def test_one_late_answer_does_not_keep_a_backend_out_for_good():
     g = gateway(plans=[CustomerPlan("p", rate=1e6, burst=1e6)])
-    g.policy.parts.endpoints.touch(g.policy.parts.endpoints.by_id[1]).latency_ratio = 5.0
+    g.policy.parts.endpoints.track(g.policy.parts.endpoints.by_id[1]).latency_ratio = 5.0
     for _ in range(40):
         g.tick(after=SECOND)
     assert g.policy.parts.endpoints.by_id[1].latency_ratio < 1.1
@@ -379,8 +385,8 @@
         bad = [ErrorSample(name(n), 0, 1.0) for n in (1, 2)] + [ErrorSample(name(3), 1, 1.0)]
         g.feed(GossipReceived(peer, 5, [], [], bad))
     g.tick(after=MS)
-    assert abs(g.policy.parts.capacity.healthy - (8 - 2 * 0.75 - 0.25)) < 0.01
+    assert abs(g.policy.parts.capacity.healthy_endpoints - (8 - 2 * 0.75 - 0.25)) < 0.01
     for peer in range(3, 9):  # when all look bad, none is believed to be
         g.feed(GossipReceived(peer, 5, [], [], [ErrorSample(name(n), 0, 1.0) for n in range(1, 9)]))
     g.tick(after=MS)
-    assert g.policy.parts.capacity.healthy > 7.7
+    assert g.policy.parts.capacity.healthy_endpoints > 7.7
--- a/zincstile/cli/bound.py
+++ b/zincstile/cli/bound.py
@@ -23,7 +23,9 @@
         table.add_column(name, justify="left" if name in ("failure", "terms") else "right")
     for bound in bounds:
         terms = ", ".join(f"{k} {v:.2f}" for k, v in bound.terms.items() if v)
-        table.add_row(bound.failure, f"{bound.units:.2f}", f"{100 * bound.share:.2f}%", terms or "-")
+        table.add_row(
+            bound.failure, f"{bound.units:.2f}", f"{100 * bound.overshoot_ratio:.2f}%", terms or "-"
+        )
     console.print(table)
 
 
--- a/zincstile/cold_start/feature.py
+++ b/zincstile/cold_start/feature.py
@@ -66,7 +66,7 @@
 
         Stored results have this key.
         """
-        healthy = self.parts.capacity.healthy
+        healthy = self.parts.capacity.healthy_endpoints
         return {"pace": -1.0 if self.ramp is None else round(self.ramp.pace(healthy), 2)}
 
     def choose(self, now: int, pending: PendingRequest) -> Endpoint | None:
@@ -77,7 +77,7 @@
         ramp = self.ramp
         if ramp is None:
             return self._choose_endpoint(now, pending)
-        if not ramp.admits(now, self.parts.capacity.healthy):
+        if not ramp.admits(now, self.parts.capacity.healthy_endpoints):
             return None
         endpoint = self._choose_endpoint(now, pending)
         if endpoint is not None:
--- a/zincstile/decisions/admission.py
+++ b/zincstile/decisions/admission.py
@@ -57,7 +57,7 @@
 
     def on_request(self, now: int, request: Request) -> None:
         """A client's request. It is decided on at once, or when its quota is known."""
-        self.ledger.begin(now)
+        self.ledger.record_traffic(now)
         customer = self.ledger.customer_of(now, request)
         request_class = self.settings.classes[request.class_index]
         worthless_ns = request.deadline_ns
@@ -74,7 +74,7 @@
         """Forwards a request or rejects it. `counted`: its units have left the bucket already."""
         request = pending.request
         customer = pending.customer
-        side = self.budget.inside if inside_quota else self.budget.beyond
+        side = self.budget.inside_quota if inside_quota else self.budget.beyond_quota
         group = side[request.class_index][request.plan]
         pending.inside_quota = inside_quota
         pending.group = group
--- a/zincstile/decisions/budget_split.py
+++ b/zincstile/decisions/budget_split.py
@@ -57,9 +57,9 @@
 
     def __init__(self, settings: Settings) -> None:
         """Makes a group for each class and plan, inside and beyond the quota."""
-        self.inside = self._planted(settings, beyond_quota=False)
-        self.beyond = self._planted(settings, beyond_quota=True)
-        self.sides = (self.inside, self.beyond)
+        self.inside_quota = self._planted(settings, beyond_quota=False)
+        self.beyond_quota = self._planted(settings, beyond_quota=True)
+        self.sides = (self.inside_quota, self.beyond_quota)
         self.groups = [group for side in self.sides for row in side for group in row]
 
     @staticmethod
@@ -74,7 +74,7 @@
         ]
 
     @property
-    def binds(self) -> bool:
+    def is_limiting(self) -> bool:
         """Some of what arrives is rejected by the budget."""
         return any(group.rate < 1 for group in self.groups)
 
@@ -92,14 +92,14 @@
         """Recent units of each class, a trace above 0."""
         return [
             1e-9 + sum(group.sent for side in self.sides for group in side[index])
-            for index in range(len(self.inside))
+            for index in range(len(self.inside_quota))
         ]
 
-    def sent_per_s(self) -> float:
+    def admitted_per_s(self) -> float:
         """Units a second that are admitted at present."""
         return sum(group.arrivals * group.rate for group in self.groups)
 
-    def assign(self, budget: float) -> None:
+    def assign_rates(self, budget: float) -> None:
         """Splits a budget of units a second: each group's rate is its part over its arrivals."""
         if budget >= self.arrivals:  # all get what arrives, by any weights
             for group in self.groups:
--- a/zincstile/decisions/capacity.py
+++ b/zincstile/decisions/capacity.py
@@ -33,29 +33,29 @@
         self.limit = limit
         self.budget = budget
         self.slow_start = slow_start
-        self.healthy = 1.0  # endpoints, in warm ones
-        self.working = 1.0  # endpoints that the recent completed work is of
+        self.healthy_endpoints = 1.0  # endpoints, in warm ones
+        self.working_endpoints = 1.0  # endpoints that the recent completed work is of
         self.fleet_gateways: float = settings.gateway_count  # among which the capacity is shared out
-        self.dilution: float | None = None  # subsetting: endpoints of the table for each one that is used
+        self.subset_ratio: float | None = None  # subsetting: endpoints of the table for each one that is used
         # zone failover: called after each classification
-        self.classified: Callable[[int], None] | None = None
+        self.on_classified: Callable[[int], None] | None = None
 
     def warmth(self, now: int, endpoint: Endpoint) -> float:
         """How far an endpoint is warmed up, above 0 to 1."""
         return self.slow_start.warmth(now, endpoint.entry.started_ns)
 
     @property
-    def sharing_gateways(self) -> float:
+    def gateways_per_endpoint(self) -> float:
         """Among how many gateways the endpoints' capacity is shared out: fewer use each of a subset."""
-        if self.dilution is None:
+        if self.subset_ratio is None:
             return self.fleet_gateways
-        return max(1.0, self.fleet_gateways / self.dilution)
+        return max(1.0, self.fleet_gateways / self.subset_ratio)
 
     def decay(self, span_s: float) -> None:
         """Draining endpoints, and what waited at any that were removed, are done with up to the longest
         deadline later: what they do is no work of those that are left."""
         keep = math.exp(-span_s * SECOND_NS / self.settings.longest_ns)
-        self.working = max(self.healthy, self.working * keep)
+        self.working_endpoints = max(self.healthy_endpoints, self.working_endpoints * keep)
 
     def classify_if_due(self, now: int) -> None:
         """Nothing is decided on a list that has changed since warm and warming ones were classified."""
@@ -74,13 +74,13 @@
         sent = self.budget.sent_by_class()
         lost = sum(
             self.warmth(now, endpoint) * units
-            for endpoint in self.endpoints.touched.values()
-            if endpoint.members is not None
+            for endpoint in self.endpoints.tracked.values()
+            if endpoint.ready_list is not None
             for index, units in enumerate(sent)
-            if self.detector.excess_of_class(endpoint, index) >= OUTLIER_SCORE
+            if self.detector.class_excess_score(endpoint, index) >= OUTLIER_SCORE
         )
-        self.healthy = max(1.0, len(self.endpoints.warm) + sum(warmths) - lost / sum(sent))
-        worked_per_s = self.limit.completed_per_s / max(self.healthy, self.working)
-        self.slow_start.update(warmths, self.healthy, worked_per_s, self.budget.sent_per_s())
-        if self.classified is not None:
-            self.classified(now)
+        self.healthy_endpoints = max(1.0, len(self.endpoints.warm) + sum(warmths) - lost / sum(sent))
+        worked_per_s = self.limit.completed_per_s / max(self.healthy_endpoints, self.working_endpoints)
+        self.slow_start.update(warmths, self.healthy_endpoints, worked_per_s, self.budget.admitted_per_s())
+        if self.on_classified is not None:
+            self.on_classified(now)
--- a/zincstile/decisions/concurrency_limit.py
+++ b/zincstile/decisions/concurrency_limit.py
@@ -19,10 +19,10 @@
 TICK_NS: Final = SECOND_NS // 10  # period of limit and budget
 RELIABLE_SAMPLES: Final = 10.0  # so many in a tick are half believed
 SAMPLE_MEMORY_S: Final = 0.8  # time constant of the answers' lateness
-FIRST_IN_FLIGHT: Final = 10.0  # attempts per ready endpoint, by all gateways: the first limit
-LEAST_IN_FLIGHT: Final = 1.0  # the least limit
+INITIAL_IN_FLIGHT: Final = 10.0  # attempts per ready endpoint, by all gateways: the first limit
+MIN_IN_FLIGHT: Final = 1.0  # the least limit
 MAX_DECREASE: Final = 0.3  # largest cut, as a share of the limit
-CALM_SIGNAL: Final = 0.77  # of the overload signal: the limit rises below
+BUSY_THRESHOLD: Final = 0.77  # of the overload signal: the limit rises below
 MAX_LATENESS: Final = 3.0  # most of one attempt, as a multiple of the latency that shows overload
 TIMEOUTS_TO_ANSWERS: Final = 1.5  # timeouts count at most so many times what late answers show
 USED_SHARE: Final = 0.6  # part of the limit that has to be in use for it to rise
@@ -43,7 +43,7 @@
         self.latency = latency
         self.limit = math.inf  # units in flight per healthy endpoint, of this gateway
         self.high_water_mark = math.inf  # the limit at which overload last began
-        self.rose = True  # since the last decrease
+        self.rose_since_decrease = True  # since the last decrease
         self.decreased_ns = 0
         self.decrease_every_ns = DECREASE_OBJECTIVE_SHARE * min(
             c.latency_objective_ns for c in settings.classes
@@ -72,7 +72,7 @@
 
     def record_latency(self, latency_ns: int, attempt: Attempt, *, timed_out: bool) -> None:
         """The latency of an attempt; those at outliers say nothing of the load."""
-        excess = self.detector.excess(attempt.endpoint, attempt.class_index, attempt.plan_index)
+        excess = self.detector.excess_score(attempt.endpoint, attempt.class_index, attempt.plan_index)
         if excess >= OUTLIER_SCORE:
             return
         lateness = min(MAX_LATENESS, latency_ns / attempt.overload_ns)
@@ -107,14 +107,16 @@
         self.overload_signal += weight * (self._shown_lateness() - self.overload_signal)
         own = max(len(in_flight) / (len(in_flight) + few), min(1.0, span_s / SAMPLE_MEMORY_S))
         self.units_in_flight += own * (sum(in_flight) - self.units_in_flight)
-        first_limit = FIRST_IN_FLIGHT * unit
+        first_limit = INITIAL_IN_FLIGHT * unit
         overloaded = self.overload_signal > 1 and now - self.decreased_ns > self.decrease_every_ns
         if overloaded or (unlimited and self.units_in_flight > first_limit * healthy):
-            self._decrease(now, first_limit, LEAST_IN_FLIGHT * unit, healthy)
-        elif self.overload_signal < CALM_SIGNAL and self.units_in_flight > USED_SHARE * self.limit * healthy:
+            self._decrease(now, first_limit, MIN_IN_FLIGHT * unit, healthy)
+        elif (
+            self.overload_signal < BUSY_THRESHOLD and self.units_in_flight > USED_SHARE * self.limit * healthy
+        ):
             increase = INCREASE if self.limit < self.high_water_mark else WARY_INCREASE
             self.limit = self.limit * increase**ticks
-            self.rose = True
+            self.rose_since_decrease = True
 
     def budget_per_s(self, healthy: float) -> float:
         """Units a second that keep so many in flight, by Little's law.
@@ -122,16 +124,16 @@
         The prior keeps a large fleet, where a few are in flight by chance, from rejecting all, and does not
         sink with what is sent.
         """
-        usual_s = self.latency.usual_s(self.mean_units)
+        usual_s = self.latency.mean_latency_s(self.mean_units)
         latency_s = (self.units_in_flight + PRIOR_RATE * usual_s) / (self.completed_per_s + PRIOR_RATE)
         return self.limit * healthy / latency_s
 
     def _decrease(self, now: int, first_limit: float, least: float, healthy: float) -> None:
         unlimited = self.limit == math.inf
         limit = first_limit if unlimited else min(self.limit, self.units_in_flight / healthy)
-        if self.rose:
+        if self.rose_since_decrease:
             self.high_water_mark = limit if unlimited else self.limit
-        self.rose = False
+        self.rose_since_decrease = False
         cut = MAX_DECREASE * min(1.0, max(0.0, self.overload_signal - 1))
         self.limit = max(limit * (1 - cut), least)
         self.decreased_ns = now
--- a/zincstile/decisions/endpoints.py
+++ b/zincstile/decisions/endpoints.py
@@ -27,15 +27,17 @@
 
 @dataclass(slots=True, eq=False)
 class Endpoint:
-    """What is known of one backend. `EndpointRegistry.touch` comes before a change of scores or ratio."""
+    """What is known of one backend. `EndpointRegistry.track` comes before a change of scores or ratio."""
 
     entry: EndpointEntry
     latency_ratio: float = 1.0  # latency over what the fleet takes for the like
     error_scores: dict[int, float] = field(default_factory=lambda: NO_SCORES)
     in_flight: int = 0  # attempts
     last_answer_ns: int = NEVER_NS  # or when a new connection to it was asked for
-    members: list[Endpoint] | None = field(default=None, repr=False)  # the list of ready ones that it is in
-    position: int = 0  # its index there
+    ready_list: list[Endpoint] | None = field(
+        default=None, repr=False
+    )  # the list of ready ones that it is in
+    ready_index: int = 0  # its index there
     hash_shadowed: Endpoint | None = field(default=None, repr=False)  # had the same hash before it
 
     def deduplication_group(self, scope: DeduplicationScope) -> int:
@@ -52,19 +54,19 @@
     def join(self, members: list[Endpoint]) -> None:
         """Goes to the end of a list, out of the one that it is in."""
         self.leave()
-        self.members = members
-        self.position = len(members)
+        self.ready_list = members
+        self.ready_index = len(members)
         members.append(self)
 
     def leave(self) -> None:
         """Leaves its list; the last one there takes its place, so that none is searched or moved up."""
-        if self.members is None:
+        if self.ready_list is None:
             return
-        last = self.members.pop()
+        last = self.ready_list.pop()
         if last is not self:
-            self.members[self.position] = last
-            last.position = self.position
-        self.members = None
+            self.ready_list[self.ready_index] = last
+            last.ready_index = self.ready_index
+        self.ready_list = None
 
 
 class ReadyEndpoints(Sequence[Endpoint]):
@@ -97,7 +99,7 @@
     latency_ratio: float
     error_scores: dict[int, float]
 
-    def is_of(self, entry: EndpointEntry) -> bool:
+    def applies_to(self, entry: EndpointEntry) -> bool:
         """The endpoint was not started anew since."""
         if self.started_ns < 0 or bool(self.started_ns) != bool(entry.started_ns):
             return False
@@ -113,11 +115,13 @@
         self.warm: list[Endpoint] = []
         self.warming: list[Endpoint] = []  # those that were not warm when this was last looked at
         self.ready = ReadyEndpoints(self.warm, self.warming)
-        self.touched: dict[int, Endpoint] = {}  # those with a score, or a ratio other than 1, by id
+        self.tracked: dict[int, Endpoint] = {}  # those with a score, or a ratio other than 1, by id
         self.by_hash: dict[int, Endpoint] = {}  # ready ones, by the hash that peers use
         self.inherited: dict[int, InheritedScores] = {}  # by id, until the endpoint is listed
         self.classification_due = False  # the list has changed since the last classification
-        self.recall: Callable[[EndpointEntry], Endpoint | None] | None = None  # subsetting: one known before
+        self.find_known: Callable[[EndpointEntry], Endpoint | None] | None = (
+            None  # subsetting: one known before
+        )
 
     def apply(self, event: EndpointList) -> None:
         """Applies a list or a change of it. The work grows with what is listed, not with what is known."""
@@ -134,7 +138,7 @@
                 self._place(endpoint)
                 self.classification_due = True
 
-    def touch(self, endpoint: Endpoint) -> Endpoint:
+    def track(self, endpoint: Endpoint) -> Endpoint:
         """Has to come before a change of an endpoint's scores or ratio.
 
         Only endpoints that were touched are walked at a tick. One that is not listed any more is not noted.
@@ -142,16 +146,16 @@
         if endpoint.error_scores is NO_SCORES:
             endpoint.error_scores = {}
             if self.by_id.get(endpoint.entry.id) is endpoint:
-                self.touched[endpoint.entry.id] = endpoint
+                self.tracked[endpoint.entry.id] = endpoint
         return endpoint
 
-    def drop_if_neutral(self, endpoint: Endpoint) -> None:
+    def untrack_if_neutral(self, endpoint: Endpoint) -> None:
         """A touched endpoint that is as any other again is touched no more."""
         ratio_is_neutral = abs(endpoint.latency_ratio - 1) < NEUTRAL_RATIO_TOLERANCE
         if not endpoint.error_scores and ratio_is_neutral:
             endpoint.latency_ratio = 1.0
             endpoint.error_scores = NO_SCORES
-            self.touched.pop(endpoint.entry.id, None)
+            self.tracked.pop(endpoint.entry.id, None)
 
     def promote(self, warmth: list[float]) -> None:
         """Warming endpoints that are warm now go to the warm ones; `warmth` keeps that of the rest, in
@@ -172,16 +176,16 @@
         self._add(entry)
 
     def _add(self, entry: EndpointEntry) -> None:
-        recalled = self.recall(entry) if self.recall is not None else None
+        recalled = self.find_known(entry) if self.find_known is not None else None
         if recalled is not None:
             self.by_id[entry.id] = recalled
             if recalled.error_scores is not NO_SCORES:
-                self.touched[entry.id] = recalled
+                self.tracked[entry.id] = recalled
             return
         endpoint = self.by_id[entry.id] = Endpoint(entry)
         inherited = self.inherited.pop(entry.id, None)
-        if inherited is not None and inherited.is_of(entry):
-            self.touch(endpoint)
+        if inherited is not None and inherited.applies_to(entry):
+            self.track(endpoint)
             endpoint.latency_ratio = inherited.latency_ratio
             endpoint.error_scores.update(inherited.error_scores)
 
@@ -192,7 +196,7 @@
             self._remove(endpoint)
         elif state is not EndpointState.READY:
             self._retire(endpoint)
-        elif endpoint.members is None:
+        elif endpoint.ready_list is None:
             endpoint.join(self.warming if endpoint.entry.started_ns else self.warm)
             endpoint.hash_shadowed = self.by_hash.get(endpoint.hash)
             self.by_hash[endpoint.hash] = endpoint
@@ -200,11 +204,11 @@
     def _remove(self, endpoint: Endpoint) -> None:
         self._retire(endpoint)
         del self.by_id[endpoint.entry.id]
-        self.touched.pop(endpoint.entry.id, None)
+        self.tracked.pop(endpoint.entry.id, None)
 
     def _retire(self, endpoint: Endpoint) -> None:
         """It is ready no more."""
-        if endpoint.members is None:
+        if endpoint.ready_list is None:
             return
         endpoint.leave()
         hash_ = endpoint.hash
--- a/zincstile/decisions/fleet_estimates.py
+++ b/zincstile/decisions/fleet_estimates.py
@@ -11,7 +11,7 @@
 from typing import Final
 
 from .budget_split import BudgetTree
-from .concurrency_limit import CALM_SIGNAL, ConcurrencyLimit
+from .concurrency_limit import BUSY_THRESHOLD, ConcurrencyLimit
 from .latency import LatencyModel
 from .outlier_detection import OutlierDetector
 from .units import SECOND_NS
@@ -32,10 +32,10 @@
         self.detector = detector
         self.budget = budget
 
-    def figures(self) -> list[float]:
+    def own_values(self) -> list[float]:
         """The own row."""
         limit = self.limit
-        arrivals = [group.arrivals for group in self.budget.groups] if self.budget.binds else []
+        arrivals = [group.arrivals for group in self.budget.groups] if self.budget.is_limiting else []
         return [
             limit.answer_lateness,
             limit.answers,
@@ -51,14 +51,14 @@
 
     def blend(self, received: list[float]) -> None:
         """A peer's row weighs as the own one: sparse samples of all become one figure in a few exchanges."""
-        own = self.figures()
+        own = self.own_values()
         required = LIMIT_INDEX + 1 + len(self.latency.unit_ns)
         if len(received) < required or not all(math.isfinite(x) and x >= 0 for x in received):
             return
         mean = [(1 - PEER_WEIGHT) * a + PEER_WEIGHT * b for a, b in zip(own, received, strict=False)]
         if self.limit.limit == math.inf or not received[LIMIT_INDEX]:
             # only who sees overload too takes over a first limit
-            overloaded = self.limit.overload_signal > CALM_SIGNAL
+            overloaded = self.limit.overload_signal > BUSY_THRESHOLD
             mean[LIMIT_INDEX] = received[LIMIT_INDEX] * overloaded or own[LIMIT_INDEX]
         self._take(mean)
 
--- a/zincstile/decisions/gossip.py
+++ b/zincstile/decisions/gossip.py
@@ -51,8 +51,8 @@
         direct = min(MAX_DIRECT_PEERS, settings.gateway_count - 1)
         self.period_ns = int(SECOND_NS * direct / max(1.0, INTAKE_SHARE * settings.gossip_in_per_s))
         self.changed: dict[int, Customer] = {}  # to be reported with the next message
-        self.ticked_ns = 0  # the last tick: against it the age of samples is measured
-        self.own_level: Callable[[Customer], float | None] | None = None  # leases: the level to report
+        self.last_tick_ns = 0  # the last tick: against it the age of samples is measured
+        self.reported_level: Callable[[Customer], float | None] | None = None  # leases: the level to report
         self._flushed_ns = 0
         self._flush_due = False
 
@@ -94,8 +94,8 @@
         if not self.settings.gossips or peer == self.settings.gateway_index:
             return
         with_samples = with_estimates or not usages
-        samples = self.detector.samples_to_report(self.ticked_ns) if with_samples else []
-        figures = self.estimates.figures() if with_estimates else []
+        samples = self.detector.samples_to_report(self.last_tick_ns) if with_samples else []
+        figures = self.estimates.own_values() if with_estimates else []
         self.actions.append(SendGossip(peer, self.incarnation, usages, figures, samples))
 
     def usage_of(self, customer: Customer, want: float = 0.0, query_id: int = UNKNOWN_QUERY) -> CustomerUsage:
@@ -103,8 +103,8 @@
         level = customer.level
         if customer.relayed and customer.filled_ns - customer.relay_answer_ns >= SILENCE_NS:
             level = self.settings.plans[customer.plan].burst  # the own level says nothing
-        if self.own_level is not None:
-            own_level = self.own_level(customer)
+        if self.reported_level is not None:
+            own_level = self.reported_level(customer)
             level = level if own_level is None else own_level
         id_ = customer.query_id if query_id == UNKNOWN_QUERY else query_id
         return CustomerUsage(
--- a/zincstile/decisions/gossip_receiver.py
+++ b/zincstile/decisions/gossip_receiver.py
@@ -35,24 +35,26 @@
         self.relayed = relayed
         self.detector = detector
         self.estimates = estimates
-        self.received: Callable[[int, GossipReceived], None] | None = None  # leases: sees each message
+        self.on_received: Callable[[int, GossipReceived], None] | None = None  # leases: sees each message
 
     def on_gossip_received(self, now: int, event: GossipReceived) -> None:
         """One message of a peer; one that doesn't fit the settings is dropped."""
         plans = len(self.settings.plans)
         if event.sender < self.settings.gateway_count and all(usage.plan < plans for usage in event.usages):
             self._apply(now, event)
-        if self.received is not None:
-            self.received(now, event)
+        if self.on_received is not None:
+            self.on_received(now, event)
 
     def _apply(self, now: int, event: GossipReceived) -> None:
-        new_process = self.peers.record(event.sender, event.incarnation, now)
+        new_process = self.peers.record_message(event.sender, event.incarnation, now)
         if event.usages:
-            self.ledger.begin(now)
+            self.ledger.record_traffic(now)
         if new_process and event.sender in self.peers.direct:
             self._report_all(event.sender)
         self.peers.unanswered_ns.pop(event.sender, None)
-        if self.detector.shared is None:  # else samples come with their origin, by the failure detector
+        if (
+            self.detector.shared_suspicion is None
+        ):  # else samples come with their origin, by the failure detector
             self._apply_samples(event.error_samples)
         for usage in event.usages:
             self._apply_usage(now, event, usage)
@@ -74,14 +76,14 @@
         for sample in samples:
             endpoint = by_hash.get(sample.endpoint_hash)
             if endpoint is not None and (sample.group < groups or sample.group == ANY_CLASS):
-                self.detector.apply(endpoint, sample.group, sample.error, TIMING_WEIGHT)
+                self.detector.apply_sample(endpoint, sample.group, sample.error, TIMING_WEIGHT)
 
     def _apply_usage(self, now: int, event: GossipReceived, usage: CustomerUsage) -> None:
         burst = self.settings.plans[usage.plan].burst
-        customer = self.ledger.customer(usage.customer, usage.plan, burst, now)
+        customer = self.ledger.get_or_create(usage.customer, usage.plan, burst, now)
         self.ledger.refill(now, customer)
         if usage.is_answer:
-            self.relayed.answered(now, usage, customer)
+            self.relayed.on_answer(now, usage, customer)
             return
         flight_ns = MAX_QUERIES * QUERY_WAIT_NS
         used = customer.merge(event.sender, event.incarnation, usage, now, TOTAL_MODULUS, flight_ns)
--- a/zincstile/decisions/latency.py
+++ b/zincstile/decisions/latency.py
@@ -29,7 +29,7 @@
         self.unit_ns = [
             c.latency_objective_ns / guess / (1 + settings.max_request_units) for c in settings.classes
         ]
-        self.calm_ns = [math.inf] * len(settings.classes)
+        self.unloaded_unit_ns = [math.inf] * len(settings.classes)
         self.samples = [0] * len(settings.classes)
 
     def expected_ns(self, class_index: int, units: float) -> float:
@@ -38,7 +38,7 @@
 
     def overload_ns(self, class_index: int, units: float, objective_ns: int) -> float:
         """The latency from which an attempt is a sign of overload."""
-        calm_ns = OVERLOAD_RATIO * self.calm_ns[class_index] * max(units, MIN_UNITS)
+        calm_ns = OVERLOAD_RATIO * self.unloaded_unit_ns[class_index] * max(units, MIN_UNITS)
         return min(OVERLOAD_OBJECTIVE_SHARE * objective_ns, calm_ns)
 
     def learn(self, class_index: int, latency_ns: int, expected_ns: float) -> None:
@@ -49,9 +49,9 @@
         self.samples[class_index] += 1
         if self.samples[class_index] >= 1 / SAMPLE_WEIGHT:
             unit_ns = self.unit_ns[class_index]
-            calm_ns = min(self.calm_ns[class_index], unit_ns)
-            self.calm_ns[class_index] = calm_ns + CALM_RISE_WEIGHT * (unit_ns - calm_ns)
+            calm_ns = min(self.unloaded_unit_ns[class_index], unit_ns)
+            self.unloaded_unit_ns[class_index] = calm_ns + CALM_RISE_WEIGHT * (unit_ns - calm_ns)
 
-    def usual_s(self, units: float) -> float:
+    def mean_latency_s(self, units: float) -> float:
         """Seconds that so many units take, in the mean of the classes."""
         return units * sum(self.unit_ns) / len(self.unit_ns) / SECOND_NS
--- a/zincstile/decisions/load_balancing.py
+++ b/zincstile/decisions/load_balancing.py
@@ -20,7 +20,7 @@
 from .slow_start import SlowStart
 
 CANDIDATES: Final = 10  # endpoints compared; all where there are at most twice as many
-NOTABLE_SCORE: Final = 0.1  # least excess of an error score that counts
+IGNORED_EXCESS: Final = 0.1  # least excess of an error score that counts
 OTHER_ZONE_PENALTY: Final = 0.3  # factor above 1
 JITTER: Final = 0.1  # factor above 1, at most
 OUTLIER_PENALTY: Final = 1e6  # times the excess of an outlier: only where there is no other
@@ -49,7 +49,9 @@
         self.detector = detector
         self.capacity = capacity
         self.slow_start = slow_start
-        self.accepts: Callable[[Endpoint], bool] | None = None  # zone failover: endpoints of the zone at hand
+        self.is_eligible: Callable[[Endpoint], bool] | None = (
+            None  # zone failover: endpoints of the zone at hand
+        )
 
     def choose(self, now: int, pending: PendingRequest) -> Endpoint | None:
         """The endpoint of the next attempt; None where no ready one may be used."""
@@ -65,10 +67,11 @@
         draw = self.rng.random()
         if not warming:
             return None, math.inf, False
-        due = slow_start.shares[-1] if slow_start.shares else 1.0
-        beyond_due = draw >= due and slow_start.max_multiple > 1
+        due = slow_start.cumulative_shares[-1] if slow_start.cumulative_shares else 1.0
+        beyond_due = draw >= due and slow_start.max_share_multiple > 1
         position = bisect(
-            slow_start.shares, (draw - due) / (slow_start.max_multiple - 1) if beyond_due else draw
+            slow_start.cumulative_shares,
+            (draw - due) / (slow_start.max_share_multiple - 1) if beyond_due else draw,
         )
         if position >= len(warming):
             return None, math.inf, False
@@ -76,7 +79,7 @@
         request = pending.request
         if not self.may_use(pending, endpoint):
             return None, math.inf, False
-        if self.detector.excess(endpoint, request.class_index, request.plan) >= OUTLIER_SCORE:
+        if self.detector.excess_score(endpoint, request.class_index, request.plan) >= OUTLIER_SCORE:
             return None, math.inf, False
         if not beyond_due:
             return endpoint, 0.0, True
@@ -99,9 +102,9 @@
         for endpoint in candidates:
             excess = unscored
             if endpoint.error_scores:
-                excess = detector.excess(endpoint, request.class_index, request.plan)
+                excess = detector.excess_score(endpoint, request.class_index, request.plan)
             score = (endpoint.in_flight + 1) * endpoint.latency_ratio
-            score = score * (1 + 2 * max(0.0, excess - NOTABLE_SCORE))
+            score = score * (1 + 2 * max(0.0, excess - IGNORED_EXCESS))
             zone_penalty = OTHER_ZONE_PENALTY if endpoint.entry.zone != own_zone else 0.0
             score *= 1 + JITTER * random_() + zone_penalty
             if excess >= OUTLIER_SCORE:
@@ -113,7 +116,7 @@
 
     def may_use(self, pending: PendingRequest, endpoint: Endpoint) -> bool:
         """Each endpoint once; a keyed request that may have run stays where its repeats are dropped."""
-        if self.accepts is not None and not self.accepts(endpoint):
+        if self.is_eligible is not None and not self.is_eligible(endpoint):
             return False
         if endpoint in pending.tried:
             return False
--- a/zincstile/decisions/outlier_detection.py
+++ b/zincstile/decisions/outlier_detection.py
@@ -32,8 +32,8 @@
 NEGLIGIBLE_SCORE: Final = 0.01  # dropped below
 SCORE_DECAY_S: Final = 8.0  # time constant of scores and latency ratios
 CONNECTION_DECAY_S: Final = 30.0  # time constant of what is known of paths and of the work of endpoints
-REPORTED_SAMPLES: Final = 8  # in one message
-REPORTED_AGE_NS: Final = 2 * SECOND_NS  # older samples are reported no more
+MAX_REPORTED_SAMPLES: Final = 8  # in one message
+MAX_REPORTED_AGE_NS: Final = 2 * SECOND_NS  # older samples are reported no more
 
 ERRORS: Final = (AttemptResult.ERROR, AttemptResult.RESET)
 ANSWERS: Final = (
@@ -68,15 +68,15 @@
         self.baseline = [0.0] * len(settings.classes) * (1 + len(settings.plans))  # score by group
         self.connection_errors = [0.0, 0.0, 0.0]  # by the connection of an attempt (`records`)
         self.stale_rate = 0.0  # part of the attempts whose kept connection ended beneath them
-        self.own_samples: deque[tuple[int, ErrorSample]] = deque(maxlen=REPORTED_SAMPLES)
-        self.shared: SharedSuspicion | None = None
+        self.own_samples: deque[tuple[int, ErrorSample]] = deque(maxlen=MAX_REPORTED_SAMPLES)
+        self.shared_suspicion: SharedSuspicion | None = None
 
     def decay(self, keep: float) -> None:
         """Scores and ratios decay by a factor; the baseline of each group is taken anew."""
         scores: list[list[float]] = [[] for _ in self.baseline]
         keep_path = keep ** (SCORE_DECAY_S / CONNECTION_DECAY_S)
         self.connection_errors = [error * keep_path for error in self.connection_errors]
-        touched = [e for e in self.endpoints.touched.values() if e.members is not None]
+        touched = [e for e in self.endpoints.tracked.values() if e.ready_list is not None]
         for endpoint in touched:
             # else one late answer would count for good
             endpoint.latency_ratio += (1 - keep) * (1 - endpoint.latency_ratio)
@@ -87,7 +87,7 @@
             }
             for group, score in endpoint.error_scores.items():
                 scores[group].append(score)
-            self.endpoints.drop_if_neutral(endpoint)
+            self.endpoints.untrack_if_neutral(endpoint)
         ready = len(self.endpoints.ready)
         without_rank = int(ready * BASELINE_RANK) - ready
         self.baseline = [self._ranked(found, without_rank + len(found)) for found in scores]
@@ -106,37 +106,37 @@
         ratio = outcome.latency_ns / attempt.expected_ns
         timed = result in (AttemptResult.OK, AttemptResult.TIMEOUT)
         if timed or (result is AttemptResult.CANCELLED and ratio > 1):
-            self.endpoints.touch(endpoint)
+            self.endpoints.track(endpoint)
             endpoint.latency_ratio += TIMING_WEIGHT * (min(ratio, MAX_LATENCY_RATIO) - endpoint.latency_ratio)
         if (
             result is AttemptResult.REJECTED
         ):  # speaks of one class and plan at that endpoint, not of the fleet
             pair = self.settings.pair(attempt.class_index, attempt.plan_index)
-            self.record(now, attempt, pair, 1.0, ERROR_WEIGHT)
+            self.record_sample(now, attempt, pair, 1.0, ERROR_WEIGHT)
         elif result is AttemptResult.CONNECT_FAILED:
-            self.record(now, attempt, ANY_CLASS, 1.0, CONNECT_FAILURE_WEIGHT)
+            self.record_sample(now, attempt, ANY_CLASS, 1.0, CONNECT_FAILURE_WEIGHT)
         elif result in ERRORS:
-            self.record(now, attempt, attempt.class_index, 1.0, ERROR_WEIGHT)
+            self.record_sample(now, attempt, attempt.class_index, 1.0, ERROR_WEIGHT)
         elif result in ISOLATED_ERRORS:
-            self.record(now, attempt, attempt.class_index, 1.0, TIMING_WEIGHT)
+            self.record_sample(now, attempt, attempt.class_index, 1.0, TIMING_WEIGHT)
         elif timed:
             lateness = min(1.0, max(0.0, ratio / LATE_RATIO - 1))
-            self.record(now, attempt, attempt.class_index, lateness, TIMING_WEIGHT)
+            self.record_sample(now, attempt, attempt.class_index, lateness, TIMING_WEIGHT)
         stale = result is AttemptResult.STALE_CONNECTION
         self.stale_rate += STALE_RATE_WEIGHT * (stale - self.stale_rate)
 
-    def record(self, now: int, attempt: Attempt, group: int, error: float, weight: float) -> None:
+    def record_sample(self, now: int, attempt: Attempt, group: int, error: float, weight: float) -> None:
         """An own sample, 0 (good) to 1; it is reported to the peers with the next message that has room."""
         endpoint = attempt.endpoint
-        self.apply(endpoint, group, error, weight)
+        self.apply_sample(endpoint, group, error, weight)
         known = self.connection_errors[attempt.connection]
         self.connection_errors[attempt.connection] = known + TIMING_WEIGHT * (error - known)
-        if self.shared is None:
+        if self.shared_suspicion is None:
             self.own_samples.append((now, ErrorSample(endpoint.hash, group, error)))
         else:
-            self.shared.record_sample(now, endpoint.hash, group, error, weight)
+            self.shared_suspicion.record_sample(now, endpoint.hash, group, error, weight)
 
-    def apply(self, endpoint: Endpoint, group: int, error: float, weight: float) -> None:
+    def apply_sample(self, endpoint: Endpoint, group: int, error: float, weight: float) -> None:
         """A sample, own or of a peer.
 
         One of `ANY_CLASS` counts for each: else every class would have to learn by itself that nobody
@@ -144,10 +144,10 @@
         """
         for one in range(len(self.settings.classes)) if group == ANY_CLASS else (group,):
             if error or one in endpoint.error_scores:
-                scores = self.endpoints.touch(endpoint).error_scores
+                scores = self.endpoints.track(endpoint).error_scores
                 scores[one] = scores.get(one, 0.0) * (1 - weight) + weight * error
 
-    def excess(self, endpoint: Endpoint, class_index: int, plan_index: int) -> float:
+    def excess_score(self, endpoint: Endpoint, class_index: int, plan_index: int) -> float:
         """The score above the baseline: an endpoint may fail one class, or reject one plan of a class."""
         pair = self.settings.pair(class_index, plan_index)
         scores = endpoint.error_scores
@@ -155,15 +155,15 @@
             scores.get(class_index, 0.0) - self.baseline[class_index],
             scores.get(pair, 0.0) - self.baseline[pair],
         )
-        if self.shared is None:
+        if self.shared_suspicion is None:
             return own
-        suspected = self.shared.score(endpoint, class_index, pair)
+        suspected = self.shared_suspicion.score(endpoint, class_index, pair)
         return own if suspected is None else max(own, suspected)
 
-    def excess_of_class(self, endpoint: Endpoint, class_index: int) -> float:
+    def class_excess_score(self, endpoint: Endpoint, class_index: int) -> float:
         """The score of a class above its baseline."""
         return endpoint.error_scores.get(class_index, 0.0) - self.baseline[class_index]
 
     def samples_to_report(self, now: int) -> list[ErrorSample]:
         """The last own samples that are fresh enough."""
-        return [sample for at_ns, sample in self.own_samples if now - at_ns < REPORTED_AGE_NS]
+        return [sample for at_ns, sample in self.own_samples if now - at_ns < MAX_REPORTED_AGE_NS]
--- a/zincstile/decisions/peers.py
+++ b/zincstile/decisions/peers.py
@@ -21,13 +21,13 @@
 
     def __init__(self, settings: Settings) -> None:
         """Starts without a message of any peer."""
-        self.own = settings.gateway_index
+        self.own_index = settings.gateway_index
         small = settings.gateway_count <= MAX_DIRECT_PEERS + 1
         self.direct: dict[int, bool] = dict.fromkeys(range(settings.gateway_count if small else 0), True)
         self.last_message: dict[int, tuple[int, int]] = {}  # peer: incarnation, time of the last message
         self.unanswered_ns: dict[int, int] = {}  # relay: when it last left queries unanswered
 
-    def record(self, peer: int, incarnation: int, now: int) -> bool:
+    def record_message(self, peer: int, incarnation: int, now: int) -> bool:
         """A peer's message has come; True where it is the first one of its process."""
         known = self.last_message.get(peer)
         self.last_message[peer] = (incarnation, now)
--- a/zincstile/decisions/policy.py
+++ b/zincstile/decisions/policy.py
@@ -143,14 +143,14 @@
         parts = self.parts
         limit = parts.limit.limit
         suspected = sum(
-            endpoint.members is not None
+            endpoint.ready_list is not None
             and any(score >= SUSPECTED_SCORE for score in endpoint.error_scores.values())
-            for endpoint in parts.endpoints.touched.values()
+            for endpoint in parts.endpoints.tracked.values()
         )
         found = {
             "level": -1.0 if limit == math.inf else round(limit, 3),
             "out": round(sum(parts.attempts.units()), 2),
-            "good": round(parts.capacity.healthy, 2),
+            "good": round(parts.capacity.healthy_endpoints, 2),
             "ready": len(parts.endpoints.ready),
             "doubted": suspected,
             "strain": round(parts.limit.overload_signal, 3),
--- a/zincstile/decisions/quota_bounds.py
+++ b/zincstile/decisions/quota_bounds.py
@@ -23,18 +23,20 @@
     rate: float
     burst: float
     spread: int
-    largest: float = 1.0  # units of one request
-    most: float = math.inf  # units that may go out beyond it, where something else (a ceiling) bounds them
+    max_request_units: float = 1.0  # units of one request
+    max_excess_units: float = (
+        math.inf
+    )  # units that may go out beyond it, where something else (a ceiling) bounds them
 
     def __post_init__(self) -> None:
         """Checks that the fields can work."""
-        if not (self.rate > 0 and self.burst >= 0 and self.spread >= 1 and self.largest > 0):
+        if not (self.rate > 0 and self.burst >= 0 and self.spread >= 1 and self.max_request_units > 0):
             raise ValueError(
                 f"quota {self.name}: rate, spread and largest must be above 0, burst not " "negative"
             )
 
     @property
-    def minute(self) -> float:
+    def units_per_minute(self) -> float:
         """What it gives in any minute, in units."""
         return self.burst + MINUTE_S * self.rate
 
@@ -53,7 +55,7 @@
 
     failure: str
     terms: dict[str, float]
-    minute: float  # what the quota gives in any minute, in units
+    units_per_minute: float  # what the quota gives in any minute, in units
 
     @property
     def units(self) -> float:
@@ -61,23 +63,24 @@
         return sum(self.terms.values())
 
     @property
-    def share(self) -> float:
+    def overshoot_ratio(self) -> float:
         """Of what the quota gives in a minute."""
-        return self.units / self.minute
+        return self.units / self.units_per_minute
 
     @property
-    def dominant(self) -> str:
+    def dominant_term(self) -> str:
         """The name of the largest term."""
         return max(self.terms, key=self.terms.__getitem__)
 
 
 def excess_reason(quota: Quota, bound: Bound, most: float) -> str | None:
     """Why a bound is over what is allowed, with the term that dominates; None where it is not."""
-    if bound.share <= most + ROUNDING_TOLERANCE:
+    if bound.overshoot_ratio <= most + ROUNDING_TOLERANCE:
         return None
     return (
         f"plan {quota.name}: {bound.failure}: up to {bound.units:.2f} units, "
-        f"{100 * bound.share:.1f}% of a minute, over {100 * most:.1f}%; most of it by {bound.dominant}"
+        f"{100 * bound.overshoot_ratio:.1f}% of a minute, over {100 * most:.1f}%; "
+        f"most of it by {bound.dominant_term}"
     )
 
 
--- a/zincstile/decisions/quotas.py
+++ b/zincstile/decisions/quotas.py
@@ -36,8 +36,10 @@
         self.peers = peers
         self.customers: dict[int, Customer] = {}
         self.started_ns = 0
-        self.began = False  # a request, or a report of one, has come
-        self.met: Callable[[Customer], None] | None = None  # leases: called at a customer's first request
+        self.traffic_seen = False  # a request, or a report of one, has come
+        self.on_first_request: Callable[[Customer], None] | None = (
+            None  # leases: called at a customer's first request
+        )
         self.ceilings_spent_ns = 0  # when ceilings were last spent before the start, at the latest
 
     def start(self, now: int) -> None:
@@ -45,17 +47,17 @@
         self.started_ns = now
         self.ceilings_spent_ns = now
 
-    def begin(self, now: int) -> None:
+    def record_traffic(self, now: int) -> None:
         """The first request or report of one. What was spent of ceilings before is not known; but where all
         peers have sent a message and none has reported anything for a while, nothing was."""
-        if self.began:
+        if self.traffic_seen:
             return
         all_reachable = len(self.peers.last_message) == self.settings.gateway_count - 1
         quiet = now - self.started_ns >= QUIET_START_NS and all_reachable
-        self.began = True
+        self.traffic_seen = True
         self.ceilings_spent_ns = NEVER_NS if quiet else self.started_ns
 
-    def customer(self, key: int, plan: int, burst: float, now: int) -> Customer:
+    def get_or_create(self, key: int, plan: int, burst: float, now: int) -> Customer:
         """The customer of a key; a new one has a full bucket."""
         if key not in self.customers:
             self.customers[key] = Customer(key, plan, burst, now)
@@ -63,11 +65,13 @@
 
     def customer_of(self, now: int, request: Request) -> Customer:
         """The customer of a request, with its set of gateways."""
-        customer = self.customer(request.customer, request.plan, self.settings.plans[request.plan].burst, now)
+        customer = self.get_or_create(
+            request.customer, request.plan, self.settings.plans[request.plan].burst, now
+        )
         if not customer.known:
             self._meet(customer, request)
-            if self.met is not None:
-                self.met(customer)
+            if self.on_first_request is not None:
+                self.on_first_request(customer)
         return customer
 
     def _meet(self, customer: Customer, request: Request) -> None:
--- a/zincstile/decisions/relay_queries.py
+++ b/zincstile/decisions/relay_queries.py
@@ -72,7 +72,7 @@
             and age_ns < SILENCE_NS
             and customer.relay_level + hoped_rate * age_ns / SECOND_NS < request.units
         )
-        over_budget = pending.draw >= self.budget.inside[request.class_index][request.plan].rate
+        over_budget = pending.draw >= self.budget.inside_quota[request.class_index][request.plan].rate
         no_use = empty or over_budget or lost or not customer.relayed
         if no_use or not self._query(now, pending):
             self.decide(
@@ -133,7 +133,7 @@
         answer = CustomerUsage(query.customer, query.plan, 0.0, customer.level, 0, want, query.query_id, True)
         self.gossip.send(peer, [answer], with_estimates=True)
 
-    def answered(self, now: int, answer: CustomerUsage, customer: Customer) -> None:
+    def on_answer(self, now: int, answer: CustomerUsage, customer: Customer) -> None:
         """A relay's answer to a query; it is dropped where the request does not wait for it any more."""
         pending = self.waiting.pop(answer.query_id, None)
         if pending is None or pending.customer is not customer or pending.group is not None:
--- a/zincstile/decisions/retries.py
+++ b/zincstile/decisions/retries.py
@@ -10,7 +10,7 @@
 from .actions import ActionQueue
 from .admission import Admission
 from .budget_split import BudgetTree
-from .concurrency_limit import CALM_SIGNAL, ConcurrencyLimit
+from .concurrency_limit import BUSY_THRESHOLD, ConcurrencyLimit
 from .forwarding import Forwarder
 from .messages import AttemptResult, FailRequest, RejectionReason, RejectRequest
 from .records import Attempt, PendingRequest
@@ -51,7 +51,7 @@
     def hedge(self, now: int, pending: PendingRequest, first: Attempt) -> None:
         """A hedged request beside an attempt that is long silent, as connections and endpoints that fell
         silent hold a request until its deadline. Not under overload, as hedged requests would add to it."""
-        overloaded = self.limit.overload_signal > CALM_SIGNAL or self.budget.binds
+        overloaded = self.limit.overload_signal > BUSY_THRESHOLD or self.budget.is_limiting
         if pending.in_flight > 1 or not self.settings.hedges or pending.streaming or overloaded:
             return
         before = pending.may_have_run_at
--- a/zincstile/decisions/state_transfer.py
+++ b/zincstile/decisions/state_transfer.py
@@ -33,7 +33,7 @@
     ("limit", "timeout_lateness"),
     ("limit", "timeouts"),
     ("limit", "completed_per_s"),
-    ("slow_start", "seen_rate"),
+    ("slow_start", "peak_endpoint_rate"),
     ("limit", "overload_signal"),
     ("detector", "stale_rate"),
     ("limit", "mean_units"),
@@ -70,14 +70,14 @@
     return {
         "form": FORM,
         "start": parts.gossip.incarnation,
-        "begun": parts.ledger.began,
-        "rose": parts.limit.rose,
+        "begun": parts.ledger.traffic_seen,
+        "rose": parts.limit.rose_since_decrease,
         "met": parts.limit.requests,
         "cut_s": _age_s(now, parts.limit.decreased_ns),
         "plain": [getattr(getattr(parts, part), name) for part, name in PLAIN],
         "levels": [getattr(getattr(parts, part), name) for part, name in LEVELS],
         "unit_ns": parts.latency.unit_ns,
-        "calm_ns": parts.latency.calm_ns,
+        "calm_ns": parts.latency.unloaded_unit_ns,
         "seen": parts.latency.samples,
         "broken": parts.detector.connection_errors,
         "leaves": [[getattr(group, name) for name in GROUP_FIELDS] for group in parts.budget.groups],
@@ -146,15 +146,15 @@
 def restore(parts: DecisionParts, now: int, table: dict[str, Any]) -> None:
     """Fills parts that have seen no event yet from a table that was validated."""
     parts.gossip.incarnation = table["start"]
-    parts.ledger.began = table["begun"]
-    parts.limit.rose = table["rose"]
+    parts.ledger.traffic_seen = table["begun"]
+    parts.limit.rose_since_decrease = table["rose"]
     parts.limit.requests = table["met"]
     parts.limit.decreased_ns = _at_ns(now, table["cut_s"])
     numbers = table["plain"] + table["levels"]
     for (part, name), value in zip(PLAIN + LEVELS, numbers, strict=True):
         setattr(getattr(parts, part), name, value)
     parts.latency.unit_ns = list(table["unit_ns"])
-    parts.latency.calm_ns = list(table["calm_ns"])
+    parts.latency.unloaded_unit_ns = list(table["calm_ns"])
     parts.latency.samples = [int(count) for count in table["seen"]]
     parts.detector.connection_errors = list(table["broken"])
     for group, row in zip(parts.budget.groups, table["leaves"], strict=True):
@@ -176,7 +176,7 @@
 
 
 def _restore_customer(parts: DecisionParts, now: int, row: dict[str, Any]) -> None:
-    customer = parts.ledger.customer(row["key"], row["plan"], 0.0, _at_ns(now, row["filled_s"]))
+    customer = parts.ledger.get_or_create(row["key"], row["plan"], 0.0, _at_ns(now, row["filled_s"]))
     for key, name in CUSTOMER_FIELDS.items():
         setattr(customer, name, row[key])
     customer.spread = row["spread"]
--- a/zincstile/decisions/ticker.py
+++ b/zincstile/decisions/ticker.py
@@ -55,7 +55,7 @@
         ticks = span_s * SECOND_NS / TICK_NS
         self._decay(span_s, ticks)
         self._find_silent_attempts(now)
-        self.parts.slow_start.seen_rate *= math.exp(-span_s / CONNECTION_DECAY_S)
+        self.parts.slow_start.peak_endpoint_rate *= math.exp(-span_s / CONNECTION_DECAY_S)
         self._update_limit(now, span_s, ticks)
         if now - self._heartbeat_ns > HEARTBEAT_NS:
             self._heartbeat_ns = now
@@ -66,7 +66,7 @@
 
     def _set_ticked(self, now: int) -> None:
         self.ticked_ns = now
-        self.parts.gossip.ticked_ns = now
+        self.parts.gossip.last_tick_ns = now
 
     def _decay(self, span_s: float, ticks: float) -> None:
         parts = self.parts
@@ -89,7 +89,7 @@
         ]
         for request_id, attempt in silent:
             attempt.late = True
-            parts.detector.record(now, attempt, attempt.class_index, 1.0, TIMING_WEIGHT)
+            parts.detector.record_sample(now, attempt, attempt.class_index, 1.0, TIMING_WEIGHT)
             parts.limit.record_latency(now - attempt.sent_ns, attempt, timed_out=True)
             pending = parts.requests.pending.get(request_id)
             if pending is not None:
@@ -101,10 +101,15 @@
         capacity = parts.capacity
         capacity.classify(now)
         parts.limit.update(
-            now, span_s, ticks, parts.attempts.units(), capacity.healthy, capacity.sharing_gateways
+            now,
+            span_s,
+            ticks,
+            parts.attempts.units(),
+            capacity.healthy_endpoints,
+            capacity.gateways_per_endpoint,
         )
         if parts.limit.limit < math.inf:
-            parts.budget.assign(parts.limit.budget_per_s(capacity.healthy))
+            parts.budget.assign_rates(parts.limit.budget_per_s(capacity.healthy_endpoints))
         for listener in self.limited:
             listener(now)
 
--- a/zincstile/leases/covered_plans.py
+++ b/zincstile/leases/covered_plans.py
@@ -24,7 +24,7 @@
         for spread in range(1, settings.gateway_count + 1)
     ]
     return all(
-        bound.units <= quota.most + ROUNDING_TOLERANCE
+        bound.units <= quota.max_excess_units + ROUNDING_TOLERANCE
         for quota in quotas
         for bound in overshoot_bounds(quota, shared)
         if bound.failure in shared.tolerated_failures
--- a/zincstile/leases/feature.py
+++ b/zincstile/leases/feature.py
@@ -85,7 +85,7 @@
 
         Stored results have these keys.
         """
-        ticked_ns = self.parts.gossip.ticked_ns
+        ticked_ns = self.parts.gossip.last_tick_ns
         accounts = self.units.leases.snapshot(ticked_ns) if self.units.started else {}
         return accounts | {
             "factor": round(self.budget.factor, 2),
--- a/zincstile/leases/in_flight_limit.py
+++ b/zincstile/leases/in_flight_limit.py
@@ -51,5 +51,5 @@
 
     def _dilution(self) -> float:
         """Endpoints of the whole list for each one that this gateway uses."""
-        dilution = self.parts.capacity.dilution
+        dilution = self.parts.capacity.subset_ratio
         return 1.0 if dilution is None else dilution
--- a/zincstile/leases/leased_units.py
+++ b/zincstile/leases/leased_units.py
@@ -51,9 +51,9 @@
     def attach(self, parts: DecisionParts) -> None:
         """Takes the parts of the policy, and gives its quotas what it knows of customers."""
         self.parts = parts
-        parts.gossip.own_level = self.own_units
-        parts.ledger.met = self.on_customer_met
-        parts.receiver.received = self.on_gossip_received
+        parts.gossip.reported_level = self.own_units
+        parts.ledger.on_first_request = self.on_customer_met
+        parts.receiver.on_received = self.on_gossip_received
 
     def start(self, now: int) -> None:
         """Opens the accounts: their token buckets fill from now on."""
@@ -137,7 +137,7 @@
                 self.slots.acquire(slots, request.id, request.deadline_ns)
             self.leases.lessee.request_ahead(now, account)
             return Reservation.RESERVED
-        group = self.parts.budget.inside[request.class_index][request.plan]
+        group = self.parts.budget.inside_quota[request.class_index][request.plan]
         over_budget = pending.draw >= group.rate  # rejected with or without the units
         if not over_budget and self.leases.lessee.request_missing(now, account, request.units):
             return Reservation.PENDING
--- a/zincstile/leases/lessee.py
+++ b/zincstile/leases/lessee.py
@@ -75,7 +75,7 @@
         present_units = account.own_units + account.leased_units()
         if present_units < wanted_units / 2:
             units = wanted_units - present_units
-            self._request(now, account, units, min(units, account.quota.largest) / 2)
+            self._request(now, account, units, min(units, account.quota.max_request_units) / 2)
 
     def _expected_need(self, now: int, account: QuotaAccount) -> float:
         """Returns the units that recent use will want before more can arrive."""
--- a/zincstile/leases/overshoot_bound.py
+++ b/zincstile/leases/overshoot_bound.py
@@ -18,7 +18,7 @@
 
     A part too small for one request is of no use, so that a wide set has fewer holders than gateways.
     """
-    max_parts = int(quota.burst / quota.largest)
+    max_parts = int(quota.burst / quota.max_request_units)
     return max(1, min(quota.spread, max(settings.min_holders, max_parts)))
 
 
@@ -31,7 +31,7 @@
 
 def _allowed_units(quota: Quota, settings: LeaseSettings) -> float:
     """Returns the units beyond the steady terms that `max_overshoot_ratio` and the ceiling leave."""
-    allowed_units = min(settings.max_overshoot_ratio * quota.minute, quota.most)
+    allowed_units = min(settings.max_overshoot_ratio * quota.units_per_minute, quota.max_excess_units)
     return max(0.0, allowed_units - sum(_steady_terms(quota, settings).values()))
 
 
@@ -82,7 +82,7 @@
         Failure.PAUSE: steady | paused,
         Failure.ALL: steady | restart | paused,
     }
-    return [Bound(failure, terms[failure], quota.minute) for failure in FAILURES]
+    return [Bound(failure, terms[failure], quota.units_per_minute) for failure in FAILURES]
 
 
 def refusal_reason(quota: Quota, settings: LeaseSettings) -> str | None:
@@ -115,4 +115,4 @@
         "unnoticed": (sides - 1) * quota.rate * unnoticed_s,
         "parted": max(0.0, used_rates - 1) * quota.rate * max(0.0, cut_s - unnoticed_s),
     }
-    return Bound(f"gossip, {sides} parts for {cut_s:g} s", terms, quota.minute)
+    return Bound(f"gossip, {sides} parts for {cut_s:g} s", terms, quota.units_per_minute)
--- a/zincstile/leases/suspected_endpoints.py
+++ b/zincstile/leases/suspected_endpoints.py
@@ -26,7 +26,7 @@
     def attach(self, parts: DecisionParts) -> None:
         """Takes the parts of the policy, and gives its outlier detection the scores."""
         self.parts = parts
-        parts.detector.shared = self
+        parts.detector.shared_suspicion = self
 
     def record_sample(self, now: int, endpoint_hash: int, group: int, error: float, weight: float) -> None:
         """Takes an own sample; it is reported with this gateway as its origin."""
@@ -53,7 +53,7 @@
             groups = range(ALL_CLASSES + 1)
             self.scores = self.failure_detector.suspected(now, hashes, groups)
         for endpoint_hash in self.scores:
-            endpoint = endpoints.touch(endpoints.by_hash[endpoint_hash])
+            endpoint = endpoints.track(endpoints.by_hash[endpoint_hash])
             endpoint.error_scores.setdefault(0, MARKING_SCORE)
         self._log_isolation()
 
--- a/zincstile/net/bound_report.py
+++ b/zincstile/net/bound_report.py
@@ -29,7 +29,7 @@
         worst = max((b for b in bounds if b.failure in tolerated), key=lambda bound: bound.units)
         log.line(
             f"bound plan {plan.name}: {worst.units:.2f} units at most beyond a quota, "
-            f"{100 * worst.share:.1f}% of a minute, by {worst.failure}"
+            f"{100 * worst.overshoot_ratio:.1f}% of a minute, by {worst.failure}"
         )
     if config.leases:
         log.line(
--- a/zincstile/quota_service/accounts.py
+++ b/zincstile/quota_service/accounts.py
@@ -122,7 +122,7 @@
             account.fallback = 0.0
             account.fallback_filled_ns = detector.fallback_from_ns()
         account.fallback = min(
-            max(burst, quota.largest if burst else 0.0),
+            max(burst, quota.max_request_units if burst else 0.0),
             account.fallback + rate * (now - account.fallback_filled_ns) / SECOND_NS,
         )
         account.fallback_filled_ns = now
--- a/zincstile/quota_service/overshoot_bound.py
+++ b/zincstile/quota_service/overshoot_bound.py
@@ -53,7 +53,7 @@
 
 def _fits(quota: Quota, settings: QuotaServiceSettings, carry: float) -> bool:
     return all(
-        bound.share <= settings.max_overshoot_ratio
+        bound.overshoot_ratio <= settings.max_overshoot_ratio
         for bound in _bounds(quota, settings, carry)
         if bound.failure in settings.tolerated_failures
     )
@@ -72,4 +72,4 @@
         Failure.SPLIT: always | {"store": given_again * other_parts, "unnoticed": unnoticed},
         Failure.REPLACED: always | {"store": given_again},
     }
-    return [Bound(failure, terms.get(failure, always), quota.minute) for failure in FAILURES]
+    return [Bound(failure, terms.get(failure, always), quota.units_per_minute) for failure in FAILURES]
--- a/zincstile/scale/capacity_load.py
+++ b/zincstile/scale/capacity_load.py
@@ -13,7 +13,7 @@
 from typing import Final
 
 from ..decisions.gossip import HEARTBEAT_NS, INTAKE_SHARE
-from ..decisions.outlier_detection import REPORTED_SAMPLES
+from ..decisions.outlier_detection import MAX_REPORTED_SAMPLES
 from ..decisions.peers import MAX_DIRECT_PEERS
 from ..decisions.relay_queries import MAX_QUERIES, QUERY_WAIT_NS
 from ..decisions.units import SECOND_NS
@@ -87,7 +87,7 @@
         heartbeats=Flow(
             "heartbeats to neighbours",
             neighbours * SECOND_NS / HEARTBEAT_NS,
-            messages.gossip_bytes(0, error_samples=REPORTED_SAMPLES),
+            messages.gossip_bytes(0, error_samples=MAX_REPORTED_SAMPLES),
             "decisions/gossip.Gossip.flush",
         ),
         updates=_updates(requests, narrow, flushes),
@@ -95,7 +95,7 @@
         queries=Flow(
             "queries to relays",
             queries_per_s,
-            messages.gossip_bytes(1, figures=True, error_samples=REPORTED_SAMPLES),
+            messages.gossip_bytes(1, figures=True, error_samples=MAX_REPORTED_SAMPLES),
             "decisions/relay_queries.RelayedQuotas.request_units",
         ),
     )
--- a/zincstile/simulation/leftovers.py
+++ b/zincstile/simulation/leftovers.py
@@ -42,7 +42,7 @@
         "unknown connections": _unknown_connections(gateway, process),
         # two that belong: the lifecycle, and the watcher while no watch is open
         "tasks": max(0, len(process.loop.tasks) - 1 - (gateway.watcher.current is None)),
-        "heartbeats missed": int(now_ns - parts.gossip.ticked_ns > MAX_HEARTBEAT_GAP_NS),
+        "heartbeats missed": int(now_ns - parts.gossip.last_tick_ns > MAX_HEARTBEAT_GAP_NS),
         "deadlines": max(0, len(gateway.dispatcher.deadlines) - IDLE_DEADLINES),
     }
 
--- a/zincstile/simulation/mutants_decisions.py
+++ b/zincstile/simulation/mutants_decisions.py
@@ -59,10 +59,10 @@
 def cold_endpoints_unlimited() -> Undo:
     """Endpoints that are warming up get all the load, whatever their capacity."""
 
-    def shares_of(self, warmths, healthy, most):
+    def compute_shares(self, warmths, healthy, most):
         return [(k + 1) / len(warmths) for k in range(len(warmths))]
 
-    return replace_attribute(SlowStart, "shares_of", shares_of)
+    return replace_attribute(SlowStart, "compute_shares", compute_shares)
 
 
 def cold_taken_for_warm() -> Undo:
--- a/zincstile/simulation/search.py
+++ b/zincstile/simulation/search.py
@@ -161,7 +161,7 @@
 
 def _try(state: State, g: int, c: int) -> None:
     leases, now = state.seats[g], state.clocks[g]
-    units, account = QUOTAS[c].largest, _account(leases, now, c)
+    units, account = QUOTAS[c].max_request_units, _account(leases, now, c)
     borrowed = account.leased_units()
     if leases.reserve(now, account, units):
         state.levels[c] -= units
--- a/zincstile/simulation/trial.py
+++ b/zincstile/simulation/trial.py
@@ -283,7 +283,7 @@
                     self.seed,
                     over,
                     bound.units,
-                    over / bound.minute,
+                    over / bound.units_per_minute,
                     0.0,
                     self.calls / max(1, self.tries),
                     sum(len(s.detector.state_changes) for s in self.seats),
--- a/zincstile/subsetting/feature.py
+++ b/zincstile/subsetting/feature.py
@@ -73,8 +73,8 @@
         self._apply: Callable[[int, EndpointList], None] = policy.on_endpoint_list
         policy.handlers[EndpointList] = self.on_endpoint_list
         policy.ticker.ticked.append(self.on_ticked)
-        self.parts.endpoints.recall = self.recall
-        self.parts.capacity.dilution = 1.0
+        self.parts.endpoints.find_known = self.recall
+        self.parts.capacity.subset_ratio = 1.0
 
     def before_start(self, now: int) -> None:
         """Nothing is known before the first list."""
@@ -127,7 +127,7 @@
         changes = (self._change(now, endpoint_id) for endpoint_id in sorted(changed))
         entries = [entry for entry in changes if entry is not None]
         ready = len(self.selection.members)
-        self.parts.capacity.dilution = self.rings.ready_count / ready if ready else 1.0
+        self.parts.capacity.subset_ratio = self.rings.ready_count / ready if ready else 1.0
         if entries:
             self._applied_ns = now
             self._apply(now, EndpointList(EndpointListKind.DELTA, version, entries))
@@ -156,7 +156,7 @@
 
     def on_ticked(self, now: int) -> None:
         """Slices with outliers are widened, those without are taken back."""
-        touched = self.parts.endpoints.touched
+        touched = self.parts.endpoints.tracked
         suspects = [endpoint_id for endpoint_id, endpoint in touched.items() if endpoint.error_scores]
         services = self.selection.review(now, suspects, self._health)
         if services:
--- a/zincstile/zone_failover/feature.py
+++ b/zincstile/zone_failover/feature.py
@@ -86,8 +86,8 @@
         self.capacity = ZoneCapacity(policy.parts, self.health)
         self._choose_endpoint: EndpointChooser = self.parts.admission.choose
         self.parts.admission.choose = self.choose
-        self.parts.balancer.accepts = self.accepts
-        self.parts.capacity.classified = self.on_classified
+        self.parts.balancer.is_eligible = self.accepts
+        self.parts.capacity.on_classified = self.on_classified
         self.parts.outcomes.listeners.append(self.health.on_outcome)
         policy.ticker.decayed.append(self.health.on_decayed)
         policy.timers[ZONE_HEARTBEAT_TOKEN] = self._heartbeat
@@ -146,7 +146,7 @@
 
     def _observation(self, zone: int, budget_per_s: float) -> ZoneObservation:
         """What is reported of a zone; its capacity is the budget's part by healthy endpoints."""
-        all_healthy = self.parts.capacity.healthy
+        all_healthy = self.parts.capacity.healthy_endpoints
         healthy = self.health.healthy[zone]
         part = healthy / all_healthy if all_healthy else 0.0
         capacity_per_s = budget_per_s * part if budget_per_s < math.inf else math.inf
@@ -174,7 +174,9 @@
         used = healthy[self.own_zone] + sum(healthy[zone] for zone in used_zones)
         if self.parts.endpoints.warming and 0 < used < total:
             slow_start = self.parts.slow_start
-            slow_start.shares = [min(1.0, share * total / used) for share in slow_start.shares]
+            slow_start.cumulative_shares = [
+                min(1.0, share * total / used) for share in slow_start.cumulative_shares
+            ]
 
     def _weights(self, now: int) -> list[float]:
         """The part of this gateway's traffic for each zone; 0 for one that fails here."""
--- a/zincstile/zone_failover/zone_capacity.py
+++ b/zincstile/zone_failover/zone_capacity.py
@@ -46,7 +46,7 @@
         limit = self.parts.limit.limit
         if limit == math.inf:
             return math.inf
-        return limit * self.parts.capacity.healthy / self._latency_s()
+        return limit * self.parts.capacity.healthy_endpoints / self._latency_s()
 
     def capacity_per_s(self, zone: int) -> float:
         """Units a second that one zone can take of all gateways.
--- a/zincstile/zone_failover/zone_health.py
+++ b/zincstile/zone_failover/zone_health.py
@@ -89,7 +89,7 @@
         self.healthy = [0.0] * self.zone_count
         for endpoint in self.parts.endpoints.ready:
             zone = self.zone_of(endpoint)
-            excess = min((detector.excess_of_class(endpoint, index) for index in classes), default=0.0)
+            excess = min((detector.class_excess_score(endpoint, index) for index in classes), default=0.0)
             warmth = self.parts.capacity.warmth(now, endpoint)
             speed = min(1.0, SLOW_LATENCY_RATIO / max(SLOW_LATENCY_RATIO, endpoint.latency_ratio))
             self.ready[zone] += 1
