--- a/zincstile/quota_service/accounts.py
+++ b/zincstile/quota_service/accounts.py
@@ -132,7 +132,7 @@
             account.fallback_units = 0.0
             account.fallback_filled_ns = detector.fallback_from_ns()
         account.fallback_units = min(
-            max(burst, quota.largest if burst else 0.0),
+            max(burst, quota.max_request_units if burst else 0.0),
             account.fallback_units + rate * (now - account.fallback_filled_ns) / SECOND_NS,
         )
         account.fallback_filled_ns = now
