--- a/zincstile/decisions/requests.py
+++ b/zincstile/decisions/requests.py
@@ -71,9 +71,8 @@
         self.pending: dict[int, PendingRequest] = {}
         # Called with each request that is over: `QuotaSource.request_closed`.
         self.close_listener: Callable[[PendingRequest], None] | None = None
-        self._deadlines: list[
-            tuple[int, int]
-        ] = []  # heap of deadlines and request ids, also of closed requests
+        # Heap of deadlines and request ids, also of requests that are closed by now.
+        self._deadlines: list[tuple[int, int]] = []
         self._timer_ns = math.inf  # when the timer expires that checks the deadlines
 
     def add(self, pending: PendingRequest) -> None:
--- a/zincstile/decisions/settings.py
+++ b/zincstile/decisions/settings.py
@@ -87,8 +87,8 @@
     settles_actual_units: bool = False  # the units that a request actually cost are known after its answer
     drain_grace_ns: int = 0
     slow_start_share: float = 1.0  # the share of its capacity that an endpoint has right after its start
-    slow_start_ns: int = 0  # how long an endpoint takes to reach its full capacity
-    slow_start_overload_multiple: float = 1.0  # multiple of its capacity at which it is overloaded then
+    slow_start_ns: int = 0  # how long a started endpoint takes to reach its full capacity
+    slow_start_overload_multiple: float = 1.0  # of its capacity at the time: above it, it is overloaded
     slow_start_window_ns: int = 0  # the time window in which the load of a warming endpoint is counted
     cross_zone_price: float = 0.0
     load_report_fields: list[str] = field(default_factory=list)
--- a/zincstile/decisions/ticker.py
+++ b/zincstile/decisions/ticker.py
@@ -37,7 +37,7 @@
 
     def start(self, now: int) -> None:
         """Sets the timer of the first tick, when the gateway starts."""
-        self._set_ticked(now)
+        self._record_tick_time(now)
         self._heartbeat_ns = now
         self.parts.actions.set_timer(now + TICK_NS, TICK_TIMER)
 
@@ -51,7 +51,7 @@
     def tick(self, now: int) -> None:
         """Runs all periodic tasks, in order."""
         span_s = max(1, now - self.ticked_ns) / SECOND_NS
-        self._set_ticked(now)
+        self._record_tick_time(now)
         ticks = span_s * SECOND_NS / TICK_NS
         self._decay(span_s, ticks)
         self._find_silent_attempts(now)
@@ -64,7 +64,7 @@
         for listener in self.tick_listeners:
             listener(now)
 
-    def _set_ticked(self, now: int) -> None:
+    def _record_tick_time(self, now: int) -> None:
         self.ticked_ns = now
         self.parts.gossip.ticked_ns = now
 
@@ -85,12 +85,12 @@
         This shows hung endpoints earlier. The requests may be hedged.
         """
         parts = self.parts
-        silent = [
+        silent_attempts = [
             (request_id, attempt)
             for (request_id, _), attempt in parts.attempts.in_flight.items()
             if not attempt.silence_recorded and now - attempt.sent_ns > SILENT_RATIO * attempt.expected_ns
         ]
-        for request_id, attempt in silent:
+        for request_id, attempt in silent_attempts:
             attempt.silence_recorded = True
             parts.detector.record(now, attempt, attempt.class_index, 1.0, TIMING_WEIGHT)
             parts.limit.record_latency(now - attempt.sent_ns, attempt, timed_out=True)
