--- a/zincstile/leases/codec.py
+++ b/zincstile/leases/codec.py
@@ -1,8 +1,8 @@
-"""The datagrams by which gateways share state: packs and unpacks messages, 256 bytes at most. No I/O.
+"""Encodes and decodes the messages by which gateways share state, as datagrams of at most 256 bytes. No I/O.
 
-A datagram has a header (little endian: magic byte, sender's process, checksum, number of messages) and then
-the messages, each behind a byte for its kind. No other datagram between gateways begins with the magic byte.
-Units travel in whole parts, rounded down; ages in steps of 10 ms, rounded up.
+A datagram consists of a header (little endian: magic byte, sender's process, checksum, number of messages)
+and the messages, each preceded by a byte for its kind. No other datagram between gateways starts with the
+magic byte. Units are encoded as fixed-point numbers, rounded down, and ages in steps of 10 ms, rounded up.
 """
 
 from __future__ import annotations
@@ -17,18 +17,18 @@
 from .lease_messages import UNIT_PARTS, LeaseGrant, LeaseRelease, LeaseRequest
 from .slot_messages import SlotGrant, SlotRelease, SlotRequest
 
-MAGIC: Final = 0xBB  # unlike that of any other datagram between gateways
-MAX_DATAGRAM_BYTES: Final = 256  # as for all datagrams between gateways
-MAX_MESSAGES: Final = 255  # in one datagram: the header counts them in a byte
+MAGIC: Final = 0xBB  # differs from the first byte of all other datagrams between gateways
+MAX_DATAGRAM_BYTES: Final = 256  # the limit of all datagrams between gateways
+MAX_MESSAGES: Final = 255  # in one datagram, as the header has one byte for their number
 HEADER: Final = struct.Struct("<BIHB")  # magic, process, checksum, number of messages
 KIND: Final = struct.Struct("<B")
-AGE_STEP_NS: Final = 10_000_000  # 16 bits of it hold 655 s: longer than any age that matters
+AGE_STEP_NS: Final = 10_000_000  # 16 bits count up to 655 s, which exceeds every age that is used
 MAX_AGE_STEPS: Final = 2**16 - 1
 MAX_UINT32: Final = 2**32 - 1
 MAX_UINT16: Final = 2**16 - 1
-ERROR_SCORE_PARTS: Final = 255  # an error score travels in a byte
-BUDGET_UNIT_PARTS: Final = 16  # units in flight travel in whole parts of 1/16: they only inform
-UNKNOWN_GATEWAY: Final = -1  # recipient of an unpacked message: a datagram does not name it
+ERROR_SCORE_PARTS: Final = 255  # an error score is encoded in one byte
+BUDGET_UNIT_PARTS: Final = 16  # units in flight are encoded in 1/16 units, as they are informative only
+UNKNOWN_GATEWAY: Final = -1  # recipient of an unpacked message, which a datagram does not contain
 
 SharedMessage = (
     LeaseRequest
@@ -50,11 +50,11 @@
 
 
 class MessageFormat(NamedTuple):
-    """How one kind of message travels: its fields as numbers of a struct."""
+    """The encoding of one kind of message: its fields as the numbers of a struct."""
 
     kind: int
     layout: struct.Struct
-    to_numbers: Callable[[Any], tuple[int, ...]]  # of a message of this kind
+    to_numbers: Callable[[Any], tuple[int, ...]]  # takes a message of this kind
     from_numbers: Callable[..., SharedMessage]
 
 
@@ -63,7 +63,7 @@
 
 
 def _age_steps(age_ns: int) -> int:
-    """Returns an age rounded up: it is never said to be less than it is."""
+    """Returns an age in steps, rounded up so that a message never seems younger than it is."""
     return min(MAX_AGE_STEPS, -(-max(0, age_ns) // AGE_STEP_NS))
 
 
@@ -225,20 +225,22 @@
     SlotGrant: MessageFormat(7, struct.Struct("<QIBI"), _slot_grant_numbers, _slot_grant),
     SlotRelease: MessageFormat(8, struct.Struct("<QII"), _slot_release_numbers, _slot_release),
 }
-FORMATS_BY_KIND: Final = {known.kind: known for known in FORMATS.values()}
+FORMATS_BY_KIND: Final = {message_format.kind: message_format for message_format in FORMATS.values()}
 
 
 # ---- datagrams
 
 
 def pack(process: int, messages: Iterable[SharedMessage]) -> list[bytes]:
-    """Returns datagrams that hold all of the messages, in their order; `process` is the sender's."""
+    """Returns datagrams with all messages, in their order; `process` is the sender's process."""
     datagrams: list[bytes] = []
     body = b""
     count = 0
     for message in messages:
-        known = FORMATS[type(message)]
-        data = KIND.pack(known.kind) + known.layout.pack(*known.to_numbers(message))
+        message_format = FORMATS[type(message)]
+        data = KIND.pack(message_format.kind) + message_format.layout.pack(
+            *message_format.to_numbers(message)
+        )
         if HEADER.size + len(body) + len(data) > MAX_DATAGRAM_BYTES or count == MAX_MESSAGES:
             datagrams.append(_datagram(process, body, count))
             body = b""
@@ -259,7 +261,7 @@
 
 
 def unpack(data: bytes) -> Datagram | None:
-    """Returns the process and the messages; None for a datagram that is damaged or of another form."""
+    """Decodes a datagram; returns None if it is damaged or has another layout."""
     if not HEADER.size <= len(data) <= MAX_DATAGRAM_BYTES:
         return None
     magic, process, checksum, count = HEADER.unpack_from(data)
@@ -269,9 +271,11 @@
     messages: list[SharedMessage] = []
     position = 0
     for _ in range(count):
-        known = FORMATS_BY_KIND.get(body[position]) if position < len(body) else None
-        if known is None or position + KIND.size + known.layout.size > len(body):
+        message_format = FORMATS_BY_KIND.get(body[position]) if position < len(body) else None
+        if message_format is None or position + KIND.size + message_format.layout.size > len(body):
             return None
-        messages.append(known.from_numbers(*known.layout.unpack_from(body, position + KIND.size)))
-        position += KIND.size + known.layout.size
+        messages.append(
+            message_format.from_numbers(*message_format.layout.unpack_from(body, position + KIND.size))
+        )
+        position += KIND.size + message_format.layout.size
     return Datagram(process, messages) if position == len(body) else None
--- a/zincstile/leases/concurrency_budget.py
+++ b/zincstile/leases/concurrency_budget.py
@@ -1,15 +1,15 @@
 """Concurrency budget: a limit on the units that all gateways together have in flight at the back end.
 
-Each gateway's part of the limit is even. Where others are silent, the rest may take over their parts, up to a
-factor. The sum over all sides of a partition is then at most the factor times the limit: a side of `k` out of
-`n` gateways holds `k / n` of it, times at most the factor. So nobody has to know whether the silent gateways
-are dead or cut off.
-
-Which gateways are there is known by reports that are relayed: each gateway sends some others what it knows,
-with origin, incarnation and sequence number. Of one origin the last report of its last incarnation holds, in
-any order and however often it comes. A part is taken over only once there was no report of its owner for
-`silence_ns`, by steps; it is given back at once. A gateway that was suspended knows nothing of the others,
-and begins with its own part.
+Each gateway has an equal part of the limit. When some gateways are silent, the others take over their parts
+by raising their own part by a factor, up to a maximum. In a partition, a side with `k` of `n` gateways then
+uses `k / n` of the limit times at most this maximum, so all sides together use at most the limit times the
+maximum. Therefore no gateway has to know whether the silent ones are dead or cut off.
+
+Gateways learn about each other by gossip: each gateway sends its own report and those that it knows to some
+others, with origin, incarnation and sequence number. For each origin the last report of the last incarnation
+counts, no matter in which order and how often reports arrive. A part is taken over gradually, and only if its
+owner has not been reported for `silence_ns`; it is given back at once. A gateway that was suspended has no
+current reports, so it starts with its own part.
 """
 
 from __future__ import annotations
@@ -20,27 +20,27 @@
 
 from .settings import MILLISECOND_NS, SECOND_NS
 
-MIN_SILENCE_NS: Final = 2 * SECOND_NS  # without a report for so long, a part may be taken over: four rounds
-SILENCE_PER_GATEWAY_NS: Final = (
-    30 * MILLISECOND_NS
-)  # and for so long for each gateway: reports take longer to come round
-FACTOR_DOUBLING_S: Final = 0.5  # in which the factor doubles at most: the back end's latency shows meanwhile
-MAX_FACTOR: Final = 3.4  # on the own part: three in ten gateways carry all
-SUSPENDED_NS: Final = (
-    500 * MILLISECOND_NS
-)  # between two ticks, from which this process counts as suspended: five ticks
-FORGET_NS: Final = 60 * SECOND_NS  # after which a report is dropped: its origin is long silent
-RECIPIENTS: Final = 3  # gateways that get a message in one round: all hear of it within a few rounds
-MAX_RELAYED_REPORTS: Final = 10  # in one message: they fit into one datagram with the own one
-AGE_STEPS: Final = 8  # of `silence_ns`, by which reports are ordered by age; within one the order is drawn
+# A part may be taken over after this time without a report from its owner: four rounds of reports.
+MIN_SILENCE_NS: Final = 2 * SECOND_NS
+# Or after this time per gateway, if that is longer: reports take longer to reach all of a large fleet.
+SILENCE_PER_GATEWAY_NS: Final = 30 * MILLISECOND_NS
+# The factor takes at least this time to double, so that overload shows in the back end's latency meanwhile.
+FACTOR_DOUBLING_S: Final = 0.5
+MAX_FACTOR: Final = 3.4  # three in ten gateways can take over the whole limit
+# A longer time between two ticks counts as a suspension of this process: five ticks.
+SUSPENDED_NS: Final = 500 * MILLISECOND_NS
+FORGET_NS: Final = 60 * SECOND_NS  # a report of this age is dropped, as its origin has long been silent
+RECIPIENTS: Final = 3  # gateways that get a message in each round, so that it reaches all in a few rounds
+MAX_RELAYED_REPORTS: Final = 10  # in one message, which fits into one datagram together with the own report
+AGE_STEPS: Final = 8  # steps of `silence_ns` by which reports are sorted; their order within a step is random
 
 
 @dataclass(slots=True)
 class ConcurrencyReport:
-    """A message: the units that a gateway has in flight and would have, and how old that is."""
+    """A message: how many units a gateway has in flight and wants to have, and the age of this report."""
 
-    origin: int  # gateway
-    incarnation: int  # of its process
+    origin: int  # the gateway that made the report
+    incarnation: int  # of the origin's process
     sequence: int
     units_in_flight: float
     wanted_units: float
@@ -49,40 +49,40 @@
 
 @dataclass(slots=True)
 class KnownReport:
-    """The last report of another gateway."""
+    """The last report from another gateway."""
 
     incarnation: int
     sequence: int
     units_in_flight: float
     wanted_units: float
-    created_ns: int  # by this gateway's clock
+    created_ns: int  # on this gateway's clock
 
 
 @dataclass(slots=True)
 class ConcurrencyBudget:
-    """The part of one gateway among `gateway_count`."""
+    """One gateway's part of the budget."""
 
-    gateway: int  # this one
+    gateway: int  # this gateway
     gateway_count: int
-    incarnation: int  # grows with each start of the process, and past any that is still reported
-    units_per_endpoint: float  # limit for all gateways together, for each ready endpoint
+    incarnation: int  # grows with each start of the process, and beyond any that is still reported
+    units_per_endpoint: float  # limit for all gateways together, per ready endpoint
     known_reports: dict[int, KnownReport] = field(default_factory=dict)  # by gateway
-    factor: float = 1.0  # on the own part
-    sequence: int = 0  # of the last own report
+    factor: float = 1.0  # by which this gateway's part is raised
+    sequence: int = 0  # of this gateway's last report
     last_tick_ns: int = -1
-    running_since_ns: int = -1  # without being suspended
+    running_since_ns: int = -1  # start, or end of the last suspension
 
     @property
     def silence_ns(self) -> int:
-        """A gateway without a report for so long counts as silent."""
+        """A gateway counts as silent if no report of it is younger than this."""
         return max(MIN_SILENCE_NS, self.gateway_count * SILENCE_PER_GATEWAY_NS)
 
     def merge(self, now: int, report: ConcurrencyReport) -> bool:
-        """Takes a report; returns whether it is news.
+        """Records a report; returns whether it was new.
 
-        A process that was followed by another never counts again, however late its reports come, as
-        incarnations only grow. A gateway that gets a report of a later incarnation of its own (its machine's
-        clock began anew) goes past that one.
+        Incarnations only grow, so reports of a process that has been replaced are ignored, however late they
+        arrive. If this gateway gets a report with a later incarnation of itself, because its machine's clock
+        was reset, it continues with an incarnation beyond that.
         """
         if not 0 <= report.origin < self.gateway_count or report.age_ns > FORGET_NS:
             return False
@@ -103,11 +103,11 @@
         return True
 
     def live_gateways(self, now: int) -> int:
-        """Returns the number of gateways that are not silent, this one among them."""
+        """Returns the number of gateways that are not silent, including this one."""
         return 1 + sum(now - report.created_ns < self.silence_ns for report in self.known_reports.values())
 
     def tick(self, now: int) -> float:
-        """Updates and returns the factor on this gateway's part; it falls at once and rises by steps."""
+        """Updates and returns the factor of this gateway's part; it falls at once and rises gradually."""
         if self.last_tick_ns < 0 or now - self.last_tick_ns > SUSPENDED_NS:
             self.running_since_ns = now
             self.factor = 1.0
@@ -124,17 +124,17 @@
         return self.factor
 
     def limit_units(self, ready: float) -> float:
-        """Returns the units that this gateway may have in flight, with so many ready endpoints."""
+        """Returns the units that this gateway may have in flight, given the number of ready endpoints."""
         return self.units_per_endpoint * ready * self.factor / self.gateway_count
 
     def total_limit_units(self, ready: float) -> float:
-        """Returns the units that all gateways together have in flight at most, under any partition."""
+        """Returns the maximum of units that all gateways together have in flight, under any partition."""
         return self.units_per_endpoint * ready * min(MAX_FACTOR, self.gateway_count)
 
     def reports_to_send(
         self, now: int, units_in_flight: float, wanted_units: float, rng: random.Random
     ) -> list[ConcurrencyReport]:
-        """Returns a new own report, and the youngest of others."""
+        """Returns a new report of this gateway, and the youngest reports of others."""
         self.sequence += 1
         own = ConcurrencyReport(
             self.gateway, self.incarnation, self.sequence, units_in_flight, wanted_units, age_ns=0
@@ -157,6 +157,6 @@
         return [own, *relayed[:MAX_RELAYED_REPORTS]]
 
     def draw_recipients(self, rng: random.Random) -> list[int]:
-        """Returns the gateways that get this round's message, drawn anew each time."""
+        """Returns the gateways that get this round's message, chosen at random."""
         others = [gateway for gateway in range(self.gateway_count) if gateway != self.gateway]
         return rng.sample(others, min(RECIPIENTS, len(others)))
--- a/zincstile/leases/covered_plans.py
+++ b/zincstile/leases/covered_plans.py
@@ -1,4 +1,4 @@
-"""Which customer plans need no part of a ceiling: their quota alone holds what goes out."""
+"""Determines which plans need no separate limit by the ceiling, as their quota alone enforces it."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 
 def covered_plans(settings: Settings, lease_settings: LeaseSettings) -> list[bool]:
-    """Returns for each plan whether its quota holds what goes out under the ceiling, whatever fails.
+    """Returns for each plan whether its quota keeps customers below the ceiling under all tolerated failures.
 
-    The quota does where it is lower than the ceiling by more than may go out beyond it.
+    That is so if the ceiling exceeds the quota by at least the bound on the quota's overshoot.
     """
     return [_is_covered(plan, settings, lease_settings) for plan in settings.plans]
 
--- a/zincstile/leases/events.py
+++ b/zincstile/leases/events.py
@@ -1,4 +1,4 @@
-"""What the leases add to the events that a policy handles and to the actions that it returns."""
+"""Events and actions that the leases add to those of a policy."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(slots=True)
 class SendSharedMessages:
-    """An action: send messages of this process to one peer."""
+    """Action: send messages of this process to one peer."""
 
     peer: int
     process: int
@@ -18,7 +18,7 @@
 
 @dataclass(slots=True)
 class SharedMessagesReceived:
-    """An event: messages of one process of a peer have come."""
+    """Event: messages have arrived from a process of a peer."""
 
     sender: int
     process: int
--- a/zincstile/leases/failure_detector.py
+++ b/zincstile/leases/failure_detector.py
@@ -1,15 +1,16 @@
-"""Failure detection of backend endpoints, by own attempts and by suspicions of other gateways.
-
-* Own attempts go first: no suspicion overrules an endpoint that was tried here lately.
-* A suspicion of others counts once observers in several zones share it. Gateways of one zone fail together: a
-  zone that is cut off takes all endpoints of the others for dead, and all of its gateways say so.
-* Suspicions of others never rule out more than a stated part of the endpoints, however many say it.
-* A suspicion ends `suspicion_ns` after it was made, wherever it travels: its age goes with it and only grows.
-* A gateway for which most endpoints are dead, while the gateways that reach it do not suspect them, takes
-  itself for isolated: it keeps its suspicions to itself, and goes on trying.
-
-Merging is commutative and idempotent: of one origin on one endpoint and group, the youngest suspicion holds.
-An error score is the share of attempts that failed lately, from 0 to 1.
+"""Failure detection of backend endpoints, from this gateway's own attempts and other gateways' suspicions.
+
+* Own attempts have priority: a suspicion is ignored for an endpoint with recent attempts from here.
+* Suspicions of others count only if observers in several zones share them. Gateways of one zone fail
+  together:
+  if a zone is cut off, all of its gateways suspect all endpoints in other zones.
+* Suspicions of others exclude at most a fixed part of the endpoints, no matter how many gateways share them.
+* A suspicion ends `suspicion_ns` after it was made. It carries its age, which only grows as it is relayed.
+* A gateway considers itself isolated if most endpoints fail for it, while the gateways that it hears from do
+  not suspect these endpoints. It then sends no suspicions of its own, and keeps trying.
+
+Merging is commutative and idempotent: for each origin, endpoint and group, the youngest suspicion counts. An
+error score is the moving average of the fraction of attempts that failed, from 0 to 1.
 """
 
 from __future__ import annotations
@@ -21,58 +22,56 @@
 
 from .settings import LeaseSettings
 
-SUSPECT_ERROR_SCORE: Final = 0.3  # an endpoint is suspected from here: three in ten attempts failed
-MIN_ERROR_SCORE: Final = 0.1  # below, a suspicion of others is no news any more
-UNSUSPECTED_RATIO: Final = 0.9  # of SUSPECT_ERROR_SCORE, to which the suspicions too many are lowered
-OWN_SAMPLES_VALID_NS: Final = (
-    3_000_000_000  # own attempts count for so long: an endpoint may recover meanwhile
-)
-FORGET_SAMPLES_NS: Final = 10 * OWN_SAMPLES_VALID_NS  # without an attempt for so long, they are dropped
-MIN_OWN_SAMPLES: Final = 2  # own attempts by which suspicions of others are ignored: one may be chance
-MAX_RELAYED_SUSPICIONS: Final = 6  # in one message, of others: both kinds fit into one datagram
+SUSPECT_ERROR_SCORE: Final = 0.3  # an endpoint is suspected from this score on: three in ten attempts failed
+MIN_ERROR_SCORE: Final = 0.1  # lower scores from others' suspicions are ignored
+UNSUSPECTED_RATIO: Final = 0.9  # of SUSPECT_ERROR_SCORE: surplus suspicions are lowered to it
+# Own attempts are valid for this time, as an endpoint may recover meanwhile.
+OWN_SAMPLES_VALID_NS: Final = 3_000_000_000
+FORGET_SAMPLES_NS: Final = 10 * OWN_SAMPLES_VALID_NS  # own samples are dropped after this time without one
+MIN_OWN_SAMPLES: Final = 2  # own attempts needed to ignore others' suspicions: a single one may be chance
+MAX_RELAYED_SUSPICIONS: Final = 6  # in one message; with the own suspicions they fit into one datagram
 MAX_OWN_SUSPICIONS: Final = 8  # in one message
-MAX_DEAD_RATIO: Final = (
-    0.5  # of the endpoints that were tried; with more of them dead a gateway may be isolated
-)
-MIN_TRIED_ENDPOINTS: Final = 3  # by which a gateway can tell whether it is isolated
-MAX_CLASSES: Final = 64  # request classes have smaller numbers as groups
+# If more than this fraction of the endpoints tried is unreachable, a gateway may be isolated.
+MAX_UNREACHABLE_RATIO: Final = 0.5
+MIN_TRIED_ENDPOINTS: Final = 3  # a gateway that tried fewer can't tell whether it is isolated
+MAX_CLASSES: Final = 64  # the groups of single request classes have smaller numbers
 ALL_CLASSES: Final = 255  # the group of all request classes
 
 
 @dataclass(slots=True)
 class Suspicion:
-    """A message: how attempts of a group at an endpoint failed, as seen by its origin."""
+    """A message: the error score of an endpoint for a group of requests, as observed by its origin."""
 
-    endpoint: int  # a hash of its name
+    endpoint: int  # hash of its name
     group: int  # a request class, a pair of class and plan, or ALL_CLASSES
     error_score: float
-    origin: int  # gateway
+    origin: int  # the gateway that made the observation
     zone: int  # of the origin
     age_ns: int
 
 
 @dataclass(slots=True)
 class ReceivedSuspicion:
-    """The youngest suspicion of one origin on one endpoint and group."""
+    """The youngest suspicion from one origin about one endpoint and group."""
 
     error_score: float
     zone: int  # of the origin
-    created_ns: int  # by this gateway's clock
+    created_ns: int  # on this gateway's clock
 
 
 @dataclass(slots=True)
 class OwnSamples:
-    """This gateway's own attempts of one group at one endpoint."""
+    """This gateway's own attempts for one group at one endpoint."""
 
     error_score: float = 0.0  # moving average
     last_ns: int = -(10**18)
-    count: int = 0  # without a gap of OWN_SAMPLES_VALID_NS
-    unreachable: bool = False  # the last one found no connection, or no answer
+    count: int = 0  # restarts after OWN_SAMPLES_VALID_NS without an attempt
+    unreachable: bool = False  # the last attempt got no connection or no answer
 
 
 @dataclass(slots=True)
 class Observer:
-    """Another gateway that was heard from."""
+    """Another gateway from which a message has arrived."""
 
     zone: int
     last_ns: int
@@ -80,18 +79,18 @@
 
 @dataclass(slots=True)
 class FailureDetector:
-    """What one gateway knows of all endpoints, by itself and from others."""
+    """What one gateway knows about all endpoints, from its own attempts and from others."""
 
     settings: LeaseSettings
-    gateway: int  # this one
-    zone: int  # of this one
+    gateway: int  # this gateway
+    zone: int  # of this gateway
     own_samples: dict[tuple[int, int], OwnSamples] = field(default_factory=dict)  # by endpoint and group
-    # by endpoint and group, then by origin
+    # by (endpoint, group), then by origin
     received_suspicions: dict[tuple[int, int], dict[int, ReceivedSuspicion]] = field(default_factory=dict)
     observers: dict[int, Observer] = field(default_factory=dict)  # by gateway
     isolated: bool = False  # this gateway is cut off from the back end
 
-    # ---- what is learnt
+    # ---- input
 
     def record_attempt(
         self,
@@ -103,7 +102,7 @@
         *,
         unreachable: bool = False,
     ) -> None:
-        """Records an own attempt that has ended; `weight` is its part of the moving average."""
+        """Records the result of an own attempt; `weight` is its weight in the moving average."""
         samples = self.own_samples.setdefault((endpoint, group), OwnSamples())
         if now - samples.last_ns > OWN_SAMPLES_VALID_NS:
             samples.count = 0
@@ -113,11 +112,11 @@
         samples.unreachable = unreachable
 
     def record_observer(self, now: int, gateway: int, zone: int) -> None:
-        """Records that another gateway was heard from, and its zone."""
+        """Records that a message arrived from another gateway, and its zone."""
         self.observers[gateway] = Observer(zone, now)
 
     def merge(self, now: int, suspicion: Suspicion) -> bool:
-        """Takes a suspicion of another gateway; returns whether it is news, as an own one never is."""
+        """Records another gateway's suspicion; returns whether it was new. Own suspicions are ignored."""
         if suspicion.origin == self.gateway or suspicion.age_ns >= self.settings.suspicion_ns:
             return False
         created_ns = now - suspicion.age_ns
@@ -128,10 +127,10 @@
         by_origin[suspicion.origin] = ReceivedSuspicion(suspicion.error_score, suspicion.zone, created_ns)
         return True
 
-    # ---- what follows from it
+    # ---- scores
 
     def zones_needed(self, now: int) -> int:
-        """Returns the zones that have to share a suspicion: no more than are heard from, and at least one."""
+        """Returns how many zones have to share a suspicion: at most the number of zones heard from."""
         zones = {
             observer.zone
             for observer in self.observers.values()
@@ -140,18 +139,19 @@
         return max(1, min(self.settings.observer_zones, len(zones | {self.zone})))
 
     def received_error_score(self, now: int, endpoint: int, group: int) -> float:
-        """Returns the error score by suspicions of others alone, from 0 to 1.
+        """Returns the error score that follows from others' suspicions alone, from 0 to 1.
 
-        It is what the last of the zones that are needed says at least; it falls with the suspicions' age.
+        With `n` zones needed, it is the highest score that at least `n` zones reach. It falls as the
+        suspicions age.
         """
         by_origin = self.received_suspicions.get((endpoint, group))
         if not by_origin:
             return 0.0
-        scores: dict[int, float] = {}  # by zone, the highest
+        scores: dict[int, float] = {}  # the highest score by zone
         for suspicion in by_origin.values():
-            rest_ratio = 1 - (now - suspicion.created_ns) / self.settings.suspicion_ns
-            if rest_ratio > 0:
-                score = suspicion.error_score * rest_ratio
+            remaining_ratio = 1 - (now - suspicion.created_ns) / self.settings.suspicion_ns
+            if remaining_ratio > 0:
+                score = suspicion.error_score * remaining_ratio
                 scores[suspicion.zone] = max(scores.get(suspicion.zone, 0.0), score)
         needed = self.zones_needed(now)
         if len(scores) < needed:
@@ -159,7 +159,7 @@
         return sorted(scores.values(), reverse=True)[needed - 1]
 
     def recent_samples(self, now: int, endpoint: int, group: int) -> OwnSamples | None:
-        """Returns own attempts that go before suspicions of others; None where there are too few."""
+        """Returns the own attempts that have priority over others' suspicions; None if there are too few."""
         samples = self.own_samples.get((endpoint, group))
         if samples is None or samples.count < MIN_OWN_SAMPLES:
             return None
@@ -168,85 +168,91 @@
     def suspected_scores(
         self, now: int, endpoints: Iterable[int], groups: Iterable[int]
     ) -> dict[int, dict[int, float]]:
-        """Returns error scores by endpoint and group where suspicions of others count, as own attempts lack.
+        """Returns error scores by endpoint and group from others' suspicions, where own attempts are lacking.
 
-        At most the part of the endpoints that `min_unsuspected_ratio` leaves is suspected, the worst ones.
+        At least `min_unsuspected_ratio` of the endpoints stay unsuspected: if there are too many suspects,
+        the scores of all but the worst are lowered.
         """
-        chosen = list(endpoints)
-        found: dict[int, dict[int, float]] = {}
+        known_endpoints = list(endpoints)
+        scores: dict[int, dict[int, float]] = {}
         for endpoint, group in self.received_suspicions:
             if group in groups and self.recent_samples(now, endpoint, group) is None:
                 score = self.received_error_score(now, endpoint, group)
                 if score >= MIN_ERROR_SCORE:
-                    found.setdefault(endpoint, {})[group] = score
-        found = {endpoint: found[endpoint] for endpoint in chosen if endpoint in found}
-        worst = {endpoint: max(by_group.values()) for endpoint, by_group in found.items()}
-        suspects = [endpoint for endpoint in found if worst[endpoint] >= SUSPECT_ERROR_SCORE]
+                    scores.setdefault(endpoint, {})[group] = score
+        scores = {endpoint: scores[endpoint] for endpoint in known_endpoints if endpoint in scores}
+        worst = {endpoint: max(by_group.values()) for endpoint, by_group in scores.items()}
+        suspects = [endpoint for endpoint in scores if worst[endpoint] >= SUSPECT_ERROR_SCORE]
         suspects.sort(key=lambda endpoint: -worst[endpoint])
-        max_suspects = int((1 - self.settings.min_unsuspected_ratio) * len(chosen))
-        highest_score = SUSPECT_ERROR_SCORE * UNSUSPECTED_RATIO
+        max_suspects = int((1 - self.settings.min_unsuspected_ratio) * len(known_endpoints))
+        max_score = SUSPECT_ERROR_SCORE * UNSUSPECTED_RATIO
         for endpoint in suspects[max_suspects:]:
-            found[endpoint] = {group: min(score, highest_score) for group, score in found[endpoint].items()}
-        return found
+            scores[endpoint] = {group: min(score, max_score) for group, score in scores[endpoint].items()}
+        return scores
 
     # ---- time
 
     def tick(self, now: int, endpoints: Iterable[int]) -> None:
-        """Drops what is too old, and decides whether this gateway is isolated."""
-        self._drop_old(now)
+        """Drops expired suspicions and samples, and decides whether this gateway is isolated."""
+        self._drop_expired(now)
         self.isolated = self._is_isolated(now, set(endpoints))
 
-    def _drop_old(self, now: int) -> None:
-        """Drops suspicions that have ended, and own attempts of long ago."""
-        ended_ns = now - self.settings.suspicion_ns
+    def _drop_expired(self, now: int) -> None:
+        """Drops suspicions that have ended, and old samples of own attempts."""
+        expired_ns = now - self.settings.suspicion_ns
         for key, by_origin in list(self.received_suspicions.items()):
-            for origin in [origin for origin, one in by_origin.items() if one.created_ns <= ended_ns]:
+            for origin in [origin for origin, known in by_origin.items() if known.created_ns <= expired_ns]:
                 del by_origin[origin]
             if not by_origin:
                 del self.received_suspicions[key]
-        for key in [key for key, one in self.own_samples.items() if now - one.last_ns > FORGET_SAMPLES_NS]:
+        for key in [key for key, own in self.own_samples.items() if now - own.last_ns > FORGET_SAMPLES_NS]:
             del self.own_samples[key]
 
     def _is_isolated(self, now: int, endpoints: set[int]) -> bool:
-        """Returns whether most endpoints are dead for this gateway alone, and others are there to say so."""
-        is_dead: dict[int, bool] = {}  # by endpoint that was tried lately
+        """Returns whether most endpoints are unreachable for this gateway, but not for others.
+
+        Without other gateways to compare with, a gateway never counts as isolated.
+        """
+        is_unreachable: dict[int, bool] = {}  # by recently tried endpoint
         for (endpoint, _), samples in self.own_samples.items():
             is_recent = now - samples.last_ns < OWN_SAMPLES_VALID_NS
             if endpoint in endpoints and is_recent and samples.count >= MIN_OWN_SAMPLES:
                 failed = samples.unreachable and samples.error_score >= SUSPECT_ERROR_SCORE
-                is_dead[endpoint] = is_dead.get(endpoint, False) or failed
-        dead = [endpoint for endpoint, failed in is_dead.items() if failed]
-        if len(is_dead) < MIN_TRIED_ENDPOINTS or len(dead) <= MAX_DEAD_RATIO * len(is_dead):
+                is_unreachable[endpoint] = is_unreachable.get(endpoint, False) or failed
+        unreachable = [endpoint for endpoint, failed in is_unreachable.items() if failed]
+        if len(is_unreachable) < MIN_TRIED_ENDPOINTS or len(unreachable) <= MAX_UNREACHABLE_RATIO * len(
+            is_unreachable
+        ):
             return False
         valid_ns = self.settings.suspicion_ns
         if not any(now - observer.last_ns < valid_ns for observer in self.observers.values()):
             return False
-        agreed = sum(self._is_suspected_by_others(now, endpoint) for endpoint in dead)
-        return agreed <= len(dead) / 2
+        agreed = sum(self._is_suspected_by_others(now, endpoint) for endpoint in unreachable)
+        return agreed <= len(unreachable) / 2
 
     def _is_suspected_by_others(self, now: int, endpoint: int) -> bool:
-        """Returns whether other gateways suspect an endpoint, in any class."""
+        """Returns whether other gateways suspect an endpoint, for any request class."""
         groups = (*range(MAX_CLASSES), ALL_CLASSES)
         return any(self.received_error_score(now, endpoint, group) >= SUSPECT_ERROR_SCORE for group in groups)
 
     def suspicions_to_send(self, now: int) -> list[Suspicion]:
-        """Returns own suspicions, unless this gateway is isolated, and others'; the youngest of each."""
+        """Returns the youngest suspicions: others', and own ones unless this gateway is isolated."""
         own = [] if self.isolated else self._own_suspicions(now)
         relayed = [
-            Suspicion(endpoint, group, one.error_score, origin, one.zone, now - one.created_ns)
+            Suspicion(endpoint, group, known.error_score, origin, known.zone, now - known.created_ns)
             for (endpoint, group), by_origin in self.received_suspicions.items()
-            for origin, one in by_origin.items()
-            if one.error_score >= SUSPECT_ERROR_SCORE
+            for origin, known in by_origin.items()
+            if known.error_score >= SUSPECT_ERROR_SCORE
         ]
         own.sort(key=attrgetter("age_ns"))
         relayed.sort(key=attrgetter("age_ns"))
         return own[:MAX_OWN_SUSPICIONS] + relayed[:MAX_RELAYED_SUSPICIONS]
 
     def _own_suspicions(self, now: int) -> list[Suspicion]:
-        """Returns suspicions by own attempts."""
+        """Returns the suspicions that follow from own attempts."""
         valid_ns = self.settings.suspicion_ns
         return [
-            Suspicion(endpoint, group, one.error_score, self.gateway, self.zone, now - one.last_ns)
-            for (endpoint, group), one in self.own_samples.items()
-            if one.error_score >= SUSPECT_ERROR_SCORE and now - one.last_ns < valid_ns
+            Suspicion(endpoint, group, own.error_score, self.gateway, self.zone, now - own.last_ns)
+            for (endpoint, group), own in self.own_samples.items()
+            if own.error_score >= SUSPECT_ERROR_SCORE and now - own.last_ns < valid_ns
         ]
--- a/zincstile/leases/feature.py
+++ b/zincstile/leases/feature.py
@@ -1,9 +1,9 @@
-"""Shared state within stated bounds (`features.shared`): the leases, suspicions and budgets join a policy.
+"""Connects leases, suspicions and the concurrency budget to a policy (`features.shared`).
 
-Quotas by leases (`leased_units`), endpoints that other gateways suspect (`suspected_endpoints`), and a
-stated limit for what all gateways have in flight (`in_flight_limit`), in place of the gossip's parts, its
-sum of samples and the limit's free rise. All else is as ever: budget, draws, choice of endpoint, attempts.
-The gossip goes on beside it, for ceilings and limits on attempts in flight.
+It replaces three parts of the policy: quotas are enforced by leases (`leased_units`) instead of by gossip,
+other gateways' errors count as suspicions (`suspected_endpoints`) instead of as summed samples, and all
+gateways together have a limit on the units in flight (`in_flight_limit`). The rest of the policy is
+unchanged. Gossip continues, for ceilings and limits on attempts in flight.
 """
 
 from __future__ import annotations
@@ -25,18 +25,18 @@
 from .settings import MILLISECOND_NS, LeaseSettings
 from .suspected_endpoints import SuspectedEndpoints
 
-# Between two reports of suspicions and budgets to some peers.
+# Minimum time between two reports of suspicions and budgets to peers.
 REPORT_INTERVAL_NS: Final = 500 * MILLISECOND_NS
-# An incarnation counts these since the machine's start; its 32 bits last for 497 days.
+# An incarnation is the time since the machine's start in this unit; its 32 bits last for 497 days.
 INCARNATION_UNIT_NS: Final = 10 * MILLISECOND_NS
 INCARNATIONS: Final = 2**32
 
 
 class LeasesFeature:
-    """Connects the owners of leases, suspicions and budgets to a policy, and has them tick and report."""
+    """Connects leases, suspicions and the budget to a policy, and runs their timers and reports."""
 
     def __init__(self, settings: Settings, seed: int, lease_settings: LeaseSettings) -> None:
-        """Takes the seed of all random draws, and times and sizes."""
+        """Creates all parts of the feature; `seed` is the seed of their random numbers."""
         self.settings = settings
         self.lease_settings = lease_settings
         self.rng = random.Random(f"shared {seed}")
@@ -54,7 +54,7 @@
     # ---- the feature
 
     def attach(self, policy: Policy) -> None:
-        """Holds quotas, suspects endpoints and limits what is in flight from now on."""
+        """Replaces the policy's quotas, outlier reports and in-flight limit, and registers handlers."""
         self.parts = policy.parts
         self.deferred = DeferredQuotas(
             self.parts,
@@ -72,22 +72,22 @@
         policy.handlers[SharedMessagesReceived] = self.on_messages_received
 
     def before_start(self, now: int) -> None:
-        """Opens the accounts, and numbers this process by its start."""
+        """Starts the accounts, and sets the incarnation from the start time of this process."""
         self.units.start(now)
-        # a machine's clock goes on over its processes' starts
+        # The machine's monotonic clock goes on across restarts of a process, so incarnations grow.
         self.budget.incarnation = now // INCARNATION_UNIT_NS % INCARNATIONS
 
     def started(self, now: int) -> None:
-        """The first heartbeat."""
+        """Runs the first heartbeat."""
         self._heartbeat(now)
 
     def state_inherited(self, now: int) -> None:
-        """Nothing is inherited: leases belong to a process."""
+        """Does nothing: leases belong to a process and are not inherited."""
 
     def figures(self) -> dict[str, float]:
-        """The accounts of units, the budget's factor, gateways alive, suspected endpoints, isolation.
+        """Returns figures about accounts, budget, live gateways, suspected endpoints and isolation.
 
-        Stored results have these keys.
+        Their keys are part of stored results.
         """
         ticked_ns = self.parts.gossip.ticked_ns
         accounts = self.units.leases.snapshot(ticked_ns) if self.units.started else {}
@@ -101,7 +101,7 @@
     # ---- time and messages
 
     def on_messages_received(self, now: int, event: SharedMessagesReceived) -> None:
-        """Messages of a peer, which may let requests go that wait for units."""
+        """Handles messages from a peer, and retries requests for which units or slots have arrived."""
         if not self.receiver.is_from_peer(event):
             return
         customers = self.receiver.receive(now, event)
@@ -121,7 +121,7 @@
         self.parts.actions.set_timer(now + self.lease_settings.tick_interval_ns, LEASE_HEARTBEAT_TOKEN)
 
     def _send_reports(self, now: int) -> None:
-        """Sends suspicions and budgets to some peers."""
+        """Sends suspicions and concurrency reports to randomly chosen peers."""
         wanted_per_s = self.parts.budget.arrivals
         units_in_flight = self.in_flight.units_in_flight
         messages: list[SharedMessage] = [
--- a/zincstile/leases/in_flight_limit.py
+++ b/zincstile/leases/in_flight_limit.py
@@ -1,4 +1,4 @@
-"""This gateway's part of the units that all gateways together may have in flight."""
+"""Keeps this gateway's units in flight within its part of the concurrency budget."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 
 
 class InFlightLimit:
-    """Owner of the count of units in flight; no attempt is sent, and no limit rises, beyond the budget."""
+    """Counts units in flight, and keeps attempts and the concurrency limit within the budget."""
 
     def __init__(self, budget: ConcurrencyBudget) -> None:
-        """Takes the budget that the gateways share."""
+        """Starts with no units in flight."""
         self.budget = budget
         self.units_in_flight = 0.0
 
     def attach(self, policy: Policy) -> None:
-        """Stands before the policy's choice of an endpoint, and counts its attempts."""
+        """Wraps the policy's choice of an endpoint, and observes its attempts."""
         self.parts = policy.parts
         self._choose_endpoint: EndpointChooser = self.parts.admission.choose
         self.parts.admission.choose = self.choose
@@ -28,15 +28,15 @@
         policy.ticker.limited.append(self.on_limit_updated)
 
     def launched(self, attempt: Attempt) -> None:
-        """Counts the units of an attempt that is sent."""
+        """Adds the units of an attempt that is being sent."""
         self.units_in_flight += attempt.units
 
     def settled(self, attempt: Attempt, *, last: bool) -> None:
-        """Counts the units of an attempt that has ended; without any other there are none in flight."""
+        """Subtracts the units of an attempt that has ended; after the `last` one none are in flight."""
         self.units_in_flight = 0.0 if last else max(0.0, self.units_in_flight - attempt.units)
 
     def choose(self, now: int, pending: PendingRequest) -> Endpoint | None:
-        """The endpoint of the next attempt; None where it would be beyond this gateway's part."""
+        """Returns the endpoint of the next attempt; None if it would exceed this gateway's part."""
         ready = len(self.parts.endpoints.ready) * self._dilution()
         limit_units = max(self.budget.limit_units(ready), self.parts.settings.max_request_units)
         if self.units_in_flight + pending.request.units > limit_units:
@@ -44,12 +44,12 @@
         return self._choose_endpoint(now, pending)
 
     def on_limit_updated(self, _: int) -> None:
-        """Keeps the concurrency limit within this gateway's part."""
+        """Caps the concurrency limit at this gateway's part."""
         limit = self.parts.limit
         if limit.limit < math.inf:
             limit.limit = min(limit.limit, self.budget.limit_units(self._dilution()))
 
     def _dilution(self) -> float:
-        """Endpoints of the whole list for each one that this gateway uses."""
+        """Returns the ratio of all endpoints to those that this gateway uses."""
         dilution = self.parts.capacity.dilution
         return 1.0 if dilution is None else dilution
--- a/zincstile/leases/lease_manager.py
+++ b/zincstile/leases/lease_manager.py
@@ -1,23 +1,25 @@
-"""The customers' quotas at one gateway, held by parts with one owner each and leases between the parts.
-
-Each of a customer's holders has an even part of the quota: a token bucket of `burst / holders` that fills at
-`rate / holders`. No gateway has to be reached for that, and no clocks are compared: the parts sum up to the
-quota under any partition. Units that one part lacks and another has are leased:
-
-* The lessor takes them out of its token bucket first, then sends the grant. A grant that is lost loses the
-  units, and no two gateways have them.
-* A lease ends `lease_ns` after it was requested, by the lessee's clock. By the lessor's clock it ends later,
-  as it was granted later than it was requested. So both know the end without a message, and no two clocks
-  are compared.
-* While a lease runs, the lessor's token bucket fills only up to its part less the lease. So token buckets and
-  leases together never hold more than the burst, whatever is lost, late, duplicated or out of order.
-* Units that are not used go back while the lease runs, by a message that releases it. A released or expired
-  lease is over for good: its name is the lessee's process and a number that this uses once.
-* A token bucket fills by the time for which its process was observed to run (`RunningClock`): one that was
-  stopped gains nothing for it, as what it decided before it was stopped may be sent afterwards.
-
-A gateway that messages do not reach is not lent to: a request names the last answer that arrived, and while
-a grant is out that should have arrived by now, requests are rejected.
+"""The customers' quotas at one gateway: parts with one owner each, and leases between the parts.
+
+Each of a customer's holders has an equal part of the quota: a token bucket of capacity `burst / holders` that
+fills at `rate / holders`. This needs no messages and no synchronized clocks: under any partition the parts
+add up to the quota. A gateway that lacks units leases them from a holder that has some:
+
+* The lessor takes the units out of its token bucket before it sends the grant. If the grant is lost, so are
+  the
+  units, but no two gateways ever have the same units.
+* A lease ends `lease_ns` after its request was sent, on the lessee's clock. On the lessor's clock it ends
+  `lease_ns` after the grant, which is later. So both sides know the end without a message, and their clocks
+  need not be synchronized.
+* While a lease is active, the lessor's token bucket fills only up to its capacity less the leased units. So
+  token buckets and leases together never exceed the burst, whatever messages are lost, delayed, duplicated or
+  reordered.
+* Unused units are returned by a release message while the lease is active. A released or expired lease can't
+  become active again, as it is identified by the lessee's process and a request id that is used only once.
+* A token bucket fills by the time for which its process was observed to run (`RunningClock`). A process that
+  was suspended gains no units for that time, as attempts decided before may be sent only after it.
+
+A gateway gets no lease while messages don't reach it: each request names the last answer that arrived, and
+requests are rejected while a grant that should have arrived by now is unconfirmed.
 """
 
 from __future__ import annotations
@@ -37,15 +39,15 @@
 
 
 class LeaseManager:
-    """The quota accounts of one gateway, with its two sides of leases, `lessee` and `lessor`.
+    """The quota accounts of one gateway, and both sides of its leases, `lessee` and `lessor`.
 
-    Times are nanoseconds of this machine's monotonic clock.
+    Times are in nanoseconds of this machine's monotonic clock.
     """
 
     def __init__(
         self, settings: LeaseSettings, gateway: int, process: int, now: int, rng: random.Random
     ) -> None:
-        """Starts without accounts; `process` is a number that no other process of this gateway had."""
+        """Starts without accounts; `process` is a number that no other process of this gateway has used."""
         clock = RunningClock(settings.max_tick_gap_ns)
         clock.observe(now)
         self.settings = settings
@@ -59,16 +61,16 @@
     def account(
         self, now: int, customer: int, plan: int, quota: Quota, gateways: tuple[int, ...]
     ) -> QuotaAccount:
-        """Returns a customer's account, made where there is none."""
+        """Returns a customer's account, creating it if needed."""
         return self.accounts.get(customer) or self._open_account(now, customer, plan, quota, gateways)
 
     def _open_account(
         self, now: int, customer: int, plan: int, quota: Quota, gateways: tuple[int, ...]
     ) -> QuotaAccount:
-        """Makes an account whose token bucket is as if it had been there since the start of the process."""
+        """Creates an account; its token bucket has filled since the start of the process."""
         state = self.state
-        chosen = tuple(choose_holders(customer, gateways, holder_count(quota, self.settings)))
-        part_ratio = 1 / len(chosen) if state.gateway in chosen else 0.0
+        holders = tuple(choose_holders(customer, gateways, holder_count(quota, self.settings)))
+        part_ratio = 1 / len(holders) if state.gateway in holders else 0.0
         capacity_units = quota.burst * part_ratio
         rate_per_s = quota.rate * part_ratio
         running_ns = state.clock.observe(now)
@@ -78,7 +80,7 @@
             plan=plan,
             quota=quota,
             gateways=gateways,
-            holders=chosen,
+            holders=holders,
             capacity_units=capacity_units,
             rate_per_s=rate_per_s,
             batch_limit_units=batch_limit_units(quota, self.settings),
@@ -90,21 +92,21 @@
         return account
 
     def drop_idle_accounts(self, now: int, idle_ns: int) -> None:
-        """Drops accounts that were not used for so long and of which nothing needs to be remembered."""
+        """Drops accounts that were not used for `idle_ns` and have no state that is still needed."""
         for account in list(self.accounts.values()):
-            if now - account.used_ns > idle_ns and self._is_forgettable(now, account):
+            if now - account.used_ns > idle_ns and self._is_droppable(now, account):
                 del self.accounts[account.customer]
                 self.state.expiring.pop(account.customer, None)
 
-    def _is_forgettable(self, now: int, account: QuotaAccount) -> bool:
-        """Returns whether an account that is made anew would be the same."""
+    def _is_droppable(self, now: int, account: QuotaAccount) -> bool:
+        """Returns whether an account has no leases or requests and a full token bucket."""
         account.refill(self.state.clock.observe(now))
         return not account.has_leases and account.is_full
 
     # ---- units
 
     def reserve(self, now: int, account: QuotaAccount, units: float) -> bool:
-        """Takes the units of an attempt; returns False, and takes nothing, where they are not there."""
+        """Takes the units of an attempt; returns False and takes nothing if they are not available."""
         account.refill(self.state.clock.observe(now))
         if account.own_units + account.usable_leased_units(now) + NEGLIGIBLE_UNITS < units:
             return False
@@ -115,17 +117,17 @@
         return True
 
     def cancel_reservation(self, now: int, account: QuotaAccount) -> None:
-        """Undoes the last `reserve` in the same batch: its attempt is not sent."""
+        """Undoes the last `reserve` of the same batch, as its attempt is not sent."""
         account.refill(self.state.clock.observe(now))
         account.undo_last_spend()
 
     def charge(self, now: int, account: QuotaAccount, units: float) -> None:
-        """Takes the units by which an attempt was larger than reserved for; below 0: it was smaller."""
+        """Takes the units that an attempt used beyond its reservation; a negative number is put back."""
         account.refill(self.state.clock.observe(now))
         account.credit(-units)
 
     def available_units(self, now: int, account: QuotaAccount) -> float:
-        """Returns the units that could still be sent from here: own and leased ones."""
+        """Returns the units that this gateway can use: its own and those leased from others."""
         account.refill(self.state.clock.observe(now))
         account.drop_expired_leases(now)
         return account.own_units + account.leased_units()
@@ -133,7 +135,7 @@
     # ---- time and messages
 
     def tick(self, now: int) -> None:
-        """Lets expire what has ended, and gives back leases that will not be used in time."""
+        """Expires requests and leases, and releases leases that recent use will not use up in time."""
         state = self.state
         state.clock.observe(now)
         state.outbox.flush_releases()
@@ -151,11 +153,11 @@
                 del state.expiring[customer]
 
     def drain_messages(self) -> list[LeaseMessage]:
-        """Returns the messages to send, each once."""
+        """Returns the queued messages and empties the queue."""
         return self.state.outbox.drain()
 
     def snapshot(self, now: int) -> dict[str, float]:
-        """Returns the figures for the log: accounts, units of each kind, and requests."""
+        """Returns figures for the log: numbers of accounts, units and requests."""
         accounts = self.accounts.values()
         counters = self.state.counters
         leased_units = sum(
--- a/zincstile/leases/lease_messages.py
+++ b/zincstile/leases/lease_messages.py
@@ -1,7 +1,7 @@
-"""Messages between gateways about leases: units of a customer's quota requested, granted and released.
+"""Messages between gateways that request, grant and release leases of units of a customer's quota.
 
-A lease is named by the process that requested it and a request id, which that process uses once. A field
-`process` names the process that a message is meant for; a later process of that gateway ignores it.
+A lease is identified by the process that requested it and a request id that this process uses only once. The
+field `process` is the recipient's process; a later process of that gateway ignores the message.
 """
 
 from __future__ import annotations
@@ -9,12 +9,12 @@
 from dataclasses import dataclass
 from typing import Final
 
-UNIT_PARTS: Final = 1024  # units travel in whole parts of 1/1024: exact in binary, finer than any request
-NEGLIGIBLE_UNITS: Final = 1 / UNIT_PARTS / 2  # half of a part: less than this is worth no message
+UNIT_PARTS: Final = 1024  # units are encoded in 1/1024 units: exact in binary, and finer than any request
+NEGLIGIBLE_UNITS: Final = 1 / UNIT_PARTS / 2  # half of the encoded resolution; less is not worth a message
 
 
 def rounded_down(units: float) -> float:
-    """Returns units as they travel, in whole parts: never more than was given."""
+    """Returns units rounded down to the resolution with which they are encoded."""
     return int(units * UNIT_PARTS) / UNIT_PARTS
 
 
@@ -25,31 +25,31 @@
     recipient: int  # gateway
     customer: int
     plan: int
-    set_size: int  # gateways of the customer
-    first_gateway: int  # the first of them; the others follow it in order
+    set_size: int  # number of gateways that serve the customer
+    first_gateway: int  # the first of them; the others have the following numbers
     request_id: int
     units: float
-    min_units: float  # fewer are of no use
-    last_answer: int  # number of the lessor's last answer that arrived
+    min_units: float  # the lessor rejects the request if it can't grant this many
+    last_answer: int  # number of the last answer from the lessor that arrived
 
 
 @dataclass(slots=True)
 class LeaseGrant:
-    """The answer to a request: the units that are leased, 0 for a rejection."""
+    """The answer to a request; 0 units are a rejection."""
 
     recipient: int  # gateway
     customer: int
     request_id: int
     units: float
-    available_units: float  # what the lessor could lease out besides
-    answer_number: int  # the next request says that this answer arrived
+    available_units: float  # what the lessor could lease out in addition
+    answer_number: int  # the lessee's next request confirms it as `last_answer`
     process: int = 0  # of the lessee that sent the request
-    gain_per_s: float = 0.0  # units that the lessor will have to lease out, each second
+    gain_per_s: float = 0.0  # additional units that the lessor expects to have available each second
 
 
 @dataclass(slots=True)
 class LeaseRelease:
-    """The early end of a lease, with the units of it that were not used."""
+    """Ends a lease early and returns its unused units."""
 
     recipient: int  # gateway
     customer: int
--- a/zincstile/leases/lease_records.py
+++ b/zincstile/leases/lease_records.py
@@ -1,4 +1,4 @@
-"""What a gateway remembers of each lease on either side, and of the gateways that it leases from or to."""
+"""Records of leases as lessee and as lessor, and of the gateways on the other side."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class LeaseKey(NamedTuple):
-    """The name of a lease at its lessor."""
+    """Identifies a lease at its lessor."""
 
     lessee: int  # gateway
     process: int  # of the lessee
@@ -18,45 +18,45 @@
 
 @dataclass(slots=True)
 class Lease:
-    """A lease as its lessee keeps it."""
+    """The lessee's record of a lease."""
 
     lessor: int  # gateway
-    process: int  # of the lessor: a later process knows nothing of the lease
+    process: int  # of the lessor; a later process does not know the lease
     request_id: int
-    units: float  # not used yet
+    units: float  # not yet used
     end_ns: int
 
 
 @dataclass(slots=True)
 class GrantedLease:
-    """The answer to a request as its lessor keeps it; a rejection has 0 units."""
+    """The lessor's record of its answer to a request; a rejection has 0 units."""
 
     units: float  # as granted
-    available_units: float  # as the answer said; a duplicate of the request gets the same answer
+    available_units: float  # as in the answer, which is repeated if the request arrives again
     gain_per_s: float
     granted_ns: int
     answer_number: int
-    active: bool = True  # neither released nor expired
+    active: bool = True  # neither rejected, released nor expired
 
 
 @dataclass(slots=True)
 class PendingRequest:
-    """A request for a lease that is not answered yet.
+    """A request for a lease that has not been answered.
 
-    It is sent again, under the same id, while the attempt that needs it may wait. After that it is overdue;
-    an answer that comes before its lease would end still serves later attempts.
+    It is sent again with the same id while the attempt that needs it may wait. After that it is overdue; an
+    answer that arrives before the lease would end still serves later attempts.
     """
 
     request: LeaseRequest
     requested_ns: int
-    resend_ns: int  # not sent again before
-    sends: int = 1
+    resend_ns: int  # earliest time to send it again
+    sends: int = 1  # how often it was sent
     overdue: bool = False
 
 
 @dataclass(slots=True)
 class Availability:
-    """What a holder last said that it has to lease out."""
+    """How many units a holder has available to lease out, according to its last message."""
 
     units: float
     observed_ns: int
@@ -64,7 +64,7 @@
 
 
 class SentGrant(NamedTuple):
-    """A grant that is not known to have arrived."""
+    """A grant whose arrival has not been confirmed."""
 
     answer_number: int
     sent_ns: int
@@ -72,15 +72,15 @@
 
 @dataclass(slots=True)
 class PeerState:
-    """Another gateway, as a lessor and as a lessee."""
+    """The state of another gateway, as lessor and as lessee."""
 
     process: int = 0
-    # as a lessor
+    # as lessor
     last_answer: int = 0  # number of its last answer that arrived
-    backoff_until_ns: int = -1  # it left requests unanswered: no request is sent to it before
+    backoff_until_ns: int = -1  # no request is sent to it before, as it left requests unanswered
     backoff_ns: int = 0
     overdue_requests: int = 0  # in a row
-    round_trip_ns: float = 0.0  # from a request to its answer, a moving average
-    # as a lessee
+    round_trip_ns: float = 0.0  # moving average of the time from a request to its answer
+    # as lessee
     answers_sent: int = 0
     unconfirmed: list[SentGrant] = field(default_factory=list)
--- a/zincstile/leases/lease_state.py
+++ b/zincstile/leases/lease_state.py
@@ -1,4 +1,4 @@
-"""State that the two sides of a gateway's leases, lessee and lessor, have in common."""
+"""State common to both sides of a gateway's leases, lessee and lessor."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 
 @dataclass(slots=True)
 class Outbox:
-    """Messages that wait to be sent. Releases wait for another message to the same gateway, or for a tick."""
+    """Messages to send. Releases are delayed until another message to the same gateway, or until a tick."""
 
     messages: list[LeaseMessage] = field(default_factory=list)
     releases: list[LeaseRelease] = field(default_factory=list)
 
     def flush_releases(self) -> None:
-        """Lets the releases wait no longer."""
+        """Makes the delayed releases due."""
         self.messages += self.releases
         self.releases = []
 
     def drain(self) -> list[LeaseMessage]:
-        """Returns the messages to send and forgets them."""
+        """Returns the messages that are due, and removes them from the queue."""
         drained = self.messages
         self.messages = []
         if self.releases and drained:
@@ -36,7 +36,7 @@
 
 @dataclass(slots=True)
 class LeaseCounters:
-    """Events since the start of the process, for the log."""
+    """Counts of events since the start of the process, for the log."""
 
     grants: int = 0
     requests: int = 0
@@ -45,24 +45,24 @@
 
 @dataclass(slots=True)
 class LeaseState:
-    """The accounts, peers and waiting messages of one gateway's leases."""
+    """The accounts, peers and queued messages of one gateway's leases."""
 
     settings: LeaseSettings
-    gateway: int  # this one
-    process: int  # a number that no other process of this gateway had
+    gateway: int  # this gateway
+    process: int  # a number that no other process of this gateway has used
     clock: RunningClock
     accounts: dict[int, QuotaAccount] = field(default_factory=dict)  # by customer
     peers: dict[int, PeerState] = field(default_factory=dict)  # by gateway
     outbox: Outbox = field(default_factory=Outbox)
-    expiring: dict[int, None] = field(default_factory=dict)  # customers with something that expires, in order
+    expiring: dict[int, None] = field(default_factory=dict)  # customers with leases or requests, in order
     counters: LeaseCounters = field(default_factory=LeaseCounters)
 
     def peer(self, gateway: int) -> PeerState:
-        """Returns what is known of a gateway, made where there is nothing."""
+        """Returns the state of a gateway, creating it if needed."""
         return self.peers.setdefault(gateway, PeerState())
 
     def peer_of_process(self, gateway: int, process: int) -> PeerState:
-        """Returns what is known of a gateway's process; of a new process nothing is known yet."""
+        """Returns the state of a gateway's process; resets it if the gateway has a new process."""
         peer = self.peer(gateway)
         if peer.process != process:
             peer = PeerState(process)
--- a/zincstile/leases/leased_units.py
+++ b/zincstile/leases/leased_units.py
@@ -1,4 +1,4 @@
-"""The units and slots of customers at one gateway, reserved for requests from the leases."""
+"""Reserves units and slots for requests, from this gateway's accounts and leases."""
 
 from __future__ import annotations
 
@@ -21,15 +21,15 @@
 from .settings import LeaseSettings
 from .slots import SlotAccount, SlotManager
 
-FORGET_INTERVAL_NS: Final = SECOND_NS  # between two searches for idle accounts: each looks at all of them
-IDLE_ACCOUNT_NS: Final = 15 * SECOND_NS  # an account not used for so long may be forgotten
-NOT_DUE_NS: Final = -1  # no resend is due
+IDLE_SWEEP_INTERVAL_NS: Final = SECOND_NS  # between searches for idle accounts, which scan all of them
+IDLE_ACCOUNT_NS: Final = 15 * SECOND_NS  # an account that was not used for this long may be dropped
+NO_RESEND_NS: Final = -1  # no resend is scheduled
 
 
 class LeasedUnits:
-    """The `UnitSource` of the leases: owner of the accounts of quotas (`leases`) and of slots (`slots`).
+    """The `UnitSource` of the leases: owns the accounts of units (`leases`) and of slots (`slots`).
 
-    It sends the messages of both. `leases` is there from `start` on, `started` says so.
+    It also sends the messages of both. `leases` is set by `start`; `started` is True after that.
     """
 
     leases: LeaseManager
@@ -37,7 +37,7 @@
     def __init__(
         self, settings: Settings, lease_settings: LeaseSettings, process: int, rng: random.Random
     ) -> None:
-        """Takes a number that no other process of this gateway had, and the source of random draws."""
+        """Stores settings and `process`, a number that no other process of this gateway has used."""
         self.settings = settings
         self.lease_settings = lease_settings
         self.process = process
@@ -46,19 +46,20 @@
         self.slots = SlotManager(lease_settings, settings.gateway_index, process, settings.longest_ns, rng)
         self.quotas: dict[tuple[int, int], Quota] = {}  # by plan and spread
         self.covered_plans = covered_plans(settings, lease_settings)
-        self.reserved_account: QuotaAccount | None = None  # of the request that is decided on just now
-        self.resend_due_ns = NOT_DUE_NS  # when requests to lessors are looked at, whether to send them again
-        self._forgot_ns = 0  # when idle accounts were searched for last
+        # account from which units were reserved for the request that is being decided
+        self.reserved_account: QuotaAccount | None = None
+        self.resend_due_ns = NO_RESEND_NS  # next time to check which requests have to be sent again
+        self._last_idle_sweep_ns = 0
 
     def attach(self, parts: DecisionParts) -> None:
-        """Takes the parts of the policy, and gives its quotas what it knows of customers."""
+        """Stores the parts of the policy, and registers the callbacks of its gossip and quotas."""
         self.parts = parts
         parts.gossip.own_level = self.own_units
         parts.ledger.met = self.on_customer_met
         parts.receiver.received = self.on_gossip_received
 
     def start(self, now: int) -> None:
-        """Opens the accounts: their token buckets fill from now on."""
+        """Creates the lease manager; token buckets fill from now on."""
         self.leases = LeaseManager(
             self.lease_settings, self.settings.gateway_index, self.process, now, self.rng
         )
@@ -67,18 +68,18 @@
     # ---- time and messages
 
     def tick(self, now: int) -> None:
-        """Lets expire what has ended."""
+        """Expires requests and leases of units and slots."""
         self.leases.tick(now)
         self.slots.tick(now)
 
     def drop_idle_accounts(self, now: int) -> None:
-        """Drops idle accounts, now and then."""
-        if now - self._forgot_ns >= FORGET_INTERVAL_NS:
-            self._forgot_ns = now
+        """Drops idle accounts, if the last sweep was long enough ago."""
+        if now - self._last_idle_sweep_ns >= IDLE_SWEEP_INTERVAL_NS:
+            self._last_idle_sweep_ns = now
             self.leases.drop_idle_accounts(now, IDLE_ACCOUNT_NS)
 
     def flush(self, now: int) -> None:
-        """Sends the messages of leases and slots, and those to lessors again that were not answered."""
+        """Sends the queued messages of leases and slots, and resends unanswered requests that are due."""
         if self.leases.lessee.resendable:
             next_ns = self.leases.lessee.resend(now)
             if next_ns is not None and not now < self.resend_due_ns <= next_ns:
@@ -93,21 +94,21 @@
             ]
 
     def on_resend_due(self, now: int) -> list[int]:
-        """Sends requests to lessors again; returns the customers whose lessors answer too late."""
-        self.resend_due_ns = NOT_DUE_NS
+        """Resends unanswered requests; returns the customers whose lessors are late to answer."""
+        self.resend_due_ns = NO_RESEND_NS
         self.flush(now)
         return self.leases.lessee.drain_late_customers()
 
     # ---- accounts
 
     def quota_account(self, now: int, customer: int, plan: int, spread: int, first: int) -> QuotaAccount:
-        """Returns a customer's account of units; `first`: the first gateway of its `spread`."""
+        """Returns a customer's account of units; its gateways are `spread` ones starting with `first`."""
         return self.leases.account(
             now, customer, plan, self._quota(plan, spread), self._gateway_set(spread, first)
         )
 
     def slot_account(self, customer: int, plan: int, spread: int, first: int) -> SlotAccount | None:
-        """Returns a customer's account of slots; None where the plan does not limit attempts in flight."""
+        """Returns a customer's account of slots; None if the plan does not limit attempts in flight."""
         limit = self.settings.plans[plan].max_in_flight
         if not limit:
             return None
@@ -121,13 +122,13 @@
         return quota
 
     def _gateway_set(self, spread: int, first: int) -> tuple[int, ...]:
-        """The gateways of a customer."""
+        """Returns the gateways that serve a customer."""
         return tuple((first + offset) % self.settings.gateway_count for offset in range(spread))
 
     # ---- the unit source
 
     def reserve(self, now: int, pending: PendingRequest, *, waited: bool) -> Reservation:
-        """Takes units and, where the plan has a limit, a slot; the one is not taken without the other."""
+        """Reserves units and, if the plan limits attempts in flight, a slot: either both or nothing."""
         request = pending.request
         customer = pending.customer
         first = request.first % self.settings.gateway_count
@@ -142,13 +143,13 @@
             self.leases.lessee.request_ahead(now, account)
             return Reservation.RESERVED
         group = self.parts.budget.inside[request.class_index][request.plan]
-        over_budget = pending.draw >= group.rate  # rejected with or without the units
+        over_budget = pending.draw >= group.rate  # the request is rejected even if it gets the units
         if not over_budget and self.leases.lessee.request_missing(now, account, request.units):
             return Reservation.PENDING
         return Reservation.REFUSED
 
     def release(self, now: int, customer: Customer, units: float) -> None:
-        """Units come back, or (below 0) go besides."""
+        """Puts reserved units back; a negative number takes more out."""
         if self.reserved_account is not None:  # the request was rejected in the batch that reserved them
             self.leases.cancel_reservation(now, self.reserved_account)
             self.reserved_account = None
@@ -156,34 +157,34 @@
             self.leases.charge(now, self.leases.accounts[customer.key], -units)
 
     def decided(self, pending: PendingRequest) -> None:
-        """What was reserved is spent."""
+        """Makes the reservation final."""
         self.reserved_account = None
 
     def request_closed(self, pending: PendingRequest) -> None:
-        """The slot of a request that is over is free again."""
+        """Frees the slot of a request that is over."""
         self.slots.release(pending.request.id)
 
     def customers_forgotten(self, keys: list[int]) -> None:
-        """Nothing to do: leases end by themselves, and idle accounts are forgotten."""
+        """Does nothing: leases expire, and idle accounts are dropped by `drop_idle_accounts`."""
 
     def ceiling_part(self, now: int, customer: Customer, plan: CustomerPlan) -> float:
-        """All of the ceiling where the quota alone holds it; else an even part, whoever is reached."""
+        """Returns the whole ceiling if the quota alone enforces it, else an equal part for each gateway."""
         return 1.0 if self.covered_plans[customer.plan] else 1 / customer.spread
 
     # ---- gossip
 
     def on_customer_met(self, customer: Customer) -> None:
-        """The first request of a customer: its ceiling is full where the quota alone holds it."""
+        """Handles a customer's first request: fills its ceiling if the quota alone enforces it."""
         if self.covered_plans[customer.plan]:
             customer.ceiling = self.settings.plans[customer.plan].ceiling_burst
 
     def own_units(self, customer: Customer) -> float | None:
-        """The units that gossip reports of a customer: this gateway's own part, for those that lack some."""
+        """Returns a customer's units in this gateway's part, which gossip reports to possible lessees."""
         account = self.leases.accounts.get(customer.key)
         return None if account is None else account.own_units
 
     def on_gossip_received(self, now: int, event: GossipReceived) -> None:
-        """What peers report of their parts says from whom units may be leased."""
+        """Records the units that a peer reports in its parts, as units may be leased from there."""
         for usage in event.usages:
             account = self.leases.accounts.get(usage.customer)
             if account is not None and event.sender < self.settings.gateway_count:
--- a/zincstile/leases/lessee.py
+++ b/zincstile/leases/lessee.py
@@ -1,4 +1,4 @@
-"""The lessee's side of leases: requests units of other gateways' parts, and gives back what is left."""
+"""The lessee's side of leases: requests units from other gateways' parts, and returns the unused ones."""
 
 from __future__ import annotations
 
@@ -11,22 +11,22 @@
 from .quota_account import QuotaAccount
 from .settings import SECOND_NS
 
-MIN_REQUEST_S: Final = (
-    0.05  # units that the quota gives in less are no request of their own: crumbs cost messages
-)
-GAIN_VALID_S: Final = (
-    2.0  # what a lessor said that it gains is believed for so long: recent use lasts as long
-)
-MAX_OVERDUE_REQUESTS: Final = 2  # in a row, from which a gateway counts as silent: one is lost now and then
+# A holder is not asked if it has less than the quota provides in this time: small leases cost too many
+# messages.
+MIN_REQUEST_S: Final = 0.05
+# A lessor's reported gain is used for this time, which is as long as recent use lasts.
+GAIN_VALID_S: Final = 2.0
+MAX_OVERDUE_REQUESTS: Final = 2  # in a row: a gateway then counts as silent, as a single one may just be lost
 MAX_SENDS: Final = 2  # of one request: a third would come too late for the attempt that waits
-MAX_LESSORS: Final = 4  # that get requests for one attempt: each more costs a message and a rounding
+MAX_LESSORS: Final = 4  # asked for one attempt, as each one costs a message and a rounding
 ROUND_TRIP_WEIGHT: Final = 1 / 4  # of a new sample in the moving average
-MIN_WEIGHT_RATIO: Final = 0.8  # lessors are ordered by available units times a drawn factor, from here ...
-WEIGHT_SPREAD_RATIO: Final = 0.4  # ... up by so much, so that not all lessees choose the same one
+# Lessors are sorted by available units times a random factor, so that not all lessees choose the same one.
+MIN_WEIGHT_RATIO: Final = 0.8  # lower end of the factor's range
+WEIGHT_SPREAD_RATIO: Final = 0.4  # width of the factor's range
 
 
 class Candidate(NamedTuple):
-    """A holder that may lease out units; compared by its weight first."""
+    """A holder that may have units to lease out. Candidates are sorted by weight."""
 
     weight: float
     units: float
@@ -34,40 +34,41 @@
 
 
 class Lessee:
-    """Requests leases and uses them up."""
+    """Requests leases, and releases those that are used up or not needed."""
 
     def __init__(self, state: LeaseState, rng: random.Random) -> None:
-        """Starts with a drawn request id, so that those of two processes seldom meet."""
+        """Starts with a random request id, so that two processes rarely use the same ids."""
         self.state = state
         self.rng = rng
         self.last_request_id = rng.getrandbits(31)
-        self.resendable: dict[int, QuotaAccount] = {}  # requests that may be sent again, by id
-        self._late_customers: dict[int, None] = {}  # those with a request that was sent again, in order
+        # accounts of requests that may be resent, by request id
+        self.resendable: dict[int, QuotaAccount] = {}
+        self._late_customers: dict[int, None] = {}  # customers with a resent request, in order
 
     # ---- requests
 
     def request_missing(self, now: int, account: QuotaAccount, units: float) -> bool:
-        """Requests what an attempt of so many units lacks; returns whether an answer may bring it."""
+        """Requests the units that an attempt of `units` lacks; returns whether answers may bring them."""
         account.refill(self.state.clock.observe(now))
         self.expire_requests(now, account)
         leased_units = account.usable_leased_units(now)
         missing_units = units - account.own_units - leased_units
-        batch_rest_units = account.batch_limit_units - account.batch_leased_units
-        if leased_units + missing_units > batch_rest_units + NEGLIGIBLE_UNITS:
+        batch_remaining_units = account.batch_limit_units - account.batch_leased_units
+        if leased_units + missing_units > batch_remaining_units + NEGLIGIBLE_UNITS:
             return False
-        coming_units = sum(
+        requested_units = sum(
             pending.request.units
             for pending in account.pending.values()
             if not pending.overdue and pending.sends == 1
         )
-        if coming_units + NEGLIGIBLE_UNITS >= missing_units:
+        if requested_units + NEGLIGIBLE_UNITS >= missing_units:
             return True
         ahead_units = min(self._expected_need(now, account), account.batch_limit_units - leased_units)
-        min_units = missing_units - coming_units
+        min_units = missing_units - requested_units
         return self._request(now, account, max(min_units, ahead_units), min_units)
 
     def request_ahead(self, now: int, account: QuotaAccount) -> None:
-        """Requests what recent use will need, before it is missing."""
+        """Requests units for the expected use before they are missing."""
         is_only_holder = len(account.holders) < 2 and self.state.gateway in account.holders
         if is_only_holder or any(not pending.overdue for pending in account.pending.values()):
             return
@@ -78,7 +79,7 @@
             self._request(now, account, units, min(units, account.quota.largest) / 2)
 
     def _expected_need(self, now: int, account: QuotaAccount) -> float:
-        """Returns the units that recent use will want before more can arrive."""
+        """Returns the units that will be used before more can arrive, if use goes on as recently."""
         peers = self.state.peers
         round_trip_ns = max(
             (peers[holder].round_trip_ns for holder in account.holders if holder in peers), default=0.0
@@ -88,41 +89,45 @@
         )
 
     def _request(self, now: int, account: QuotaAccount, units: float, min_units: float) -> bool:
-        """Requests leases of those who may have most; returns False where they have too few units together.
+        """Requests leases from the holders with the most units; returns False if they have too few together.
 
-        A gateway that left the last requests unanswered gets one beside them now and then, and is not
-        counted on.
+        One silent holder, which left its last requests unanswered, gets a request as a probe. Its units are
+        not relied on.
         """
         responsive, silent = self._candidates(now, account, units)
         chosen: list[Candidate] = []
-        found_units = 0.0
+        available_units = 0.0
         for candidate in sorted(responsive, reverse=True)[:MAX_LESSORS]:
             chosen.append(candidate)
-            found_units += candidate.units
-            if found_units >= units:
+            available_units += candidate.units
+            if available_units >= units:
                 break
         if silent:
-            tested = max(silent)
-            self._send_request(now, account, tested.gateway, min(units, tested.units), 0.0)
-        if found_units + NEGLIGIBLE_UNITS < min_units:
+            probed = max(silent)
+            self._send_request(now, account, probed.gateway, min(units, probed.units), 0.0)
+        if available_units + NEGLIGIBLE_UNITS < min_units:
             return False
-        rest_units = units
+        remaining_units = units
         for candidate in chosen:
-            part = min(rest_units, candidate.units) if found_units > candidate.units else rest_units
-            rest_units -= part
-            enough = min_units if len(chosen) == 1 else min_units / len(chosen)
-            self._send_request(now, account, candidate.gateway, part, min(part, enough))
+            part = (
+                min(remaining_units, candidate.units)
+                if available_units > candidate.units
+                else remaining_units
+            )
+            remaining_units -= part
+            min_part = min_units if len(chosen) == 1 else min_units / len(chosen)
+            self._send_request(now, account, candidate.gateway, part, min(part, min_part))
         return True
 
     def _candidates(
         self, now: int, account: QuotaAccount, units: float
     ) -> tuple[list[Candidate], list[Candidate]]:
-        """Returns holders that may have units: those that answered lately, and the silent ones."""
+        """Returns holders that may have units: those that answer, and the silent ones."""
         responsive: list[Candidate] = []
         silent: list[Candidate] = []
         min_units = min(units, MIN_REQUEST_S * account.quota.rate)
         for holder in account.holders:
-            if holder == self.state.gateway or self._has_request_at(account, holder):
+            if holder == self.state.gateway or self._awaits_answer(account, holder):
                 continue
             peer = self.state.peers.get(holder)
             if peer is not None and now < peer.backoff_until_ns:
@@ -135,8 +140,8 @@
         return responsive, silent
 
     @staticmethod
-    def _has_request_at(account: QuotaAccount, holder: int) -> bool:
-        """Returns whether an answer of the holder is due."""
+    def _awaits_answer(account: QuotaAccount, holder: int) -> bool:
+        """Returns whether a request to the holder is pending and not overdue."""
         return any(
             pending.request.recipient == holder and not pending.overdue
             for pending in account.pending.values()
@@ -168,10 +173,11 @@
         state.counters.requests += 1
 
     def resend(self, now: int) -> int | None:
-        """Sends requests that are not answered yet once more; returns when to call again, None for never.
+        """Resends unanswered requests that are due; returns when to call again, None if none is left.
 
-        The lessor answers a duplicate as it answered the first, so nothing is taken twice. An attempt whose
-        request is late does not wait for it alone (`drain_late_customers`): others get requests beside it.
+        The lessor answers a duplicate as it answered the first request, so no units are taken twice. Attempts
+        of customers with a resent request are retried (`drain_late_customers`), so that other holders are
+        asked as well.
         """
         settings = self.state.settings
         next_ns: int | None = None
@@ -190,15 +196,15 @@
         return next_ns
 
     def drain_late_customers(self) -> list[int]:
-        """Returns customers with a request that was sent again since the last call."""
-        late = list(self._late_customers)
+        """Returns the customers with a request that was resent since the last call."""
+        drained = list(self._late_customers)
         self._late_customers = {}
-        return late
+        return drained
 
     def expire_requests(self, now: int, account: QuotaAccount) -> None:
-        """Marks requests that nobody answered in time, and forgets those whose lease would have ended.
+        """Marks requests that were not answered in time, and drops those whose lease would have ended.
 
-        A gateway that leaves several in a row unanswered gets fewer, by a backoff that doubles.
+        A gateway that leaves several in a row unanswered gets fewer, by exponential backoff with jitter.
         """
         settings = self.state.settings
         for request_id, pending in list(account.pending.items()):
@@ -217,27 +223,27 @@
                 peer.backoff_ns = min(settings.max_backoff_ns, doubled_ns)
                 peer.backoff_until_ns = now + int(peer.backoff_ns * (0.5 + self.rng.random()))
 
-    # ---- what holders have
+    # ---- availability at holders
 
     def _estimate_available(self, now: int, account: QuotaAccount, holder: int) -> float:
-        """Returns the units that a holder may have to lease out by now.
+        """Estimates the units that a holder has available to lease out by now.
 
-        Its last answer said what it gains, which holds for a while; after that a part's rate is assumed. One
-        that never answered is taken for full.
+        The gain reported in its last answer is used for GAIN_VALID_S, and the rate of an equal part after
+        that. A holder that has never answered is assumed to have a full token bucket.
         """
         part_ratio = 1 / len(account.holders)
         last = account.availability.get(holder)
         if last is None:
             return account.quota.burst * part_ratio
         age_s = (now - last.observed_ns) / SECOND_NS
-        said_units = last.gain_per_s * min(age_s, GAIN_VALID_S)
+        reported_units = last.gain_per_s * min(age_s, GAIN_VALID_S)
         assumed_units = account.quota.rate * part_ratio * max(0.0, age_s - GAIN_VALID_S)
-        return min(account.quota.burst * part_ratio, last.units + (said_units + assumed_units))
+        return min(account.quota.burst * part_ratio, last.units + (reported_units + assumed_units))
 
     def record_availability(
         self, now: int, account: QuotaAccount, holder: int, units: float, gain_per_s: float | None = None
     ) -> None:
-        """Notes that a holder has so many units; without its gain, that of an even part is assumed."""
+        """Records the units that a holder has available; the default gain is the rate of an equal part."""
         if holder not in account.holders:
             return
         if gain_per_s is None:
@@ -247,9 +253,9 @@
     # ---- leases
 
     def on_grant(self, now: int, sender: int, process: int, grant: LeaseGrant) -> QuotaAccount | None:
-        """Takes the answer to a request of this process; returns the account that it belongs to.
+        """Handles the answer to a request; returns the account, or None if the answer brings nothing.
 
-        An answer that was not requested, or that comes twice or too late, is ignored.
+        An answer without a pending request, because it is a duplicate or too late, only updates the peer.
         """
         state = self.state
         account = state.accounts.get(grant.customer)
@@ -266,7 +272,7 @@
         del account.pending[grant.request_id]
         self.resendable.pop(grant.request_id, None)
         peer.overdue_requests = 0
-        if pending.sends == 1:  # else it is unknown which of them was answered (Karn and Partridge 1987)
+        if pending.sends == 1:  # otherwise it is unknown which request was answered (Karn and Partridge 1987)
             sample_ns = now - pending.requested_ns
             peer.round_trip_ns += (sample_ns - peer.round_trip_ns) * ROUND_TRIP_WEIGHT
         end_ns = pending.requested_ns + state.settings.lease_ns
@@ -277,7 +283,7 @@
         return account
 
     def release(self, account: QuotaAccount, lease: Lease) -> None:
-        """Gives a lease back: no more of it is used here, and its lessor may lend its units again."""
+        """Releases a lease: this gateway stops using it, and the lessor gets the unused units back."""
         if lease not in account.leases:
             return
         account.leases.remove(lease)
@@ -287,14 +293,14 @@
         )
 
     def release_used_up(self, account: QuotaAccount) -> None:
-        """Gives back leases of which nothing is left."""
+        """Releases leases without units left."""
         for lease in [lease for lease in account.leases if lease.units <= NEGLIGIBLE_UNITS]:
             self.release(account, lease)
 
     def release_unneeded(self, now: int, account: QuotaAccount) -> None:
-        """Gives back leases in the second half of their time that recent use will not use up."""
+        """Releases leases in the second half of their term that will not be used up at the recent rate."""
         half_ns = self.state.settings.lease_ns // 2
         for lease in [lease for lease in account.leases if lease.end_ns - now < half_ns]:
-            left_ns = lease.end_ns - now
-            if lease.units > account.recent_use_per_s(now) * left_ns / SECOND_NS:
+            remaining_ns = lease.end_ns - now
+            if lease.units > account.recent_use_per_s(now) * remaining_ns / SECOND_NS:
                 self.release(account, lease)
--- a/zincstile/leases/lessor.py
+++ b/zincstile/leases/lessor.py
@@ -1,4 +1,4 @@
-"""The lessor's side of leases: answers requests of other gateways out of the own part of a quota."""
+"""The lessor's side of leases: answers other gateways' requests from this gateway's part of a quota."""
 
 from __future__ import annotations
 
@@ -9,31 +9,32 @@
 from .lease_state import LeaseState
 from .quota_account import QuotaAccount
 
-RESERVE_S: Final = 0.15  # own use that is kept back: a request of one's own is about as long on its way
-MIN_GAIN_RATIO: Final = 0.6  # of its part's rate, that a lessor says it gains at least: recent use ends
-REMEMBERED_LEASE_TERMS: Final = (
-    4  # until an ended lease is forgotten: no duplicate of its request comes later
-)
+# Units for this much time of own use are not leased out: a request by this gateway would take about as long.
+RESERVE_S: Final = 0.15
+# The gain reported is at least this fraction of the part's rate, as this gateway's own use may end.
+MIN_GAIN_RATIO: Final = 0.6
+# A granted lease is dropped after this many terms, when no duplicate of its request can arrive any more.
+REMEMBERED_LEASE_TERMS: Final = 4
 
 
 class Lessor:
-    """Grants leases to other gateways, takes them back and lets them expire."""
+    """Grants leases to other gateways, and handles their release and expiry."""
 
     def __init__(self, state: LeaseState) -> None:
-        """Shares the state with the lessee's side."""
+        """Uses the same state as the lessee's side."""
         self.state = state
 
     def on_request(
         self, now: int, sender: int, process: int, request: LeaseRequest, account: QuotaAccount
     ) -> None:
-        """Answers a request; a duplicate gets the same answer, and nothing is taken twice."""
+        """Answers a request; a duplicate gets the same answer, and takes no further units."""
         peer = self.state.peer_of_process(sender, process)
         key = LeaseKey(sender, process, request.request_id)
         granted = account.granted_leases.get(key)
         if granted is None:
             granted = self._decide(now, key, request, account, peer)
         elif granted.units and not granted.active:
-            return  # a duplicate of the request for a lease that is over
+            return  # a duplicate of a request whose lease has ended
         self.state.outbox.messages.append(
             LeaseGrant(
                 recipient=sender,
@@ -50,7 +51,7 @@
     def _decide(
         self, now: int, key: LeaseKey, request: LeaseRequest, account: QuotaAccount, peer: PeerState
     ) -> GrantedLease:
-        """Grants or rejects a new request, and remembers the answer."""
+        """Grants or rejects a new request, and records the answer."""
         state = self.state
         account.refill(state.clock.observe(now))
         use_per_s = account.recent_use_per_s(now)
@@ -76,10 +77,10 @@
     def _units_to_grant(
         self, now: int, request: LeaseRequest, peer: PeerState, available_units: float
     ) -> float:
-        """Returns the units for a request, 0 for a rejection.
+        """Returns the units to grant for a request; 0 to reject it.
 
-        A gateway that messages do not reach is not lent to: while a grant to it should have arrived by now
-        and is not confirmed, its requests are rejected, which costs nothing and tests the path.
+        A gateway gets no units while messages don't reach it: its requests are rejected as long as a grant
+        that should have arrived by now is unconfirmed. A rejection costs no units and probes the path.
         """
         peer.unconfirmed = [grant for grant in peer.unconfirmed if grant.answer_number > request.last_answer]
         if peer.unconfirmed and now - peer.unconfirmed[0].sent_ns >= self.state.settings.answer_timeout_ns:
@@ -89,7 +90,7 @@
         return 0.0 if too_few or units <= NEGLIGIBLE_UNITS else units
 
     def on_release(self, now: int, sender: int, process: int, release: LeaseRelease) -> None:
-        """Takes back a lease that its lessee released: only while it is active, and only once."""
+        """Handles the release of a lease; ignored unless the lease is active."""
         account = self.state.accounts.get(release.customer)
         if account is None or release.process != self.state.process:
             return
@@ -101,7 +102,7 @@
         account.credit(min(granted.units, max(0.0, release.unused_units)))
 
     def expire(self, now: int, account: QuotaAccount) -> None:
-        """Ends granted leases whose time is up, and forgets those of which no duplicate can come any more."""
+        """Ends granted leases whose term is over, and drops those whose request can't arrive again."""
         lease_ns = self.state.settings.lease_ns
         for key, granted in list(account.granted_leases.items()):
             age_ns = now - granted.granted_ns
--- a/zincstile/leases/message_receiver.py
+++ b/zincstile/leases/message_receiver.py
@@ -1,4 +1,4 @@
-"""What peers send of leases, slots, suspicions and concurrency budgets, handed to its owner."""
+"""Dispatches messages from peers about leases, slots, suspicions and concurrency budgets."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from .leased_units import LeasedUnits
 from .slot_messages import SlotGrant, SlotRelease, SlotRequest
 
-# time, event, message -> the customer for whom units or a slot have come
+# Takes time, event and message; returns the customer for whom units or a slot have arrived.
 MessageHandler = Callable[[int, SharedMessagesReceived, Any], int | None]
 
 
 class MessageReceiver:
-    """Hands each message to its owner; counts and drops what doesn't fit this gateway's settings."""
+    """Passes each message to its handler; counts and drops requests that don't match the settings."""
 
     def __init__(
         self,
@@ -27,12 +27,12 @@
         failure_detector: FailureDetector,
         budget: ConcurrencyBudget,
     ) -> None:
-        """Takes the owners of what peers send."""
+        """Stores the parts that handle the messages."""
         self.settings = settings
         self.units = units
         self.failure_detector = failure_detector
         self.budget = budget
-        self.mismatched = 0  # requests that don't fit what is known here
+        self.mismatched = 0  # requests that don't match this gateway's settings or accounts
         self.handlers: dict[type, MessageHandler] = {
             LeaseRequest: self._on_lease_request,
             LeaseGrant: self._on_lease_grant,
@@ -45,11 +45,11 @@
         }
 
     def is_from_peer(self, event: SharedMessagesReceived) -> bool:
-        """The sender is another gateway of this fleet."""
+        """Returns whether the sender is another gateway of this fleet."""
         return 0 <= event.sender < self.settings.gateway_count and event.sender != self.settings.gateway_index
 
     def receive(self, now: int, event: SharedMessagesReceived) -> list[int]:
-        """Takes messages in; returns the customers for whom something has come, each once, in order."""
+        """Handles messages; returns the customers for whom units or slots have arrived, each once."""
         customers: dict[int, None] = {}
         for message in event.messages:
             customer = self.handlers[type(message)](now, event, message)
@@ -67,7 +67,7 @@
             now, request.customer, request.plan, request.set_size, request.first_gateway
         )
         if account.plan != request.plan or not _is_set_of(account.gateways, request):
-            self.mismatched += 1  # one customer with two sets: the first one holds
+            self.mismatched += 1  # the customer's account has other gateways or another plan; it is kept
             return
         self.units.leases.lessor.on_request(now, event.sender, event.process, request, account)
 
@@ -109,7 +109,7 @@
         self.failure_detector.merge(now, suspicion)
 
     def _is_valid(self, request: LeaseRequest | SlotRequest) -> bool:
-        """The plan has a quota, and the set of gateways is one of this fleet."""
+        """Returns whether the plan has a quota and the gateways belong to this fleet."""
         settings = self.settings
         return (
             request.plan < len(settings.plans)
@@ -120,6 +120,6 @@
 
 
 def _is_set_of(gateways: Iterable[int], request: LeaseRequest | SlotRequest) -> bool:
-    """The gateways of an account are those that a request names."""
+    """Returns whether an account's gateways are those that the request names."""
     members = list(gateways)
     return len(members) == request.set_size and members[0] == request.first_gateway
--- a/zincstile/leases/quota_account.py
+++ b/zincstile/leases/quota_account.py
@@ -1,4 +1,4 @@
-"""One customer's quota at one gateway: its own part as a token bucket, and leases from and to others."""
+"""One customer's quota at one gateway: the own part as a token bucket, and leases from and to others."""
 
 from __future__ import annotations
 
@@ -17,19 +17,19 @@
 
 @dataclass(slots=True)
 class QuotaAccount:
-    """A customer's quota at this gateway. Units are those of the plan, rates are units per second."""
+    """A customer's quota at this gateway. Units are the plan's quota units."""
 
     customer: int
     plan: int
     quota: Quota
-    gateways: tuple[int, ...]  # the customer's gateways
-    holders: tuple[int, ...]  # those that hold a part of the quota
-    capacity_units: float  # of the own token bucket; 0: this gateway holds no part
+    gateways: tuple[int, ...]  # that serve the customer
+    holders: tuple[int, ...]  # gateways that hold a part of the quota
+    capacity_units: float  # of the own token bucket; 0 if this gateway is not a holder
     rate_per_s: float  # at which the own token bucket fills
     batch_limit_units: float  # leased units that may be spent in one batch
     own_units: float  # in the own token bucket
-    filled_ns: int  # when it was last filled, by the process's running time
-    leased_out_units: float = 0.0  # granted to others and neither released nor expired
+    filled_ns: int  # running time of the process when the bucket was last filled
+    leased_out_units: float = 0.0  # granted to others, and neither released nor expired
     leases: list[Lease] = field(default_factory=list)
     pending: dict[int, PendingRequest] = field(default_factory=dict)  # by request id
     availability: dict[int, Availability] = field(default_factory=dict)  # by holder
@@ -37,8 +37,9 @@
     use_per_s: float = 0.0  # recent use at `used_ns`
     used_ns: int = 0
     batch_ns: int = -1  # the batch that `batch_leased_units` belongs to
-    batch_leased_units: float = 0.0  # leased units that were spent in this batch
-    last_spent: list[tuple[Lease | None, float]] = field(default_factory=list)  # None: the own token bucket
+    batch_leased_units: float = 0.0  # leased units that were spent in that batch
+    # units by source of the last `spend`; None stands for the own token bucket
+    last_spent: list[tuple[Lease | None, float]] = field(default_factory=list)
 
     @property
     def has_leases(self) -> bool:
@@ -51,35 +52,36 @@
         return self.own_units >= self.capacity_units - NEGLIGIBLE_UNITS
 
     def refill(self, running_ns: int) -> None:
-        """Fills the own token bucket for the running time that passed.
+        """Fills the own token bucket for the running time since the last refill.
 
-        It holds its capacity less what is lent, so that buckets and leases never exceed the burst together.
+        Its limit is its capacity less the units leased out, so that token buckets and leases together never
+        exceed the burst.
         """
-        room = max(0.0, self.capacity_units - self.leased_out_units)
+        limit_units = max(0.0, self.capacity_units - self.leased_out_units)
         gained = self.rate_per_s * (running_ns - self.filled_ns) / SECOND_NS
-        self.own_units = min(room, self.own_units + gained)
+        self.own_units = min(limit_units, self.own_units + gained)
         self.filled_ns = running_ns
 
     def credit(self, units: float) -> None:
-        """Puts units back into the own token bucket, as far as they fit; negative units are taken out."""
-        room = max(0.0, self.capacity_units - self.leased_out_units)
-        self.own_units = min(room, self.own_units + units)
+        """Puts units into the own token bucket, up to its limit; a negative number takes units out."""
+        limit_units = max(0.0, self.capacity_units - self.leased_out_units)
+        self.own_units = min(limit_units, self.own_units + units)
 
     def lease_out(self, units: float) -> None:
-        """Takes units out of the own token bucket for a lease to another gateway."""
+        """Moves units from the own token bucket into a lease to another gateway."""
         self.own_units -= units
         self.leased_out_units += units
 
     def end_grant(self, granted: GrantedLease) -> None:
-        """Ends a lease to another gateway: the own token bucket may fill up again by its units."""
+        """Ends a lease to another gateway, so that the own token bucket may fill up by its units again."""
         granted.active = False
         self.leased_out_units = max(0.0, self.leased_out_units - granted.units)
 
     def drop_expired_leases(self, now: int) -> None:
-        """Drops leases from other gateways whose time is up."""
-        running = [lease for lease in self.leases if lease.end_ns > now]
-        if len(running) < len(self.leases):
-            self.leases = running
+        """Drops leases from other gateways whose term is over."""
+        active = [lease for lease in self.leases if lease.end_ns > now]
+        if len(active) < len(self.leases):
+            self.leases = active
 
     def leased_units(self) -> float:
         """Returns the units left in leases from other gateways."""
@@ -96,9 +98,9 @@
         return max(0.0, min(self.leased_units(), self.batch_limit_units - self.batch_leased_units))
 
     def spend(self, units: float) -> None:
-        """Takes units out of the leases, and then out of the own part.
+        """Takes units from the leases, starting with the one that ends first, then from the own token bucket.
 
-        The caller has seen that they are there. Leases that end first are used first.
+        The caller has checked that they are available.
         """
         self.last_spent = []
         missing = units
@@ -114,7 +116,7 @@
             self.last_spent.append((None, missing))
 
     def undo_last_spend(self) -> None:
-        """Puts units spent last in this batch back where they came from; those of an ended lease are lost."""
+        """Puts the units of the last `spend` back to their sources; those of an ended lease are lost."""
         for lease, units in self.last_spent:
             if lease is None:
                 self.credit(units)
@@ -127,8 +129,8 @@
 
     def record_use(self, now: int, units: float) -> None:
         """Adds units to the recent use."""
-        kept_ratio = math.exp(-(now - self.used_ns) / SECOND_NS / USE_MEMORY_S)
-        self.use_per_s = self.use_per_s * kept_ratio + units / USE_MEMORY_S
+        decay = math.exp(-(now - self.used_ns) / SECOND_NS / USE_MEMORY_S)
+        self.use_per_s = self.use_per_s * decay + units / USE_MEMORY_S
         self.used_ns = now
 
     def recent_use_per_s(self, now: int) -> float:
--- a/zincstile/leases/running_clock.py
+++ b/zincstile/leases/running_clock.py
@@ -1,4 +1,4 @@
-"""A clock that counts the time for which this process was observed to run."""
+"""A clock that counts only the time for which this process was running."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 
 @dataclass(slots=True)
 class RunningClock:
-    """Counts running time: a process that was stopped gains nothing for the time in which it did not run."""
+    """Counts running time, leaving out the time for which the process was suspended."""
 
-    max_gap_ns: int  # a longer gap between two observations counts as this
+    max_gap_ns: int  # a longer gap between two observations counts as this long
     running_ns: int = 0
-    observed_ns: int = -1  # the last observation, by the machine's clock; -1: none
+    observed_ns: int = -1  # last observation, on the machine's clock; -1 if there is none
 
     def observe(self, now: int) -> int:
-        """Returns the running time so far, in nanoseconds, with the time since the last observation."""
+        """Returns the running time up to `now`, in nanoseconds."""
         if self.observed_ns >= 0:
             self.running_ns += min(self.max_gap_ns, max(0, now - self.observed_ns))
         self.observed_ns = max(now, self.observed_ns)
--- a/zincstile/leases/slot_messages.py
+++ b/zincstile/leases/slot_messages.py
@@ -1,7 +1,7 @@
-"""Messages between gateways about slots: one request of a customer's in flight each, leased like units.
+"""Messages between gateways that request, grant and release slots, each for one customer request in flight.
 
-A slot's lease is named by the process that requested it and a request id, which that process uses once. A
-field `process` names the process that a message is meant for.
+A lease of a slot is identified by the process that requested it and a request id that this process uses only
+once. The field `process` is the recipient's process.
 """
 
 from __future__ import annotations
@@ -11,19 +11,19 @@
 
 @dataclass(slots=True)
 class SlotRequest:
-    """A request for one slot of a customer's."""
+    """A request for one of a customer's slots."""
 
     recipient: int  # gateway
     customer: int
     plan: int
-    set_size: int  # gateways of the customer
-    first_gateway: int  # the first of them; the others follow it in order
+    set_size: int  # number of gateways that serve the customer
+    first_gateway: int  # the first of them; the others have the following numbers
     request_id: int
 
 
 @dataclass(slots=True)
 class SlotGrant:
-    """The answer to a request: the slot is granted, or the lessor has none free."""
+    """The answer to a request; `granted` is False if the lessor has no free slot."""
 
     recipient: int  # gateway
     customer: int
@@ -34,7 +34,7 @@
 
 @dataclass(slots=True)
 class SlotRelease:
-    """The end of a slot's lease: it is free again."""
+    """Ends the lease of a slot, which the lessor may use again."""
 
     recipient: int  # gateway
     customer: int
--- a/zincstile/leases/slots.py
+++ b/zincstile/leases/slots.py
@@ -1,13 +1,13 @@
-"""Limits on a customer's requests in flight: whole slots that have one owner each and are leased to others.
+"""Limits a customer's requests in flight: each slot has one owner, and can be leased to another gateway.
 
-A plan's limit is split among a customer's holders in whole slots, so that they sum up to it under any
-partition. A request holds a slot from its decision until it is over. A gateway that has none free requests
-one of another holder. The lease lasts for the longest deadline and `answer_timeout_ns` from its request, and
-is used only for a request whose client gives up before that. So the lessor, which counts from its answer, may
-use the slot again after that time without a message; a release brings it back earlier.
+A plan's limit is divided among a customer's holders in whole slots, so that they add up to the limit under
+any partition. A request occupies a slot from its decision until it is over. A gateway without a free slot
+requests one from another holder. The lease lasts for the longest deadline plus `answer_timeout_ns` from its
+request, and is used only for requests whose deadline is earlier. The lessor counts the same time from its
+answer, so it can reuse the slot after that time without a message; a release returns it earlier.
 
-What may be in flight beyond a limit: after the restart of a lessor, the slots that it had leased out, until
-these leases end. Nothing else.
+A limit can be exceeded in one case only: after the restart of a lessor, by the slots that it had leased out,
+until these leases end.
 """
 
 from __future__ import annotations
@@ -21,15 +21,15 @@
 from .settings import LeaseSettings
 from .slot_messages import SlotGrant, SlotMessage, SlotRelease, SlotRequest
 
-REMEMBERED_LEASE_TERMS: Final = (
-    2  # until an ended lease is forgotten: no duplicate of its request comes later
-)
-UNUSED_ANSWER_WAITS: Final = 2  # that a leased slot may stay unused: the request that needs it waits for one
+# A granted slot is dropped after this many terms, when no duplicate of its request can arrive any more.
+REMEMBERED_LEASE_TERMS: Final = 2
+# A leased slot may stay unused for this many answer timeouts; the request that needs it waits for one.
+UNUSED_ANSWER_WAITS: Final = 2
 
 
 @dataclass(slots=True, eq=False)
 class SlotLease:
-    """A slot of another gateway's, as its lessee keeps it."""
+    """The lessee's record of a slot that is leased from another gateway."""
 
     lessor: int  # gateway
     process: int  # of the lessor
@@ -40,14 +40,14 @@
 
 @dataclass(slots=True)
 class GrantedSlot:
-    """The answer to a request as its lessor keeps it; not active: the slot was rejected or is free again."""
+    """The lessor's record of its answer to a request."""
 
     granted_ns: int
-    active: bool
+    active: bool  # False if the request was rejected, or the slot is free again
 
 
 class PendingSlotRequest(NamedTuple):
-    """A request for a slot that is not answered yet."""
+    """A request for a slot that has not been answered."""
 
     holder: int  # gateway
     requested_ns: int
@@ -59,14 +59,14 @@
 
     customer: int
     plan: int
-    gateways: tuple[int, ...]  # the customer's gateways
-    holders: tuple[int, ...]  # those that hold slots
+    gateways: tuple[int, ...]  # that serve the customer
+    holders: tuple[int, ...]  # gateways that own slots
     own_slots: int
-    used_slots: int = 0  # of the own ones
+    used_slots: int = 0  # own slots occupied by requests of this gateway
     granted_leases: dict[LeaseKey, GrantedSlot] = field(default_factory=dict)
     leases: list[SlotLease] = field(default_factory=list)
     pending: dict[int, PendingSlotRequest] = field(default_factory=dict)  # by request id
-    empty_until_ns: dict[int, int] = field(default_factory=dict)  # by holder: it has no slot free until then
+    empty_until_ns: dict[int, int] = field(default_factory=dict)  # by holder: not asked before this time
 
     @property
     def leased_out_slots(self) -> int:
@@ -80,11 +80,11 @@
 
     @property
     def is_idle(self) -> bool:
-        """Whether the account may be forgotten."""
+        """Whether the account has no state that is still needed."""
         return not (self.used_slots or self.granted_leases or self.leases or self.pending)
 
     def usable_lease(self, until_ns: int) -> SlotLease | None:
-        """Returns a leased slot for a request that is over by then; None where there is none."""
+        """Returns an unused leased slot that lasts until `until_ns`; None if there is none."""
         for lease in self.leases:
             if not lease.used and lease.end_ns >= until_ns:
                 return lease
@@ -92,22 +92,22 @@
 
 
 class AcquiredSlot(NamedTuple):
-    """The slot of a request in flight."""
+    """The slot that a request in flight occupies."""
 
     account: SlotAccount
-    lease: SlotLease | None  # None: an own slot
+    lease: SlotLease | None  # None for an own slot
 
 
 class SlotManager:
-    """The slots of one gateway."""
+    """The slot accounts of one gateway, with both sides of its slot leases."""
 
     def __init__(
         self, settings: LeaseSettings, gateway: int, process: int, longest_ns: int, rng: random.Random
     ) -> None:
         """Starts without accounts.
 
-        `process` is a number that no other process of this gateway had; `longest_ns` is the longest deadline
-        of a request.
+        `process` is a number that no other process of this gateway has used; `longest_ns` is the longest
+        deadline of a request.
         """
         self.settings = settings
         self.gateway = gateway
@@ -117,11 +117,11 @@
         self.accounts: dict[int, SlotAccount] = {}  # by customer
         self.outbox: list[SlotMessage] = []
         self.acquired_slots: dict[int, AcquiredSlot] = {}  # by request
-        self.granted_slots = 0  # so far
+        self.granted_slots = 0  # since the start
         self._last_request_id = rng.getrandbits(31)
 
     def account(self, customer: int, plan: int, limit: int, gateways: tuple[int, ...]) -> SlotAccount:
-        """Returns a customer's account, made where there is none; `limit` is the plan's."""
+        """Returns a customer's account, creating it if needed; `limit` is the plan's limit."""
         account = self.accounts.get(customer)
         if account is None:
             holders = tuple(choose_holders(customer, gateways, min(limit, len(gateways))))
@@ -136,11 +136,14 @@
     # ---- requests in flight
 
     def has_free_slot(self, account: SlotAccount, until_ns: int) -> bool:
-        """Returns whether there is a slot for a request that is over by then."""
+        """Returns whether there is a slot for a request that is over by `until_ns`."""
         return account.free_slots > 0 or account.usable_lease(until_ns) is not None
 
     def acquire(self, account: SlotAccount, request: int, until_ns: int) -> None:
-        """Gives the request a slot until `release`, after `has_free_slot`; a leased one first, as it ends."""
+        """Assigns a slot to a request, until `release`; the caller has checked `has_free_slot`.
+
+        Leased slots are used before own ones, as they expire.
+        """
         lease = account.usable_lease(until_ns)
         if lease is None:
             account.used_slots += 1
@@ -149,25 +152,25 @@
         self.acquired_slots[request] = AcquiredSlot(account, lease)
 
     def release(self, request: int) -> None:
-        """Takes back the slot of a request that is over; nothing happens where it held none."""
-        held = self.acquired_slots.pop(request, None)
-        if held is None:
+        """Frees the slot of a request that is over; does nothing if it has none."""
+        slot = self.acquired_slots.pop(request, None)
+        if slot is None:
             return
-        if held.lease is None:
-            held.account.used_slots -= 1
+        if slot.lease is None:
+            slot.account.used_slots -= 1
         else:
-            self._release_lease(held.account, held.lease)
+            self._release_lease(slot.account, slot.lease)
 
     def _release_lease(self, account: SlotAccount, lease: SlotLease) -> None:
-        """Gives a leased slot back to its lessor."""
+        """Returns a leased slot to its lessor."""
         if lease in account.leases:
             account.leases.remove(lease)
             self.outbox.append(SlotRelease(lease.lessor, account.customer, lease.request_id, lease.process))
 
-    # ---- as a lessee
+    # ---- as lessee
 
     def request_slot(self, now: int, account: SlotAccount) -> bool:
-        """Requests a slot of one holder that may have one; returns whether an answer may bring it."""
+        """Requests a slot from a holder that may have one; returns whether an answer may bring it."""
         answer_wait_ns = self.settings.answer_timeout_ns
         if any(now - pending.requested_ns < answer_wait_ns for pending in account.pending.values()):
             return True
@@ -181,7 +184,7 @@
         holder = self.rng.choice(candidates)
         self._last_request_id = (self._last_request_id + 1) % 2**32
         account.pending[self._last_request_id] = PendingSlotRequest(holder, now)
-        account.empty_until_ns[holder] = now + answer_wait_ns  # unless it answers
+        account.empty_until_ns[holder] = now + answer_wait_ns  # until it answers or the request times out
         self.outbox.append(
             SlotRequest(
                 recipient=holder,
@@ -195,7 +198,7 @@
         return True
 
     def on_grant(self, now: int, sender: int, process: int, grant: SlotGrant) -> bool:
-        """Takes the answer to a request of this process; returns whether it brings a slot."""
+        """Handles the answer to a request of this process; returns whether it grants a slot."""
         account = self.accounts.get(grant.customer)
         if account is None or grant.process != self.process:
             return False
@@ -210,7 +213,7 @@
         account.leases.append(SlotLease(sender, process, grant.request_id, end_ns))
         return True
 
-    # ---- as a lessor
+    # ---- as lessor
 
     def on_request(
         self, now: int, sender: int, process: int, request: SlotRequest, account: SlotAccount
@@ -223,11 +226,11 @@
             account.granted_leases[key] = granted
             self.granted_slots += granted.active
         elif not granted.active:
-            return  # a duplicate of a request that was rejected, or whose lease is over
+            return  # a duplicate of a request that was rejected or whose lease has ended
         self.outbox.append(SlotGrant(sender, account.customer, request.request_id, granted.active, process))
 
     def on_release(self, sender: int, process: int, release: SlotRelease) -> None:
-        """Takes back a slot that its lessee released."""
+        """Handles the release of a slot by its lessee."""
         account = self.accounts.get(release.customer)
         if account is None or release.process != self.process:
             return
@@ -238,7 +241,7 @@
     # ---- time and messages
 
     def tick(self, now: int) -> None:
-        """Lets expire what has ended, and gives back leased slots that are not used."""
+        """Expires leases and requests, releases unused leased slots, and drops idle accounts."""
         for customer, account in list(self.accounts.items()):
             self._expire_granted(now, account)
             self._release_unused(now, account)
@@ -251,7 +254,7 @@
                 del self.accounts[customer]
 
     def _expire_granted(self, now: int, account: SlotAccount) -> None:
-        """Ends leases to others whose time is up, and forgets those that ended long ago."""
+        """Ends leases to others whose term is over, and drops those that ended long ago."""
         for key, granted in list(account.granted_leases.items()):
             age_ns = now - granted.granted_ns
             if age_ns >= self.lease_ns:
@@ -260,14 +263,14 @@
                 del account.granted_leases[key]
 
     def _release_unused(self, now: int, account: SlotAccount) -> None:
-        """Gives back leased slots that no request took for some time."""
+        """Releases leased slots that no request has used for some time."""
         for lease in [lease for lease in account.leases if not lease.used]:
             requested_ns = lease.end_ns - self.lease_ns
             if now - requested_ns >= UNUSED_ANSWER_WAITS * self.settings.answer_timeout_ns:
                 self._release_lease(account, lease)
 
     def drain_messages(self) -> list[SlotMessage]:
-        """Returns the messages to send, each once."""
+        """Returns the queued messages and empties the queue."""
         drained = self.outbox
         self.outbox = []
         return drained
--- a/zincstile/leases/suspected_endpoints.py
+++ b/zincstile/leases/suspected_endpoints.py
@@ -1,4 +1,4 @@
-"""Endpoints that other gateways suspect, as the outlier detection of the policy takes them."""
+"""Passes other gateways' suspicions of endpoints to the policy's outlier detection."""
 
 from __future__ import annotations
 
@@ -9,27 +9,27 @@
 from ..decisions.parts import DecisionParts
 from .failure_detector import ALL_CLASSES, FailureDetector
 
-UNREACHABLE_ERROR: Final = 0.99  # of a sample: no connection, or no answer
-# A score that is just kept: the choice of an endpoint then looks at all that is known of it.
+UNREACHABLE_ERROR: Final = 0.99  # a sample with at least this error means no connection or no answer
+# The lowest score that the outlier detection keeps. It makes the choice of an endpoint consult all scores.
 MARKING_SCORE: Final = 0.011
 
 
 class SuspectedEndpoints:
-    """The `SharedSuspicion` of the leases: own samples go in, scores by others' reports come out."""
+    """The `SharedSuspicion` of the leases: collects own samples and provides scores from others' reports."""
 
     def __init__(self, failure_detector: FailureDetector) -> None:
-        """Takes the owner of all reports."""
+        """Starts without scores."""
         self.failure_detector = failure_detector
-        self.scores: dict[int, dict[int, float]] = {}  # by endpoint hash and group; by reports alone
+        self.scores: dict[int, dict[int, float]] = {}  # from others' reports, by endpoint hash and group
         self._logged_isolated = False
 
     def attach(self, parts: DecisionParts) -> None:
-        """Takes the parts of the policy, and gives its outlier detection the scores."""
+        """Stores the parts of the policy, and registers with its outlier detection."""
         self.parts = parts
         parts.detector.shared = self
 
     def record_sample(self, now: int, endpoint_hash: int, group: int, error: float, weight: float) -> None:
-        """Takes an own sample; it is reported with this gateway as its origin."""
+        """Records an own sample, which is reported with this gateway as its origin."""
         of_class = group == ALL_CLASSES or group < len(self.parts.settings.classes)
         unreachable = error >= UNREACHABLE_ERROR and of_class
         self.failure_detector.record_attempt(
@@ -37,14 +37,14 @@
         )
 
     def score(self, endpoint: Endpoint, class_index: int, pair: int) -> float | None:
-        """The score of an endpoint by the reports of others; None where nobody suspects it."""
+        """Returns an endpoint's score from others' reports; None if no gateway suspects it."""
         reported = self.scores.get(endpoint.hash)
         if reported is None:
             return None
         return max(reported.get(group, 0.0) for group in (class_index, pair, ALL_CLASSES))
 
     def tick(self, now: int) -> None:
-        """Works out the scores anew, and logs whether this gateway is cut off from the back end."""
+        """Recomputes the scores, and logs changes of whether this gateway is isolated."""
         endpoints = self.parts.endpoints
         hashes = [endpoint.hash for endpoint in endpoints.ready]
         self.failure_detector.tick(now, hashes)
