--- a/zincstile/leases/concurrency_budget.py
+++ b/zincstile/leases/concurrency_budget.py
@@ -28,9 +28,13 @@
 FACTOR_DOUBLING_S: Final = 0.5
 MAX_FACTOR: Final = 3.4  # three in ten gateways can take over the whole limit
 # A longer time between two ticks counts as a suspension of this process: five ticks.
-SUSPENDED_NS: Final = 500 * MILLISECOND_NS
-FORGET_NS: Final = 60 * SECOND_NS  # a report of this age is dropped, as its origin has long been silent
-RECIPIENTS: Final = 3  # gateways that get a message in each round, so that it reaches all in a few rounds
+SUSPENSION_GAP_NS: Final = 500 * MILLISECOND_NS
+REPORT_EXPIRY_NS: Final = (
+    60 * SECOND_NS
+)  # a report of this age is dropped, as its origin has long been silent
+RECIPIENTS_PER_ROUND: Final = (
+    3  # gateways that get a message in each round, so that it reaches all in a few rounds
+)
 MAX_RELAYED_REPORTS: Final = 10  # in one message, which fits into one datagram together with the own report
 AGE_STEPS: Final = 8  # steps of `silence_ns` by which reports are sorted; their order within a step is random
 
@@ -84,7 +88,7 @@
         arrive. If this gateway gets a report with a later incarnation of itself, because its machine's clock
         was reset, it continues with an incarnation beyond that.
         """
-        if not 0 <= report.origin < self.gateway_count or report.age_ns > FORGET_NS:
+        if not 0 <= report.origin < self.gateway_count or report.age_ns > REPORT_EXPIRY_NS:
             return False
         if report.origin == self.gateway:
             if (report.incarnation, report.sequence) > (self.incarnation, self.sequence):
@@ -108,13 +112,13 @@
 
     def tick(self, now: int) -> float:
         """Updates and returns the factor of this gateway's part; it falls at once and rises gradually."""
-        if self.last_tick_ns < 0 or now - self.last_tick_ns > SUSPENDED_NS:
+        if self.last_tick_ns < 0 or now - self.last_tick_ns > SUSPENSION_GAP_NS:
             self.running_since_ns = now
             self.factor = 1.0
         elapsed_s = (now - self.last_tick_ns) / SECOND_NS if self.last_tick_ns >= 0 else 0.0
         self.last_tick_ns = now
         for origin in [
-            key for key, report in self.known_reports.items() if now - report.created_ns > FORGET_NS
+            key for key, report in self.known_reports.items() if now - report.created_ns > REPORT_EXPIRY_NS
         ]:
             del self.known_reports[origin]
         wanted_factor = min(MAX_FACTOR, self.gateway_count / self.live_gateways(now))
@@ -159,4 +163,4 @@
     def draw_recipients(self, rng: random.Random) -> list[int]:
         """Returns the gateways that get this round's message, chosen at random."""
         others = [gateway for gateway in range(self.gateway_count) if gateway != self.gateway]
-        return rng.sample(others, min(RECIPIENTS, len(others)))
+        return rng.sample(others, min(RECIPIENTS_PER_ROUND, len(others)))
--- a/zincstile/leases/failure_detector.py
+++ b/zincstile/leases/failure_detector.py
@@ -2,8 +2,7 @@
 
 * Own attempts have priority: a suspicion is ignored for an endpoint with recent attempts from here.
 * Suspicions of others count only if observers in several zones share them. Gateways of one zone fail
-  together:
-  if a zone is cut off, all of its gateways suspect all endpoints in other zones.
+  together: if a zone is cut off, all of its gateways suspect all endpoints in other zones.
 * Suspicions of others exclude at most a fixed part of the endpoints, no matter how many gateways share them.
 * A suspicion ends `suspicion_ns` after it was made. It carries its age, which only grows as it is relayed.
 * A gateway considers itself isolated if most endpoints fail for it, while the gateways that it hears from do
@@ -27,7 +26,7 @@
 UNSUSPECTED_RATIO: Final = 0.9  # of SUSPECT_ERROR_SCORE: surplus suspicions are lowered to it
 # Own attempts are valid for this time, as an endpoint may recover meanwhile.
 OWN_SAMPLES_VALID_NS: Final = 3_000_000_000
-FORGET_SAMPLES_NS: Final = 10 * OWN_SAMPLES_VALID_NS  # own samples are dropped after this time without one
+SAMPLES_EXPIRY_NS: Final = 10 * OWN_SAMPLES_VALID_NS  # own samples are dropped after this time without one
 MIN_OWN_SAMPLES: Final = 2  # own attempts needed to ignore others' suspicions: a single one may be chance
 MAX_RELAYED_SUSPICIONS: Final = 6  # in one message; with the own suspicions they fit into one datagram
 MAX_OWN_SUSPICIONS: Final = 8  # in one message
@@ -205,7 +204,7 @@
                 del by_origin[origin]
             if not by_origin:
                 del self.received_suspicions[key]
-        for key in [key for key, own in self.own_samples.items() if now - own.last_ns > FORGET_SAMPLES_NS]:
+        for key in [key for key, own in self.own_samples.items() if now - own.last_ns > SAMPLES_EXPIRY_NS]:
             del self.own_samples[key]
 
     def _is_isolated(self, now: int, endpoints: set[int]) -> bool:
--- a/zincstile/leases/lease_manager.py
+++ b/zincstile/leases/lease_manager.py
@@ -5,8 +5,7 @@
 add up to the quota. A gateway that lacks units leases them from a holder that has some:
 
 * The lessor takes the units out of its token bucket before it sends the grant. If the grant is lost, so are
-  the
-  units, but no two gateways ever have the same units.
+  the units, but no two gateways ever have the same units.
 * A lease ends `lease_ns` after its request was sent, on the lessee's clock. On the lessor's clock it ends
   `lease_ns` after the grant, which is later. So both sides know the end without a message, and their clocks
   need not be synchronized.
--- a/zincstile/leases/lessee.py
+++ b/zincstile/leases/lessee.py
@@ -11,7 +11,7 @@
 from .quota_account import QuotaAccount
 from .settings import SECOND_NS
 
-# A holder is not asked if it has less than the quota provides in this time: small leases cost too many
+# Holders with fewer units than the quota provides in this time are not asked, as small leases cost too many
 # messages.
 MIN_REQUEST_S: Final = 0.05
 # A lessor's reported gain is used for this time, which is as long as recent use lasts.
@@ -253,7 +253,7 @@
     # ---- leases
 
     def on_grant(self, now: int, sender: int, process: int, grant: LeaseGrant) -> QuotaAccount | None:
-        """Handles the answer to a request; returns the account, or None if the answer brings nothing.
+        """Handles the answer to a request; returns the account, or None if there is no such pending request.
 
         An answer without a pending request, because it is a duplicate or too late, only updates the peer.
         """
--- a/zincstile/leases/overshoot_bound.py
+++ b/zincstile/leases/overshoot_bound.py
@@ -47,7 +47,7 @@
 
 
 def unnoticed_pause_units(quota: Quota, settings: LeaseSettings) -> float:
-    """Returns the units by which token buckets fill during a suspension too short to be detected."""
+    """Returns the units by which token buckets fill in a suspension, of which `max_tick_gap_ns` counts."""
     return quota.rate * settings.max_tick_gap_ns / SECOND_NS
 
 
--- a/zincstile/leases/slots.py
+++ b/zincstile/leases/slots.py
@@ -24,7 +24,7 @@
 # A granted slot is dropped after this many terms, when no duplicate of its request can arrive any more.
 REMEMBERED_LEASE_TERMS: Final = 2
 # A leased slot may stay unused for this many answer timeouts; the request that needs it waits for one.
-UNUSED_ANSWER_WAITS: Final = 2
+MAX_UNUSED_ANSWER_TIMEOUTS: Final = 2
 
 
 @dataclass(slots=True, eq=False)
@@ -266,7 +266,7 @@
         """Releases leased slots that no request has used for some time."""
         for lease in [lease for lease in account.leases if not lease.used]:
             requested_ns = lease.end_ns - self.lease_ns
-            if now - requested_ns >= UNUSED_ANSWER_WAITS * self.settings.answer_timeout_ns:
+            if now - requested_ns >= MAX_UNUSED_ANSWER_TIMEOUTS * self.settings.answer_timeout_ns:
                 self._release_lease(account, lease)
 
     def drain_messages(self) -> list[SlotMessage]:
