--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from zincstile.cold_start import codec
-from zincstile.cold_start.admission_ramp import AdmissionRamp, sent_bound
+from zincstile.cold_start.admission_ramp import AdmissionRamp, max_sent_units
 from zincstile.cold_start.entry_lines import bucket_of, decode_entry, encode_entry
 from zincstile.cold_start.messages import (
     BUCKETS,
@@ -29,7 +29,7 @@
 from zincstile.simulation import starts, traffic
 from zincstile.simulation.plan import Plan
 
-SET = ColdStartSettings(peers=True)
+SET = ColdStartSettings(use_peer_lists=True)
 
 
 def entries(count, version=1):
@@ -75,14 +75,14 @@
 def test_who_starts_gets_the_list_from_those_that_have_it_within_the_intake(count, loss):
     fleet, listed = Fleet(count, loss), entries(200)
     for one in fleet.all[: max(2, count // 3)]:
-        one.list_from_discovery(0, 41, listed, complete=True)
+        one.receive_discovery_list(0, 41, listed, complete=True)
     seekers = fleet.all[max(2, count // 3) :]
     for one in seekers:
         one.search.start(0)
     fleet.run(12 * SECOND)
     for one in seekers:
-        found = one.take_found()
-        assert found.trust is ListTrust.PEERS_AGREE and found.version == 41 and one.take_found() is None
+        found = one.take_result()
+        assert found.trust is ListTrust.PEERS_AGREE and found.version == 41 and one.take_result() is None
         assert sorted(e["name"] for e in found.entries) == sorted(e["name"] for e in listed)
         assert {e["name"]: e["since_ms"] for e in found.entries} == {e["name"]: e["since_ms"] for e in listed}
         assert one.copy.digest(fleet.now) is None  # what came from peers is not told on
@@ -92,40 +92,42 @@
 def test_the_newest_list_wins_one_that_lies_is_dropped_and_discovery_prevails():
     fleet = Fleet(6)
     for k in range(4):
-        fleet.all[k].list_from_discovery(0, 40 + (k >= 2), entries(60, version=k // 2), complete=True)
+        fleet.all[k].receive_discovery_list(0, 40 + (k >= 2), entries(60, version=k // 2), complete=True)
     # one teller of the newest list tells lines that don't give its sums
     fleet.spoil = (
-        lambda sender, data: codec.pack(BucketPart(41, part.bucket, part.part, part.parts, (b"x",)))
+        lambda sender, data: codec.pack(
+            BucketPart(41, part.bucket, part.part_index, part.part_count, (b"x",))
+        )
         if (sender == 3 and isinstance(part := codec.unpack(data), BucketPart))
         else data
     )
     fleet.all[4].search.start(0)
     fleet.run(6 * SECOND)
-    found = fleet.all[4].take_found()
+    found = fleet.all[4].take_result()
     assert found.version == 41 and all(e["address"].startswith("10.1.1.") for e in found.entries)
     # discovery tells it what has changed since: from here on the list is its word, and is told on
-    fleet.all[4].list_from_discovery(fleet.now, 42, entries(61, version=1)[60:], complete=False)
+    fleet.all[4].receive_discovery_list(fleet.now, 42, entries(61, version=1)[60:], complete=False)
     assert fleet.all[4].copy.digest(fleet.now).version == 42 and fleet.all[4].copy.count == 61
     late = fleet.all[5]
     late.search.start(fleet.now)
-    late.list_from_discovery(fleet.now, 7, entries(3), complete=True)  # whatever its number
+    late.receive_discovery_list(fleet.now, 7, entries(3), complete=True)  # whatever its number
     fleet.run(fleet.now + SECOND)
-    assert late.take_found() is None and late.copy.digest(fleet.now).version == 7
-    assert late.fleet_serves() is False and fleet.all[0].search.active is False
+    assert late.take_result() is None and late.copy.digest(fleet.now).version == 7
+    assert late.fleet_is_serving() is False and fleet.all[0].search.active is False
 
 
 def test_a_list_that_is_old_or_of_no_one_is_not_taken_and_an_equal_one_confirms():
-    fleet = Fleet(3, settings=ColdStartSettings(peers=True, oldest_ns=2 * SECOND))
-    fleet.all[0].list_from_discovery(0, 9, entries(5), complete=True)
+    fleet = Fleet(3, settings=ColdStartSettings(use_peer_lists=True, max_list_age_ns=2 * SECOND))
+    fleet.all[0].receive_discovery_list(0, 9, entries(5), complete=True)
     fleet.now = 3 * SECOND
     fleet.all[1].search.start(fleet.now)
     fleet.run(fleet.now + SECOND)
-    assert fleet.all[1].take_found() is None
-    fleet.all[0].discovery_alive(fleet.now)
-    fleet.all[2].cached_list(fleet.now, 9, entries(5))
+    assert fleet.all[1].take_result() is None
+    fleet.all[0].record_discovery_contact(fleet.now)
+    fleet.all[2].load_cached_list(fleet.now, 9, entries(5))
     fleet.all[2].search.start(fleet.now)
     fleet.run(fleet.now + SECOND)
-    assert fleet.all[2].search.confirmed and fleet.all[1].take_found().trust is ListTrust.PEERS_AGREE
+    assert fleet.all[2].search.cache_confirmed and fleet.all[1].take_result().trust is ListTrust.PEERS_AGREE
 
 
 @given(st.binary(max_size=300))
@@ -175,29 +177,29 @@
     rng, servers, sent = random.Random(gateways), 40.0, 0.0
     fleet = [AdmissionRamp(SET, gateways, 6.0, random.Random(f"{gateways} {k}")) for k in range(gateways)]
     for one in fleet:
-        one.begin(0)
+        one.start(0)
     answers, step = [], 10 * MS
-    for now in range(0, 5 * SET.double_ns, step):
+    for now in range(0, 5 * SET.ramp_time_constant_ns, step):
         while answers and answers[0][0] <= now:
             _, one, units = answers.pop(0)
-            one.answered(units, in_time=True)
+            one.record_answer(units, in_time=True)
         for one in fleet:
             for _ in range(3):
                 units = rng.choice((1.0, 2.0, 6.0))
                 if one.admits(now, servers):
-                    one.sent(units)
+                    one.record_sent(units)
                     sent += units
                     answers.append((now + 50 * MS, one, units))
-        assert sent <= sent_bound(SET, servers, now + step) + 3 * 6.0 * math.sqrt(gateways) / 2
+        assert sent <= max_sent_units(SET, servers, now + step) + 3 * 6.0 * math.sqrt(gateways) / 2
     assert sent > 0 and not any(one.is_over(now) for one in fleet)
-    assert all(one.is_over(SET.open_ns) for one in fleet)
+    assert all(one.is_over(SET.max_ramp_ns) for one in fleet)
 
 
 def test_late_answers_raise_no_pace_and_the_old_process_says_what_is_borne():
     one = AdmissionRamp(SET, 200, 6.0, random.Random(3))
-    one.begin(0)
+    one.start(0)
     before = one.pace(10.0)
-    one.answered(6.0, in_time=False)
+    one.record_answer(6.0, in_time=False)
     assert one.pace(10.0) == before
     one.inherit(50.0)
     assert one.pace(10.0) == before + 50.0 and one.is_over(2 * SECOND)
@@ -207,14 +209,14 @@
     for trust, confirmed, at in (
         (ListTrust.DISCOVERY, False, 0),
         (ListTrust.PEERS_AGREE, False, 0),
-        (ListTrust.ONE_PEER, False, SET.lone_ns),
-        (ListTrust.CACHED, False, SET.known_ns),
+        (ListTrust.ONE_PEER, False, SET.single_peer_wait_ns),
+        (ListTrust.CACHED, False, SET.cached_list_wait_ns),
         (ListTrust.CACHED, True, 0),
         (ListTrust.NONE, True, None),
     ):
         one = Readiness(SET, 5 * SECOND)
-        one.list_arrived(trust, confirmed=confirmed)
-        one.list_arrived(ListTrust.NONE)
+        one.record_list(trust, cache_confirmed=confirmed)
+        one.record_list(ListTrust.NONE)
         assert one.ready_ns() == (None if at is None else 5 * SECOND + at)
         assert one.is_ready(5 * SECOND) is (at == 0)
 
@@ -238,7 +240,7 @@
     plan = Plan(seed=1)
     table = traffic.configuration(plan, 0, "127.0.0.1:1", "127.0.0.1:2", ["127.0.0.1:3"] * 3, 5, {})
     table["features"] = {"start": str(path)}
-    assert read(table, {}).start.peers
+    assert read(table, {}).start.use_peer_lists
     table["settings"]["limits"]["peers"] = False
     with pytest.raises(ConfigError, match="nobody could be asked"):
         read(table, {})
--- a/tests/test_list_freshness.py
+++ b/tests/test_list_freshness.py
@@ -89,10 +89,13 @@
                     limits.table_longest_ns,
                     answered_before=answered_once,
                 )
-                waits = [polling.failed(retry_after) for _ in range(20)]
+                waits = [polling.record_failure(retry_after) for _ in range(20)]
                 assert dial + max(waits) + ANSWER_NS <= RECEIVED_WITHIN_S * SECOND
-                assert silence + polling.failed(0, silence) + dial + ANSWER_NS <= RECEIVED_WITHIN_S * SECOND
                 assert (
-                    polling.failed(0, 50 * SECOND) + ANSWER_NS <= 2 * SECOND
+                    silence + polling.record_failure(0, silence) + dial + ANSWER_NS
+                    <= RECEIVED_WITHIN_S * SECOND
+                )
+                assert (
+                    polling.record_failure(0, 50 * SECOND) + ANSWER_NS <= 2 * SECOND
                 )  # a call that waited, and is over
                 assert retry_after > limits.table_longest_ns or min(waits) >= retry_after
--- a/tests/test_list_polling.py
+++ b/tests/test_list_polling.py
@@ -32,7 +32,7 @@
     for number in range(gateways):
         one, now = polling(number, gateways), 0
         while now < 20 * SECOND:
-            now += one.failed()
+            now += one.record_failure()
             calls.append(now)
     calls.sort()
     first = sum(at < SECOND for at in calls)
@@ -51,11 +51,11 @@
         and not one.keeps_waiting(50 * SECOND)
     )
     assert one.timeout_ns() == 100 * SECOND
-    one.answered(20 * SECOND)
+    one.record_answer(20 * SECOND)
     assert one.timeout_ns() == 80 * SECOND and one.failures == one.timeouts == 0
-    assert all(one.failed(2 * SECOND) >= 2 * SECOND for _ in range(50))
+    assert all(one.record_failure(2 * SECOND) >= 2 * SECOND for _ in range(50))
     lone = polling(1, 1)
-    assert lone.timeout_ns() == 2600 * MS and lone.failed() <= 50 * MS
+    assert lone.timeout_ns() == 2600 * MS and lone.record_failure() <= 50 * MS
 
 
 def test_retry_after_is_read_where_it_gives_seconds():
--- a/tests/test_subsetting.py
+++ b/tests/test_subsetting.py
@@ -159,7 +159,7 @@
         for zone in inside:
             ring = sorted(rings[service, zone], key=lambda n: ring_key(service, n))
             fleet = Fleet(SubsetSettings(reach=Reach.ZONE, layout=INTERLEAVED), me, gateways, me % 3, ZONES)
-            position = fleet.position(zone) if len(tiers) > 1 else fleet.among_all
+            position = fleet.position(zone) if len(tiers) > 1 else fleet.position_in_fleet
             size = min(len(ring), max(least, math.ceil(4 * len(ring) / position.count)))
             offset = stable_hash(service, fleet.zone_name(zone)) % position.count
             first = first_rank(me, position.count, len(ring), offset)
--- a/tests/test_zone_failover.py
+++ b/tests/test_zone_failover.py
@@ -79,7 +79,7 @@
             demand,
             capacity,
             1.0 if alive else 0.0,
-            accepts=accepts,
+            accepts_traffic=accepts,
             usable_ratio=float(accepts),
             reachable_from=reach[k],
         )
@@ -89,7 +89,7 @@
     made = route(zones, distance, headroom)
     assert made == route(zones, distance, headroom)
     for b, view in enumerate(zones):
-        bears = view.capacity * view.usable_ratio if view.good else 0.0
+        bears = view.capacity * view.usable_ratio if view.healthy_endpoints else 0.0
         assert sum(row[b] for row in made) <= bears + 1e-6
         others = sum(made[a][b] for a in range(n) if a != b)
         assert others <= max(0.0, bears * (1 - headroom) - made[b][b]) + 1e-6
--- a/zincstile/cli/sim.py
+++ b/zincstile/cli/sim.py
@@ -373,7 +373,7 @@
     from ..cold_start.settings import ColdStartSettings
     from ..simulation import start_model as them
 
-    settings = ColdStartSettings(peers=not alone)
+    settings = ColdStartSettings(use_peer_lists=not alone)
     rows = [them.Model(n, int(n * alive), lines, per_s, seed, settings=settings).play() for n in sizes]
     click.echo(them.table(rows))
     return 0 if all(r.all_s >= 0 for r in rows) else 1
--- a/zincstile/cli/zones.py
+++ b/zincstile/cli/zones.py
@@ -41,13 +41,13 @@
             r.demand,
             r.room,
             1.0 if r.name not in dead else 0.0,
-            accepts=r.name not in gone,
+            accepts_traffic=r.name not in gone,
             usable_ratio=float(r.name not in gone),
             reachable_from=(r.name not in dead,) * len(rows),
         )
         for r in rows
     ]
-    made = route(views, settings.matrix(names), settings.headroom)
+    made = route(views, settings.distance_matrix(names), settings.headroom)
     refused = sum(_left(row, sent) for row, sent in zip(rows, made, strict=True))
     total = sum(r.demand for r in rows)
     console = Console()
--- a/zincstile/cold_start/admission_ramp.py
+++ b/zincstile/cold_start/admission_ramp.py
@@ -38,49 +38,49 @@
     """The ramp of one gateway among `gateways`."""
 
     settings: ColdStartSettings
-    gateways: int
+    gateway_count: int
     largest_units: float  # of a request
     rng: random.Random
     started_ns: int = -1
-    saved_units: float = -1.0  # below 0 before the first request
+    tokens: float = -1.0  # below 0 before the first request
     refilled_ns: int = 0
-    earned_per_s: float = 0.0  # units a second, by answers
-    rejected: int = 0  # attempts so far
-    rejected_ns: int = -1  # the last of them
+    earned_units_per_s: float = 0.0  # units a second, by answers
+    rejected_attempts: int = 0  # attempts so far
+    last_rejected_ns: int = -1  # the last of them
 
-    def begin(self, now: int) -> None:
+    def start(self, now: int) -> None:
         """Starts the ramp."""
         self.started_ns = now
         self.refilled_ns = now
 
     def pace(self, endpoints: float) -> float:
         """Returns the units a second that this gateway may send to so many ready endpoints."""
-        return self.settings.first_per_s * endpoints / self.gateways + self.earned_per_s
+        return self.settings.initial_units_per_s * endpoints / self.gateway_count + self.earned_units_per_s
 
     def admits(self, now: int, endpoints: float) -> bool:
         """Returns whether an attempt of any size may be sent now, to so many ready endpoints."""
         pace = self.pace(endpoints)
-        double_s = self.settings.double_ns / SECOND
-        if self.saved_units < 0:  # random: gateways that save up alike would send in step
-            self.saved_units = self.largest_units * self.rng.random() + pace * double_s
-        most = self.largest_units + pace * double_s
+        double_s = self.settings.ramp_time_constant_ns / SECOND
+        if self.tokens < 0:  # random: gateways that save up alike would send in step
+            self.tokens = self.largest_units * self.rng.random() + pace * double_s
+        max_tokens = self.largest_units + pace * double_s
         elapsed_ns = max(0, now - self.refilled_ns)
-        self.saved_units = min(most, self.saved_units + pace * elapsed_ns / SECOND)
+        self.tokens = min(max_tokens, self.tokens + pace * elapsed_ns / SECOND)
         self.refilled_ns = max(self.refilled_ns, now)
-        if self.saved_units >= self.largest_units:
+        if self.tokens >= self.largest_units:
             return True
-        self.rejected += 1
-        self.rejected_ns = now
+        self.rejected_attempts += 1
+        self.last_rejected_ns = now
         return False
 
-    def sent(self, units: float) -> None:
+    def record_sent(self, units: float) -> None:
         """Notes an attempt that was sent."""
-        self.saved_units -= units
+        self.tokens -= units
 
-    def answered(self, units: float, *, in_time: bool) -> None:
+    def record_answer(self, units: float, *, in_time: bool) -> None:
         """Notes the end of an attempt; a late answer raises nothing, as the backends bear no more."""
         if in_time:
-            self.earned_per_s += units / (self.settings.double_ns / SECOND)
+            self.earned_units_per_s += units / (self.settings.ramp_time_constant_ns / SECOND)
 
     def inherit(self, served_per_s: float) -> None:
         """Takes the units a second that the process before this one was served: the backends bear these.
@@ -88,17 +88,19 @@
         What peers were served is not taken: if all raised their pace to that of the fastest, the sum would
         have no bound.
         """
-        self.earned_per_s = max(self.earned_per_s, served_per_s)
+        self.earned_units_per_s = max(self.earned_units_per_s, served_per_s)
 
     def is_over(self, now: int) -> bool:
         """Returns whether admission is open: nothing was rejected for a while, or `open` is over."""
-        last_ns = max(self.rejected_ns, self.started_ns)
-        quiet = self.earned_per_s > 0 and now - last_ns >= QUIET_SPANS * self.settings.double_ns
-        return quiet or now - self.started_ns >= self.settings.open_ns
+        last_ns = max(self.last_rejected_ns, self.started_ns)
+        quiet = (
+            self.earned_units_per_s > 0 and now - last_ns >= QUIET_SPANS * self.settings.ramp_time_constant_ns
+        )
+        return quiet or now - self.started_ns >= self.settings.max_ramp_ns
 
 
-def sent_bound(settings: ColdStartSettings, endpoints: float, within_ns: int) -> float:
+def max_sent_units(settings: ColdStartSettings, endpoints: float, within_ns: int) -> float:
     """Returns the units that all gateways together send within so long of the start, on average at most."""
-    double_s = settings.double_ns / SECOND
-    growth = math.exp(min(MAX_EXPONENT, within_ns / settings.double_ns))
-    return endpoints * settings.first_per_s * double_s * (2 * growth - 1)
+    double_s = settings.ramp_time_constant_ns / SECOND
+    growth = math.exp(min(MAX_EXPONENT, within_ns / settings.ramp_time_constant_ns))
+    return endpoints * settings.initial_units_per_s * double_s * (2 * growth - 1)
--- a/zincstile/cold_start/codec.py
+++ b/zincstile/cold_start/codec.py
@@ -48,7 +48,7 @@
         body = REQUEST.pack(message.version % 2**64, sum(1 << bucket for bucket in message.buckets))
     else:
         kind = MessageKind.PART
-        head = PART.pack(message.version % 2**64, message.bucket, message.part, message.parts)
+        head = PART.pack(message.version % 2**64, message.bucket, message.part_index, message.part_count)
         body = head + b"".join(bytes([len(line)]) + line for line in message.lines)
     return datagrams.encode(MAGIC, kind, body)
 
@@ -72,7 +72,7 @@
 def _pack_digest(digest: ListDigest) -> bytes:
     age = min(MAX_AGE, -(-max(0, digest.age_ns) // AGE_UNIT_NS))  # rounded up: never younger than it is
     flags = digest.provenance + (OPEN_BIT if digest.admission_open else 0)
-    return DIGEST.pack(digest.version % 2**64, digest.count, age, flags, *digest.checksums)
+    return DIGEST.pack(digest.version % 2**64, digest.entry_count, age, flags, *digest.checksums)
 
 
 def _read_query(body: bytes) -> ListQuery | None:
--- a/zincstile/cold_start/events.py
+++ b/zincstile/cold_start/events.py
@@ -6,5 +6,5 @@
 
 
 @dataclass(slots=True)
-class FleetServes:
+class FleetIsServing:
     """An event: the other gateways serve with open admission, and this one starts beside them."""
--- a/zincstile/cold_start/feature.py
+++ b/zincstile/cold_start/feature.py
@@ -16,7 +16,7 @@
 from ..decisions.records import Attempt, PendingRequest
 from ..decisions.settings import Settings
 from .admission_ramp import AdmissionRamp
-from .events import FleetServes
+from .events import FleetIsServing
 from .settings import ColdStartSettings
 
 NS_PER_MS: Final = 1_000_000
@@ -41,7 +41,7 @@
         self.parts.admission.choose = self.choose
         self.parts.outcomes.listeners.append(self.on_outcome)
         policy.ticker.limited.append(self.on_limit_updated)
-        policy.handlers[FleetServes] = self.on_fleet_serves
+        policy.handlers[FleetIsServing] = self.on_fleet_is_serving
 
     @property
     def is_open(self) -> bool:
@@ -51,7 +51,7 @@
     def before_start(self, now: int) -> None:
         """The ramp begins."""
         if self.ramp is not None:
-            self.ramp.begin(now)
+            self.ramp.start(now)
 
     def started(self, now: int) -> None:
         """Nothing goes by a timer of its own."""
@@ -81,14 +81,14 @@
             return None
         endpoint = self._choose_endpoint(now, pending)
         if endpoint is not None:
-            ramp.sent(pending.request.units)
+            ramp.record_sent(pending.request.units)
         return endpoint
 
     def on_outcome(self, now: int, outcome: AttemptOutcome, attempt: Attempt) -> None:
         """An answer in time raises the pace; a warming endpoint takes longer without being overloaded."""
         if self.ramp is not None and outcome.result is AttemptResult.OK:
             latency_ns = outcome.latency_ns * self.parts.capacity.warmth(now, attempt.endpoint)
-            self.ramp.answered(attempt.units, in_time=latency_ns <= attempt.overload_ns)
+            self.ramp.record_answer(attempt.units, in_time=latency_ns <= attempt.overload_ns)
 
     def on_limit_updated(self, now: int) -> None:
         """The ramp ends once there is a concurrency limit, or nothing was rejected for a while."""
@@ -99,7 +99,7 @@
         if limited or ramp.is_over(now):
             self._open_admission(now, ramp, "by the budget's own bound" if limited else "by what was seen")
 
-    def on_fleet_serves(self, now: int, _: FleetServes) -> None:
+    def on_fleet_is_serving(self, now: int, _: FleetIsServing) -> None:
         """The other gateways serve with open admission: so does this one."""
         if self.ramp is not None:
             self._open_admission(now, self.ramp, "as the fleet's is")
@@ -107,7 +107,8 @@
     def _open_admission(self, now: int, ramp: AdmissionRamp, reason: str) -> None:
         after_ms = (now - self.parts.ledger.started_ns) // NS_PER_MS
         text = (
-            f"start admission is open after {after_ms} ms, {reason}; {ramp.rejected} attempts rejected by it"
+            f"start admission is open after {after_ms} ms, {reason}; "
+            f"{ramp.rejected_attempts} attempts rejected by it"
         )
         self.parts.actions.append(LogMessage(text))
         self.ramp = None
--- a/zincstile/cold_start/list_polling.py
+++ b/zincstile/cold_start/list_polling.py
@@ -43,7 +43,7 @@
     mean_answer_ns: float = 0.0  # from a call to its answer, lately; 0: there was none
     answered_before: bool = False  # the service has answered since the process started
 
-    def failed(self, retry_after_ns: int = 0, silent_ns: int = 0) -> int:
+    def record_failure(self, retry_after_ns: int = 0, silent_ns: int = 0) -> int:
         """Notes a failed call and returns the wait before the next one.
 
         The wait is not shorter than `retry_after_ns`, what the service asked for, unless that is longer than
@@ -64,7 +64,7 @@
             latest_ns = min(earliest_ns + span_ns, longest_ns)
         return self.rng.randint(earliest_ns + 1, max(earliest_ns + 1, latest_ns))
 
-    def answered(self, took_ns: int) -> None:
+    def record_answer(self, took_ns: int) -> None:
         """Notes an answer: spans begin anew, and the timeout follows what the answer took."""
         self.failures = 0
         self.timeouts = 0
@@ -77,8 +77,8 @@
 
     def timeout_ns(self) -> int:
         """Returns how long a pending call is kept; twice as long after each that ran into the timeout."""
-        least_ns = max(self.min_timeout_ns, int(TIMEOUT_ANSWERS * self.mean_answer_ns))
-        return least_ns << min(self.timeouts, MAX_TIMEOUT_DOUBLINGS)
+        base_timeout_ns = max(self.min_timeout_ns, int(TIMEOUT_ANSWERS * self.mean_answer_ns))
+        return base_timeout_ns << min(self.timeouts, MAX_TIMEOUT_DOUBLINGS)
 
     def keeps_waiting(self, pending_ns: int) -> bool:
         """Returns whether to keep a silent call, while the service accepts connections.
--- a/zincstile/cold_start/list_search.py
+++ b/zincstile/cold_start/list_search.py
@@ -15,7 +15,7 @@
 
 from .entry_lines import bucket_of, checksum, decode_entry
 from .list_copy import ListCopy
-from .message_rate import MessageRate
+from .message_rate import MessageRateLimit
 from .messages import BUCKETS, BucketPart, BucketRequest, ListDigest, ListMessage, ListQuery, Provenance
 from .readiness import ListTrust
 from .settings import ColdStartSettings
@@ -30,7 +30,7 @@
 
 
 @dataclass(slots=True)
-class PeerList:
+class PeerListState:
     """What a peer says of its list."""
 
     digest: ListDigest
@@ -86,22 +86,22 @@
         self.rng = rng
         self.send = send
         self.active = False
-        self.confirmed = False  # the newest list of peers equals the cached copy
-        self.found: FoundList | None = None
-        self._taken: FoundList | None = None
-        self._intake = MessageRate(max(MIN_INTAKE_PER_S, INTAKE_RATIO * intake_per_s))
-        self._peer_lists: dict[int, PeerList] = {}
+        self.cache_confirmed = False  # the newest list of peers equals the cached copy
+        self.result: FoundList | None = None
+        self._taken_result: FoundList | None = None
+        self._intake = MessageRateLimit(max(MIN_INTAKE_PER_S, INTAKE_RATIO * intake_per_s))
+        self._peer_states: dict[int, PeerListState] = {}
         self._target: ListDigest | None = None  # the list that is being fetched
         self._pending: dict[int, PendingBucket] = {}
         self._partial: dict[int, dict[int, ReceivedPart]] = {}  # by bucket: parts of requests that timed out
         self._complete: dict[int, dict[str, bytes]] = {}  # by bucket: lines whose checksum is right
         self._queries = 0  # rounds of queries without an answer so far
         self._next_query_ns = 0
-        self._wait_ns = settings.again_ns  # for requested lines
+        self._wait_ns = settings.retry_interval_ns  # for requested lines
 
     def start(self, now: int) -> None:
         """Begins the search, if lists may come from peers and there are any."""
-        if self.settings.peers and self.peers:
+        if self.settings.use_peer_lists and self.peers:
             self.active = True
             self._query(now)
 
@@ -113,19 +113,19 @@
         self._complete = {}
         self._target = None
 
-    def take_found(self) -> FoundList | None:
+    def take_result(self) -> FoundList | None:
         """Returns a complete list that was found, once."""
-        if self.found is self._taken:
+        if self.result is self._taken_result:
             return None
-        self._taken = self.found
-        return self.found
+        self._taken_result = self.result
+        return self.result
 
     def update(self, now: int) -> None:
         """Repeats queries and requests that are due; to be called every few tens of milliseconds."""
         if not self.active:
             return
         self._expire_requests(now)
-        agreed = self.found is not None and self.found.trust is ListTrust.PEERS_AGREE
+        agreed = self.result is not None and self.result.trust is ListTrust.PEERS_AGREE
         if now >= self._next_query_ns and not agreed:
             self._query(now)
         self._request_missing(now)
@@ -134,11 +134,11 @@
         """Handles a peer's digest; a list that is old, empty, or itself from peers is not used."""
         if (
             self.active
-            and digest.age_ns < self.settings.oldest_ns
+            and digest.age_ns < self.settings.max_list_age_ns
             and digest.provenance is not Provenance.PEERS
-            and digest.count
+            and digest.entry_count
         ):
-            self._peer_lists[sender] = PeerList(digest)
+            self._peer_states[sender] = PeerListState(digest)
             self._choose_target(now)
 
     def receive_part(self, now: int, sender: int, part: BucketPart) -> None:
@@ -149,17 +149,19 @@
             or target is None
             or part.version != target.version
             or part.bucket in self._complete
-            or sender not in self._peer_lists
+            or sender not in self._peer_states
         ):
             return
         pending = self._pending.get(part.bucket)
         parts = self._partial.setdefault(part.bucket, {}) if pending is None else pending.parts
-        parts[part.part] = ReceivedPart(sender, part)
+        parts[part.part_index] = ReceivedPart(sender, part)
         if pending is not None and pending.peer == sender:
             pending.progressed = True
             took_ns = now - pending.requested_ns
-            self._wait_ns = max(self.settings.again_ns, int((self._wait_ns + WAIT_ANSWERS * took_ns) / 2))
-        if len(parts) < part.parts:
+            self._wait_ns = max(
+                self.settings.retry_interval_ns, int((self._wait_ns + WAIT_ANSWERS * took_ns) / 2)
+            )
+        if len(parts) < part.part_count:
             return
         self._pending.pop(part.bucket, None)
         self._partial.pop(part.bucket, None)
@@ -168,7 +170,7 @@
 
     def _complete_bucket(self, last: BucketPart, parts: dict[int, ReceivedPart], expected: int) -> None:
         lines = {}
-        valid = {received.part.parts for received in parts.values()} == {last.parts}
+        valid = {received.part.part_count for received in parts.values()} == {last.part_count}
         for received in parts.values():
             for line in received.part.lines:
                 entry = decode_entry(line)
@@ -179,29 +181,29 @@
             self._complete[last.bucket] = lines
         else:  # damaged, or a peer's lines don't give its digest: none of these peers is asked again
             for received in parts.values():
-                self._peer_lists.pop(received.sender, None)
+                self._peer_states.pop(received.sender, None)
 
     def _query(self, now: int) -> None:
         """Queries some peers; the next round is at a random moment, later each time nobody answers."""
-        for peer in self.rng.sample(self.peers, min(self.settings.fan, len(self.peers))):
+        for peer in self.rng.sample(self.peers, min(self.settings.query_fan_out, len(self.peers))):
             self.send(peer, ListQuery())
-        span_ns = self.settings.again_ns << min(self._queries, MAX_QUERY_DOUBLINGS)
-        if not self._peer_lists:
+        span_ns = self.settings.retry_interval_ns << min(self._queries, MAX_QUERY_DOUBLINGS)
+        if not self._peer_states:
             self._queries += 1
-        self._next_query_ns = now + self.settings.again_ns // 2 + self.rng.randrange(span_ns)
+        self._next_query_ns = now + self.settings.retry_interval_ns // 2 + self.rng.randrange(span_ns)
 
     def _choose_target(self, now: int) -> None:
         """Fetches the newest list, the nearest to discovery first; of equals the one that more peers have."""
         holders: dict[tuple, list[ListDigest]] = {}
-        for peer_list in self._peer_lists.values():
-            holders.setdefault(peer_list.digest.identity, []).append(peer_list.digest)
+        for peer_state in self._peer_states.values():
+            holders.setdefault(peer_state.digest.identity, []).append(peer_state.digest)
         digest = min(max(holders.values(), key=_preference), key=lambda digest: digest.age_ns)
         if self._target is None or digest.identity != self._target.identity:
             self._reuse_buckets(digest)
         self._target = digest
         cached = self.copy.provenance is Provenance.CACHED
         if cached and (self.copy.version, self.copy.checksums()) == (digest.version, digest.checksums):
-            self.confirmed = True
+            self.cache_confirmed = True
         self._request_missing(now)
 
     def _reuse_buckets(self, digest: ListDigest) -> None:
@@ -222,8 +224,8 @@
         """Peers that have the target."""
         return [
             peer
-            for peer, peer_list in self._peer_lists.items()
-            if self._target is not None and peer_list.digest.identity == self._target.identity
+            for peer, peer_state in self._peer_states.items()
+            if self._target is not None and peer_state.digest.identity == self._target.identity
         ]
 
     def _request_missing(self, now: int) -> None:
@@ -237,7 +239,7 @@
             for bucket in range(BUCKETS)
             if bucket not in self._complete and bucket not in self._pending
         ]
-        parts_per_bucket = max(1.0, target.count / BUCKETS / LINES_PER_PART)
+        parts_per_bucket = max(1.0, target.entry_count / BUCKETS / LINES_PER_PART)
         chosen = missing[: int(self._intake.available(now) / parts_per_bucket)]
         self._intake.spend(parts_per_bucket * len(chosen))
         requests: dict[int, list[int]] = {}
@@ -252,7 +254,7 @@
 
     def _responsive(self, peers: list[int]) -> list[int]:
         """Those of the peers that left the fewest requests unanswered."""
-        tiers = {peer: self._peer_lists[peer].missed // MISSES_PER_TIER for peer in peers}
+        tiers = {peer: self._peer_states[peer].missed // MISSES_PER_TIER for peer in peers}
         best = min(tiers.values())
         return [peer for peer in peers if tiers[peer] == best]
 
@@ -265,27 +267,27 @@
                 progressed[pending.peer] = progressed.get(pending.peer, False) or pending.progressed
         if progressed and not any(progressed.values()):
             # a busy fleet answers late, and requests that are repeated would make it busier
-            self._wait_ns = min(MAX_WAIT_SPANS * self.settings.again_ns, 2 * self._wait_ns)
+            self._wait_ns = min(MAX_WAIT_SPANS * self.settings.retry_interval_ns, 2 * self._wait_ns)
         for peer, any_part in progressed.items():
-            peer_list = self._peer_lists.get(peer)
-            if peer_list is not None:
-                peer_list.missed = 0 if any_part else peer_list.missed + 1
+            peer_state = self._peer_states.get(peer)
+            if peer_state is not None:
+                peer_state.missed = 0 if any_part else peer_state.missed + 1
 
     def _finish(self) -> None:
         """Notes the target as found once all its buckets are complete, again when more peers have it."""
         target = self._target
         if target is None or len(self._complete) < BUCKETS:
             return
-        found = self.found
+        found = self.result
         if found is not None and found.version >= target.version and found.trust is ListTrust.PEERS_AGREE:
             return
-        agreed = len(self._holders()) >= min(self.settings.agree, len(self.peers))
+        agreed = len(self._holders()) >= min(self.settings.min_agreeing_peers, len(self.peers))
         trust = ListTrust.PEERS_AGREE if agreed else ListTrust.ONE_PEER
         if found is not None and (found.version, found.trust) == (target.version, trust):
             return
         lines = [line for bucket in range(BUCKETS) for line in self._complete[bucket].values()]
         entries = [entry for entry in map(decode_entry, lines) if entry is not None]
-        self.found = FoundList(target.version, entries, trust, target.age_ns)
+        self.result = FoundList(target.version, entries, trust, target.age_ns)
 
 
 def _preference(digests: list[ListDigest]) -> tuple[int, int, int, int]:
--- a/zincstile/cold_start/message_rate.py
+++ b/zincstile/cold_start/message_rate.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(slots=True)
-class MessageRate:
+class MessageRateLimit:
     """A token bucket of messages; it is full at first."""
 
     per_s: float
--- a/zincstile/cold_start/messages.py
+++ b/zincstile/cold_start/messages.py
@@ -31,7 +31,7 @@
     """Which list the sender has, or that it has none to pass on."""
 
     version: int
-    count: int  # of the entries; 0: there is no list to pass on
+    entry_count: int  # of the entries; 0: there is no list to pass on
     age_ns: int  # since discovery confirmed the list
     provenance: Provenance
     checksums: tuple[int, ...]  # of the buckets
@@ -40,7 +40,7 @@
     @property
     def identity(self) -> tuple[int, int, tuple[int, ...]]:
         """Equal for equal lists."""
-        return self.version, self.count, self.checksums
+        return self.version, self.entry_count, self.checksums
 
 
 @dataclass(frozen=True, slots=True)
@@ -57,8 +57,8 @@
 
     version: int
     bucket: int
-    part: int  # index
-    parts: int  # of the bucket
+    part_index: int  # index
+    part_count: int  # of the bucket
     lines: tuple[bytes, ...]
 
 
--- a/zincstile/cold_start/peer_lists.py
+++ b/zincstile/cold_start/peer_lists.py
@@ -15,7 +15,7 @@
 from .codec import split_bucket
 from .list_copy import ListCopy
 from .list_search import FoundList, ListSearch
-from .message_rate import MessageRate
+from .message_rate import MessageRateLimit
 from .messages import BUCKETS, BucketPart, BucketRequest, ListDigest, ListMessage, ListQuery, Provenance
 from .readiness import ListTrust
 from .settings import ColdStartSettings
@@ -33,26 +33,31 @@
     """
 
     def __init__(
-        self, settings: ColdStartSettings, me: int, gateways: int, intake_per_s: float, rng: random.Random
+        self,
+        settings: ColdStartSettings,
+        gateway_index: int,
+        gateway_count: int,
+        intake_per_s: float,
+        rng: random.Random,
     ) -> None:
         """Takes the gateway's index, how many there are, and the messages that it reads in a second."""
         self.settings = settings
-        self.peers = [gateway for gateway in range(gateways) if gateway != me]
+        self.peers = [gateway for gateway in range(gateway_count) if gateway != gateway_index]
         self.copy = ListCopy()
         self.search = ListSearch(settings, self.peers, intake_per_s, self.copy, rng, self._send)
         self.admission_open = False  # of this gateway; sent with each digest
         self._open_peers: dict[int, bool] = {}  # by peer that answered: whether its admission was open then
-        self._sending = MessageRate(settings.told_per_s)
+        self._sending = MessageRateLimit(settings.max_sent_per_s)
         self._waiting_peers: dict[int, None] = {}  # that queried while there was no list
         self._outbox: list[tuple[int, ListMessage]] = []
 
     # ---- events of this gateway
 
-    def list_from_discovery(
+    def receive_discovery_list(
         self, now: int, version: int, entries: list[dict[str, Any]], *, complete: bool
     ) -> None:
         """Takes discovery's list, or its changes, and ends the search."""
-        found = self.search.found
+        found = self.search.result
         agreed = found is not None and found.trust is ListTrust.PEERS_AGREE
         if agreed and not complete and not self.copy.count:
             # discovery sent what changed since the list that peers agree on, and so confirmed that list
@@ -65,14 +70,14 @@
             self.copy.provenance = Provenance.DISCOVERY
         self._notify_waiting_peers(now)
 
-    def cached_list(self, now: int, version: int, entries: list[dict[str, Any]]) -> None:
+    def load_cached_list(self, now: int, version: int, entries: list[dict[str, Any]]) -> None:
         """Takes the list of before the start.
 
         Nobody knows its age: it counts as half of the age at which a list is no longer passed on.
         """
-        self.copy.replace(now - self.settings.oldest_ns // 2, version, Provenance.CACHED, entries)
+        self.copy.replace(now - self.settings.max_list_age_ns // 2, version, Provenance.CACHED, entries)
 
-    def discovery_alive(self, now: int) -> None:
+    def record_discovery_contact(self, now: int) -> None:
         """Notes that discovery's watch sent something, if only that nothing has changed."""
         if self.copy.provenance is Provenance.DISCOVERY:
             self.copy.confirmed_ns = now
@@ -98,18 +103,18 @@
         self._outbox = []
         return messages
 
-    def take_found(self) -> FoundList | None:
+    def take_result(self) -> FoundList | None:
         """Returns a complete list from peers, once."""
-        return self.search.take_found()
+        return self.search.take_result()
 
-    def fleet_serves(self) -> bool:
+    def fleet_is_serving(self) -> bool:
         """Returns whether all peers that answered serve with open admission, and at least two answered.
 
         Then this gateway starts into a fleet that serves, and not together with it. Gateways that start say
         that their admission is not open, so that a fleet of which half has just come back is hardly ever
         taken for one that serves.
         """
-        enough = min(max(MIN_OPEN_PEERS, self.settings.agree), len(self.peers))
+        enough = min(max(MIN_OPEN_PEERS, self.settings.min_agreeing_peers), len(self.peers))
         return len(self._open_peers) >= enough and all(self._open_peers.values())
 
     def _send(self, peer: int, message: ListMessage) -> None:
@@ -124,7 +129,7 @@
 
     def _answer_query(self, now: int, sender: int) -> None:
         digest = self.copy.digest(now)
-        if digest is None or digest.age_ns >= self.settings.oldest_ns:
+        if digest is None or digest.age_ns >= self.settings.max_list_age_ns:
             self._waiting_peers[sender] = None
             digest = NO_LIST
         if self._may_send(now, 1):
--- a/zincstile/cold_start/readiness.py
+++ b/zincstile/cold_start/readiness.py
@@ -47,11 +47,11 @@
     settings: ColdStartSettings
     started_ns: int
     trust: ListTrust = ListTrust.NONE
-    confirmed: bool = False  # the newest list of peers equals the cached one
+    cache_confirmed: bool = False  # the newest list of peers equals the cached one
 
-    def list_arrived(self, trust: ListTrust, *, confirmed: bool = False) -> None:
+    def record_list(self, trust: ListTrust, *, cache_confirmed: bool = False) -> None:
         """Notes a list; one that is trusted less than the present one changes nothing."""
-        self.confirmed = self.confirmed or confirmed
+        self.cache_confirmed = self.cache_confirmed or cache_confirmed
         if trust.rank > self.trust.rank:
             self.trust = trust
 
@@ -59,11 +59,11 @@
         """Returns from when on the process is ready by the list that it has; None where it has none."""
         if self.trust is ListTrust.NONE:
             return None
-        if self.trust in (ListTrust.DISCOVERY, ListTrust.PEERS_AGREE) or self.confirmed:
+        if self.trust in (ListTrust.DISCOVERY, ListTrust.PEERS_AGREE) or self.cache_confirmed:
             return self.started_ns
         if self.trust is ListTrust.ONE_PEER:
-            return self.started_ns + self.settings.lone_ns
-        return self.started_ns + self.settings.known_ns
+            return self.started_ns + self.settings.single_peer_wait_ns
+        return self.started_ns + self.settings.cached_list_wait_ns
 
     def is_ready(self, now: int) -> bool:
         """Returns whether the process is ready."""
--- a/zincstile/cold_start/settings.py
+++ b/zincstile/cold_start/settings.py
@@ -13,43 +13,59 @@
 
 @dataclass(frozen=True, slots=True)
 class ColdStartSettings:
-    """What an operator configures; a field has the name of its key in the file, so that errors name the key.
+    """What an operator configures. Durations are in nanoseconds.
 
-    Durations are in nanoseconds.
+    `net/features` maps the keys of the operators' file to these fields, and the fields in errors to the keys.
     """
 
-    peers: bool = False  # lists from peers: only where an endpoint's address is the same for all gateways
-    wait_ns: int = 80 * MS  # a start waits this long for peers before it polls the list service
-    each_ns: int = 10 * MS  # and then a random time, up to this long for each gateway of the fleet
-    again_ns: int = 150 * MS  # a request that a peer did not answer goes to another after this long
-    agree: int = 2  # peers that have to send the same list before it is used at once
-    lone_ns: int = 300 * MS  # the list of one peer alone is used after this long
-    fan: int = 3  # peers that are queried at once
-    told_per_s: float = 120.0  # datagrams of list lines that a gateway sends in a second, at most
-    oldest_ns: int = 600 * SECOND  # a list that discovery confirmed longer ago is neither sent nor used
-    known_ns: int = 300 * MS  # a start with a cached list waits this long for a newer one
-    first_per_s: float = 20.0  # units a second that all gateways together send each ready endpoint at first
-    double_ns: int = 200 * MS  # time in which good answers raise that to 2.7 times as much
-    open_ns: int = 10 * SECOND  # admission is open after this long, whatever was observed
+    # Whether endpoint lists are fetched from peers. Endpoint addresses must be the same at all gateways then.
+    use_peer_lists: bool = False
+    # How long a starting gateway waits for peers before it polls the list service.
+    peer_wait_ns: int = 80 * MS
+    # The first poll is delayed further by a random time of up to this much for each gateway of the fleet.
+    poll_spread_per_gateway_ns: int = 10 * MS
+    # A request that a peer has not answered within this time is sent to another peer.
+    retry_interval_ns: int = 150 * MS
+    # A list is used at once when this many peers have the same one.
+    min_agreeing_peers: int = 2
+    # A list that only one peer has is used this long after the start.
+    single_peer_wait_ns: int = 300 * MS
+    # Number of peers that are queried at a time.
+    query_fan_out: int = 3
+    # Maximum number of datagrams a second that this gateway sends to peers about its list.
+    max_sent_per_s: float = 120.0
+    # A list that discovery confirmed longer ago than this is neither sent nor used.
+    max_list_age_ns: int = 600 * SECOND
+    # How long a gateway that starts with a cached list waits for a newer one.
+    cached_list_wait_ns: int = 300 * MS
+    # Units a second that all gateways together send to each ready endpoint at first.
+    initial_units_per_s: float = 20.0
+    # Time in which answers in time raise that rate by a factor of e (2.7).
+    ramp_time_constant_ns: int = 200 * MS
+    # Admission is open after this time in any case.
+    max_ramp_ns: int = 10 * SECOND
 
     def __post_init__(self) -> None:
-        """Raises ValueError for a field that can't work, and names it."""
+        """Raises ValueError that names the field with an invalid value."""
         require_above_zero(
             self,
-            "wait_ns",
-            "each_ns",
-            "again_ns",
-            "agree",
-            "lone_ns",
-            "fan",
-            "oldest_ns",
-            "known_ns",
-            "double_ns",
-            "open_ns",
+            "peer_wait_ns",
+            "poll_spread_per_gateway_ns",
+            "retry_interval_ns",
+            "min_agreeing_peers",
+            "single_peer_wait_ns",
+            "query_fan_out",
+            "max_list_age_ns",
+            "cached_list_wait_ns",
+            "ramp_time_constant_ns",
+            "max_ramp_ns",
         )
-        if not self.told_per_s > 0:
-            raise ValueError("told_per_s: must be above 0")
-        if not self.first_per_s > 0:
-            raise ValueError("first_per_s: must be above 0: nothing would ever be sent")
-        if self.lone_ns < self.wait_ns:
-            raise ValueError("lone_ns: must not be less than wait_ns: two peers would never be waited for")
+        if not self.max_sent_per_s > 0:
+            raise ValueError("max_sent_per_s: must be above 0")
+        if not self.initial_units_per_s > 0:
+            raise ValueError("initial_units_per_s: must be above 0, or no request would ever be sent")
+        if self.single_peer_wait_ns < self.peer_wait_ns:
+            raise ValueError(
+                "single_peer_wait_ns: must not be less than peer_wait_ns: "
+                "a second peer would never be waited for"
+            )
--- a/zincstile/net/cold_start.py
+++ b/zincstile/net/cold_start.py
@@ -11,7 +11,7 @@
 from typing import Any, Final
 
 from ..cold_start import codec
-from ..cold_start.events import FleetServes
+from ..cold_start.events import FleetIsServing
 from ..cold_start.list_search import FoundList
 from ..cold_start.messages import Provenance
 from ..cold_start.peer_lists import PeerLists
@@ -51,7 +51,9 @@
         self.rng = random.Random(f"start {seed}")
         self.lists = PeerLists(settings, me, gateways, intake_per_s, self.rng)
         # without a patience there is no queue at the list service, as discovery is on this machine
-        self.spread_ns = gateways * settings.each_ns if dispatcher.limits.table_patience_ns else 0
+        self.spread_ns = (
+            gateways * settings.poll_spread_per_gateway_ns if dispatcher.limits.table_patience_ns else 0
+        )
         self.readiness: Readiness | None = None  # from `begin` on
         self._ready: Callable[[], None] | None = ready
         self._polled = False
@@ -66,11 +68,11 @@
         self.watcher.begin(known, hold=True)
         cached = bool(known.get("endpoints"))
         if cached:
-            self.lists.cached_list(now, int(known["index"]), list(known["endpoints"]))
-            self.readiness.list_arrived(ListTrust.CACHED)
+            self.lists.load_cached_list(now, int(known["index"]), list(known["endpoints"]))
+            self.readiness.record_list(ListTrust.CACHED)
         self.lists.search.start(now)
         if self.lists.search.active:  # a list from peers may save one from the service, or the queue for it
-            self._poll_ns = now + self.settings.wait_ns + self.rng.randrange(self.spread_ns + 1)
+            self._poll_ns = now + self.settings.peer_wait_ns + self.rng.randrange(self.spread_ns + 1)
         else:
             self._poll(at_once=not cached)
         self._update(None)
@@ -78,14 +80,14 @@
     def list_received(self, version: int, endpoints: list[dict[str, Any]], *, complete: bool) -> None:
         """Takes discovery's list, or its changes."""
         now = self.dispatcher.now_ns()
-        self.lists.list_from_discovery(now, version, endpoints, complete=complete)
-        self.readiness.list_arrived(ListTrust.DISCOVERY)
+        self.lists.receive_discovery_list(now, version, endpoints, complete=complete)
+        self.readiness.record_list(ListTrust.DISCOVERY)
         self._report_ready()
         self._send()
 
     def watch_alive(self) -> None:
         """Notes that discovery's watch sent something."""
-        self.lists.discovery_alive(self.dispatcher.now_ns())
+        self.lists.record_discovery_contact(self.dispatcher.now_ns())
 
     def _poll(self, *, at_once: bool) -> None:
         """Opens the watch of discovery, once: at once or at a random moment."""
@@ -103,15 +105,15 @@
             return None
         self.lists.admission_open = self.admission_is_open()
         self.lists.receive(self.dispatcher.now_ns(), sender, message)
-        if not self.lists.admission_open and self.lists.fleet_serves():
-            self.dispatcher.post(FleetServes())
+        if not self.lists.admission_open and self.lists.fleet_is_serving():
+            self.dispatcher.post(FleetIsServing())
         self._use_found()
         self._send()
         return HANDLED
 
     def _use_found(self) -> None:
         """Uses a complete list from peers, if it is not older than the cached one."""
-        found = self.lists.take_found()
+        found = self.lists.take_result()
         if found is None or self.watcher.has_received:
             return
         copy = self.lists.copy
@@ -120,7 +122,7 @@
         agreed = found.trust is ListTrust.PEERS_AGREE
         if self.watcher.take_peers_list(found.version, found.entries, agreed=agreed):
             self._log_found(found)
-            self.readiness.list_arrived(found.trust)
+            self.readiness.record_list(found.trust)
             if agreed:
                 self._poll(at_once=False)
             self._report_ready()
@@ -135,8 +137,8 @@
         now = self.dispatcher.now_ns()
         search = self.lists.search
         search.update(now)
-        if search.confirmed:
-            self.readiness.list_arrived(ListTrust.CACHED, confirmed=True)
+        if search.cache_confirmed:
+            self.readiness.record_list(ListTrust.CACHED, cache_confirmed=True)
         self._use_found()
         if not self._polled and now >= self._poll_ns:
             self._poll(at_once=True)
--- a/zincstile/net/config.py
+++ b/zincstile/net/config.py
@@ -276,7 +276,7 @@
 
     with _config_errors():
         found = features.start(path)
-    if found.peers and not settings.gossips:
+    if found.use_peer_lists and not settings.gossips:
         raise ConfigError(f"{path}: peers: settings.limits.peers is false: nobody could be asked")
     return found
 
--- a/zincstile/net/discovery/watcher.py
+++ b/zincstile/net/discovery/watcher.py
@@ -195,7 +195,7 @@
         if watch is not None:  # else the one that stands is read on, though the next did not come up
             self.current = None
         self.dispatcher.log.often("watch", f"lost: {failure.reason}; the last list stands")
-        wait_ns = self._polling.failed(failure.retry_after_ns, failure.silent_ns)
+        wait_ns = self._polling.record_failure(failure.retry_after_ns, failure.silent_ns)
         self.dispatcher.deadlines.add(self.dispatcher.now_ns() + wait_ns, self.open, address)
         self.dispatcher.wake()
 
@@ -210,7 +210,7 @@
             complete = bool(message["snapshot"])
             self.listener.list_received(self.table.version, message["endpoints"], complete=complete)
         if watch is self.current:
-            self._polling.answered(watch.response_time_ns())
+            self._polling.record_answer(watch.response_time_ns())
             if self._previous is not None:
                 replaced = self._previous
                 self._previous = None
--- a/zincstile/net/features.py
+++ b/zincstile/net/features.py
@@ -78,21 +78,21 @@
 
 
 class StartRow(msgspec.Struct, forbid_unknown_fields=True, omit_defaults=True):
-    """`ColdStartSettings` in milliseconds; what is left out has its usual value."""
-
-    peers: bool | None = None
-    wait_ms: int | None = None
-    each_ms: int | None = None
-    again_ms: int | None = None
-    agree: int | None = None
-    lone_ms: int | None = None
-    fan: int | None = None
-    told_per_s: float | None = None
-    oldest_ms: int | None = None
-    known_ms: int | None = None
-    first_per_s: float | None = None
-    double_ms: int | None = None
-    open_ms: int | None = None
+    """`ColdStartSettings` in milliseconds, under the operators' keys; what is left out has its default."""
+
+    use_peer_lists: bool | None = msgspec.field(name="peers", default=None)
+    peer_wait_ms: int | None = msgspec.field(name="wait_ms", default=None)
+    poll_spread_per_gateway_ms: int | None = msgspec.field(name="each_ms", default=None)
+    retry_interval_ms: int | None = msgspec.field(name="again_ms", default=None)
+    min_agreeing_peers: int | None = msgspec.field(name="agree", default=None)
+    single_peer_wait_ms: int | None = msgspec.field(name="lone_ms", default=None)
+    query_fan_out: int | None = msgspec.field(name="fan", default=None)
+    max_sent_per_s: float | None = msgspec.field(name="told_per_s", default=None)
+    max_list_age_ms: int | None = msgspec.field(name="oldest_ms", default=None)
+    cached_list_wait_ms: int | None = msgspec.field(name="known_ms", default=None)
+    initial_units_per_s: float | None = msgspec.field(name="first_per_s", default=None)
+    ramp_time_constant_ms: int | None = msgspec.field(name="double_ms", default=None)
+    max_ramp_ms: int | None = msgspec.field(name="open_ms", default=None)
 
 
 class ZoneRow(msgspec.Struct, forbid_unknown_fields=True):
@@ -117,21 +117,21 @@
 
 
 class PlaceRow(msgspec.Struct, forbid_unknown_fields=True, omit_defaults=True):
-    """`ZoneFailoverSettings` in milliseconds; what is left out has its usual value."""
+    """`ZoneFailoverSettings` in milliseconds, under the operators' keys; what is left out has its default."""
 
     regions: dict[str, list[str]] = {}
     distances: list[DistanceRow] = []
     within: str | None = None
     headroom: float | None = None
-    spill: float | None = None
-    step: float | None = None
-    lost_ms: int | None = None
-    back_ms: int | None = None
-    ramp_ms: int | None = None
-    beat_ms: int | None = None
+    max_spill_ratio: float | None = msgspec.field(name="spill", default=None)
+    max_shift_ratio: float | None = msgspec.field(name="step", default=None)
+    loss_detection_ms: int | None = msgspec.field(name="lost_ms", default=None)
+    recovery_ms: int | None = msgspec.field(name="back_ms", default=None)
+    ramp_doubling_ms: int | None = msgspec.field(name="ramp_ms", default=None)
+    heartbeat_interval_ms: int | None = msgspec.field(name="beat_ms", default=None)
     term_ms: int | None = None
-    hold_ms: int | None = None
-    electors: int | None = None
+    table_lifetime_ms: int | None = msgspec.field(name="hold_ms", default=None)
+    max_electors: int | None = msgspec.field(name="electors", default=None)
 
 
 class PlaceFile(msgspec.Struct, forbid_unknown_fields=True):
@@ -255,7 +255,7 @@
     try:
         return ZoneFailoverSettings(regions, distances, **times, **rest)
     except ValueError as err:
-        raise FileError(f"{path}: {err}") from None
+        raise FileError(f"{path}: {_by_keys(row, str(err))}") from None
 
 
 def place_zones(path: str) -> list[ZoneRow]:
--- a/zincstile/simulation/mutants_place.py
+++ b/zincstile/simulation/mutants_place.py
@@ -59,7 +59,7 @@
     return replace_attribute(
         leader_terms.LeaderTerms,
         "_may_grant",
-        lambda self, now, proposer, process, term: self.granted is None or term > self.granted.term,
+        lambda self, now, proposer, process, term: self.granted_vote is None or term > self.granted_vote.term,
     )
 
 
@@ -87,7 +87,9 @@
 
 def _in_step() -> Undo:
     """Failed calls are made again after the whole span, by all."""
-    return replace_attribute(list_polling.ListPolling, "failed", lambda self, *_: self.first_backoff_ns)
+    return replace_attribute(
+        list_polling.ListPolling, "record_failure", lambda self, *_: self.first_backoff_ns
+    )
 
 
 def _all_for_itself() -> Undo:
@@ -95,7 +97,7 @@
     return replace_attribute(
         admission_ramp.AdmissionRamp,
         "pace",
-        lambda self, endpoints: self.settings.first_per_s * endpoints + self.earned_per_s,
+        lambda self, endpoints: self.settings.initial_units_per_s * endpoints + self.earned_units_per_s,
     )
 
 
@@ -106,7 +108,7 @@
 
 def _tells_on() -> Undo:
     """What came from a peer is told on."""
-    old = peer_lists.PeerLists.take_found
+    old = peer_lists.PeerLists.take_result
 
     def take(self):
         found = old(self)
@@ -114,7 +116,7 @@
             self.copy.replace(0, found.version, Provenance.CACHED, found.entries)
         return found
 
-    return replace_attribute(peer_lists.PeerLists, "take_found", take)
+    return replace_attribute(peer_lists.PeerLists, "take_result", take)
 
 
 def _reach_forgotten() -> Undo:
@@ -152,10 +154,10 @@
         zone.update(now, reached=reached, short=False, relieved=True, draining=False)
         if zone.state is ZoneState.RETURNING and before is not ZoneState.RETURNING:
             first = now
-            if zone.usable_ratio(now) > 2 * zone_states.FIRST_RATIO:
+            if zone.usable_ratio(now) > 2 * zone_states.INITIAL_RATIO:
                 return f"states: a part of {zone.usable_ratio(now):.2f} at the return"
-    if first < 0 or zone.changes > 12:
-        return f"states: {zone.changes} changes of 40 faults"
+    if first < 0 or zone.state_changes > 12:
+        return f"states: {zone.state_changes} changes of 40 faults"
     return ""
 
 
@@ -165,7 +167,7 @@
     seen = zone_view.ZoneView(SETTINGS, 3, 2)
     zones = [ZoneTracker(SETTINGS) for _ in range(2)]
     for k in range(40):
-        now = k * SETTINGS.beat_ns
+        now = k * SETTINGS.heartbeat_interval_ns
         dead = 1.0 if k < 2 else -1.0 if k < 20 else 0.0
         well = messages.ZoneObservation(4, 4.0, 0.0, 1e9)
         seen.record(
@@ -173,7 +175,7 @@
         )
         seen.record(now, messages.ZoneReport(1, 1, k + 1, 1, 5.0, (well, well)))
         found = seen.evaluate(now, zones)[0].reachable_from[0]
-        if found and 1 < k < 20 + SETTINGS.back_ns // SETTINGS.beat_ns:
+        if found and 1 < k < 20 + SETTINGS.recovery_ns // SETTINGS.heartbeat_interval_ns:
             return f"view: a zone counts as reached after {k} beats, without a try that came up for long"
     return "" if found else "view: a zone is never reached again"
 
@@ -184,7 +186,9 @@
     if not one.keeps_waiting(20 * SECOND):
         return "asking: a call was given up while the service may work on it"
     calls = sorted(
-        list_polling.ListPolling(random.Random(k), 10 * SECOND, 10 * SECOND, SECOND, 4500 * MS).failed()
+        list_polling.ListPolling(
+            random.Random(k), 10 * SECOND, 10 * SECOND, SECOND, 4500 * MS
+        ).record_failure()
         for k in range(200)
     )
     most = max(sum(at <= c < at + 100 * MS for c in calls) for at in calls)
@@ -196,15 +200,16 @@
     settings, fleet, sent = ColdStartSettings(), [], 0.0
     for k in range(200):
         fleet.append(admission_ramp.AdmissionRamp(settings, 200, 6.0, random.Random(k)))
-        fleet[-1].begin(0)
-    for now in range(0, settings.double_ns, 10 * MS):
+        fleet[-1].start(0)
+    for now in range(0, settings.ramp_time_constant_ns, 10 * MS):
         for one in fleet:
             if one.admits(now, 40.0):
-                one.sent(2.0)
+                one.record_sent(2.0)
                 sent += 2.0
-        if sent > admission_ramp.sent_bound(settings, 40.0, now + 10 * MS) + 130:
+        if sent > admission_ramp.max_sent_units(settings, 40.0, now + 10 * MS) + 130:
             return (
-                f"opening: {sent:.0f} units sent, {admission_ramp.sent_bound(settings, 40.0, now):.0f} stated"
+                f"opening: {sent:.0f} units sent, "
+                f"{admission_ramp.max_sent_units(settings, 40.0, now):.0f} stated"
             )
     return ""
 
@@ -215,17 +220,17 @@
     late = model.gateways[-1]
     late.start()
     model.scheduler.run(60 * MS)
-    late.lists.list_from_discovery(model.now, 7, [], complete=True)
+    late.lists.receive_discovery_list(model.now, 7, [], complete=True)
     for one in model.gateways[:3]:
-        one.lists.list_from_discovery(0, start_model.VERSION, model.entries, complete=True)
+        one.lists.receive_discovery_list(0, start_model.VERSION, model.entries, complete=True)
     model.scheduler.run(3 * SECOND)
-    if late.lists.search.found is not None:
+    if late.lists.search.result is not None:
         return "lists: a peer's list was taken after discovery's word"
     for one in model.gateways[3:-1]:
         one.start()
     model.scheduler.run(6 * SECOND)
     for one in model.gateways[3:-1]:
-        if one.lists.search.found is None:
+        if one.lists.search.result is None:
             return "lists: no list came"
         if one.lists.copy.digest(model.now) is not None:
             return "lists: a peer's list is told on"
--- a/zincstile/simulation/place_model.py
+++ b/zincstile/simulation/place_model.py
@@ -50,7 +50,7 @@
         far = {(f"r{a}", f"r{b}"): 40 * MS * (b - a) for a in range(regions) for b in range(a + 1, regions)}
         self.settings = ZoneFailoverSettings(grouped, far)
         self.scheduler, self.rng, self.loss = Scheduler(), random.Random(f"place model {seed}"), loss
-        distance = self.settings.matrix(names)
+        distance = self.settings.distance_matrix(names)
         self.zones, self.regions = zones, regions
         self.seats = [
             Agreement(self.settings, k, gateways, k % zones, distance, 1 + k, random.Random(f"{seed} {k}"))
@@ -72,8 +72,8 @@
         seat = self.seats[k]
         table, sights = seat.table(self.now), []
         for z in range(self.zones):
-            uses = seat.zone == z if table is None else table.weights[seat.zone][z] > 0
-            left = table is not None and (table.states[z] == ZoneState.LOST or z == seat.zone)
+            uses = seat.own_zone == z if table is None else table.weights[seat.own_zone][z] > 0
+            left = table is not None and (table.states[z] == ZoneState.LOST or z == seat.own_zone)
             tried = uses or left and self.rng.random() < TRIED
             lost = self.dead and z == 0
             sights.append(
@@ -84,7 +84,7 @@
                     ROOM / len(self.seats),
                 )
             )
-        members = sum(s.zone == seat.zone for s in self.seats)
+        members = sum(s.own_zone == seat.own_zone for s in self.seats)
         held = seat.terms.is_leader(self.now)
         before = time.process_time()
         seat.observe(self.now, DEMAND / members, sights)
@@ -94,7 +94,7 @@
             if table is not None and self.tables.setdefault(table.generation, table.weights) != table.weights:
                 self.disagreed += 1
         self._send(k)
-        self.scheduler.call_at(self.now + self.settings.beat_ns, self._beat, k)
+        self.scheduler.call_at(self.now + self.settings.heartbeat_interval_ns, self._beat, k)
 
     def _send(self, k: int) -> None:
         for to, message in self.seats[k].take_messages():
@@ -135,7 +135,7 @@
     def play(self) -> Row:
         for k, seat in enumerate(self.seats):
             seat.start(0)
-            self.scheduler.call_at(self.rng.randrange(self.settings.beat_ns), self._beat, k)
+            self.scheduler.call_at(self.rng.randrange(self.settings.heartbeat_interval_ns), self._beat, k)
         first = self._until(LOSS_NS, self._one)
         self.scheduler.run(LOSS_NS)
         self.dead = True
@@ -158,7 +158,7 @@
             max(self.sent.values()),
             max(self.heard.values()),
             self.bytes / len(self.seats) / seconds,
-            max(s.changes for s in self.seats),
+            max(s.table_changes for s in self.seats),
             1000 * self.cpu_s / max(1, self.proposed),
             self.disagreed,
         )
--- a/zincstile/simulation/place_search.py
+++ b/zincstile/simulation/place_search.py
@@ -20,7 +20,7 @@
 from ..zone_failover.settings import MS, ZoneFailoverSettings
 from .search import Broken, Even
 
-SETTINGS = ZoneFailoverSettings(term_ns=400 * MS, beat_ns=100 * MS, hold_ns=800 * MS)
+SETTINGS = ZoneFailoverSettings(term_ns=400 * MS, heartbeat_interval_ns=100 * MS, table_lifetime_ns=800 * MS)
 STEP_NS = 200 * MS  # two of them end a term
 FLIGHT = 3
 SETTLED = 30  # ticks in which all has to end in one table
@@ -185,7 +185,9 @@
                     if to != g:
                         state.seats[to].receive(state.now, g, table)
                 _check(state)
-    found = {seat.current(state.now) and seat.current(state.now).generation for seat in state.seats}
+    found = {
+        seat.current_table(state.now) and seat.current_table(state.now).generation for seat in state.seats
+    }
     return "" if len(found) == 1 and None not in found else f"it ends in {found}"
 
 
@@ -193,13 +195,13 @@
     if candidacy is None:
         return None
     age_ns = max(-SETTINGS.term_ns, candidacy.requested_ns - now)
-    return candidacy.term, age_ns, sorted(candidacy.votes), candidacy.tables
+    return candidacy.term, age_ns, sorted(candidacy.votes), candidacy.proposed_tables
 
 
 def _key(state: State) -> bytes:
     now, seats = state.now, []
     for g, seat in enumerate(state.seats):
-        granted, candidacy, renewal = seat.granted, seat.candidacy, seat.renewal
+        granted, candidacy, renewal = seat.granted_vote, seat.candidacy, seat.renewal
         seats.append(
             (
                 state.clocks[g] - now,
@@ -207,11 +209,16 @@
                 seat.latest_term,
                 max(0, seat.no_vote_before_ns - now),
                 granted
-                and (granted.term, granted.candidate, granted.process, max(-1, granted.until_ns - now)),
+                and (
+                    granted.term,
+                    granted.candidate,
+                    granted.process,
+                    max(-1, granted.binding_until_ns - now),
+                ),
                 _candidacy_key(candidacy, now),
                 _candidacy_key(renewal, now),
                 seat.table and seat.table.generation,
-                max(-SETTINGS.hold_ns, seat.table_ns - now),
+                max(-SETTINGS.table_lifetime_ns, seat.table_renewed_ns - now),
                 max(0, seat.next_request_ns - now),
             )
         )
--- a/zincstile/simulation/places.py
+++ b/zincstile/simulation/places.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from ..zone_failover.leader_terms import electors
+from ..zone_failover.leader_terms import select_electors
 from .plan import Fault, Plan
 from .run import Run
 
@@ -74,7 +74,7 @@
     elif kind == "flapping":
         made = [Fault("unreachable", AT_MS + 3000 * k, 1500, there) for k in range(4)]
     elif kind == "proposer stopped":
-        made.append(Fault("pause", AT_MS + rng.randint(300, 1500), 3000, electors(gateways, 9)[:1]))
+        made.append(Fault("pause", AT_MS + rng.randint(300, 1500), 3000, select_electors(gateways, 9)[:1]))
     elif kind == "one way":
         made.append(Fault("peers_cut", AT_MS, FOR_MS, mine, 0.0, others, rng.choice(("in", "out"))))
     elif kind == "seven in ten killed":
--- a/zincstile/simulation/start_model.py
+++ b/zincstile/simulation/start_model.py
@@ -59,7 +59,8 @@
         self.readiness = Readiness(self.model.settings, now)
         self.lists.search.start(now)
         wait = (
-            self.model.settings.wait_ns + self.rng.randrange(self.model.count * self.model.settings.each_ns)
+            self.model.settings.peer_wait_ns
+            + self.rng.randrange(self.model.count * self.model.settings.poll_spread_per_gateway_ns)
             if self.lists.search.active
             else 0
         )
@@ -74,7 +75,7 @@
 
     def answered(self) -> None:
         now = self.model.now
-        self.lists.list_from_discovery(now, VERSION, self.model.entries, complete=True)
+        self.lists.receive_discovery_list(now, VERSION, self.model.entries, complete=True)
         self._has(ListTrust.DISCOVERY)
         self.send()
 
@@ -83,7 +84,7 @@
         self.after()
 
     def after(self) -> None:
-        found = self.lists.take_found()
+        found = self.lists.take_result()
         if found is not None and not self.runs:
             self._has(found.trust)
             if found.trust is ListTrust.PEERS_AGREE:
@@ -100,13 +101,13 @@
 
     def _has(self, trust: ListTrust) -> None:
         self.trust = trust
-        self.readiness.list_arrived(trust)
+        self.readiness.record_list(trust)
         self._say()
 
     def _say(self) -> None:
         if self.ready_ns < 0 and self.readiness.is_ready(self.model.now):
             self.ready_ns = self.model.now
-            self.ramp.begin(self.model.now)
+            self.ramp.start(self.model.now)
             self.model.at(self.model.now, self.ask)
 
     def ask(self) -> None:
@@ -114,9 +115,9 @@
         model = self.model
         if self.ramp.admits(model.now, model.servers):
             units = self.rng.choice((1.0, 1.0, 2.0, 6.0))
-            self.ramp.sent(units)
+            self.ramp.record_sent(units)
             model.sent[model.now // (100 * MS)] += units
-            model.at(model.now + 80 * MS, partial(self.ramp.answered, units, in_time=True))
+            model.at(model.now + 80 * MS, partial(self.ramp.record_answer, units, in_time=True))
         if model.now < self.ready_ns + 2 * SECOND:
             model.at(model.now + int(self.rng.expovariate(model.per_gateway) * SECOND), self.ask)
 
@@ -140,7 +141,7 @@
         settings: ColdStartSettings | None = None,
         asked: float = 2.0,
     ) -> None:
-        self.settings = settings or ColdStartSettings(peers=True)
+        self.settings = settings or ColdStartSettings(use_peer_lists=True)
         self.count, self.alive, self.per_s, self.seed, self.loss = count, alive, per_s, seed, loss
         self.scheduler, self.rng = Scheduler(), random.Random(f"model {seed}")
         self.entries = [
@@ -203,7 +204,7 @@
     def play(self, patience_s: float = 120.0, apart_s: float = 0.5) -> Row:
         for one in self.gateways:
             if one.runs:
-                one.lists.list_from_discovery(0, VERSION, self.entries, complete=True)
+                one.lists.receive_discovery_list(0, VERSION, self.entries, complete=True)
             else:
                 self.at(self.rng.uniform(0, apart_s) * SECOND, one.start)
         starting = [g for g in self.gateways if not g.runs]
--- a/zincstile/simulation/virtual_environment.py
+++ b/zincstile/simulation/virtual_environment.py
@@ -102,7 +102,7 @@
             QuotaServiceSettings(clock_skew_ns=1, max_overshoot_ratio=0.08) if plan.keeper else None
         )
         self.lease_settings = LeaseSettings() if plan.share else None
-        self.cold_start_settings = ColdStartSettings(peers=True) if plan.start else None
+        self.cold_start_settings = ColdStartSettings(use_peer_lists=True) if plan.start else None
         self.zone_failover_settings = ZoneFailoverSettings() if plan.place else None
         self.subset_settings = (
             SubsetSettings(min_endpoints=SMALLEST_SUBSET, min_gateways=SMALLEST_SUBSET)
--- a/zincstile/subsetting/departed_endpoints.py
+++ b/zincstile/subsetting/departed_endpoints.py
@@ -35,7 +35,7 @@
         if len(self._by_id) > MAX_DEPARTED:
             del self._by_id[next(iter(self._by_id))]
 
-    def take_back(self, now: int, entry: EndpointEntry) -> Endpoint | None:
+    def restore(self, now: int, entry: EndpointEntry) -> Endpoint | None:
         """Returns an endpoint that returns, its scores decayed; None where it was started anew since."""
         departed = self._by_id.pop(entry.id, None)
         if departed is None or departed.endpoint.entry.started_ns != entry.started_ns:
--- a/zincstile/subsetting/feature.py
+++ b/zincstile/subsetting/feature.py
@@ -44,24 +44,24 @@
     """Owner of all endpoints of the list, and of the choice among them."""
 
     def __init__(
-        self, settings: Settings, subset: SubsetSettings, zones: list[str], machine_types: list[int]
+        self, settings: Settings, subset_settings: SubsetSettings, zones: list[str], machine_types: list[int]
     ) -> None:
         """Takes the names of the zones, in the settings' order, and a number for each machine type.
 
         The number of a type is the same at gateways whose settings name other types besides.
         """
         self.settings = settings
-        self.subset = subset
+        self.subset_settings = subset_settings
         self.machine_types = machine_types
         scopes = deduplication_scopes(settings)
-        by_cell = DeduplicationScope.CELL in scopes and subset.service_by is not ServiceBy.GROUP
+        by_cell = DeduplicationScope.CELL in scopes and subset_settings.service_by is not ServiceBy.GROUP
         self.rings = EndpointRings(self.service_of, by_cell=by_cell)
-        fleet = Fleet(subset, settings.gateway_index, settings.gateway_count, settings.zone, zones)
-        min_endpoints = subset.min_endpoints
+        fleet = Fleet(subset_settings, settings.gateway_index, settings.gateway_count, settings.zone, zones)
+        min_endpoints = subset_settings.min_endpoints
         if scopes:
             min_endpoints = max(min_endpoints, MIN_DEDUPLICATING_ENDPOINTS)
-        self.selection = Selection(subset, fleet, self.rings, min_endpoints)
-        self.used: dict[int, EndpointEntry] = {}  # by id, as the policy has them
+        self.selection = Selection(subset_settings, fleet, self.rings, min_endpoints)
+        self.applied_entries: dict[int, EndpointEntry] = {}  # by id, as the policy has them
         self.departed = DepartedEndpoints()
         self._applied_ns = 0  # when the policy got a change last
 
@@ -99,10 +99,10 @@
 
     def service_of(self, entry: EndpointEntry) -> int:
         """The service of an endpoint, by the field that the settings name."""
-        if self.subset.service_by is ServiceBy.TYPE:
+        if self.subset_settings.service_by is ServiceBy.TYPE:
             known = 0 <= entry.machine_type < len(self.machine_types)
             return self.machine_types[entry.machine_type] if known else entry.machine_type
-        return entry.cell if self.subset.service_by is ServiceBy.GROUP else 0
+        return entry.cell if self.subset_settings.service_by is ServiceBy.GROUP else 0
 
     # ---- the list
 
@@ -111,15 +111,15 @@
         if event.kind is EndpointListKind.FAILED:
             self._apply(now, event)
             return
-        first = not self.used
+        first = not self.applied_entries
         changed = {entry.id for entry in event.entries}
         if event.kind is EndpointListKind.DELTA:
             services = self.rings.apply(event.entries)
         else:
-            changed |= set(self.used)
+            changed |= set(self.applied_entries)
             services = self.rings.replace(event.entries)
         self._apply_changes(now, changed | self.selection.update(services), event.version)
-        if first and self.used:
+        if first and self.applied_entries:
             self.parts.actions.append(LogMessage(self._log_line()))
 
     def _apply_changes(self, now: int, changed: set[int], version: int) -> None:
@@ -135,14 +135,14 @@
     def _change(self, now: int, endpoint_id: int) -> EndpointEntry | None:
         """An endpoint's entry as the policy is to have it; None where it has that already."""
         entry = self.rings.endpoints.get(endpoint_id)
-        used = self.used.get(endpoint_id)
+        used = self.applied_entries.get(endpoint_id)
         drains = entry is not None and entry.state is EndpointState.DRAINING and used is not None
         if entry is not None and (drains or endpoint_id in self.selection.members):
-            self.used[endpoint_id] = entry
+            self.applied_entries[endpoint_id] = entry
             return entry if entry != used else None
         if used is None:
             return None
-        del self.used[endpoint_id]
+        del self.applied_entries[endpoint_id]
         endpoint = self.parts.endpoints.by_id.get(endpoint_id)
         if endpoint is not None:
             self.departed.add(now, endpoint_id, endpoint)
@@ -150,7 +150,7 @@
 
     def recall(self, entry: EndpointEntry) -> Endpoint | None:
         """What was learned of an endpoint before it left the subset, if any."""
-        return self.departed.take_back(self._applied_ns, entry)
+        return self.departed.restore(self._applied_ns, entry)
 
     # ---- outliers
 
--- a/zincstile/subsetting/placement.py
+++ b/zincstile/subsetting/placement.py
@@ -15,7 +15,7 @@
 from functools import lru_cache
 from typing import Final
 
-GOLDEN_PART: Final = (math.sqrt(5) - 1) / 2  # multiples of this part spread most evenly round a ring
+GOLDEN_RATIO_PART: Final = (math.sqrt(5) - 1) / 2  # multiples of this part spread most evenly round a ring
 ID_BITS: Final = 64  # of an endpoint's number
 ID_MASK: Final = (1 << ID_BITS) - 1
 HASH_BYTES: Final = 6  # 48 bits: two of 32,000 endpoints have the same hash once in 550,000 lists
@@ -33,7 +33,7 @@
     return stable_hash(service, endpoint) << ID_BITS | endpoint & ID_MASK
 
 
-def endpoint_number(key: int) -> int:
+def endpoint_id_of(key: int) -> int:
     """The endpoint's number, from its key in a ring."""
     return key & ID_MASK
 
@@ -57,7 +57,7 @@
     Coprime to `count` and near the golden ratio's part of it. Of those it is the one whose multiples spread
     most evenly, so that also a block of consecutive indices has no large gaps.
     """
-    wanted = round(count * GOLDEN_PART)
+    wanted = round(count * GOLDEN_RATIO_PART)
     first = max(1, wanted - STRIDE_CANDIDATES // 2)
     last = min(count, wanted + STRIDE_CANDIDATES // 2)
     coprime = [candidate for candidate in range(first, last + 1) if math.gcd(candidate, count) == 1]
--- a/zincstile/subsetting/rings.py
+++ b/zincstile/subsetting/rings.py
@@ -94,8 +94,8 @@
         """
         listed = {entry.id: entry for entry in entries}
         changed: set[int] = set()
-        for number in [known for known in self.endpoints if known not in listed]:
-            self._leave_ring(self.endpoints.pop(number), changed)
+        for endpoint_id in [known for known in self.endpoints if known not in listed]:
+            self._leave_ring(self.endpoints.pop(endpoint_id), changed)
         for entry in listed.values():
             self._put(entry, changed)
         return changed
--- a/zincstile/subsetting/selection.py
+++ b/zincstile/subsetting/selection.py
@@ -7,7 +7,7 @@
 from typing import NamedTuple
 
 from .fleet import Fleet
-from .placement import endpoint_number, first_rank, slice_size, stable_hash
+from .placement import endpoint_id_of, first_rank, slice_size, stable_hash
 from .rings import EndpointRings, RingId
 from .settings import SubsetSettings
 from .widening import MAX_RECOVERY_FACTOR, Health, Widening
@@ -31,12 +31,12 @@
     """The slices of all services, from the rings alone and from the health of their endpoints."""
 
     def __init__(
-        self, settings: SubsetSettings, fleet: Fleet, table: EndpointRings, min_endpoints: int
+        self, settings: SubsetSettings, fleet: Fleet, endpoint_rings: EndpointRings, min_endpoints: int
     ) -> None:
         """Starts empty; `min_endpoints` of each service and zone may be more than the settings ask for."""
         self.settings = settings
         self.fleet = fleet
-        self.table = table
+        self.endpoint_rings = endpoint_rings
         self.min_endpoints = min_endpoints
         self.slices: dict[int, dict[int, Slice]] = {}  # by service and zone
         self.members: dict[int, RingId] = {}  # by endpoint
@@ -57,10 +57,10 @@
                 self.slices[service] = after
             old_members = _members(before)
             moved |= old_members ^ _members(after)
-            for number in old_members:
-                ring_id = self.members.get(number)
+            for endpoint_id in old_members:
+                ring_id = self.members.get(endpoint_id)
                 if ring_id is not None and ring_id.service == service:
-                    del self.members[number]
+                    del self.members[endpoint_id]
             for zone, chosen in after.items():
                 self.members.update(dict.fromkeys(chosen.members, RingId(service, zone)))
         return moved
@@ -70,10 +70,10 @@
 
         `suspects`: endpoints that may be unhealthy; the others need not be asked for.
         """
-        rings = {self.members[number] for number in suspects if number in self.members}
+        ring_ids = {self.members[endpoint_id] for endpoint_id in suspects if endpoint_id in self.members}
         return {
             ring_id.service
-            for ring_id in sorted(rings | set(self.widenings))
+            for ring_id in sorted(ring_ids | set(self.widenings))
             if self._review_slice(now, ring_id, health)
         }
 
@@ -93,7 +93,7 @@
         found: list[int] = []
         for tier, zones in enumerate(self.fleet.tiers):
             before = found
-            found = [zone for zone in zones if RingId(service, zone) in self.table.rings]
+            found = [zone for zone in zones if RingId(service, zone) in self.endpoint_rings.rings]
             if len(found) > len(before) and not all(
                 self._needs_further_zones(service, zone) for zone in found
             ):
@@ -106,7 +106,7 @@
 
     def _slice(self, ring_id: RingId, scale: float) -> Slice:
         """`scale`: how much larger it is than usual, for zones in reach without an endpoint."""
-        ring = self.table.rings[ring_id]
+        ring = self.endpoint_rings.rings[ring_id]
         position = self.fleet.position(ring_id.zone)
         total = len(ring)
         usual = slice_size(total, self.min_endpoints, self.settings.min_gateways, position.count)
@@ -117,26 +117,26 @@
         offset = stable_hash(ring_id.service, self.fleet.zone_name(ring_id.zone)) % position.count
         first = first_rank(position.index, position.count, total, offset)
         keys = ring.take(first, size + extra_count)
-        numbers = tuple(map(endpoint_number, keys))
+        numbers = tuple(map(endpoint_id_of, keys))
         return Slice(numbers[:size], numbers[size:], self._partners(ring_id, keys), max_extra)
 
     def _partners(self, ring_id: RingId, keys: list[int]) -> tuple[int, ...]:
         """For each cell with one endpoint in the slice a second one, where there is any."""
-        ring = self.table.rings[ring_id]
+        ring = self.endpoint_rings.rings[ring_id]
         if ring.keys_by_cell is None:
             return ()
         alone: dict[int, int | None] = {}  # by cell: its only endpoint's key, None where it has more
         for key in keys:
-            cell = self.table.endpoints[endpoint_number(key)].cell
+            cell = self.endpoint_rings.endpoints[endpoint_id_of(key)].cell
             alone[cell] = None if cell in alone else key
         found = ((key, ring.partner(key, cell)) for cell, key in alone.items() if key is not None)
-        return tuple(endpoint_number(partner) for key, partner in found if partner != key)
+        return tuple(endpoint_id_of(partner) for key, partner in found if partner != key)
 
     # ---- health
 
     def _review_slice(self, now: int, ring_id: RingId, health: Callable[[int], Health]) -> bool:
         chosen = self.slices.get(ring_id.service, {}).get(ring_id.zone)
-        ring = self.table.rings.get(ring_id)
+        ring = self.endpoint_rings.rings.get(ring_id)
         widening = self.widenings.get(ring_id)
         if chosen is None or ring is None:
             return self.widenings.pop(ring_id, None) is not None and widening.active
@@ -144,14 +144,14 @@
             widening = Widening(self.settings.recovery_ns)
         changed = widening.review(
             now,
-            [health(number) for number in chosen.regular],
-            [health(number) for number in chosen.extra],
+            [health(endpoint_id) for endpoint_id in chosen.regular],
+            [health(endpoint_id) for endpoint_id in chosen.extra],
             required=min(self.settings.min_usable, len(ring)),
             max_extra=chosen.max_extra,
         )
         max_recovery_ns = MAX_RECOVERY_FACTOR * self.settings.recovery_ns
         widening.recovery_ns = min(widening.recovery_ns, max_recovery_ns)
-        if widening.forgettable(now):
+        if widening.is_obsolete(now):
             self.widenings.pop(ring_id, None)
         else:
             self.widenings[ring_id] = widening
@@ -159,4 +159,4 @@
 
 
 def _members(slices: dict[int, Slice]) -> set[int]:
-    return {number for chosen in slices.values() for number in chosen.members}
+    return {endpoint_id for chosen in slices.values() for endpoint_id in chosen.members}
--- a/zincstile/subsetting/widening.py
+++ b/zincstile/subsetting/widening.py
@@ -54,7 +54,7 @@
             self._shrink_if_recovered(now)
         return (self.extra_count, self.needs_further_zones) != before
 
-    def forgettable(self, now: int) -> bool:
+    def is_obsolete(self, now: int) -> bool:
         """Whether nothing of it is needed any more."""
         return not self.active and not self._relapses(now)
 
--- a/zincstile/zone_failover/agreement.py
+++ b/zincstile/zone_failover/agreement.py
@@ -26,9 +26,9 @@
     def __init__(
         self,
         settings: ZoneFailoverSettings,
-        me: int,
-        gateways: int,
-        zone: int,
+        gateway_index: int,
+        gateway_count: int,
+        own_zone: int,
         distance: list[list[int]],
         process: int,
         rng: random.Random,
@@ -39,17 +39,17 @@
         between processes of a gateway, `rng` spreads over time what gateways send.
         """
         self.settings = settings
-        self.me = me
-        self.gateways = gateways
-        self.zone = zone
+        self.gateway_index = gateway_index
+        self.gateway_count = gateway_count
+        self.own_zone = own_zone
         self.distance = distance
         self.process = process
         self.rng = rng
-        self.view = ZoneView(settings, gateways, len(distance))
+        self.view = ZoneView(settings, gateway_count, len(distance))
         self.trackers = [ZoneTracker(settings) for _ in distance]
         self.terms: LeaderTerms | None = None  # from `start` on
-        self.others = [gateway for gateway in range(gateways) if gateway != me]
-        self.changes = 0  # of the routing weights
+        self.peers = [gateway for gateway in range(gateway_count) if gateway != gateway_index]
+        self.table_changes = 0  # of the routing weights
         self._report_number = 0
         self._reported_ns = 0
         self._failed = [False] * len(distance)  # by zone, as it was found last
@@ -57,12 +57,14 @@
 
     def start(self, now: int) -> None:
         """Begins to take part in elections; the first report follows at a random moment."""
-        self.terms = LeaderTerms(self.settings, self.me, self.gateways, self.process, now, self.rng)
+        self.terms = LeaderTerms(
+            self.settings, self.gateway_index, self.gateway_count, self.process, now, self.rng
+        )
         self._reported_ns = now - self.rng.randrange(self.view.report_interval_ns)  # else all report in step
 
     def table(self, now: int) -> RoutingTable | None:
         """Returns the table that holds for this gateway, if any."""
-        return self.terms.current(now) if self.terms is not None else None
+        return self.terms.current_table(now) if self.terms is not None else None
 
     def observe(self, now: int, demand: float, observations: list[ZoneObservation]) -> None:
         """Takes what this gateway observes; to be called once each `beat_ns` of the settings.
@@ -73,10 +75,10 @@
         table = self.table(now)
         self._hasten_report(now, table, observations)
         report = ZoneReport(
-            self.me,
+            self.gateway_index,
             self.process,
             self._report_number,
-            self.zone,
+            self.own_zone,
             demand,
             tuple(observations),
             self.view.overrides,
@@ -97,8 +99,8 @@
         Soon is a random moment, apart from the other gateways that observe the same.
         """
         failed = [
-            before if one.failed_ratio < 0 else one.failed_ratio >= FAILED_RATIO
-            for one, before in zip(observations, self._failed, strict=True)
+            before if observation.failed_ratio < 0 else observation.failed_ratio >= FAILED_RATIO
+            for observation, before in zip(observations, self._failed, strict=True)
         ]
         newly_failed = any(
             fails and not before and (table is None or table.states[zone] != ZoneState.LOST)
@@ -112,15 +114,15 @@
 
     def _send_report(self, now: int, table: RoutingTable | None, report: ZoneReport) -> None:
         self._reported_ns = now - self.rng.randrange(self.view.report_interval_ns // 4)
-        receivers = set(self._sample(self.others))
+        receivers = set(self._sample(self.peers))
         if table is None:
             receivers.update(self._sample(self.terms.electors))
         elif not self.terms.is_leader(now):
             receivers.add(table.generation.leader)
-        self._outbox += [(gateway, report) for gateway in receivers if gateway != self.me]
+        self._outbox += [(gateway, report) for gateway in receivers if gateway != self.gateway_index]
 
-    def _sample(self, gateways: list[int]) -> list[int]:
-        return self.rng.sample(gateways, min(REPORT_FAN_OUT, len(gateways)))
+    def _sample(self, candidates: list[int]) -> list[int]:
+        return self.rng.sample(candidates, min(REPORT_FAN_OUT, len(candidates)))
 
     def _propose(self, now: int) -> None:
         """Proposes what holds from here on.
@@ -132,17 +134,17 @@
         last = self.terms.table
         previous = last.weights if last is not None and len(last.weights) == len(zones) else None
         sent = route(zones, self.distance, self.settings.headroom)
-        weights = to_weights(sent, zones, previous, self.settings.step)
+        weights = to_weights(sent, zones, previous, self.settings.max_shift_ratio)
         states = tuple(int(tracker.state) for tracker in self.trackers)
         table = self.terms.propose(now, tuple(map(tuple, weights)), states)
         if table is None:
             return
-        self.changes += last is None or last.weights != table.weights
-        interval_ns = self.settings.beat_ns
-        round_ns = max(interval_ns, len(self.others) * RENEWAL_NS_PER_GATEWAY)
-        count = max(1, -(-len(self.others) * interval_ns // round_ns))
+        self.table_changes += last is None or last.weights != table.weights
+        interval_ns = self.settings.heartbeat_interval_ns
+        round_ns = max(interval_ns, len(self.peers) * RENEWAL_NS_PER_GATEWAY)
+        count = max(1, -(-len(self.peers) * interval_ns // round_ns))
         renewed = table is last
-        receivers = self.rng.sample(self.others, min(len(self.others), count)) if renewed else self.others
+        receivers = self.rng.sample(self.peers, min(len(self.peers), count)) if renewed else self.peers
         self._outbox += [(gateway, table) for gateway in receivers]
 
     def receive(self, now: int, sender: int, message: ZoneMessage) -> None:
@@ -150,15 +152,15 @@
 
         A table with another number of zones is of another configuration and is ignored.
         """
-        if not 0 <= sender < self.gateways or sender == self.me or self.terms is None:
+        if not 0 <= sender < self.gateway_count or sender == self.gateway_index or self.terms is None:
             return
         if isinstance(message, ZoneReport):
-            if message.origin == sender:
+            if message.gateway == sender:
                 self.view.record(now, message)
         elif isinstance(message, RoutingTable):
             last = self.terms.table
             if len(message.weights) == len(self.distance) and self.terms.receive(now, sender, message):
-                self.changes += last is None or last.weights != message.weights
+                self.table_changes += last is None or last.weights != message.weights
                 self._adopt_states(now, message)
         else:
             self.terms.receive(now, sender, message)
--- a/zincstile/zone_failover/codec.py
+++ b/zincstile/zone_failover/codec.py
@@ -87,7 +87,7 @@
 
 def _pack_report(report: ZoneReport) -> bytes:
     head = REPORT.pack(
-        report.origin,
+        report.gateway,
         report.process,
         report.number % 2**32,
         report.zone,
@@ -104,8 +104,8 @@
     if observation.failed_ratio >= 0:
         failed = min(RATIO_STEPS, int(RATIO_STEPS * observation.failed_ratio))
     return OBSERVATION.pack(
-        min(U16_MAX, observation.ready),
-        _to_steps(observation.good, U16_MAX),
+        min(U16_MAX, observation.ready_endpoints),
+        _to_steps(observation.healthy_endpoints, U16_MAX),
         failed,
         _to_steps(observation.capacity, U32_MAX),
     )
@@ -141,11 +141,11 @@
 
 
 def _read_report(body: bytes) -> ZoneReport | None:
-    origin, process, number, zone, demand, overrides, override_number, zones = REPORT.unpack_from(body)
+    gateway, process, number, zone, demand, overrides, override_number, zones = REPORT.unpack_from(body)
     if not 0 < zones <= MAX_ZONES or len(body) != REPORT.size + zones * OBSERVATION.size or zone >= zones:
         return None
     return ZoneReport(
-        origin,
+        gateway,
         process,
         number,
         zone,
@@ -157,10 +157,10 @@
 
 
 def _read_observation(body: bytes, offset: int) -> ZoneObservation:
-    ready, good, failed, capacity = OBSERVATION.unpack_from(body, offset)
+    ready, healthy, failed, capacity = OBSERVATION.unpack_from(body, offset)
     return ZoneObservation(
         ready,
-        good / STEPS_PER_UNIT,
+        healthy / STEPS_PER_UNIT,
         -1.0 if failed == NOT_TRIED else failed / RATIO_STEPS,
         math.inf if capacity == U32_MAX else capacity / STEPS_PER_UNIT,
     )
--- a/zincstile/zone_failover/feature.py
+++ b/zincstile/zone_failover/feature.py
@@ -28,7 +28,7 @@
 from .zone_capacity import SpillBudget, ZoneCapacity
 from .zone_description import describe_zones
 from .zone_health import ZoneHealth
-from .zone_states import UNUSABLE, ZoneState
+from .zone_states import UNUSABLE_STATES, ZoneState
 
 PROBE_INTERVAL_RATIO: Final = 0.5  # of `back`: a zone that is left is probed at least once within that time
 ANY_ZONE: Final = -1  # in place of a zone index
@@ -59,7 +59,7 @@
         self.zone_settings = zone_settings
         self.zone_names = [*zones, UNNAMED_ZONE]
         self.zone_count = len(self.zone_names)
-        self.distance = zone_settings.matrix(self.zone_names)  # between zones, by index
+        self.distance = zone_settings.distance_matrix(self.zone_names)  # between zones, by index
         self.rng = random.Random(f"place {seed}")
         self.own_zone = min(settings.zone, self.zone_count - 1)
         self.agreement = Agreement(
@@ -100,7 +100,7 @@
 
     def started(self, now: int) -> None:
         """The first heartbeat, at a random moment: else all gateways send in step."""
-        first_ns = now + self.rng.randrange(self.zone_settings.beat_ns)
+        first_ns = now + self.rng.randrange(self.zone_settings.heartbeat_interval_ns)
         self.parts.actions.set_timer(first_ns, ZONE_HEARTBEAT_TOKEN)
 
     def state_inherited(self, now: int) -> None:
@@ -118,7 +118,7 @@
             "far": self.attempt_counts.remote,
             "spilled": self.attempt_counts.spilled,
             "nowhere": self.attempt_counts.unroutable,
-            "tables": self.agreement.changes,
+            "tables": self.agreement.table_changes,
             "term": term,
         }
 
@@ -138,7 +138,7 @@
         self.agreement.override(event.zone, drained=event.drained, frozen=event.frozen)
 
     def _heartbeat(self, now: int) -> None:
-        self.parts.actions.set_timer(now + self.zone_settings.beat_ns, ZONE_HEARTBEAT_TOKEN)
+        self.parts.actions.set_timer(now + self.zone_settings.heartbeat_interval_ns, ZONE_HEARTBEAT_TOKEN)
         budget_per_s = self.capacity.budget_per_s()
         observations = [self._observation(zone, budget_per_s) for zone in range(self.zone_count)]
         self.agreement.observe(now, self.parts.budget.arrivals, observations)
@@ -224,7 +224,7 @@
         """The endpoint of a retry: the scope in which its repeats are dropped says where it may go."""
         table = self.agreement.table(now)
         if idempotent and table is not None:
-            self.excluded_zones = [state in UNUSABLE for state in table.states]
+            self.excluded_zones = [state in UNUSABLE_STATES for state in table.states]
         try:
             return self._choose_endpoint(now, pending)
         finally:
@@ -239,7 +239,7 @@
         for zone in range(self.zone_count):
             if now < self.probe_due_ns[zone] or not self.health.ready[zone] or not self._is_left(now, zone):
                 continue
-            wait_ns = self.zone_settings.back_ns * PROBE_INTERVAL_RATIO * (0.5 + self.rng.random())
+            wait_ns = self.zone_settings.recovery_ns * PROBE_INTERVAL_RATIO * (0.5 + self.rng.random())
             self.probe_due_ns[zone] = now + int(wait_ns)
             endpoint = self._choose_within(now, pending, zone)
             if endpoint is not None:
@@ -277,7 +277,7 @@
         for zone in self._by_distance():
             if zone == tried_zone or zone in failing or not self.health.ready[zone]:
                 continue
-            if table is not None and table.states[zone] in UNUSABLE:
+            if table is not None and table.states[zone] in UNUSABLE_STATES:
                 continue
             if zone != self.own_zone and not self._take_spill(now, zone, pending.request.units):
                 continue
@@ -295,7 +295,7 @@
 
     def _take_spill(self, now: int, zone: int, units: float) -> bool:
         """Takes the units from this gateway's even part of what the zone may be sent without a table."""
-        fleet_rate = self.zone_settings.spill * self.capacity.capacity_per_s(zone)
+        fleet_rate = self.zone_settings.max_spill_ratio * self.capacity.capacity_per_s(zone)
         return self.spill_budgets[zone].take(now, fleet_rate / self.settings.gateway_count, units)
 
     def _count_attempt(self, zone: int) -> None:
--- a/zincstile/zone_failover/leader_terms.py
+++ b/zincstile/zone_failover/leader_terms.py
@@ -29,12 +29,12 @@
 U64: Final = 2**64
 
 
-def electors(gateways: int, limit: int) -> list[int]:
+def select_electors(gateway_count: int, limit: int) -> list[int]:
     """Returns the gateways that elect the leader, at most `limit`, in the order in which they stand for it.
 
     The same everywhere for the same number of gateways.
     """
-    return sorted(range(gateways), key=_mix)[:limit]
+    return sorted(range(gateway_count), key=_mix)[:limit]
 
 
 def _mix(value: int) -> int:
@@ -52,7 +52,7 @@
     term: int
     candidate: int
     process: int  # of the candidate
-    until_ns: int  # it binds the elector until then
+    binding_until_ns: int  # it binds the elector until then
 
 
 @dataclass(slots=True)
@@ -62,7 +62,7 @@
     term: int
     requested_ns: int
     votes: dict[int, None] = field(default_factory=dict)  # electors, in the order of their replies
-    tables: int = 0  # proposed in the term
+    proposed_tables: int = 0  # proposed in the term
 
 
 class LeaderTerms:
@@ -71,26 +71,26 @@
     def __init__(
         self,
         settings: ZoneFailoverSettings,
-        me: int,
-        gateways: int,
+        gateway_index: int,
+        gateway_count: int,
         process: int,
         now: int,
         rng: random.Random,
     ) -> None:
         """Takes the gateway's index and how many there are; `process` differs between its processes."""
         self.settings = settings
-        self.me = me
+        self.gateway_index = gateway_index
         self.process = process
         self.rng = rng
-        self.electors = electors(gateways, settings.electors)
+        self.electors = select_electors(gateway_count, settings.max_electors)
         self.majority = len(self.electors) // 2 + 1
         self.latest_term = 0  # that this gateway knows of
-        self.granted: GrantedVote | None = None
+        self.granted_vote: GrantedVote | None = None
         self.no_vote_before_ns = now + settings.term_ns  # until then a vote of the process before may bind it
         self.candidacy: Candidacy | None = None
         self.renewal: Candidacy | None = None  # for the next term, while this gateway leads the current one
         self.table: RoutingTable | None = None
-        self.table_ns = 0  # when the table was made or renewed at the latest, by this process's clock
+        self.table_renewed_ns = 0  # when the table was made or renewed at the latest, by this process's clock
         self.next_request_ns = now + rng.randrange(settings.term_ns) + settings.term_ns
         self._outbox: list[tuple[int, LeaderMessage]] = []
 
@@ -111,15 +111,21 @@
         A leader renews its term in time. Without a renewed table, the first elector of those whose reports
         arrive (`reporting`) requests votes, and the others half a term later.
         """
-        if self.me not in self.electors:
+        if self.gateway_index not in self.electors:
             return
         if self.is_leader(now):
             if now - self.candidacy.requested_ns >= self.settings.term_ns // 2:
                 self._request_votes(now)
             return
-        first = next((one for one in self.electors if one == self.me or one in reporting), self.me)
-        renewed = self.table is not None and now - self.table_ns < RENEWAL_GRACE * self.settings.beat_ns
-        delay_ns = 0 if first == self.me else self.settings.term_ns // 2
+        first = next(
+            (one for one in self.electors if one == self.gateway_index or one in reporting),
+            self.gateway_index,
+        )
+        renewed = (
+            self.table is not None
+            and now - self.table_renewed_ns < RENEWAL_GRACE * self.settings.heartbeat_interval_ns
+        )
+        delay_ns = 0 if first == self.gateway_index else self.settings.term_ns // 2
         if not renewed and now >= self.next_request_ns + delay_ns:
             self._request_votes(now)
 
@@ -127,16 +133,16 @@
         leads = self.is_leader(now)
         self.latest_term += 1
         candidacy = Candidacy(self.latest_term, now)
-        if self._may_grant(now, self.me, self.process, candidacy.term):
-            self._grant(now, self.me, self.process, candidacy.term)
-            candidacy.votes[self.me] = None
+        if self._may_grant(now, self.gateway_index, self.process, candidacy.term):
+            self._grant(now, self.gateway_index, self.process, candidacy.term)
+            candidacy.votes[self.gateway_index] = None
         if leads:  # it goes on with the current term until the votes for the next arrive, or the term ends
             self.renewal = candidacy
         else:
             self.candidacy = candidacy
         self.next_request_ns = now + self.settings.term_ns // 2 + self.rng.randrange(self.settings.term_ns)
         request = VoteRequest(candidacy.term, self.process)
-        self._outbox += [(elector, request) for elector in self.electors if elector != self.me]
+        self._outbox += [(elector, request) for elector in self.electors if elector != self.gateway_index]
         self._complete_renewal()
 
     def _complete_renewal(self) -> None:
@@ -156,10 +162,12 @@
             return None
         table = self.table
         if table is None or not self._is_mine(table) or (table.weights, table.states) != (weights, states):
-            self.candidacy.tables += 1
-            generation = Generation(self.candidacy.term, self.candidacy.tables, self.me, self.process)
+            self.candidacy.proposed_tables += 1
+            generation = Generation(
+                self.candidacy.term, self.candidacy.proposed_tables, self.gateway_index, self.process
+            )
             table = RoutingTable(generation, weights, states)
-        self._take(now, table)
+        self._adopt(now, table)
         return table
 
     def _is_mine(self, table: RoutingTable) -> bool:
@@ -168,7 +176,7 @@
         return (
             generation.term == self.candidacy.term
             and generation.process == self.process
-            and generation.leader == self.me
+            and generation.leader == self.gateway_index
         )
 
     # ---- messages
@@ -179,8 +187,8 @@
             self._reply(now, sender, message)
         elif isinstance(message, VoteReply):
             self._count_vote(sender, message)
-        elif 0 <= message.age_ns < self.settings.hold_ns:
-            return self._take(now, message)
+        elif 0 <= message.age_ns < self.settings.table_lifetime_ns:
+            return self._adopt(now, message)
         return False
 
     def take_messages(self) -> list[tuple[int, LeaderMessage]]:
@@ -190,17 +198,17 @@
         return messages
 
     def _may_grant(self, now: int, candidate: int, process: int, term: int) -> bool:
-        granted = self.granted
-        if now < self.no_vote_before_ns or self.me not in self.electors:
+        granted = self.granted_vote
+        if now < self.no_vote_before_ns or self.gateway_index not in self.electors:
             return False
         if granted is None:
             return True
         if term <= granted.term:
             return False
-        return now >= granted.until_ns or (granted.candidate, granted.process) == (candidate, process)
+        return now >= granted.binding_until_ns or (granted.candidate, granted.process) == (candidate, process)
 
     def _grant(self, now: int, candidate: int, process: int, term: int) -> None:
-        self.granted = GrantedVote(term, candidate, process, now + self.settings.term_ns)
+        self.granted_vote = GrantedVote(term, candidate, process, now + self.settings.term_ns)
 
     def _reply(self, now: int, sender: int, request: VoteRequest) -> None:
         if sender not in self.electors:
@@ -221,19 +229,19 @@
                 candidacy.votes[sender] = None  # by elector: a duplicated reply counts once
         self._complete_renewal()
 
-    def _take(self, now: int, table: RoutingTable) -> bool:
+    def _adopt(self, now: int, table: RoutingTable) -> bool:
         self.latest_term = max(self.latest_term, table.generation.term)
         made_ns = now - table.age_ns
         if self.table is not None and table.generation <= self.table.generation:
             if table.generation == self.table.generation:
-                self.table_ns = max(self.table_ns, made_ns)
+                self.table_renewed_ns = max(self.table_renewed_ns, made_ns)
             return False
         self.table = table
-        self.table_ns = made_ns
+        self.table_renewed_ns = made_ns
         return True
 
-    def current(self, now: int) -> RoutingTable | None:
+    def current_table(self, now: int) -> RoutingTable | None:
         """Returns the table that holds; None where none was renewed for `hold`."""
-        if self.table is None or now - self.table_ns >= self.settings.hold_ns:
+        if self.table is None or now - self.table_renewed_ns >= self.settings.table_lifetime_ns:
             return None
         return self.table
--- a/zincstile/zone_failover/messages.py
+++ b/zincstile/zone_failover/messages.py
@@ -50,8 +50,8 @@
 class ZoneObservation:
     """What one gateway observes of one zone."""
 
-    ready: int  # endpoints listed as ready
-    good: float  # endpoints that serve well; one that is warming up counts by its warmth
+    ready_endpoints: int  # endpoints listed as ready
+    healthy_endpoints: float  # endpoints that serve well; one that is warming up counts by its warmth
     failed_ratio: float  # of the connections tried lately; below 0: none was tried
     capacity: float  # units a second by this gateway's budget alone; inf: no bound was seen
 
@@ -60,7 +60,7 @@
 class ZoneReport:
     """What one gateway observes of all zones, and the newest overrides by an operator that it knows of."""
 
-    origin: int
+    gateway: int
     process: int
     number: int  # of the report, growing within a process
     zone: int  # of the gateway
--- a/zincstile/zone_failover/routing_weights.py
+++ b/zincstile/zone_failover/routing_weights.py
@@ -14,8 +14,8 @@
 from typing import Final
 
 WEIGHT_TOTAL: Final = 250  # a weight is a whole number of these parts: it travels as one byte
-NEGLIGIBLE: Final = 1e-9  # units a second; what is left below this is a rounding error of floats
-ROUNDING: Final = 1e-6  # added before a weight is rounded down, for the same reason
+NEGLIGIBLE_RATE: Final = 1e-9  # units a second; what is left below this is a rounding error of floats
+ROUNDING_MARGIN: Final = 1e-6  # added before a weight is rounded down, for the same reason
 
 Matrix = Sequence[Sequence[float]]
 Weights = Sequence[Sequence[int]]
@@ -27,15 +27,15 @@
 
     demand: float  # asked of the zone's gateways
     capacity: float  # what the zone's endpoints bear; inf where no bound was seen
-    good: float  # endpoints that serve well
+    healthy_endpoints: float  # endpoints that serve well
     usable_ratio: float = 1.0  # of the capacity; below 1 while the zone returns
-    accepts: bool = True  # traffic may be routed to it
+    accepts_traffic: bool = True  # traffic may be routed to it
     reachable_from: tuple[bool, ...] = ()  # by zone: whether that zone's gateways reach its endpoints
 
     @property
     def usable(self) -> float:
         """Units a second that may be routed to the zone, its headroom included."""
-        return self.capacity * self.usable_ratio if self.good > 0 else 0.0
+        return self.capacity * self.usable_ratio if self.healthy_endpoints > 0 else 0.0
 
 
 class _Routes:
@@ -51,9 +51,9 @@
     def keep_local(self) -> None:
         """Routes each zone's traffic to itself, up to its capacity."""
         for index, zone in enumerate(self.zones):
-            reachable = zone.reachable_from[index] and zone.good > 0
-            if reachable and (zone.accepts or zone.usable_ratio > 0):
-                local = min(zone.demand, zone.usable if zone.accepts else 0.0)
+            reachable = zone.reachable_from[index] and zone.healthy_endpoints > 0
+            if reachable and (zone.accepts_traffic or zone.usable_ratio > 0):
+                local = min(zone.demand, zone.usable if zone.accepts_traffic else 0.0)
                 self.sent[index][index] = local
                 self.used[index] = local
 
@@ -71,13 +71,13 @@
         """What a zone has left, split among the targets at this distance."""
         offer = [0.0] * len(self.zones)
         left = self.zones[origin].demand - sum(self.sent[origin])
-        if left <= NEGLIGIBLE:
+        if left <= NEGLIGIBLE_RATE:
             return offer
         targets = [target for target in range(len(self.zones)) if self._may_receive(origin, target, ring)]
         free = {target: self._free(target) for target in targets}
         # by free capacity where that is known of all, else by good endpoints
         known = all(capacity < math.inf for capacity in free.values())
-        shares = free if known else {target: self.zones[target].good for target in targets}
+        shares = free if known else {target: self.zones[target].healthy_endpoints for target in targets}
         total = sum(shares.values())
         for target in targets:
             offer[target] = left * shares[target] / total
@@ -88,10 +88,10 @@
         return (
             target != origin
             and self.distance[origin][target] == ring
-            and zone.accepts
+            and zone.accepts_traffic
             and zone.reachable_from[origin]
-            and zone.good > 0
-            and self._free(target) > NEGLIGIBLE
+            and zone.healthy_endpoints > 0
+            and self._free(target) > NEGLIGIBLE_RATE
         )
 
     def _accept(self, target: int, offers: list[list[float]]) -> None:
@@ -151,10 +151,10 @@
 
 def _wanted_weights(origin: int, row: Sequence[float], zones: Sequence[ZoneLoad]) -> list[int]:
     zone = zones[origin]
-    if zone.demand > NEGLIGIBLE:
-        wanted = [int(WEIGHT_TOTAL * min(1.0, units / zone.demand) + ROUNDING) for units in row]
+    if zone.demand > NEGLIGIBLE_RATE:
+        wanted = [int(WEIGHT_TOTAL * min(1.0, units / zone.demand) + ROUNDING_MARGIN) for units in row]
     else:  # without demand, what would come stays in the zone
-        stays = zone.reachable_from[origin] and zone.accepts
+        stays = zone.reachable_from[origin] and zone.accepts_traffic
         wanted = [WEIGHT_TOTAL if target == origin and stays else 0 for target in range(len(row))]
     total = sum(wanted)
     if total > WEIGHT_TOTAL - len(row):  # all is routed: the largest weight gets what rounding left over
@@ -175,7 +175,7 @@
     The weights of zones that can't be reached any more move at once.
     """
     current = [
-        weight if zone.reachable_from[origin] and zone.accepts and zone.good > 0 else 0
+        weight if zone.reachable_from[origin] and zone.accepts_traffic and zone.healthy_endpoints > 0 else 0
         for zone, weight in zip(zones, previous, strict=True)
     ]
     freed = sum(previous) - sum(current)
--- a/zincstile/zone_failover/settings.py
+++ b/zincstile/zone_failover/settings.py
@@ -21,45 +21,56 @@
     """
     found = re.fullmatch(r"(\d+(?:\.\d+)?)\s*(us|ms|s)", text.strip())
     if found is None:
-        raise ValueError(f"{text!r}: a time with its unit, as 40ms")
+        raise ValueError(f"{text!r}: must be a duration with its unit, such as 40ms")
     return int(float(found[1]) * UNIT_NS[found[2]])
 
 
 @dataclass(frozen=True, slots=True)
 class ZoneFailoverSettings:
-    """What an operator configures; a field has the name of its key in the file, so that errors name the key.
+    """What an operator configures. Durations are in nanoseconds.
 
-    Durations are in nanoseconds. The keys of `distances` are pairs of regions, in either order.
+    `net/features` maps the keys of the operators' file to these fields, and the fields in errors to the keys.
     """
 
+    # Zones of each region.
     regions: dict[str, tuple[str, ...]] = field(default_factory=dict)
+    # Distance between two regions, by a pair of them in either order.
     distances: dict[tuple[str, str], int] = field(default_factory=dict)
-    within_ns: int = 1 * MS  # distance between two zones of one region
-    headroom: float = (
-        0.15  # ratio of a zone's capacity that other zones' traffic leaves free, for the next loss
-    )
-    spill: float = 0.3  # ratio of a zone's capacity that all others together may use without a routing table
-    lost_ns: int = 300 * MS  # a zone whose connections fail for this long is lost
-    back_ns: int = 2 * SECOND  # a lost zone is reached for this long before it returns; doubled by each loss
-    ramp_ns: int = 500 * MS  # time in which the used ratio of a returning zone doubles, from a tenth
-    step: float = 0.25  # ratio of a zone's traffic that may move at once, unless the zone it leaves is lost
-    beat_ns: int = 250 * MS  # interval of reports and of routing tables
-    term_ns: int = 2 * SECOND  # duration of a leader's term
-    hold_ns: int = 4 * SECOND  # a routing table that nobody renewed ends after this long
-    electors: int = 9  # gateways that elect the leader, at most
+    # Distance between two zones of one region.
+    within_ns: int = 1 * MS
+    # Ratio of a zone's capacity that traffic of other zones leaves free, as a reserve for the next zone loss.
+    headroom: float = 0.15
+    # Ratio of a zone's capacity that all other zones together may use while there is no routing table.
+    max_spill_ratio: float = 0.3
+    # A zone is lost when connections to it have failed for this long.
+    loss_detection_ns: int = 300 * MS
+    # A lost zone returns when it has been reachable for this long. Doubled by each further recent loss.
+    recovery_ns: int = 2 * SECOND
+    # Time in which the used ratio of a returning zone's capacity doubles, from a tenth.
+    ramp_doubling_ns: int = 500 * MS
+    # Maximum ratio of a zone's traffic that one routing table moves, except away from a lost zone.
+    max_shift_ratio: float = 0.25
+    # Interval at which reports are made and routing tables are proposed.
+    heartbeat_interval_ns: int = 250 * MS
+    # Duration of a leader's term.
+    term_ns: int = 2 * SECOND
+    # A routing table that has not been renewed for this long is no longer valid.
+    table_lifetime_ns: int = 4 * SECOND
+    # Maximum number of gateways that elect the leader.
+    max_electors: int = 9
 
     def __post_init__(self) -> None:
-        """Raises ValueError for a field that can't work, and names it."""
+        """Raises ValueError that names the field with an invalid value."""
         require_above_zero(
             self,
             "within_ns",
-            "lost_ns",
-            "back_ns",
-            "ramp_ns",
-            "beat_ns",
+            "loss_detection_ns",
+            "recovery_ns",
+            "ramp_doubling_ns",
+            "heartbeat_interval_ns",
             "term_ns",
-            "hold_ns",
-            "electors",
+            "table_lifetime_ns",
+            "max_electors",
         )
         self._check_ratios()
         self._check_durations()
@@ -67,19 +78,28 @@
 
     def _check_ratios(self) -> None:
         if not 0 <= self.headroom < 1:
-            raise ValueError("headroom: a part from 0 up to 1; at 1 no zone has room for another")
-        if not 0 < self.spill <= 1 - self.headroom:
             raise ValueError(
-                f"spill: above 0, at most {1 - self.headroom:g}: there is no more room beside the headroom"
+                "headroom: must be a ratio from 0 to below 1; at 1 no zone could take traffic of another"
             )
-        if not 0 < self.step <= 1:
-            raise ValueError("step: a part above 0, at most 1")
+        if not 0 < self.max_spill_ratio <= 1 - self.headroom:
+            raise ValueError(
+                f"max_spill_ratio: must be above 0 and at most {1 - self.headroom:g}: "
+                "there is no more room beside the headroom"
+            )
+        if not 0 < self.max_shift_ratio <= 1:
+            raise ValueError("max_shift_ratio: must be a ratio above 0 and at most 1")
 
     def _check_durations(self) -> None:
-        if self.hold_ns < 2 * self.beat_ns:
-            raise ValueError("hold_ns: at least twice beat_ns: a table would end before it is renewed")
-        if self.term_ns < 4 * self.beat_ns:
-            raise ValueError("term_ns: at least four times beat_ns: a term would end before it is renewed")
+        if self.table_lifetime_ns < 2 * self.heartbeat_interval_ns:
+            raise ValueError(
+                "table_lifetime_ns: must be at least twice heartbeat_interval_ns: "
+                "a table would end before it is renewed"
+            )
+        if self.term_ns < 4 * self.heartbeat_interval_ns:
+            raise ValueError(
+                "term_ns: must be at least four times heartbeat_interval_ns: "
+                "a term would end before it is renewed"
+            )
 
     def _check_regions(self) -> None:
         region_of: dict[str, str] = {}
@@ -112,6 +132,6 @@
         reverse = self.distances.get((target_region, origin_region), farthest)
         return self.distances.get((origin_region, target_region), reverse)
 
-    def matrix(self, zones: list[str]) -> list[list[int]]:
+    def distance_matrix(self, zones: list[str]) -> list[list[int]]:
         """Returns the distances in nanoseconds between all these zones, by their indexes."""
         return [[self.distance(origin, target) for target in zones] for origin in zones]
--- a/zincstile/zone_failover/zone_description.py
+++ b/zincstile/zone_failover/zone_description.py
@@ -18,7 +18,7 @@
     table = agreement.table(now)
     lines = [_table_line(now, agreement, table)]
     for zone in range(len(zone_names)):
-        if health.ready[zone] or zone == agreement.zone:
+        if health.ready[zone] or zone == agreement.own_zone:
             lines.append(_zone_line(zone, zone_names, table, health))
     return "\n".join(lines)
 
@@ -27,7 +27,7 @@
     if table is None or agreement.terms is None:
         return "no table: each gateway by its stated part"
     generation = table.generation
-    age_ms = (now - agreement.terms.table_ns) // NS_PER_MS
+    age_ms = (now - agreement.terms.table_renewed_ns) // NS_PER_MS
     return f"table {generation.term}.{generation.number} by gateway {generation.leader}, {age_ms} ms old"
 
 
--- a/zincstile/zone_failover/zone_view.py
+++ b/zincstile/zone_failover/zone_view.py
@@ -14,7 +14,7 @@
 from .messages import ZoneReport
 from .routing_weights import ZoneLoad
 from .settings import SECOND, ZoneFailoverSettings
-from .zone_states import UNUSABLE, ZoneState, ZoneTracker
+from .zone_states import UNUSABLE_STATES, ZoneState, ZoneTracker
 
 REPORT_LIFETIME: Final = 4  # report intervals for which a report counts: three lost datagrams change nothing
 REPORTS_PER_S: Final = 30  # that all gateways together send to the leader, half of its usual intake
@@ -23,11 +23,13 @@
 LOST_RATIO: Final = 0.5  # of all gateways that tried a zone and find so: the zone is lost
 RELIEF_FACTOR: Final = 1.1  # a short zone is well again once its capacity is so many times its demand
 FROZEN_BIT: Final = 16  # in an override: the first bit of frozen zones; drained zones are the bits below
-LEAST_GOOD: Final = 1e-3  # good endpoints of a zone that lists some, so that it counts as having any
+MIN_HEALTHY_ENDPOINTS: Final = (
+    1e-3  # good endpoints of a zone that lists some, so that it counts as having any
+)
 
 
 @dataclass(slots=True)
-class _Tries:
+class _ConnectionTries:
     """Of the gateways of one zone towards another zone."""
 
     tried: int = 0  # gateways that tried to connect lately
@@ -39,7 +41,7 @@
     """The last report of a gateway, and when it arrived."""
 
     report: ZoneReport
-    at_ns: int
+    received_ns: int
 
 
 @dataclass(slots=True)
@@ -47,7 +49,7 @@
     """What one gateway knows of all zones by the reports of all gateways."""
 
     settings: ZoneFailoverSettings
-    gateways: int
+    gateway_count: int
     zones: int
     reports: dict[int, ReceivedReport] = field(default_factory=dict)  # by gateway
     ended_processes: dict[int, int] = field(default_factory=dict)  # by gateway: the one before its newest
@@ -60,18 +62,18 @@
     @property
     def report_lifetime_ns(self) -> int:
         """Time for which a report counts."""
-        interval_ns = max(self.settings.beat_ns, self.report_interval_ns)
+        interval_ns = max(self.settings.heartbeat_interval_ns, self.report_interval_ns)
         return max(SECOND, REPORT_LIFETIME * interval_ns)
 
     @property
     def report_interval_ns(self) -> int:
         """Time between two reports of a gateway, so that all reports fit into the leader's intake."""
-        return max(self.settings.beat_ns, self.gateways * SECOND // REPORTS_PER_S)
+        return max(self.settings.heartbeat_interval_ns, self.gateway_count * SECOND // REPORTS_PER_S)
 
     def record(self, now: int, report: ZoneReport) -> bool:
         """Records a report; returns False where it is outdated or can't be valid."""
         if (
-            not 0 <= report.origin < self.gateways
+            not 0 <= report.gateway < self.gateway_count
             or not 0 <= report.zone < self.zones
             or len(report.observations) != self.zones
         ):
@@ -79,20 +81,20 @@
         if report.override_number > self.override_number:
             self.overrides = report.overrides
             self.override_number = report.override_number
-        received = self.reports.get(report.origin)
+        received = self.reports.get(report.gateway)
         if received is not None and not self._is_newer(report, received.report):
             return False
-        self.reports[report.origin] = ReceivedReport(report, now)
-        self.home_zones[report.origin] = report.zone
+        self.reports[report.gateway] = ReceivedReport(report, now)
+        self.home_zones[report.gateway] = report.zone
         return True
 
     def _is_newer(self, report: ZoneReport, last: ZoneReport) -> bool:
         """Whether a report replaces the last of its gateway; notes that a process was followed by another."""
         if report.process == last.process:
             return report.number > last.number
-        if self.ended_processes.get(report.origin) == report.process:
+        if self.ended_processes.get(report.gateway) == report.process:
             return False
-        self.ended_processes[report.origin] = last.process
+        self.ended_processes[report.gateway] = last.process
         return True
 
     def override(self, zone: int, *, drained: bool, frozen: bool) -> None:
@@ -109,12 +111,12 @@
     def recent_gateways(self, now: int) -> set[int]:
         """Returns the gateways whose last report still counts."""
         lifetime_ns = self.report_lifetime_ns
-        return {origin for origin, last in self.reports.items() if now - last.at_ns < lifetime_ns}
+        return {gateway for gateway, last in self.reports.items() if now - last.received_ns < lifetime_ns}
 
     def evaluate(self, now: int, trackers: list[ZoneTracker]) -> list[ZoneLoad]:
         """Updates the state of each zone and returns all zones as routing weights need them."""
         lifetime_ns = self.report_lifetime_ns
-        reports = [last.report for last in self.reports.values() if now - last.at_ns < lifetime_ns]
+        reports = [last.report for last in self.reports.values() if now - last.received_ns < lifetime_ns]
         tries = _count_tries(reports, self.zones)
         self._update_unreachable(now, tries)
         return [self._evaluate_zone(now, zone, trackers[zone], reports, tries) for zone in range(self.zones)]
@@ -125,15 +127,19 @@
         zone: int,
         tracker: ZoneTracker,
         reports: list[ZoneReport],
-        tries: list[list[_Tries]],
+        tries: list[list[_ConnectionTries]],
     ) -> ZoneLoad:
         demand = self._demand(zone, reports)
         observations = [report.observations[zone] for report in reports]
-        bounds = [one.capacity for one in observations if one.capacity < math.inf]
+        bounds = [observation.capacity for observation in observations if observation.capacity < math.inf]
         capacity = math.inf
         if len(bounds) * 2 > len(reports):
-            capacity = sum(bounds) / len(bounds) * self.gateways
-        good = sorted(one.good for one in observations)[len(observations) // 2] if observations else 0.0
+            capacity = sum(bounds) / len(bounds) * self.gateway_count
+        healthy = (
+            sorted(observation.healthy_endpoints for observation in observations)[len(observations) // 2]
+            if observations
+            else 0.0
+        )
         state = tracker.update(
             now,
             reached=self._reached(zone, tries),
@@ -148,9 +154,11 @@
         return ZoneLoad(
             demand,
             capacity,
-            max(good, LEAST_GOOD) if any(one.ready for one in observations) else 0.0,
+            max(healthy, MIN_HEALTHY_ENDPOINTS)
+            if any(observation.ready_endpoints for observation in observations)
+            else 0.0,
             tracker.usable_ratio(now),
-            state not in UNUSABLE,
+            state not in UNUSABLE_STATES,
             tuple((origin, zone) not in self.unreachable for origin in range(self.zones)),
         )
 
@@ -160,13 +168,13 @@
         members = sum(home == zone for home in self.home_zones.values())
         return sum(local) * (members / len(local) if local else 0.0)
 
-    def _reached(self, zone: int, tries: list[list[_Tries]]) -> bool | None:
+    def _reached(self, zone: int, tries: list[list[_ConnectionTries]]) -> bool | None:
         """Whether the gateways that tried a zone reach it; None where none tried."""
         tried = sum(row[zone].tried for row in tries)
         failed = sum(row[zone].failed for row in tries)
         return failed < LOST_RATIO * tried if tried else None
 
-    def _update_unreachable(self, now: int, tries: list[list[_Tries]]) -> None:
+    def _update_unreachable(self, now: int, tries: list[list[_ConnectionTries]]) -> None:
         """Updates which zones' gateways reach which zone.
 
         Guards against a table that alternates: gateways whose traffic goes elsewhere don't try the zone any
@@ -174,21 +182,21 @@
         mean that.
         """
         for origin, row in enumerate(tries):
-            for zone, tries_there in enumerate(row):
-                if not tries_there.tried:
+            for zone, tries_to_zone in enumerate(row):
+                if not tries_to_zone.tried:
                     continue
-                if tries_there.failed >= UNREACHED_RATIO * tries_there.tried:
+                if tries_to_zone.failed >= UNREACHED_RATIO * tries_to_zone.tried:
                     self.unreachable[origin, zone] = -1
                 elif (origin, zone) in self.unreachable:
                     since = self.unreachable[origin, zone]
                     self.unreachable[origin, zone] = now if since < 0 else since
-                    if 0 <= since <= now - self.settings.back_ns:
+                    if 0 <= since <= now - self.settings.recovery_ns:
                         del self.unreachable[origin, zone]
 
 
-def _count_tries(reports: list[ZoneReport], zones: int) -> list[list[_Tries]]:
+def _count_tries(reports: list[ZoneReport], zones: int) -> list[list[_ConnectionTries]]:
     """For the gateways of each zone (row) and each zone that they may try (column)."""
-    counts = [[_Tries() for _ in range(zones)] for _ in range(zones)]
+    counts = [[_ConnectionTries() for _ in range(zones)] for _ in range(zones)]
     for report in reports:
         row = counts[report.zone]
         for zone, observation in enumerate(report.observations):
