--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -26,7 +26,7 @@
 SECOND = 1000 * MS
 
 
-def settings(**over):
+def settings(**overrides):
     """A small service: one safe, one unsafe and one keyed class, one plan."""
     base = {
         "gateway_index": 0,
@@ -54,40 +54,52 @@
         ],
         "plans": [CustomerPlan("only", rate=1000.0, burst=2000.0)],
     }
-    return Settings(**(base | over))
+    return Settings(**(base | overrides))
 
 
-def backend(number, zone=0, mode=EndpointState.READY, started=0, cell=0):
-    return EndpointEntry(number, zone, 0, cell, mode, 1.0, started)
+def backend(number, zone=0, state=EndpointState.READY, started_ns=0, cell=0):
+    return EndpointEntry(number, zone, 0, cell, state, 1.0, started_ns)
 
 
-class Gateway:
+class PolicyHarness:
     """One policy, fed by hand."""
 
-    def __init__(self, over=None, backends=2, seed=1, now=10 * SECOND, start=True):
-        self.policy = Policy(settings(**(over or {})), seed)
-        self.now, self.ids = now, 0
-        self.first = self.feed(Started()) if start else []
+    def __init__(self, overrides=None, backends=2, seed=1, now=10 * SECOND, start=True):
+        self.policy = Policy(settings(**(overrides or {})), seed)
+        self.now, self.last_request_id = now, 0
+        self.start_actions = self.feed(Started()) if start else []
         if backends:
-            self.list([backend(n) for n in range(1, backends + 1)])
+            self.update_endpoints([backend(n) for n in range(1, backends + 1)])
 
     def feed(self, event, after=0):
         self.now += after
         return self.policy.handle(self.now, event)
 
-    def list(self, entries, kind=EndpointListKind.FULL, after=0):
+    def update_endpoints(self, entries, kind=EndpointListKind.FULL, after=0):
         return self.feed(EndpointList(kind, 1, entries), after)
 
-    def ask(self, cls=0, plan=0, customer=7, units=1.0, spread=1, first=0, life=4 * SECOND, after=0):
+    def submit(
+        self, class_index=0, plan=0, customer=7, units=1.0, spread=1, first=0, timeout_ns=4 * SECOND, after=0
+    ):
         self.now += after
-        self.ids += 1
-        event = Request(self.ids, cls, plan, customer, self.now + life, units, spread, first)
-        return self.ids, self.policy.handle(self.now, event)
+        self.last_request_id += 1
+        event = Request(
+            self.last_request_id, class_index, plan, customer, self.now + timeout_ns, units, spread, first
+        )
+        return self.last_request_id, self.policy.handle(self.now, event)
 
-    def outcome(self, rid, attempt, where, result, after=10 * MS, finished=None, latency=None, units=0.0):
-        done = result is AttemptResult.OK if finished is None else finished
+    def finish_attempt(
+        self, request_id, attempt, endpoint_id, result, after=10 * MS, finished=None, latency=None, units=0.0
+    ):
+        request_finished = result is AttemptResult.OK if finished is None else finished
         event = AttemptOutcome(
-            rid, attempt, where, result, after if latency is None else latency, done, actual_units=units
+            request_id,
+            attempt,
+            endpoint_id,
+            result,
+            after if latency is None else latency,
+            request_finished,
+            actual_units=units,
         )
         return self.feed(event, after)
 
@@ -95,10 +107,10 @@
         return self.feed(TimerFired(2), after)
 
 
-def only(actions, kind):
-    return [a for a in actions if isinstance(a, kind)]
+def actions_of_type(actions, action_type):
+    return [action for action in actions if isinstance(action, action_type)]
 
 
 @pytest.fixture
-def gateway():
-    return Gateway
+def policy_harness():
+    return PolicyHarness
--- a/tests/endpoint_lists.py
+++ b/tests/endpoint_lists.py
@@ -25,7 +25,7 @@
     return {"index": index, "snapshot": True, "endpoints": list(endpoints)}
 
 
-def change(index, *endpoints):
+def delta(index, *endpoints):
     """A change of the list, as discovery's JSON has it."""
     return {"index": index, "snapshot": False, "endpoints": list(endpoints)}
 
@@ -67,8 +67,8 @@
 
 
 def endpoint_watcher(dispatcher, table, seed=1):
-    """A watcher that opens no watch, but notes in `opened_at` the addresses at which it would."""
+    """A watcher that opens no watch, but notes in `opened_addresses` the addresses at which it would."""
     watcher = EndpointWatcher(dispatcher, table, DISCOVERY, lambda: None, random.Random(seed))
-    watcher.opened_at = []
-    watcher.open = lambda address=None: watcher.opened_at.append(address)
+    watcher.opened_addresses = []
+    watcher.open = lambda address=None: watcher.opened_addresses.append(address)
     return watcher
--- a/tests/gateway_parts.py
+++ b/tests/gateway_parts.py
@@ -12,7 +12,7 @@
 from zincstile.net.session import Answer, AnswerKind, Call, Session
 
 CUSTOMER = 7
-UNTIL_LATER_NS = 9 * SECOND  # what a client waits, where a test says no more
+CLIENT_TIMEOUT_NS = 9 * SECOND  # what a client waits, where a test says no more
 
 
 class RecordingClient:
@@ -38,7 +38,7 @@
 def make_session(dispatcher: Dispatcher, client: RecordingClient, number: int) -> Session:
     """A session of a request that is idempotent."""
     call = Call(True, b"0" * 16, b"%d" % number, [b"c=look", b"d=9000"], 1, None)
-    return Session(number, call, client, dispatcher.now_ns() + UNTIL_LATER_NS)
+    return Session(number, call, client, dispatcher.now_ns() + CLIENT_TIMEOUT_NS)
 
 
 def submit_request(dispatcher: Dispatcher, client: RecordingClient, number: int) -> Session:
--- a/tests/stored_gateway.py
+++ b/tests/stored_gateway.py
@@ -20,7 +20,7 @@
 from collections.abc import Callable, Iterator
 from pathlib import Path
 
-from scenario import ROOT, Line, encode, settings
+from scenario import ROOT, RespConnection, encode_command, settings
 
 GATEWAY = "n0"  # by the name that stands in the stored files
 BASE = f"zincstile-{GATEWAY}"  # of the files that its processes share
@@ -60,9 +60,9 @@
                 threading.Thread(target=self._serve, args=(connection,), daemon=True).start()
 
     def _serve(self, connection: socket.socket) -> None:
-        line = Line(connection)
+        line = RespConnection(connection)
         with contextlib.suppress(OSError, ValueError, IndexError):
-            while line.message() and not self.spoilt:
+            while line.read_message() and not self.spoilt:
                 self.calls += 1
                 connection.sendall(ANSWER)
         line.close()
@@ -120,7 +120,7 @@
         """The first line of the answer to one request of one unit, by a customer known at both gateways."""
         fields = f"c=look,t={plan},d=2000,units=1,spread=2,first=0"
         with socket.create_connection(self.listening.getsockname(), timeout=PATIENCE_S) as connection:
-            connection.sendall(encode(["CALL.GET", f"{customer:016x}", f"{number:016x}", fields]))
+            connection.sendall(encode_command(["CALL.GET", f"{customer:016x}", f"{number:016x}", fields]))
             return connection.makefile("rb").readline().decode().strip()
 
     def stop(self) -> None:
--- a/tests/test_bad_configuration.py
+++ b/tests/test_bad_configuration.py
@@ -5,7 +5,7 @@
 import json
 
 import pytest
-from scenario import run_to_end, smallest
+from scenario import minimal_config, run_until_exit
 
 
 @pytest.mark.parametrize(
@@ -24,11 +24,11 @@
 )
 def test_a_bad_configuration_is_one_line_and_exit_2(tmp_path, broken, said):
     path = tmp_path / "config.json"
-    table = smallest()
+    table = minimal_config()
     if broken is not None:
         path.write_text(
             json.dumps(table | broken if isinstance(broken, dict) else broken) if broken != "{" else "{"
         )
-    done = run_to_end(path)
+    done = run_until_exit(path)
     assert done.returncode == 2 and done.stdout == ""
     assert len(done.stderr.splitlines()) == 1 and said in done.stderr
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -11,7 +11,7 @@
 from conftest import backend
 from conftest import settings as module_settings
 from gateway_parts import RecordingClient, make_dispatcher, submit_request
-from scenario import LONG_DIAL, NEVER, PATIENCE, READY, World, play, settings
+from scenario import FOREVER_NS, NO_CONNECT_TIMEOUT, READY, TIMEOUT_S, GatewayHarness, run_scenario, settings
 
 from zincstile.decisions.messages import AttemptOutcome, AttemptResult, ForwardRequest, Request
 from zincstile.net.backends.attempts import Attempts
@@ -22,12 +22,12 @@
 
 # A dial that comes up after the client of its attempt has left
 LATE = """
-        fill a
+        fill_backlog a
         send c1 look 1
         wait gw connects=1
         close c1
         wait gw abandoned=1
-        free a
+        clear_backlog a
         open a1
         """
 
@@ -38,7 +38,7 @@
 @pytest.mark.parametrize("cancel", [True, False])
 def test_a_client_that_left_while_its_attempt_waited_for_a_connection_is_not_sent_on(tmp_path, cancel):
     """Also where the settings allow no cancelling: what was never sent is nothing to cancel."""
-    play(
+    run_scenario(
         tmp_path,
         READY
         + LATE
@@ -46,35 +46,35 @@
         send gw TERM
         expect gw exit 0
         expect a1 end""",
-        settings={"limits": LONG_DIAL | {"cancels_attempts": cancel}},
+        settings={"limits": NO_CONNECT_TIMEOUT | {"cancels_attempts": cancel}},
     )
 
 
 @pytest.mark.parametrize("cancel", [True, False])
 def test_a_second_copy_that_waits_for_a_connection_is_not_sent_after_the_answer(tmp_path, cancel):
-    play(
+    run_scenario(
         tmp_path,
         READY
         + """
-        fill b
+        fill_backlog b
         send c1 look 1
         expect a1 look 1
         send d1 change b=Ready
         wait gw connects=2
         send a1 ok hello
         expect c1 ok hello
-        free b
+        clear_backlog b
         open b1
         send gw TERM
         expect gw exit 0
         expect b1 end""",
-        settings={"limits": LONG_DIAL | {"cancels_attempts": cancel}},
+        settings={"limits": NO_CONNECT_TIMEOUT | {"cancels_attempts": cancel}},
     )
 
 
 def test_a_request_whose_client_ended_before_it_was_read_is_not_sent_on(tmp_path):
     """Both come while the program is stopped: the end lies behind the request, and is read after its turn."""
-    play(
+    run_scenario(
         tmp_path,
         READY
         + """
@@ -98,27 +98,27 @@
 def test_a_burst_of_clients_that_leave_is_not_sent_on(tmp_path):
     """Forty requests wait for a connection; all their clients leave, and every dial comes up after that."""
     numbers = range(1, 41)
-    play(
+    run_scenario(
         tmp_path,
         READY
-        + "fill a\n"
+        + "fill_backlog a\n"
         + "".join(f"send c{k} look {k}\n" for k in numbers)
         + "wait gw connects=40\n"
         + "".join(f"reset c{k}\n" for k in numbers)
         + """
         wait gw abandoned=40
-        free a
+        clear_backlog a
         open a1
         wait gw attempts=0
         send gw TERM
         expect gw exit 0
         expect a1 end""",
-        settings={"limits": LONG_DIAL | {"cancels_attempts": False}},
+        settings={"limits": NO_CONNECT_TIMEOUT | {"cancels_attempts": False}},
     )
 
 
 def test_the_id_of_a_request_whose_client_left_is_free_as_soon_as_that_is_known(tmp_path):
-    play(
+    run_scenario(
         tmp_path,
         READY
         + """
@@ -134,7 +134,7 @@
 @pytest.mark.parametrize("how", ["close", "reset"])
 def test_a_flood_whose_client_is_gone_by_then_is_not_sent_on(tmp_path, how):
     """Three hundred commands at once, on a connection that is taken only after its end."""
-    play(
+    run_scenario(
         tmp_path,
         READY
         + "freeze gw\n"
@@ -148,7 +148,7 @@
 
 
 def test_a_flood_of_odd_commands_is_answered_and_disturbs_nobody(tmp_path):
-    play(
+    run_scenario(
         tmp_path,
         READY
         + r"send c1 raw "
@@ -176,7 +176,7 @@
     """Decided on by the old list or the new one, it is not sent to the one that drains, where a connection
     rests."""
     both = ["send c1 look 2", "send d1 change a=Terminating b=Ready"]
-    play(
+    run_scenario(
         tmp_path,
         READY
         + """
@@ -196,7 +196,7 @@
 def test_an_answer_and_the_end_of_its_client_in_one_batch(tmp_path, order, cancel):
     both = ["send a1 ok late", "close c1"]
     asked = "send c1 look 1\nexpect a1 look 1\n"
-    play(
+    run_scenario(
         tmp_path,
         READY
         + asked
@@ -214,17 +214,17 @@
 
 def test_an_answer_and_the_deadline_in_one_batch_make_one_answer(tmp_path):
     """The program is held up past the request's time with the answer unread: one final answer, whichever."""
-    with World(tmp_path) as world:
-        world.play(READY + "send c1 look 1 d=300\nexpect a1 look 1\nfreeze gw")
-        world.play("send a1 ok late")
+    with GatewayHarness(tmp_path) as harness:
+        harness.run(READY + "send c1 look 1 d=300\nexpect a1 look 1\nfreeze gw")
+        harness.run("send a1 ok late")
         time.sleep(0.31)  # past it for certain: both are due when it goes on
-        world.play("thaw gw")
-        assert world.line("c1").message() in (b"late", "-ERR failed", "-BUSY", "-BUSY 700")
-        world.play("send c1 raw *1\\r\\n$4\\r\\nPING\\r\\n\nexpect c1 +PONG\nwait gw faults=0")
+        harness.run("thaw gw")
+        assert harness.connection("c1").read_message() in (b"late", "-ERR failed", "-BUSY", "-BUSY 700")
+        harness.run("send c1 raw *1\\r\\n$4\\r\\nPING\\r\\n\nexpect c1 +PONG\nwait gw faults=0")
 
 
 def test_a_reset_and_the_next_request_in_one_turn_on_a_connection_that_rests(tmp_path):
-    play(
+    run_scenario(
         tmp_path,
         READY
         + """
@@ -245,24 +245,24 @@
 def test_a_keyed_repeat_whose_connection_comes_up_after_its_window_is_not_sent(tmp_path):
     """The first may have run; the second waits for its connection until it would not be dropped any more."""
     classes = [c | {"window_ns": 700 * MS} for c in settings()["classes"]]
-    play(
+    run_scenario(
         tmp_path,
         READY
         + """
         send c1 put 1 d=90000
         expect a1 put 1
-        fill b
+        fill_backlog b
         send d1 change b=Ready
         wait gw tables=2
         close a1
         wait gw connects=2
         expect c1 -ERR failed
-        free b
+        clear_backlog b
         open b1
         send gw TERM
         expect gw exit 0
         expect b1 end""",
-        settings={"limits": LONG_DIAL, "classes": classes},
+        settings={"limits": NO_CONNECT_TIMEOUT, "classes": classes},
     )
 
 
@@ -274,7 +274,7 @@
 def test_a_second_answer_that_comes_late_is_not_taken_for_the_next_requests(tmp_path):
     """What comes behind an answer some milliseconds late tells on the connection only then: until that is
     over, no other request is written to it."""
-    play(
+    run_scenario(
         tmp_path,
         READY
         + f"""
@@ -287,13 +287,13 @@
         send a2 ok second
         expect c1 ok second
         wait gw connects=2""",
-        limits={"settled_ns": NEVER},
+        limits={"settled_ns": FOREVER_NS},
     )
 
 
 def test_a_connection_that_came_up_for_another_is_taken_at_once(tmp_path):
     """It has carried nothing: nothing can come behind that."""
-    play(
+    run_scenario(
         tmp_path,
         READY
         + LATE
@@ -301,15 +301,15 @@
         send c2 look 2
         serve c2 look 2 a1 hello
         wait gw connects=1""",
-        limits={"settled_ns": NEVER},
-        settings={"limits": LONG_DIAL},
+        limits={"settled_ns": FOREVER_NS},
+        settings={"limits": NO_CONNECT_TIMEOUT},
     )
 
 
 @pytest.mark.parametrize("what", [r"half", SECOND_ANSWER, r"-ERR failed\r\n", r"\r\n"])
 def test_what_comes_on_a_resting_connection_costs_that_connection_alone(tmp_path, what):
     """It lies unread when the next request is decided on: both come while the program is stopped."""
-    play(
+    run_scenario(
         tmp_path,
         READY
         + f"""
@@ -384,7 +384,7 @@
 
     with socket.create_server(("127.0.0.1", 0)) as listening:
         listening.setblocking(False)
-        got, outcomes, answers = asyncio.run(asyncio.wait_for(play(listening), PATIENCE))
+        got, outcomes, answers = asyncio.run(asyncio.wait_for(play(listening), TIMEOUT_S))
     assert (got, outcomes, answers) == (b"*4\r\n", [AttemptResult.OK], [(1, AnswerKind.SERVED)])
 
 
@@ -414,7 +414,7 @@
 
     with socket.create_server(("127.0.0.1", 0)) as listening:
         listening.setblocking(False)
-        outcomes = asyncio.run(asyncio.wait_for(play(listening), PATIENCE))
+        outcomes = asyncio.run(asyncio.wait_for(play(listening), TIMEOUT_S))
     assert outcomes in ([AttemptResult.CANCELLED], [AttemptResult.CANCELLED, AttemptResult.OK])
 
 
@@ -429,4 +429,7 @@
         return dispatcher.policy.outcomes, dispatcher.counters.attempts
 
     with socket.create_server(("127.0.0.1", 0)) as listening:
-        assert asyncio.run(asyncio.wait_for(play(listening), PATIENCE)) == ([AttemptResult.CONNECT_FAILED], 0)
+        assert asyncio.run(asyncio.wait_for(play(listening), TIMEOUT_S)) == (
+            [AttemptResult.CONNECT_FAILED],
+            0,
+        )
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -18,7 +18,19 @@
 import pytest
 from conftest import settings as module_settings
 from gateway_parts import make_dispatcher
-from scenario import LONG_DIAL, NEVER, PATIENCE, PING, READY, ROOT, World, call, encode, play, where
+from scenario import (
+    FOREVER_NS,
+    NO_CONNECT_TIMEOUT,
+    PING,
+    READY,
+    ROOT,
+    TIMEOUT_S,
+    GatewayHarness,
+    address_of,
+    call_command,
+    encode_command,
+    run_scenario,
+)
 
 from zincstile.net.acceptor import Acceptor, AcceptResult
 from zincstile.net.clients.connection import ClientConnection
@@ -31,7 +43,7 @@
 
 def test_a_client_that_left_while_it_was_not_read_is_noticed(tmp_path):
     """One request lies unread behind two that wait: its client's end lies behind it."""
-    play(
+    run_scenario(
         tmp_path,
         READY
         + """
@@ -54,7 +66,7 @@
 
 def test_an_answer_is_not_overtaken_by_a_reset_where_more_was_asked_behind_it(tmp_path):
     """The third command lies unread while the gateway, on its way out, writes the answers and ends."""
-    play(
+    run_scenario(
         tmp_path,
         READY
         + """
@@ -63,7 +75,7 @@
         expect a1 look *
         expect a2 look *
         send gw TERM
-        expect gw shut
+        expect gw not_listening
         send c1 look 3
         freeze gw
         send a1 ok same
@@ -81,7 +93,7 @@
 
 def test_a_request_that_crosses_the_end_of_a_resting_connection_meets_no_reset(tmp_path):
     """Its client reads the end, and sends it elsewhere; it is not read as a request here."""
-    play(
+    run_scenario(
         tmp_path,
         READY
         + f"""
@@ -89,53 +101,53 @@
         expect c1 +PONG
         expect c1 eof
         send c1 look 1
-        expect c1 unbroken
+        expect c1 not_reset
         wait gw requests=0
         send c1 look 2
-        expect c1 unbroken
+        expect c1 not_reset
         close c1""",
-        limits={"rest_ns": 10 * MS, "tend_ns": 10 * MS, "drained_ns": NEVER},
+        limits={"rest_ns": 10 * MS, "tend_ns": 10 * MS, "drained_ns": FOREVER_NS},
     )
 
 
 def test_what_a_stop_finds_half_written_is_read_to_its_end_and_answered(tmp_path):
-    whole = encode(call("look", 1)).decode()
-    with World(tmp_path, {"limits": SHUT_AT_ONCE}) as world:
-        world.play(READY)
-        world.asked["1"] = call("look", 1)
-        world.send("c1", "raw", PING[4:] + whole[:30])
-        world.play("expect c1 +PONG\nsend gw TERM\nexpect gw shut")
-        world.send("c1", "raw", whole[30:])
-        world.play("""
+    whole = encode_command(call_command("look", 1)).decode()
+    with GatewayHarness(tmp_path, {"limits": SHUT_AT_ONCE}) as harness:
+        harness.run(READY)
+        harness.sent_calls["1"] = call_command("look", 1)
+        harness.send("c1", "raw", PING[4:] + whole[:30])
+        harness.run("expect c1 +PONG\nsend gw TERM\nexpect gw not_listening")
+        harness.send("c1", "raw", whole[30:])
+        harness.run("""
             serve c1 look 1 a1 hello
             finish c1""")
 
 
 def test_who_connected_last_before_the_listener_closes_may_still_ask(tmp_path):
-    play(
+    run_scenario(
         tmp_path,
         READY
         + """
         open c1
         wait gw clients=1
         send gw TERM
-        expect gw shut
+        expect gw not_listening
         send c1 look 1
         serve c1 look 1 a1 hello
         finish c1""",
-        limits=SHUT_AT_ONCE | {"newcomer_ns": NEVER},
+        limits=SHUT_AT_ONCE | {"newcomer_ns": FOREVER_NS},
     )
 
 
 def test_a_second_term_and_a_reload_meanwhile_change_nothing(tmp_path):
-    play(
+    run_scenario(
         tmp_path,
         READY
         + """
         send c1 look 1
         expect a1 look 1
         send gw TERM
-        expect gw shut
+        expect gw not_listening
         send gw TERM
         send gw reload e
         expect gw reload discovery at*
@@ -150,7 +162,7 @@
 def test_a_crowd_in_the_queue_is_accepted_before_the_listener_closes(tmp_path):
     """More than one batch accepts: all of them connected, and asked, before the signal was handled."""
     numbers = range(1, 401)
-    play(
+    run_scenario(
         tmp_path,
         READY
         + "freeze gw\n"
@@ -164,19 +176,19 @@
 
 def test_a_request_that_is_whole_only_after_the_last_answers_is_refused_at_once(tmp_path):
     """Between the answers that a stop owes and the end there is time for no other: it is not sent on."""
-    whole = encode(call("look", 1)).decode()
-    limits = SHUT_AT_ONCE | {"drain_most_ns": NEVER, "drain_margin_ns": NEVER - 1}
-    with World(tmp_path, {"limits": limits}) as world:
-        world.play(READY)
-        world.send("c1", "raw", PING[4:] + whole[:30])
-        world.play("""
+    whole = encode_command(call_command("look", 1)).decode()
+    limits = SHUT_AT_ONCE | {"drain_most_ns": FOREVER_NS, "drain_margin_ns": FOREVER_NS - 1}
+    with GatewayHarness(tmp_path, {"limits": limits}) as harness:
+        harness.run(READY)
+        harness.send("c1", "raw", PING[4:] + whole[:30])
+        harness.run("""
             expect c1 +PONG
             send c2 look 2
             expect a1 look 2
             send gw TERM
             expect c2 -ERR failed""")
-        world.send("c1", "raw", whole[30:])
-        world.play("""
+        harness.send("c1", "raw", whole[30:])
+        harness.run("""
             expect c1 -BUSY*
             expect c1 eof
             close c1
@@ -189,17 +201,17 @@
 def test_a_value_half_passed_on_at_a_stop_comes_whole(tmp_path, taken):
     """400 KB, of which the client reads nothing before the listener closes, or reads as it comes."""
     size = 400_000
-    with World(tmp_path, {"limits": SHUT_AT_ONCE | {"drain_most_ns": NEVER}}) as world:
-        world.play(READY + "send c1 look 1\nexpect a1 look 1")
-        data = world._bytes("ok", [str(size)])
-        world.line("a1").sock.sendall(data[:200_000])
-        world.play("wait gw streamed=1\nsend gw TERM\nexpect gw shut")
+    with GatewayHarness(tmp_path, {"limits": SHUT_AT_ONCE | {"drain_most_ns": FOREVER_NS}}) as harness:
+        harness.run(READY + "send c1 look 1\nexpect a1 look 1")
+        data = harness._payload("ok", [str(size)])
+        harness.connection("a1").sock.sendall(data[:200_000])
+        harness.run("wait gw streamed=1\nsend gw TERM\nexpect gw not_listening")
         if taken == "while it comes":
-            assert len(world.line("c1").file.read(100_000)) == 100_000
-        world.line("a1").sock.sendall(data[200_000:])
+            assert len(harness.connection("c1").file.read(100_000)) == 100_000
+        harness.connection("a1").sock.sendall(data[200_000:])
         left = len(b"$%d\r\n" % size) + size + 2 - 100_000 * (taken == "while it comes")
-        assert len(world.line("c1").file.read(left)) == left
-        world.play("finish c1")
+        assert len(harness.connection("c1").file.read(left)) == left
+        harness.run("finish c1")
 
 
 @contextlib.contextmanager
@@ -208,48 +220,50 @@
     nothing; with the answer's length."""
     size = 24_000_000
     large = {"stream_bytes": 2 * size, "answer_bytes": 2 * size, "written_bytes": 2 * size}
-    with World(tmp_path, {"limits": SHUT_AT_ONCE | large | {"drain_most_ns": NEVER} | limits}) as world:
-        world.play(READY + "send c1 look 1\nexpect a1 look 1\nsend gw TERM\nexpect gw shut")
-        world.send("a1", "ok", str(size))
-        world.play("wait gw served=1")
-        yield world, len(b"$%d\r\n" % size) + size + 2
+    with GatewayHarness(
+        tmp_path, {"limits": SHUT_AT_ONCE | large | {"drain_most_ns": FOREVER_NS} | limits}
+    ) as harness:
+        harness.run(READY + "send c1 look 1\nexpect a1 look 1\nsend gw TERM\nexpect gw not_listening")
+        harness.send("a1", "ok", str(size))
+        harness.run("wait gw served=1")
+        yield harness, len(b"$%d\r\n" % size) + size + 2
 
 
 def test_what_is_asked_while_the_last_answer_is_still_being_written_is_answered(tmp_path):
-    with stopped_under_an_answer(tmp_path, silent_ns=NEVER, answer_ns=NEVER) as (world, size):
-        world.play("send c1 look 2")
-        assert len(world.line("c1").file.read(size)) == size
-        world.play("""
+    with stopped_under_an_answer(tmp_path, silent_ns=FOREVER_NS, answer_ns=FOREVER_NS) as (harness, size):
+        harness.run("send c1 look 2")
+        assert len(harness.connection("c1").file.read(size)) == size
+        harness.run("""
             serve c1 look 2 a1 hello
             finish c1""")
 
 
 def test_who_takes_nothing_of_its_last_answer_does_not_keep_a_stop_waiting(tmp_path):
-    with stopped_under_an_answer(tmp_path, silent_ns=200 * MS) as (world, _):
-        world.play("expect gw exit 0")
+    with stopped_under_an_answer(tmp_path, silent_ns=200 * MS) as (harness, _):
+        harness.run("expect gw exit 0")
 
 
 def test_an_attempt_that_waits_for_its_connection_at_a_stop_is_still_made(tmp_path):
-    play(
+    run_scenario(
         tmp_path,
         READY
         + """
-        fill a
+        fill_backlog a
         send c1 look 1
         wait gw connects=1
         send gw TERM
-        expect gw shut
-        free a
+        expect gw not_listening
+        clear_backlog a
         serve c1 look 1 a1 hello
         finish c1""",
         limits=SHUT_AT_ONCE,
-        settings={"limits": LONG_DIAL},
+        settings={"limits": NO_CONNECT_TIMEOUT},
     )
 
 
 def test_a_repeat_that_becomes_due_at_a_stop_is_still_made(tmp_path):
     """The first attempt breaks in the batch in which the stop is heard."""
-    play(
+    run_scenario(
         tmp_path,
         READY
         + """
@@ -272,8 +286,8 @@
     """The configuration is a pipe that nobody has written yet: the start waits there, as in its imports."""
     path, later = tmp_path / "pipe", tmp_path / "later"
     os.mkfifo(path)
-    world = World(tmp_path)
-    later.write_text(json.dumps(world.table))
+    harness = GatewayHarness(tmp_path)
+    later.write_text(json.dumps(harness.config))
     env = {k: v for k, v in os.environ.items() if not k.startswith("RELAY_")}
     program = subprocess.Popen(
         [sys.executable, "-m", "zincstile"],
@@ -282,27 +296,27 @@
         text=True,
         env=env | {"RELAY_CONFIG": str(path)},
     )
-    guard = threading.Timer(PATIENCE, program.kill)
+    guard = threading.Timer(TIMEOUT_S, program.kill)
     guard.start()
     try:
         with open(path, "w") as pipe:  # comes back once the program has opened it
             program.send_signal(getattr(signal, f"SIG{number}"))
             os.replace(later, path)  # what a reload finds is newer than what the start reads
-            pipe.write(json.dumps(world.table | {"discovery": where(world.listeners["e"])}))
+            pipe.write(json.dumps(harness.config | {"discovery": address_of(harness.listeners["e"])}))
         said = []
         while not any("start listening" in line for line in said):
             said.append(program.stderr.readline())
             assert said[-1], said
-        where_to = world.table["discovery"]
+        where_to = harness.config["discovery"]
         assert any(f"reload discovery at {where_to}" in line for line in said) == (number == "HUP"), said
         program.terminate()
-        assert program.wait(PATIENCE) == 0
+        assert program.wait(TIMEOUT_S) == 0
     finally:
         guard.cancel()
         program.kill()
         program.wait()
         program.stderr.close()
-        world.end()
+        harness.tear_down()
 
 
 @pytest.mark.parametrize("number", [signal.SIGHUP, signal.SIGUSR1])
@@ -319,16 +333,16 @@
 def test_standby_spares_who_has_just_come(tmp_path):
     """As a stop does: what it came for is on its way. It is answered, and then its connection is ended."""
     port = socket.create_server(("127.0.0.1", 0))
-    operators = where(port)
+    operators = address_of(port)
     port.close()
-    limits = {"newcomer_ns": NEVER, "standby_rest_ns": NEVER}
-    with World(tmp_path, {"control": operators, "limits": limits}) as world:
-        world.play(READY + "open c1\nwait gw clients=1")
+    limits = {"newcomer_ns": FOREVER_NS, "standby_rest_ns": FOREVER_NS}
+    with GatewayHarness(tmp_path, {"control": operators, "limits": limits}) as harness:
+        harness.run(READY + "open c1\nwait gw clients=1")
         host, _, number = operators.rpartition(":")
-        with socket.create_connection((host, int(number)), PATIENCE) as operator:
+        with socket.create_connection((host, int(number)), TIMEOUT_S) as operator:
             operator.sendall(b"POST /standby HTTP/1.1\r\nContent-Length: 0\r\n\r\n")
             assert operator.recv(4096).startswith(b"HTTP/1.1 200")
-        world.play("""
+        harness.run("""
             send c1 look 1
             serve c1 look 1 a1 hello
             expect c1 eof""")
@@ -336,7 +350,7 @@
 
 def test_connections_that_were_ended_make_room_before_others(tmp_path):
     """Their clients don't end them: what is left of their time is nobody's loss, where a client waits."""
-    play(
+    run_scenario(
         tmp_path,
         READY
         + f"""
@@ -354,9 +368,9 @@
             "frontend_connections": 2,
             "rest_ns": 10 * MS,
             "tend_ns": 10 * MS,
-            "drained_ns": NEVER,
+            "drained_ns": FOREVER_NS,
             "newcomer_ns": MS,
-            "spare_ns": NEVER,
+            "spare_ns": FOREVER_NS,
         },
     )
 
@@ -385,7 +399,7 @@
                 )
 
         acceptor = Acceptor(dispatcher, Welcomed)
-        with socket.create_connection(listening.getsockname(), PATIENCE):
+        with socket.create_connection(listening.getsockname(), TIMEOUT_S):
             while acceptor.accept(listening) is not AcceptResult.ACCEPTED:
                 await asyncio.sleep(0)
             while not made:
@@ -396,7 +410,7 @@
     platform = socket.create_server(("127.0.0.1", 0))
     inherited = HOST.inherit(platform.detach())
     for listening in (own, inherited):
-        assert asyncio.run(asyncio.wait_for(play(listening), PATIENCE)) != [0]
+        assert asyncio.run(asyncio.wait_for(play(listening), TIMEOUT_S)) != [0]
         listening.close()
 
 
--- a/tests/test_incremental.py
+++ b/tests/test_incremental.py
@@ -10,8 +10,8 @@
 from types import SimpleNamespace
 
 import pytest
-from conftest import MS, SECOND, Gateway, backend
-from endpoint_lists import change, endpoint, full_list, stub_dispatcher
+from conftest import MS, SECOND, PolicyHarness, backend
+from endpoint_lists import delta, endpoint, full_list, stub_dispatcher
 from hypothesis import given
 from hypothesis import settings as effort
 from hypothesis import strategies as st
@@ -110,13 +110,13 @@
 @effort(max_examples=150, deadline=None, derandomize=True, database=None)
 @given(STEPS)
 def test_the_endpoints_are_what_a_plain_model_works_out_from_the_complete_list(steps):
-    g, plain = Gateway(COLD, backends=0, now=100 * SECOND), Plain()
+    g, plain = PolicyHarness(COLD, backends=0, now=100 * SECOND), Plain()
     policy = g.policy
     healthy = policy.parts.capacity.healthy
     for what, about in steps:
         if what == "lists":
             for kind, entries in about:
-                g.list(entries, kind)
+                g.update_endpoints(entries, kind)
                 plain.apply(kind, entries)
         elif what == "tick":
             keep = math.exp(-about * MS / SECOND / SCORE_DECAY_S)
@@ -262,7 +262,7 @@
 
 
 def receive(table, endpoints_, kind=EndpointListKind.DELTA):
-    table.take(change(1, *endpoints_), kind)
+    table.take(delta(1, *endpoints_), kind)
 
 
 def test_a_year_of_replaced_backends_leaves_no_trace_and_one_just_gone_may_still_get_maintenance():
@@ -291,7 +291,7 @@
     table.take(read, EndpointListKind.FULL)
     assert table.endpoints.keys() == {endpoint_id("s-a"), endpoint_id("s-c")}
     assert table.endpoints[endpoint_id("s-c")] == table.reader.read_endpoint(whole["endpoints"][1])
-    (read,) = objects.feed(json.dumps(change(8, odd["note"])).encode())
+    (read,) = objects.feed(json.dumps(delta(8, odd["note"])).encode())
     with pytest.raises(KeyError):
         table.take(read, EndpointListKind.DELTA)
     assert table.endpoints.keys() == {endpoint_id("s-a"), endpoint_id("s-c")}
@@ -334,19 +334,19 @@
 
 def work(size):
     """Of each kind of control work, at a gateway that knows so many backends, six of them in use."""
-    g, pool = Gateway(COLD, backends=0, now=100 * SECOND), ConnectionPool(dispatcher_at_100_s())
+    g, pool = PolicyHarness(COLD, backends=0, now=100 * SECOND), ConnectionPool(dispatcher_at_100_s())
     table = table_at_0_s(pool.update)
     names = [f"s-{k}" for k in range(size)]
     receive(table, endpoints(names), EndpointListKind.FULL)
     known = [b for b, _ in pool.listed.values()]
-    g.list(known)
+    g.update_endpoints(known)
     for s in known[:6]:
         g.policy.parts.detector.apply(g.policy.parts.endpoints.by_id[s.id], 0, 1.0, 0.5)
         open_idle(pool, s.id)
     g.tick()
 
     def change():
-        g.list([known[9]], EndpointListKind.DELTA)
+        g.update_endpoints([known[9]], EndpointListKind.DELTA)
         g.feed(RequestAbandoned(-1))
 
     return {
--- a/tests/test_inherit_memory.py
+++ b/tests/test_inherit_memory.py
@@ -4,7 +4,7 @@
 import math
 
 import pytest
-from conftest import MS, SECOND, Gateway, only
+from conftest import MS, SECOND, PolicyHarness, actions_of_type
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -29,13 +29,13 @@
 
 def old_process():
     """A gateway that has served a while: a customer near its quota, a slow server, a budget, peers' words."""
-    g = Gateway(dict(OVER), backends=4)
+    g = PolicyHarness(dict(OVER), backends=4)
     g.feed(GossipReceived(1, 77, [CustomerUsage(9, 0, 3.0, 9.0, 1)]))
     for _ in range(5):
-        rid, acts = g.ask(units=2.0, spread=3)
-        sent = only(acts, ForwardRequest)
+        rid, acts = g.submit(units=2.0, spread=3)
+        sent = actions_of_type(acts, ForwardRequest)
         if sent:
-            g.outcome(rid, 0, sent[0].endpoint, AttemptResult.OK, after=50 * MS, latency=50 * MS)
+            g.finish_attempt(rid, 0, sent[0].endpoint, AttemptResult.OK, after=50 * MS, latency=50 * MS)
     g.policy.parts.limit.limit, g.policy.parts.slow_start.seen_rate = 7.0, 21.0
     g.policy.parts.endpoints.ready[0].latency_ratio, g.policy.parts.endpoints.ready[0].error_scores = (
         2.5,
@@ -49,7 +49,7 @@
 
 
 def new_process(table, g):
-    heir = Gateway(dict(OVER), backends=0, start=False)
+    heir = PolicyHarness(dict(OVER), backends=0, start=False)
     validate(table, heir.policy.parts)
     heir.now = g.now
     heir.feed(StateInherited(table))
@@ -94,7 +94,7 @@
 
 
 def test_a_peer_counts_across_both_processes_by_one_running_total():
-    g, peer = old_process(), Gateway(dict(OVER) | {"gateway_index": 1}, backends=4)
+    g, peer = old_process(), PolicyHarness(dict(OVER) | {"gateway_index": 1}, backends=4)
     key = next(iter(g.policy.parts.ledger.customers))
     c, level = g.policy.parts.ledger.customers[key], []
 
@@ -130,7 +130,7 @@
 def test_of_more_customers_than_fit_the_last_used_are_left():
     g = old_process()
     for key in range(100, 110):
-        g.ask(customer=key, after=10 * MS)
+        g.submit(customer=key, after=10 * MS)
     assert [c["key"] for c in left(g, 3)["customers"]] == [107, 108, 109]
 
 
@@ -159,6 +159,6 @@
         assert str(err)
         return
     for _ in range(3):
-        heir.ask(units=2.0, spread=3, after=SECOND)
+        heir.submit(units=2.0, spread=3, after=SECOND)
         heir.tick()
     assert not math.isnan(heir.policy.parts.capacity.healthy)
--- a/tests/test_leavers.py
+++ b/tests/test_leavers.py
@@ -11,7 +11,19 @@
 import time
 
 import pytest
-from scenario import HOME, LONG_DIAL, NEVER, PATIENCE, READY, World, call, encode, play, settings, where
+from scenario import (
+    FOREVER_NS,
+    LOOPBACK_ADDRESS,
+    NO_CONNECT_TIMEOUT,
+    READY,
+    TIMEOUT_S,
+    GatewayHarness,
+    address_of,
+    call_command,
+    encode_command,
+    run_scenario,
+    settings,
+)
 
 from zincstile.decisions.messages import CustomerUsage, SendGossip
 from zincstile.decisions.records import scatter
@@ -33,7 +45,7 @@
     def __init__(self) -> None:
         self.sockets = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(GATEWAYS - 1)]
         for sock in self.sockets:
-            sock.bind((HOME, 0))
+            sock.bind((LOOPBACK_ADDRESS, 0))
             sock.setblocking(False)
 
     def asks(self) -> list[tuple[socket.socket, CustomerUsage]]:
@@ -50,26 +62,26 @@
 
     def asked_by(self, customers: set[int]) -> list[tuple[socket.socket, CustomerUsage]]:
         """One ask of each of them."""
-        found, end = {}, time.monotonic() + PATIENCE
+        found, end = {}, time.monotonic() + TIMEOUT_S
         while len(found) < len(customers):
             assert time.monotonic() < end, "no relay was asked"
             found |= {share.customer: (sock, share) for sock, share in self.asks()}
         return list(found.values())
 
-    def grant(self, world: World, sock: socket.socket, ask: CustomerUsage) -> None:
+    def grant(self, harness: GatewayHarness, sock: socket.socket, ask: CustomerUsage) -> None:
         share = CustomerUsage(ask.customer, ask.plan, 0.0, 0.0, 0, ask.want, ask.query_id, True)
         for message in gossip_codec.encode_gossip(SendGossip(0, 5, [share])):
-            sock.sendto(message, world.peer_address)
+            sock.sendto(message, harness.peer_address)
 
 
 @pytest.fixture
 def relayed(tmp_path):
     relays = Relays()
-    peers = [f"{HOME}:1", *map(where, relays.sockets)]
-    world = World(tmp_path, {"peers": peers, "settings": {"balancers": GATEWAYS}})
-    world.play(READY)
-    yield world, relays
-    world.end()
+    peers = [f"{LOOPBACK_ADDRESS}:1", *map(address_of, relays.sockets)]
+    harness = GatewayHarness(tmp_path, {"peers": peers, "settings": {"balancers": GATEWAYS}})
+    harness.run(READY)
+    yield harness, relays
+    harness.tear_down()
     for sock in relays.sockets:
         sock.close()
 
@@ -80,63 +92,65 @@
     return list(itertools.islice((n for n in numbers if scatter(n) % GATEWAYS), count))
 
 
-def ask(world: World, client: str, customer: int) -> None:
+def ask(harness: GatewayHarness, client: str, customer: int) -> None:
     """A request that its gateway may only send on by a relay's grant."""
-    words = call("look", customer, "t=small", f"units={UNITS:g}", f"spread={GATEWAYS}")
+    words = call_command("look", customer, "t=small", f"units={UNITS:g}", f"spread={GATEWAYS}")
     words[1] = f"{customer:016x}"
-    world.line(client).sock.sendall(encode(words))
+    harness.connection(client).sock.sendall(encode_command(words))
 
 
 def test_a_request_is_sent_on_once_its_relay_grants_it(relayed):
     """The other side of the next test: a grant counts, for who stays. Asked again where it came too late."""
-    world, relays = relayed
+    harness, relays = relayed
     for customer in customers(1, 100):
-        before = world.counters()
-        ask(world, "c1", customer)
-        relays.grant(world, *relays.asked_by({customer})[0])
-        if settled(world, before, ("attempts", "rejected"), 1)["attempts"]:
+        before = harness.counters()
+        ask(harness, "c1", customer)
+        relays.grant(harness, *relays.asked_by({customer})[0])
+        if settled(harness, before, ("attempts", "rejected"), 1)["attempts"]:
             break
-        world.play("expect c1 -BUSY*")
-    assert world.line("a1").message()[2] == b"%016x" % customer
+        harness.run("expect c1 -BUSY*")
+    assert harness.connection("a1").read_message()[2] == b"%016x" % customer
 
 
 @pytest.mark.parametrize("order", ["gone, then granted", "granted behind its end", "granted before its end"])
 def test_a_burst_of_clients_that_leave_while_a_relay_is_asked_is_not_sent_on(relayed, order):
     """All wait in the policy for the relay, and leave; then each is granted, or both come in one batch.
     A burst that the policy gave up waiting for in between proves nothing, and is asked again."""
-    world, relays = relayed
+    harness, relays = relayed
     for burst in range(1, 100):
-        before = world.counters()
+        before = harness.counters()
         chosen = customers(burst, len(BURST))
         clients = [f"c{customer}" for customer in chosen]
         for client, customer in zip(clients, chosen, strict=True):
-            ask(world, client, customer)
+            ask(harness, client, customer)
         asked = relays.asked_by(set(chosen))
         steps = [
-            lambda clients=clients: [world.close(client) for client in clients],
-            lambda asked=asked: [relays.grant(world, *one) for one in asked],
+            lambda clients=clients: [harness.close(client) for client in clients],
+            lambda asked=asked: [relays.grant(harness, *one) for one in asked],
         ]
         if order == "gone, then granted":
             steps[0]()
-            settled(world, before, GONE, len(BURST))
+            settled(harness, before, GONE, len(BURST))
             steps[1]()
         else:
-            world.play("freeze gw")
+            harness.run("freeze gw")
             for step in steps if order == "granted behind its end" else reversed(steps):
                 step()
-            world.play("thaw gw")
-        found = settled(world, before, GONE, len(BURST))
-        settled(world, before, ("messages_in",), len(BURST))
-        assert world.counters()["attempts"] == 0
+            harness.run("thaw gw")
+        found = settled(harness, before, GONE, len(BURST))
+        settled(harness, before, ("messages_in",), len(BURST))
+        assert harness.counters()["attempts"] == 0
         if found["abandoned"] - before["abandoned"] == len(BURST):
             return
     raise AssertionError("no burst left while its relay was asked")
 
 
-def settled(world: World, before: dict[str, int], names: tuple[str, ...], count: int) -> dict[str, int]:
+def settled(
+    harness: GatewayHarness, before: dict[str, int], names: tuple[str, ...], count: int
+) -> dict[str, int]:
     """The counters once these have grown by so much together."""
-    end = time.monotonic() + PATIENCE
-    while sum((found := world.counters())[name] - before[name] for name in names) < count:
+    end = time.monotonic() + TIMEOUT_S
+    while sum((found := harness.counters())[name] - before[name] for name in names) < count:
         assert time.monotonic() < end, found
     return found
 
@@ -148,19 +162,19 @@
 def test_a_burst_of_clients_that_leave_while_further_attempts_wait_is_not_sent_on(tmp_path, cancel):
     """The first attempts are withdrawn from a server that drains, and the further ones wait for connections
     to the next, which come up once the clients have left."""
-    classes = [c | {"aim_ns": NEVER, "deadline_ns": NEVER} for c in settings()["classes"]]
-    limits = LONG_DIAL | {"cancel": cancel}
-    play(
+    classes = [c | {"aim_ns": FOREVER_NS, "deadline_ns": FOREVER_NS} for c in settings()["classes"]]
+    limits = NO_CONNECT_TIMEOUT | {"cancel": cancel}
+    run_scenario(
         tmp_path,
         READY
-        + "fill a\nfill b\n"
+        + "fill_backlog a\nfill_backlog b\n"
         + each("send c{0} look {0} d=900000")
         + f"wait gw connects={len(BURST)}\n"
         + f"send d1 change a=Terminating b=Ready\nwait gw connects={2 * len(BURST)}\n"
         + each("close c{0}")
         + f"""
         wait gw abandoned={len(BURST)}
-        free b
+        clear_backlog b
         open b1
         wait gw attempts=0
         send gw TERM
@@ -174,7 +188,7 @@
 def test_a_further_attempt_that_becomes_due_as_its_client_ends_is_not_made(tmp_path, order):
     """In one batch: the attempt before breaks, its client ends, and a connection rests at the next server."""
     both = ["reset a1", "close c1"]
-    play(
+    run_scenario(
         tmp_path,
         READY
         + f"""
@@ -197,7 +211,7 @@
 
 def test_no_second_copy_is_made_for_a_client_that_has_left(tmp_path):
     """Who asked later, and stayed, gets one: its time came after that of the one that left."""
-    play(
+    run_scenario(
         tmp_path,
         READY
         + """
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 import pytest
-from scenario import smallest
+from scenario import minimal_config
 
 from zincstile.net import config
 from zincstile.net.limits import SECOND, Limits, Machine
@@ -104,7 +104,7 @@
 
 @pytest.mark.parametrize("key", OPERATORS_KEYS.split())
 def test_each_key_of_operators_sets_one_limit(key):
-    usual = asdict(config.read(smallest(), {}).limits)
-    found = asdict(config.read(smallest() | {"limits": {key: 7}}, {}).limits)
+    usual = asdict(config.read(minimal_config(), {}).limits)
+    found = asdict(config.read(minimal_config() | {"limits": {key: 7}}, {}).limits)
     changed = {name: value for name, value in found.items() if value != usual[name]}
     assert list(changed.values()) == [7]
--- a/tests/test_list_freshness.py
+++ b/tests/test_list_freshness.py
@@ -10,7 +10,7 @@
 
 import pytest
 from endpoint_lists import limits_in_fleet
-from scenario import World
+from scenario import GatewayHarness
 
 from zincstile.cold_start.list_polling import ListPolling
 from zincstile.net.limits import MS, SECOND
@@ -35,12 +35,12 @@
     return {"settings": {"discovery": "on_request", "balancers": 200}, "seed": seed}
 
 
-def expect_change_received(world: World, watch: str) -> None:
+def expect_change_received(harness: GatewayHarness, watch: str) -> None:
     """A backend drains while no watch is open; from now on discovery can be reached, and is followed."""
     began = time.monotonic()
-    world.play(f"send {watch} change a=Terminating b=Ready\nwait gw tables=2")
+    harness.run(f"send {watch} change a=Terminating b=Ready\nwait gw tables=2")
     took = time.monotonic() - began
-    world.play("send c1 look 1\nexpect b1 look 1")
+    harness.run("send c1 look 1\nexpect b1 look 1")
     assert took < RECEIVED_WITHIN_S
 
 
@@ -49,27 +49,27 @@
     [*((failure, False) for failure in FAILED_CALLS), ("reset", True), ("rejected with Retry-After", True)],
 )
 def test_a_change_is_followed_6_s_after_failed_calls(tmp_path, failure, on_request):
-    world = World(tmp_path, large_fleet(SEED_OF_LATE_RETRY) if on_request else {})
+    harness = GatewayHarness(tmp_path, large_fleet(SEED_OF_LATE_RETRY) if on_request else {})
     try:
-        world.play("send d1 full a=Ready\nexpect gw ready*from discovery\nreset d1\nexpect d2 asked")
+        harness.run("send d1 full a=Ready\nexpect gw ready*from discovery\nreset d1\nexpect d2 request")
         if FAILED_CALLS[failure] is None:
-            world.reset("d2")
+            harness.reset("d2")
         else:
-            world.line("d2").sock.sendall(FAILED_CALLS[failure])
-            world.close("d2")
-        expect_change_received(world, "d3")
+            harness.connection("d2").sock.sendall(FAILED_CALLS[failure])
+            harness.close("d2")
+        expect_change_received(harness, "d3")
     finally:
-        world.end()
+        harness.tear_down()
 
 
 def test_a_silent_watch_of_a_service_that_is_asked_is_opened_anew_in_6_s(tmp_path):
     """One clock for silence: it counts from the last that the watch sent."""
-    world = World(tmp_path, large_fleet(SEED_OF_LATE_FIRST_RETRY))
+    harness = GatewayHarness(tmp_path, large_fleet(SEED_OF_LATE_FIRST_RETRY))
     try:
-        world.play("send d1 full a=Ready")
-        expect_change_received(world, "d2")
+        harness.run("send d1 full a=Ready")
+        expect_change_received(harness, "d2")
     finally:
-        world.end()
+        harness.tear_down()
 
 
 @pytest.mark.parametrize("gateways", [1, 24, 90, 200, 1000])
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -3,7 +3,7 @@
 
 from __future__ import annotations
 
-from endpoint_lists import change, endpoint, endpoint_table, endpoint_watcher, full_list, stub_dispatcher
+from endpoint_lists import delta, endpoint, endpoint_table, endpoint_watcher, full_list, stub_dispatcher
 
 from zincstile.decisions.messages import EndpointList, EndpointListKind, EndpointState
 from zincstile.net.discovery.messages import endpoint_id
@@ -59,12 +59,12 @@
     made, clock, posted, _ = world()
     out_and_back(made, clock)
     reborn = last_entry(posted, "s-a").started_ns
-    made.table.take(change(2, endpoint("s-a")), EndpointListKind.DELTA)
+    made.table.take(delta(2, endpoint("s-a")), EndpointListKind.DELTA)
     assert (
         last_entry(posted, "s-a").started_ns == reborn
     )  # the old start that discovery still lists is not trusted
     clock[0] = 201 * SECOND
-    made.table.take(change(3, endpoint("s-a", since_ms=200_000)), EndpointListKind.DELTA)
+    made.table.take(delta(3, endpoint("s-a", since_ms=200_000)), EndpointListKind.DELTA)
     assert last_entry(posted, "s-a").started_ns == 200_000 * 1_000_000 + made.table.reader.clock.offset_ns
 
 
@@ -72,7 +72,7 @@
     made, _, posted, _ = world()
     made.begin(full_list(1, endpoint("s-a")))
     assert not made.table.maintain("s-z", enter=True)  # as another process of this gateway may have said
-    made.table.take(change(2, endpoint("s-z")), EndpointListKind.DELTA)
+    made.table.take(delta(2, endpoint("s-z")), EndpointListKind.DELTA)
     assert last_entry(posted, "s-z").state is EndpointState.DRAINING
 
 
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -16,7 +16,17 @@
 import threading
 import time
 
-from scenario import CUSTOMER, ROOT, Line, encode, listener, run_to_end, settings, smallest, where
+from scenario import (
+    CUSTOMER,
+    ROOT,
+    RespConnection,
+    address_of,
+    encode_command,
+    minimal_config,
+    open_listener,
+    run_until_exit,
+    settings,
+)
 
 VALUE = b"*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n"
 
@@ -27,7 +37,7 @@
     pieces = [VALUE]
 
     def __init__(self) -> None:
-        self.sock, self.calls = listener(), 0
+        self.sock, self.calls = open_listener(), 0
         threading.Thread(target=self._accept, daemon=True).start()
 
     def _accept(self) -> None:
@@ -37,10 +47,10 @@
                 threading.Thread(target=self._serve, args=(conn,), daemon=True).start()
 
     def _serve(self, conn: socket.socket) -> None:
-        line = Line(conn)
+        line = RespConnection(conn)
         with contextlib.suppress(OSError, ValueError, IndexError):
             while True:
-                words = line.message()
+                words = line.read_message()
                 if not words:
                     return
                 self.calls += 1
@@ -69,7 +79,7 @@
         self.control = ("127.0.0.1", _free_port())
         endpoint = {
             "name": "s-a",
-            "address": where(backend.sock),
+            "address": address_of(backend.sock),
             "zone": "z",
             "type": "k",
             "group": 1,
@@ -79,8 +89,8 @@
         }
         table = {
             "name": "n0",
-            "listen": where(listening),
-            "discovery": where(silent),
+            "listen": address_of(listening),
+            "discovery": address_of(silent),
             "seed": f"8c1f{self.control[1]:x}",  # new with each start
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024} | limits,
             "peer_listen": "127.0.0.1:0",
@@ -128,7 +138,7 @@
 def fleet(tmp_path, backend: Backend | None = None, **limits: int):
     """A listening socket that the platform holds, a backend server, a silent discovery, and a way to start
     processes of gateway n0 on them; each is ended at the end."""
-    listening, silent = socket.create_server(("127.0.0.1", 0)), listener()
+    listening, silent = socket.create_server(("127.0.0.1", 0)), open_listener()
     backend = backend or Backend()
     started: list[Gateway] = []
 
@@ -151,7 +161,7 @@
 
 
 def request(number: int, plan: str = "team") -> bytes:
-    return encode(
+    return encode_command(
         ["CALL.GET", CUSTOMER, f"{number:016x}", f"c=look,t={plan},d=2000,units=1,spread=1,first=0"]
     )
 
@@ -404,7 +414,7 @@
 
 def test_standby_active_standby_with_a_value_half_passed_on(tmp_path):
     """A large value that is half passed on when standby comes is finished; then its connection is closed."""
-    slow = listener()
+    slow = open_listener()
 
     class Slow:
         sock = slow
@@ -416,7 +426,7 @@
         client.sendall(request(1))
         backend, _ = slow.accept()
         backend.settimeout(5)
-        Line(backend).message()
+        RespConnection(backend).read_message()
         size = 1 << 20
         backend.sendall(b"*3\r\n$%d\r\n" % size + b"v" * 100_000)
         reader = client.makefile("rb")
@@ -441,8 +451,8 @@
             ({"RELAY_SOCKET_FD": str(udp.fileno())}, None, "not a listening TCP"),
         ]:
             path = tmp_path / "config.json"
-            path.write_text(json.dumps(smallest() | (table or {})))
-            done = run_to_end(path, env)
+            path.write_text(json.dumps(minimal_config() | (table or {})))
+            done = run_until_exit(path, env)
             lines = done.stderr.strip().splitlines()
             assert done.returncode == 2 and len(lines) == 1 and said in lines[0], (env, table, done.stderr)
     finally:
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -1,4 +1,4 @@
-from conftest import MS, SECOND, Gateway, only
+from conftest import MS, SECOND, PolicyHarness, actions_of_type
 
 from zincstile.decisions.messages import (
     AttemptResult,
@@ -17,16 +17,16 @@
 def taken(g, count, units=2.0, spread=3, cls=0):
     total = 0.0
     for _ in range(count):
-        rid, acts = g.ask(cls=cls, units=units, spread=spread)
-        sent = only(acts, ForwardRequest)
+        rid, acts = g.submit(class_index=cls, units=units, spread=spread)
+        sent = actions_of_type(acts, ForwardRequest)
         if sent:
             total += units
-            g.outcome(rid, 0, sent[0].endpoint, AttemptResult.OK, after=0, latency=10 * MS)
+            g.finish_attempt(rid, 0, sent[0].endpoint, AttemptResult.OK, after=0, latency=10 * MS)
     return total
 
 
 def gateway(**over):
-    return Gateway({"plans": [PLAN], "gateway_count": 3, **over}, backends=8)
+    return PolicyHarness({"plans": [PLAN], "gateway_count": 3, **over}, backends=8)
 
 
 def hear(g, shares=(), sender=1, start=5, after=0):
@@ -53,14 +53,18 @@
     g = gateway()
     hear(g, [CustomerUsage(k, 0, 0.0, 6.5, 0) for k in range(300)])
     hear(g, [CustomerUsage(k, 0, 4.0, 2.5, 0) for k in range(300)], after=MS)
-    sent = [k for k in range(300) if only(g.ask(customer=k, units=2.0, spread=3)[1], ForwardRequest)]
+    sent = [
+        k for k in range(300) if actions_of_type(g.submit(customer=k, units=2.0, spread=3)[1], ForwardRequest)
+    ]
     assert 75 <= len(sent) <= 165
 
 
 def test_who_alone_uses_a_customer_s_quota_is_not_drawn_for():
     g = gateway()
     hear(g, [CustomerUsage(k, 0, 0.0, 4.5, 0) for k in range(50)])
-    assert all(only(g.ask(customer=k, units=4.0, spread=3)[1], ForwardRequest) for k in range(50))
+    assert all(
+        actions_of_type(g.submit(customer=k, units=4.0, spread=3)[1], ForwardRequest) for k in range(50)
+    )
 
 
 def test_what_peers_send_and_have_not_told_yet_is_left_to_them():
@@ -68,8 +72,12 @@
     g = gateway(plans=[CustomerPlan("p", rate=2.0, burst=45.0)])
     hear(g, [CustomerUsage(k, 0, 0.0, 45.0, 0) for k in range(100)])
     hear(g, [CustomerUsage(k, 0, 40.0, 5.0, 0) for k in range(100)], after=MS)
-    assert not [k for k in range(100) if only(g.ask(customer=k, units=4.0, spread=3)[1], ForwardRequest)]
-    assert [k for k in range(100) if only(g.ask(customer=k, units=1.0, spread=3)[1], ForwardRequest)]
+    assert not [
+        k for k in range(100) if actions_of_type(g.submit(customer=k, units=4.0, spread=3)[1], ForwardRequest)
+    ]
+    assert [
+        k for k in range(100) if actions_of_type(g.submit(customer=k, units=1.0, spread=3)[1], ForwardRequest)
+    ]
 
 
 def test_sends_of_peers_leave_the_store():
@@ -91,7 +99,7 @@
     g = gateway()
     hear(g, [CustomerUsage(7, 0, 0.0, 12.0, 0)])
     assert taken(g, 1) == 2.0
-    told = only(hear(g, [], start=6, after=MS), SendGossip)
+    told = actions_of_type(hear(g, [], start=6, after=MS), SendGossip)
     assert [s.customer for t in told for s in t.usages] == [7]
     level = g.policy.parts.ledger.customers[7].level
     hear(g, [CustomerUsage(7, 0, 1.0, 11.0, 0)], start=6)
@@ -109,30 +117,36 @@
 def test_true_units_are_settled_and_told():
     g = gateway(settles_actual_units=True)
     hear(g)
-    rid, acts = g.ask(units=2.0, spread=3)
+    rid, acts = g.submit(units=2.0, spread=3)
     before = g.policy.parts.ledger.customers[7].level
-    g.outcome(
-        rid, 0, only(acts, ForwardRequest)[0].endpoint, AttemptResult.OK, after=0, latency=10 * MS, units=5.0
+    g.finish_attempt(
+        rid,
+        0,
+        actions_of_type(acts, ForwardRequest)[0].endpoint,
+        AttemptResult.OK,
+        after=0,
+        latency=10 * MS,
+        units=5.0,
     )
     assert abs(before - 3.0 - g.policy.parts.ledger.customers[7].level) < 1e-9
-    told = only(g.feed(TimerFired(3), after=100 * MS), SendGossip)
+    told = actions_of_type(g.feed(TimerFired(3), after=100 * MS), SendGossip)
     assert told[0].usages[0].total == 5.0
 
 
 def test_open_limit_counts_the_peers_attempts():
     plan = CustomerPlan("o", max_in_flight=2)
-    g = Gateway({"plans": [plan], "gateway_count": 3}, backends=4)
+    g = PolicyHarness({"plans": [plan], "gateway_count": 3}, backends=4)
     hear(g, [CustomerUsage(7, 0, 0.0, 0.0, 1)])
-    assert only(g.ask(spread=3)[1], ForwardRequest)
-    assert not only(g.ask(spread=3)[1], ForwardRequest)
+    assert actions_of_type(g.submit(spread=3)[1], ForwardRequest)
+    assert not actions_of_type(g.submit(spread=3)[1], ForwardRequest)
     hear(g, [CustomerUsage(7, 0, 0.0, 0.0, 0)], after=MS)
-    assert only(g.ask(spread=3)[1], ForwardRequest)
+    assert actions_of_type(g.submit(spread=3)[1], ForwardRequest)
 
 
 def under_a_ceiling():
     """Two gateways have a ceiling that lets each send 2 a second in even parts; the quota would let 4."""
     plan = CustomerPlan("c", rate=4.0, burst=8.0, ceiling_rate=4.0, ceiling_burst=8.0)
-    g = Gateway({"plans": [plan], "gateway_count": 2}, backends=8)
+    g = PolicyHarness({"plans": [plan], "gateway_count": 2}, backends=8)
     g.now += 10 * SECOND  # the ceiling has filled since the start
     return g
 
@@ -158,9 +172,9 @@
         ((1,), [], 0.0, 4.0),
         ((1, 2), [CustomerUsage(8, 0, 1.0, 60.0, 0)], 0.0, 4.0),
     ):
-        g = Gateway({"plans": [plan], "gateway_count": 3}, backends=8)
+        g = PolicyHarness({"plans": [plan], "gateway_count": 3}, backends=8)
         for sender in senders:
-            told = only(hear(g, shares, sender=sender, after=10 * MS), SendGossip)
+            told = actions_of_type(hear(g, shares, sender=sender, after=10 * MS), SendGossip)
             assert sender in [t.peer for t in told]  # so that it hears of this one too
         g.now += 300 * MS
         assert least <= taken(g, 30, units=1.0) <= most
@@ -187,21 +201,21 @@
         plan = CustomerPlan(
             "p", rate=0.001, burst=2.0, over_quota_weight=over_quota_weight, over_quota_cost=cost
         )
-        g = Gateway({"plans": [plan]}, backends=4)
-        assert only(g.ask(units=2.0)[1], ForwardRequest)
-        assert bool(only(g.ask(units=2.0)[1], ForwardRequest)) is sent
+        g = PolicyHarness({"plans": [plan]}, backends=4)
+        assert actions_of_type(g.submit(units=2.0)[1], ForwardRequest)
+        assert bool(actions_of_type(g.submit(units=2.0)[1], ForwardRequest)) is sent
 
 
 def test_a_refusal_says_when_the_store_has_filled():
     for over in ({}, {"retry_after": False}):
         plan = CustomerPlan("p", rate=20.0, burst=4.0)
-        g = Gateway({"plans": [plan], **over}, backends=4)
-        assert only(g.ask(units=4.0)[1], ForwardRequest)
-        refused = only(g.ask(units=2.0)[1], RejectRequest)
+        g = PolicyHarness({"plans": [plan], **over}, backends=4)
+        assert actions_of_type(g.submit(units=4.0)[1], ForwardRequest)
+        refused = actions_of_type(g.submit(units=2.0)[1], RejectRequest)
         assert [r.retry_after_ns for r in refused] == [100 * MS]  # two units at twenty a second
-        refused = only(g.ask(units=4.0, after=20 * MS)[1], RejectRequest)
+        refused = actions_of_type(g.submit(units=4.0, after=20 * MS)[1], RejectRequest)
         assert [r.retry_after_ns for r in refused] == [180 * MS]
-        assert only(g.ask(units=3.6, after=180 * MS)[1], ForwardRequest)
+        assert actions_of_type(g.submit(units=3.6, after=180 * MS)[1], ForwardRequest)
 
 
 def test_a_customer_is_forgotten_once_its_store_is_full():
@@ -230,7 +244,7 @@
             ceiling_rate=8.0,
             ceiling_burst=16.0,
         )
-        g = Gateway({"plans": [plan], "gateway_count": 2}, backends=8)
+        g = PolicyHarness({"plans": [plan], "gateway_count": 2}, backends=8)
         g.now += 10 * SECOND
         hear(g, [CustomerUsage(7, 0, 0.0, 8.0, 0)])
         taken(g, 3, units=1.0, spread=2)
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -5,8 +5,8 @@
 from types import SimpleNamespace
 
 import pytest
-from conftest import MS, SECOND, backend, only
-from scenario import World, settings
+from conftest import MS, SECOND, actions_of_type, backend
+from scenario import GatewayHarness, settings
 from test_scenarios import READY
 
 from zincstile.decisions.messages import AttemptResult, FailRequest, ForwardRequest, RejectRequest
@@ -22,17 +22,17 @@
 
 @pytest.mark.parametrize("result", FAILED_RESULTS, ids=lambda r: r.name)
 @pytest.mark.parametrize("cls", [SAFE, UNSAFE, KEYED])
-def test_what_is_retried_by_class_and_result(gateway, cls, result):
+def test_what_is_retried_by_class_and_result(policy_harness, cls, result):
     """Safe: always. Keyed: inside its window. Unsafe: only what surely never ran. What goes out no more is
     refused where nothing has run, or nothing that matters, and fails else."""
-    harness = gateway()
-    number, actions = harness.ask(cls)
-    first = only(actions, ForwardRequest)[0].endpoint
-    actions = harness.outcome(number, 0, first, result)
-    sent, failed = only(actions, ForwardRequest), only(actions, FailRequest)
+    harness = policy_harness()
+    number, actions = harness.submit(cls)
+    first = actions_of_type(actions, ForwardRequest)[0].endpoint
+    actions = harness.finish_attempt(number, 0, first, result)
+    sent, failed = actions_of_type(actions, ForwardRequest), actions_of_type(actions, FailRequest)
     assert len(sent) == (cls in (SAFE, KEYED) or result in NEVER_RAN)
     assert [s.endpoint for s in sent if s.endpoint == first] == []
-    assert len(failed) == (not sent) and not only(actions, RejectRequest)
+    assert len(failed) == (not sent) and not actions_of_type(actions, RejectRequest)
     if sent and cls == KEYED and result not in NEVER_RAN:
         assert (
             sent[0].written_by_ns == harness.now - 10 * MS + 500 * MS
@@ -41,28 +41,33 @@
 
 @pytest.mark.parametrize("result", FAILED_RESULTS, ids=lambda r: r.name)
 @pytest.mark.parametrize(("cls", "age"), [(KEYED, 499 * MS), (KEYED, 500 * MS), (SAFE, 500 * MS)])
-def test_a_keyed_request_is_retried_inside_its_window_only(gateway, cls, age, result):
-    harness = gateway({"plans": [CustomerPlan("only", rate=1000.0, burst=2000.0)]})
-    number, actions = harness.ask(cls, life=3 * SECOND)
-    actions = harness.outcome(number, 0, only(actions, ForwardRequest)[0].endpoint, result, after=age)
+def test_a_keyed_request_is_retried_inside_its_window_only(policy_harness, cls, age, result):
+    harness = policy_harness({"plans": [CustomerPlan("only", rate=1000.0, burst=2000.0)]})
+    number, actions = harness.submit(cls, timeout_ns=3 * SECOND)
+    actions = harness.finish_attempt(
+        number, 0, actions_of_type(actions, ForwardRequest)[0].endpoint, result, after=age
+    )
     again = cls == SAFE or result in NEVER_RAN or age < 500 * MS
-    assert (len(only(actions, ForwardRequest)), len(only(actions, FailRequest))) == (again, not again)
+    assert (len(actions_of_type(actions, ForwardRequest)), len(actions_of_type(actions, FailRequest))) == (
+        again,
+        not again,
+    )
 
 
 @pytest.mark.parametrize("result", FAILED_RESULTS, ids=lambda r: r.name)
-def test_a_keyed_retry_stays_where_duplicates_are_dropped(gateway, result):
+def test_a_keyed_retry_stays_where_duplicates_are_dropped(policy_harness, result):
     """Its group is its zone; where none of that is left, it goes nowhere once it may have run."""
-    harness = gateway(backends=0)
-    harness.list([backend(1, zone=0), backend(2, zone=1)])
-    number, actions = harness.ask(KEYED)
-    actions = harness.outcome(number, 0, only(actions, ForwardRequest)[0].endpoint, result)
-    assert bool(only(actions, ForwardRequest)) == (result in NEVER_RAN)
+    harness = policy_harness(backends=0)
+    harness.update_endpoints([backend(1, zone=0), backend(2, zone=1)])
+    number, actions = harness.submit(KEYED)
+    actions = harness.finish_attempt(number, 0, actions_of_type(actions, ForwardRequest)[0].endpoint, result)
+    assert bool(actions_of_type(actions, ForwardRequest)) == (result in NEVER_RAN)
 
 
 @pytest.mark.parametrize(("cls", "copies"), [(SAFE, 1), (UNSAFE, 0), (KEYED, 1)])
-def test_a_hedged_request_goes_out_only_where_the_class_allows_a_retry(gateway, cls, copies):
+def test_a_hedged_request_goes_out_only_where_the_class_allows_a_retry(policy_harness, cls, copies):
     """The first stays silent: a second copy goes beside it, never of what is unsafe to repeat."""
-    harness = gateway(
+    harness = policy_harness(
         {
             "classes": [
                 RequestClass(
@@ -74,12 +79,12 @@
                     deduplication_scope=DeduplicationScope.ALL,
                     deduplication_window_ns=4 * SECOND,
                 )
-                for c in gateway().policy.settings.classes
+                for c in policy_harness().policy.settings.classes
             ]
         }
     )
-    number, _ = harness.ask(cls)
-    sent = [s for _ in range(30) for s in only(harness.tick(), ForwardRequest)]
+    number, _ = harness.submit(cls)
+    sent = [s for _ in range(30) for s in actions_of_type(harness.tick(), ForwardRequest)]
     assert len(sent) == copies and all(s.request == number for s in sent)
 
 
@@ -102,9 +107,9 @@
 @pytest.mark.parametrize("effect", ["look", "put", "book"])
 def test_what_is_retried_on_sockets(tmp_path, effect, failure):
     script, never_ran = FAILURES[failure]
-    world = World(tmp_path, {"limits": {"answer_ns": 100 * MS}})
+    harness = GatewayHarness(tmp_path, {"limits": {"answer_ns": 100 * MS}})
     try:
-        world.play(
+        harness.run(
             READY
             + f"""
             send c1 {effect} 1
@@ -114,19 +119,19 @@
             {script}"""
         )
         if effect != "book" or never_ran:
-            world.play(f"expect b1 {effect} 1\nsend b1 ok second\nexpect c1 ok second\nwait gw attempts=2")
+            harness.run(f"expect b1 {effect} 1\nsend b1 ok second\nexpect c1 ok second\nwait gw attempts=2")
         else:
-            world.play("expect c1 -ERR failed\nwait gw attempts=1\nwait gw connects=1")
+            harness.run("expect c1 -ERR failed\nwait gw attempts=1\nwait gw connects=1")
     finally:
-        world.end()
+        harness.tear_down()
 
 
 @pytest.mark.parametrize("effect", ["look", "put", "book"])
 def test_a_refused_connection_is_retried_elsewhere(tmp_path, effect):
     """Refused, then a server that is there: whatever the class, it never ran."""
-    world = World(tmp_path)
+    harness = GatewayHarness(tmp_path)
     try:
-        world.play(f"""
+        harness.run(f"""
             refuse a
             send d1 full a=Ready
             expect gw ready*from discovery
@@ -139,15 +144,15 @@
             send b1 ok hello
             expect c1 ok hello""")
     finally:
-        world.end()
+        harness.tear_down()
 
 
 def test_no_retry_after_a_short_window(tmp_path):
     """The first may have run, and is noticed to have ended only after its window: it is not sent again."""
     classes = [c | {"window_ns": 1} for c in settings()["classes"]]
-    world = World(tmp_path, {"settings": {"classes": classes}})
+    harness = GatewayHarness(tmp_path, {"settings": {"classes": classes}})
     try:
-        world.play(
+        harness.run(
             READY
             + """
             send c1 put 1
@@ -159,7 +164,7 @@
             wait gw attempts=1"""
         )
     finally:
-        world.end()
+        harness.tear_down()
 
 
 # ---- what has run, by what was written
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import pytest
-from scenario import PING, READY, SERVES, World, play
+from scenario import ANSWERED_CALL, PING, READY, GatewayHarness, run_scenario
 
 GOOD = r"*3\r\n$5\r\nhello\r\n$-1\r\n$-1\r\n"
 SCENARIOS = {
@@ -54,7 +54,7 @@
         expect c1 -ERR*limit*
         expect c1 end"""
     + "\n"
-    + SERVES,
+    + ANSWERED_CALL,
     "odd commands are answered and go no further": READY
     + "".join(
         f"""
@@ -87,7 +87,7 @@
         )
     )
     + "\n"
-    + SERVES,
+    + ANSWERED_CALL,
     "no client is ready for PING before the table": f"""
         send c1 {PING}
         expect c1 -ERR not ready
@@ -251,7 +251,7 @@
         expect c1 -ERR*limit*
         expect c1 end"""
     + "\n"
-    + SERVES,
+    + ANSWERED_CALL,
     "what was asked before a line that can't be read is still answered": READY
     + f"""
         send c1 look 1
@@ -309,7 +309,7 @@
         expect c1 ok one
         send d2 full b=Ready
         expect a1 end
-        send d2 say {"index":"what"}
+        send d2 line {"index":"what"}
         send d3 full b=Ready
         send c1 look 2
         expect b1 look 2""",
@@ -384,24 +384,25 @@
         send p1 raw hello
         wait gw messages_bad=1"""
     + "\n"
-    + SERVES,
+    + ANSWERED_CALL,
 }
 
 
 @pytest.mark.parametrize("name", SCENARIOS)
 def test_scenario(name, tmp_path):
-    play(tmp_path, SCENARIOS[name])
+    run_scenario(tmp_path, SCENARIOS[name])
 
 
 def test_a_watch_that_says_nothing_is_opened_anew(tmp_path):
     """At first it is owed the list at once, later a line now and then. It ends when the new one has spoken,
     and no sooner: else there would be a while in which nothing could be heard."""
-    play(
+    run_scenario(
         tmp_path,
-        "expect d1 asked\nsend d2 full a=Ready\nexpect gw ready*from discovery\nexpect d1 end\n" + SERVES,
+        "expect d1 request\nsend d2 full a=Ready\nexpect gw ready*from discovery\nexpect d1 end\n"
+        + ANSWERED_CALL,
         limits={"table_answer_ns": 2 * 10**8, "table_silence_ns": 10**12},
     )
-    play(
+    run_scenario(
         tmp_path / "b",
         READY + "send d2 full b=Ready\nexpect d1 end\nsend c1 look 1\nexpect b1 look 1",
         limits={"table_answer_ns": 10**12, "table_silence_ns": 2 * 10**8},
@@ -409,16 +410,16 @@
 
 
 def test_the_known_list_serves_while_discovery_is_silent(tmp_path):
-    play(tmp_path, "expect gw ready*cached\n" + SERVES, known_servers="a")
+    run_scenario(tmp_path, "expect gw ready*cached\n" + ANSWERED_CALL, known_servers="a")
 
 
 def test_what_waits_for_a_connection_is_withdrawn_from_a_draining_backend_server(tmp_path):
     """The listener's line is full, so that connections never come up; the limit for that is far off."""
     limits = {"limits": {"connect_timeout_ns": 10**12}}
-    world = World(tmp_path, {"settings": limits})
+    harness = GatewayHarness(tmp_path, {"settings": limits})
     try:
-        world.play(
-            "fill a"
+        harness.run(
+            "fill_backlog a"
             + "\n"
             + READY
             + """
@@ -429,4 +430,4 @@
             wait gw attempts=0"""
         )
     finally:
-        world.end()
+        harness.tear_down()
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -13,7 +13,7 @@
 from hypothesis import given
 from hypothesis import settings as pace
 from hypothesis import strategies as st
-from scenario import ROOT, World, call, encode
+from scenario import ROOT, GatewayHarness, call_command, encode_command
 
 from zincstile.decisions.messages import (
     AttemptOutcome,
@@ -440,21 +440,23 @@
 def test_the_program_serves_at_any_settings(tmp_path, name, over):
     """A call of each class and plan goes to its backend server and comes back."""
     settings = TABLE | over
-    world = World(tmp_path, {"peer_listen": None, "peers": []}, settings)
+    harness = GatewayHarness(tmp_path, {"peer_listen": None, "peers": []}, settings)
     try:
-        world.play("send d1 full a=Ready\nexpect gw ready*from discovery")
+        harness.run("send d1 full a=Ready\nexpect gw ready*from discovery")
         for number, c in enumerate(settings["classes"], 1):
             plan = settings["plans"][number % len(settings["plans"])]["name"]
             free = c["effect"] == "free"
             key = [] if c["effect"] != "guarded" else ["k=5c0f6e1a2b3d4c59"]
-            words = call("look", number, f"c={c['name']}", f"t={plan}", "units=0.5", *key)
-            world.line("c1").sock.sendall(encode([words[0] if free else "CALL.POST", *words[1:]]))
-            found = world.line("a1").message()
+            words = call_command("look", number, f"c={c['name']}", f"t={plan}", "units=0.5", *key)
+            harness.connection("c1").sock.sendall(
+                encode_command([words[0] if free else "CALL.POST", *words[1:]])
+            )
+            found = harness.connection("a1").read_message()
             assert found[0] == (b"CALL.GET" if free else b"CALL.POST"), found
-            world.play("send a1 ok hello\nexpect c1 ok hello")
-        assert world.counters()["faults"] == 0
+            harness.run("send a1 ok hello\nexpect c1 ok hello")
+        assert harness.counters()["faults"] == 0
     finally:
-        world.end()
+        harness.tear_down()
 
 
 SPOILT = [
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -4,11 +4,11 @@
 
 import time
 
-from scenario import READY, World, play
+from scenario import READY, GatewayHarness, run_scenario
 
 
 def test_a_stop_takes_new_connections_for_a_while(tmp_path):
-    play(
+    run_scenario(
         tmp_path,
         READY
         + """
@@ -28,20 +28,20 @@
         {"drain_quiet_ns": 10**12, "drain_ns": 15 * 10**8},
     ):
         tmp_path.mkdir(exist_ok=True)
-        with World(tmp_path, {"limits": limits}) as world:
-            world.play(READY + "send gw TERM\nexpect gw stop with 0 sessions")
+        with GatewayHarness(tmp_path, {"limits": limits}) as harness:
+            harness.run(READY + "send gw TERM\nexpect gw stop with 0 sessions")
             end, number = time.monotonic() + 1.2, 0
             while time.monotonic() < end:
                 number += 1
-                world.play(
+                harness.run(
                     f"send c1 look {number} units=0.001\nexpect a1 look {number}\n"
                     "send a1 ok x\nexpect c1 ok x"
                 )
-            world.play("expect c1 end\nexpect gw exit 0")
+            harness.run("expect c1 end\nexpect gw exit 0")
 
 
 def test_a_stop_answers_what_can_not_be_waited_for(tmp_path):
-    play(
+    run_scenario(
         tmp_path,
         READY
         + """
--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -7,7 +7,7 @@
 import threading
 import time
 
-from scenario import READY, World
+from scenario import READY, GatewayHarness
 
 from zincstile.net.resp import stream_head
 from zincstile.net.value_stream import ValueStream
@@ -39,15 +39,15 @@
 
 
 def test_a_4_mib_value_in_small_pieces_goes_on_at_once_and_is_not_held_whole(tmp_path):
-    with World(tmp_path, {"limits": {"memory_mb": 96}}) as world:
-        world.play(READY + "send c1 look 1\nexpect a1 look 1")
-        before = world.counters()["memory_kb"]
+    with GatewayHarness(tmp_path, {"limits": {"memory_mb": 96}}) as harness:
+        harness.run(READY + "send c1 look 1\nexpect a1 look 1")
+        before = harness.counters()["memory_kb"]
         size = 4 * MIB
         value = bytes(range(256)) * (size // 256)
         got, first = [], []
-        reader = threading.Thread(target=lambda: got.append(read_bulk(world.line("c1"), size, first)))
+        reader = threading.Thread(target=lambda: got.append(read_bulk(harness.connection("c1"), size, first)))
         reader.start()
-        backend = world.line("a1").sock
+        backend = harness.connection("a1").sock
         began = slowly(backend, head(size) + value[:4096], 4096, 0.0)
         time.sleep(0.2)
         slowly(backend, value[4096:] + b"\r\n$-1\r\n$-1\r\n", 16384, 0.0005)
@@ -55,38 +55,39 @@
         assert got == [value]
         lag = first[0] - began
         assert lag < 0.15, f"first bytes {lag:.3f} s after the backend server's"
-        counters = world.counters()
+        counters = harness.counters()
         assert counters["streamed"] == 1 and counters["streams_truncated"] == 0
         held_kb = counters["memory_kb"] - before
         print(f"first bytes after {1000 * lag:.1f} ms; most memory grew by {held_kb} KB for a 4096 KB value")
         assert held_kb < 3 * 1024  # not held whole: at most what the client has not read, and the pieces
-        world.play("send c1 look 2\nexpect a1 look 2\nsend a1 ok after\nexpect c1 ok after")  # kept, in order
+        # kept, in order
+        harness.run("send c1 look 2\nexpect a1 look 2\nsend a1 ok after\nexpect c1 ok after")
 
 
 @contextlib.contextmanager
 def half_sent(tmp_path):
     """A world in which a 1 MiB value is begun: its head has reached the client, 100,000 bytes of it sent."""
-    with World(tmp_path) as world:
-        world.play(READY + "send c1 look 1\nexpect a1 look 1")
-        world.line("a1").sock.sendall(head(MIB) + b"v" * 100_000)
-        assert world.line("c1").file.readline() == b"$%d\r\n" % MIB
-        yield world
+    with GatewayHarness(tmp_path) as harness:
+        harness.run(READY + "send c1 look 1\nexpect a1 look 1")
+        harness.connection("a1").sock.sendall(head(MIB) + b"v" * 100_000)
+        assert harness.connection("c1").file.readline() == b"$%d\r\n" % MIB
+        yield harness
 
 
 def test_a_value_cut_by_its_backend_server_ends_the_clients_connection(tmp_path):
-    with half_sent(tmp_path) as world:
-        world.close("a1")
+    with half_sent(tmp_path) as harness:
+        harness.close("a1")
         data = b""
         with contextlib.suppress(ConnectionError):
-            data = world.line("c1").file.read()
+            data = harness.connection("c1").file.read()
         assert len(data) < MIB  # the client can tell that it is not whole
-        world.wait("gw", "streams_truncated=1")
+        harness.wait("gw", "streams_truncated=1")
 
 
 def test_a_client_that_leaves_in_the_middle_frees_the_backend_connection(tmp_path):
-    with half_sent(tmp_path) as world:
-        world.close("c1")
-        world.play("expect a1 end")
+    with half_sent(tmp_path) as harness:
+        harness.close("c1")
+        harness.run("expect a1 end")
 
 
 def test_the_head_of_a_large_value_is_found_in_any_piece():
--- a/tests/test_subsetting.py
+++ b/tests/test_subsetting.py
@@ -218,7 +218,7 @@
         )
         policy = Policy(own, 1, [SubsettingFeature(own, SubsetSettings(min_endpoints=least), [], [])])
         policy.handle(now, Started())
-        feed(policy, [backend(n, started=now if n == cold else 0) for n in range(1, total + 1)])
+        feed(policy, [backend(n, started_ns=now if n == cold else 0) for n in range(1, total + 1)])
         policy.parts.budget.groups[0].arrivals = rate / gateways
         sending = sum(x.arrivals * x.rate for x in policy.parts.budget.groups)
         policy.parts.capacity.classify(now)
@@ -252,7 +252,7 @@
     tick(policy, 10 * SECOND)
     policy.parts.limit.completed_per_s = 24.0
     policy.parts.capacity.classify(10 * SECOND)
-    feed(policy, [*many(12, zone=0, mode=DRAINING), backend(13, started=10 * SECOND)])
+    feed(policy, [*many(12, zone=0, mode=DRAINING), backend(13, started_ns=10 * SECOND)])
     policy.parts.capacity.classify(10 * SECOND)
     assert policy.parts.slow_start.seen_rate == 2.0 and policy.parts.limit.completed_per_s == 24.0
 
@@ -292,7 +292,7 @@
     policy = gateway(gateways=60, min_endpoints=4, zones=[])
     feed(policy, many(60, zone=0))
     usual = ready(policy)
-    feed(policy, [backend(n, mode=mode) for n in usual])
+    feed(policy, [backend(n, state=mode) for n in usual])
     assert len(ready(policy)) == 4 and not ready(policy) & usual
     assert (
         usual <= set(policy.parts.endpoints.by_id)
@@ -311,7 +311,7 @@
         feed(policy, many(100, zone=0))
         old = ready(policy)
         late.update(old)
-        feed(policy, [backend(101), backend(102), backend(7, mode=DRAINING)])
+        feed(policy, [backend(101), backend(102), backend(7, state=DRAINING)])
         early.update(ready(policy) if me % 2 else old)
         assert len(ready(policy) ^ old) <= 2 * 3
     assert set(late) == set(range(1, 101)) and set(late.values()) == {4}
@@ -325,13 +325,13 @@
     usual = ready(policy)
     one = min(usual)
     policy.parts.endpoints.touch(policy.parts.endpoints.by_id[one]).latency_ratio = 3.0
-    feed(policy, [backend(one, mode=REMOVED, started=SECOND)])
-    feed(policy, [backend(one, started=SECOND)])
+    feed(policy, [backend(one, state=REMOVED, started_ns=SECOND)])
+    feed(policy, [backend(one, started_ns=SECOND)])
     assert (
         ready(policy) == usual and policy.parts.endpoints.by_id[one].latency_ratio == 3.0
     )  # undone by the next change
-    feed(policy, [backend(one, mode=REMOVED, started=SECOND)])
-    feed(policy, [backend(one, started=9 * SECOND)])
+    feed(policy, [backend(one, state=REMOVED, started_ns=SECOND)])
+    feed(policy, [backend(one, started_ns=9 * SECOND)])
     assert ready(policy) == usual and policy.parts.endpoints.by_id[one].latency_ratio == 1.0
 
 
@@ -351,7 +351,7 @@
     ]
     policy.handle(10 * SECOND + MS, AttemptOutcome(1, 0, sent, AttemptResult.ERROR, MS, True))
     assert not policy.parts.attempts.in_flight
-    feed(policy, [backend(n, mode=REMOVED) for n in range(61, more + 1)])
+    feed(policy, [backend(n, state=REMOVED) for n in range(61, more + 1)])
     assert (
         sent in ready(policy)
         and policy.parts.endpoints.by_id[sent].error_scores
@@ -470,9 +470,9 @@
         policy.parts.endpoints.touch(policy.parts.endpoints.by_id[n]).latency_ratio = 2.0
     feed(
         policy,
-        [backend(n, mode=DRAINING) for n in range(1, 61) if n not in usual] + [backend(n) for n in (61, 62)],
+        [backend(n, state=DRAINING) for n in range(1, 61) if n not in usual] + [backend(n) for n in (61, 62)],
     )
-    feed(policy, many(60, zone=0) + [backend(n, mode=REMOVED) for n in (61, 62)])
+    feed(policy, many(60, zone=0) + [backend(n, state=REMOVED) for n in (61, 62)])
     assert ready(policy) == usual == set(policy.parts.endpoints.by_id)
     assert {policy.parts.endpoints.by_id[n].latency_ratio for n in usual} == {2.0}
 
--- a/tests/test_throng.py
+++ b/tests/test_throng.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 
 import pytest
-from conftest import MS, Gateway, backend
+from conftest import MS, PolicyHarness, backend
 
 from zincstile.decisions.messages import EndpointListKind, EndpointState
 from zincstile.emulators.list_service import ListServiceBehaviour
@@ -40,12 +40,14 @@
 def test_what_servers_did_that_drain_is_not_taken_for_what_those_left_can_do():
     """The rate at which work is done follows late, and goes on while servers drain: divided by those left, it
     let six times as much go to cold ones."""
-    g = Gateway(backends=6)
+    g = PolicyHarness(backends=6)
     for _ in range(50):
         g.policy.parts.limit.completed_units = 6.0  # 10 units a second of each
         g.tick(100 * MS)
     known = g.policy.parts.slow_start.seen_rate
-    g.list([backend(n, mode=EndpointState.DRAINING) for n in range(2, 7)], EndpointListKind.DELTA)
+    g.update_endpoints(
+        [backend(n, state=EndpointState.DRAINING) for n in range(2, 7)], EndpointListKind.DELTA
+    )
     for _ in range(10):
         g.policy.parts.limit.completed_units = 6.0  # they finish what they have
         g.tick(100 * MS)
--- a/tests/test_unanswered_attempts.py
+++ b/tests/test_unanswered_attempts.py
@@ -1,21 +1,23 @@
 """Attempts without an answer though backends are well: idle connections, no time left, overload signal."""
 
-from conftest import MS, SECOND, Gateway, only
+from conftest import MS, SECOND, PolicyHarness, actions_of_type
 
 from zincstile.decisions.messages import AttemptResult, CloseIdleConnections, ForwardRequest, RejectRequest
 
 
 def request_after_pause(harness, result, latency=50 * MS):
     """One request after a pause of three seconds; whether its backend's connections were closed before."""
-    request, actions = harness.ask(cls=1, after=3 * SECOND)
+    request, actions = harness.submit(class_index=1, after=3 * SECOND)
     kinds = [type(a) for a in actions if isinstance(a, CloseIdleConnections | ForwardRequest)]
-    harness.outcome(request, 0, only(actions, ForwardRequest)[0].endpoint, result, after=0, latency=latency)
+    harness.finish_attempt(
+        request, 0, actions_of_type(actions, ForwardRequest)[0].endpoint, result, after=0, latency=latency
+    )
     assert kinds in ([ForwardRequest], [CloseIdleConnections, ForwardRequest])
     return kinds[0] is CloseIdleConnections
 
 
 def test_idle_connections_are_closed_where_reused_ones_stay_without_an_answer():
-    harness = Gateway(backends=1)
+    harness = PolicyHarness(backends=1)
     assert request_after_pause(harness, AttemptResult.OK)  # the first is new in any case
     assert not request_after_pause(harness, AttemptResult.OK)
     assert not request_after_pause(harness, AttemptResult.TIMEOUT, SECOND)  # a path forgot it
@@ -26,12 +28,12 @@
 
 
 def test_idle_connections_are_kept_where_new_ones_fail():
-    harness = Gateway(backends=1)
+    harness = PolicyHarness(backends=1)
     request_after_pause(harness, AttemptResult.OK)
     for _ in range(3):
         harness.policy.parts.detector.connection_errors = [0.3, 0.5, 0.0]
         assert not request_after_pause(harness, AttemptResult.OK)
-    harness = Gateway(backends=40)
+    harness = PolicyHarness(backends=40)
     for _ in range(12):  # nothing but new connections, and all fail
         request_after_pause(harness, AttemptResult.CONNECT_FAILED)
     assert (
@@ -41,42 +43,42 @@
 
 
 def test_a_connection_in_use_is_not_closed():
-    harness = Gateway(backends=1)
+    harness = PolicyHarness(backends=1)
     request_after_pause(harness, AttemptResult.OK)
     harness.policy.parts.detector.connection_errors = [0.9, 0.0, 0.0]
-    assert not only(harness.ask(after=300 * MS)[1], CloseIdleConnections)
+    assert not actions_of_type(harness.submit(after=300 * MS)[1], CloseIdleConnections)
 
 
 def test_no_retry_once_the_time_is_up():
-    harness = Gateway(backends=4)  # class 0 earns nothing after its aim of 1 s
-    request, actions = harness.ask(cls=0)
-    first = only(actions, ForwardRequest)[0]
-    actions = harness.outcome(
+    harness = PolicyHarness(backends=4)  # class 0 earns nothing after its aim of 1 s
+    request, actions = harness.submit(class_index=0)
+    first = actions_of_type(actions, ForwardRequest)[0]
+    actions = harness.finish_attempt(
         request, 0, first.endpoint, AttemptResult.TIMEOUT, after=first.until_ns - harness.now
     )
-    assert not only(actions, ForwardRequest) and [a.request for a in only(actions, RejectRequest)] == [
-        request
-    ]
-    request, actions = harness.ask(cls=0)
-    actions = harness.outcome(
-        request, 0, only(actions, ForwardRequest)[0].endpoint, AttemptResult.RESET, after=300 * MS
+    assert not actions_of_type(actions, ForwardRequest) and [
+        a.request for a in actions_of_type(actions, RejectRequest)
+    ] == [request]
+    request, actions = harness.submit(class_index=0)
+    actions = harness.finish_attempt(
+        request, 0, actions_of_type(actions, ForwardRequest)[0].endpoint, AttemptResult.RESET, after=300 * MS
     )
-    assert [a.until_ns for a in only(actions, ForwardRequest)] == [harness.now + 700 * MS]
+    assert [a.until_ns for a in actions_of_type(actions, ForwardRequest)] == [harness.now + 700 * MS]
 
 
 def play_requests(harness, count=12, latency=50 * MS, silent=0):
     """A stretch of requests, the last few of which nobody answers."""
     for index in range(count):
-        request, actions = harness.ask(cls=1, after=20 * MS)
-        for send in only(actions, ForwardRequest):
+        request, actions = harness.submit(class_index=1, after=20 * MS)
+        for send in actions_of_type(actions, ForwardRequest):
             result = AttemptResult.TIMEOUT if index >= count - silent else AttemptResult.OK
             took = SECOND if index >= count - silent else latency
-            harness.outcome(request, 0, send.endpoint, result, after=0, latency=took)
+            harness.finish_attempt(request, 0, send.endpoint, result, after=0, latency=took)
     harness.tick(after=0)
 
 
 def test_timeouts_beside_fast_answers_are_no_overload_signal():
-    harness = Gateway(backends=12)
+    harness = PolicyHarness(backends=12)
     for _ in range(20):
         play_requests(harness)
     for _ in range(10):  # now a quarter gets no answer, anywhere
@@ -86,7 +88,7 @@
 
 def test_timeouts_beside_late_answers_and_timeouts_alone_are_an_overload_signal():
     for latency, silent in ((700 * MS, 3), (50 * MS, 11)):
-        harness = Gateway(backends=12)
+        harness = PolicyHarness(backends=12)
         for _ in range(20):
             play_requests(harness)
         for _ in range(10):
@@ -97,7 +99,7 @@
 
 
 def test_a_few_attempts_above_the_limit_do_not_reject_all():
-    harness = Gateway({"gateway_count": 200}, backends=8)
+    harness = PolicyHarness({"gateway_count": 200}, backends=8)
     policy = harness.policy
     policy.parts.limit.limit, policy.parts.limit.overload_signal = (
         0.25,
@@ -113,7 +115,7 @@
 def test_the_budget_does_not_sink_with_the_rate_of_answers():
     rates = []
     for part in (1.0, 0.5):  # half as much sent, half as much out and done: the same time in the back end
-        harness = Gateway({"gateway_count": 200}, backends=8)
+        harness = PolicyHarness({"gateway_count": 200}, backends=8)
         policy = harness.policy
         (
             policy.parts.limit.limit,
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -9,8 +9,8 @@
 from types import SimpleNamespace
 
 import pytest
-from scenario import PATIENCE, World, settings
-from test_scenarios import READY, play
+from scenario import TIMEOUT_S, GatewayHarness, settings
+from test_scenarios import READY, run_scenario
 
 from zincstile.net.counters import Counters
 from zincstile.net.discovery.reader import EndpointReader
@@ -30,17 +30,23 @@
 
 
 def test_lists_may_come_indented_in_pieces_and_behind_each_other(tmp_path):
-    world = World(tmp_path)
+    harness = GatewayHarness(tmp_path)
     try:
-        line = world.line("d1")
-        world.play("expect d1 asked")
-        first = json.dumps({"index": 1, "snapshot": True, "endpoints": [world.entry("a=Ready")]}, indent=2)
-        second = json.dumps({"index": 2, "snapshot": False, "endpoints": [world.entry("b=Ready")]}, indent=4)
-        third = json.dumps({"index": 3, "snapshot": False, "endpoints": [world.entry("a=Terminating")]})
+        line = harness.connection("d1")
+        harness.run("expect d1 request")
+        first = json.dumps(
+            {"index": 1, "snapshot": True, "endpoints": [harness.endpoint_entry("a=Ready")]}, indent=2
+        )
+        second = json.dumps(
+            {"index": 2, "snapshot": False, "endpoints": [harness.endpoint_entry("b=Ready")]}, indent=4
+        )
+        third = json.dumps(
+            {"index": 3, "snapshot": False, "endpoints": [harness.endpoint_entry("a=Terminating")]}
+        )
         line.sock.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         for part in [first[:40], first[40:], "\n\n", second + "\n" + third, "\n"]:
             line.sock.sendall(chunk(part).encode())
-        world.play("""
+        harness.run("""
             wait gw tables=3
             send c1 look 1
             expect b1 look 1
@@ -48,7 +54,7 @@
             expect c1 ok hello
             wait gw watches=1""")
     finally:
-        world.end()
+        harness.tear_down()
 
 
 def test_a_complete_list_of_32000_endpoints_in_one_line_is_taken(tmp_path):
@@ -68,26 +74,26 @@
     ]
     table = json.dumps({"index": 1, "snapshot": True, "endpoints": entries}) + "\n"
     assert len(table) > 4 << 20
-    world = World(tmp_path, {"limits": {"memory_mb": 64}})
+    harness = GatewayHarness(tmp_path, {"limits": {"memory_mb": 64}})
     try:
-        line = world.line("d1")
-        world.play("expect d1 asked")
+        line = harness.connection("d1")
+        harness.run("expect d1 request")
         line.sock.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         for start in range(0, len(table), 65_536):
             line.sock.sendall(chunk(table[start : start + 65_536]).encode())
-        world.play("expect gw ready with 32000 backend servers, from discovery\nwait gw tables=1")
-        assert world.counters()["faults"] == 0
+        harness.run("expect gw ready with 32000 backend servers, from discovery\nwait gw tables=1")
+        assert harness.counters()["faults"] == 0
     finally:
-        world.end()
+        harness.tear_down()
 
 
 def test_a_list_that_stops_half_way_is_no_list(tmp_path):
     """The last list stands; what was cut counts for nothing, and the watch is opened anew."""
-    play(
+    run_scenario(
         tmp_path,
         READY
         + """
-        send d1 say {"index": 9, "snapshot": true, "endpoints": [
+        send d1 line {"index": 9, "snapshot": true, "endpoints": [
         close d1
         send d2 change
         send c1 look 1
@@ -111,11 +117,11 @@
     ids=["array", "closed twice", "infinite", "nonsense", "tail", "deep"],
 )
 def test_a_malformed_line_ends_the_watch_alone(tmp_path, malformed):
-    play(
+    run_scenario(
         tmp_path,
         READY
         + f"""
-        send d1 say {malformed}
+        send d1 line {malformed}
         expect d1 end
         send d2 full b=Ready
         send c1 look 1
@@ -190,12 +196,12 @@
 
     with socket.create_server(("127.0.0.1", 0)) as listening:
         listening.setblocking(False)
-        assert asyncio.run(asyncio.wait_for(play(listening), PATIENCE)) == 2
+        assert asyncio.run(asyncio.wait_for(play(listening), TIMEOUT_S)) == 2
 
 
 def test_the_old_address_is_read_while_the_new_one_is_down(tmp_path):
     """Discovery is moved to where nobody listens yet: the old watch stands until the new one has spoken."""
-    play(
+    run_scenario(
         tmp_path,
         READY
         + """
@@ -210,12 +216,12 @@
 
 
 def test_a_silent_watch_that_goes_on_is_read_until_the_new_one_is_answered(tmp_path):
-    play(
+    run_scenario(
         tmp_path,
         """
         send d1 full a=Ready b=Ready
         expect gw ready*from discovery
-        expect d2 asked
+        expect d2 request
         send d1 change a=Terminating
         wait gw tables=2
         send d2 change b=Terminating a=Ready
@@ -229,11 +235,11 @@
 
 def test_a_silent_watch_is_followed_by_one_that_gets_what_was_missed(tmp_path):
     """Silence right after the head, before any list: the next call gets it. Never two that both count."""
-    play(
+    run_scenario(
         tmp_path,
         """
-        expect d1 asked
-        expect d2 asked
+        expect d1 request
+        expect d2 request
         send d2 full a=Ready
         expect gw ready*from discovery
         expect d1 end
@@ -246,12 +252,12 @@
 
 
 def test_a_reload_beside_a_silent_watch_moves_on_and_the_old_one_is_not_read_after(tmp_path):
-    play(
+    run_scenario(
         tmp_path,
         """
         send d1 full a=Ready
         expect gw ready*from discovery
-        expect d2 asked
+        expect d2 request
         send gw reload e
         expect gw reload discovery at*
         send e1 full b=Ready
@@ -266,29 +272,31 @@
 
 def test_a_list_without_a_length_ends_with_its_connection(tmp_path):
     """Indented and without a last line feed: whole once the service has ended it."""
-    world = World(tmp_path)
+    harness = GatewayHarness(tmp_path)
     try:
-        world.play("expect d1 asked")
-        body = json.dumps({"index": 1, "snapshot": True, "endpoints": [world.entry("a=Ready")]}, indent=2)
-        world.line("d1").sock.sendall(b"HTTP/1.1 200 OK\r\n\r\n" + body.encode())
-        world.play("""
-            half d1
+        harness.run("expect d1 request")
+        body = json.dumps(
+            {"index": 1, "snapshot": True, "endpoints": [harness.endpoint_entry("a=Ready")]}, indent=2
+        )
+        harness.connection("d1").sock.sendall(b"HTTP/1.1 200 OK\r\n\r\n" + body.encode())
+        harness.run("""
+            half_close d1
             expect gw ready*from discovery
             wait gw tables=1
             send c1 look 1
             expect a1 look 1""")
     finally:
-        world.end()
+        harness.tear_down()
 
 
 def test_a_list_without_a_length_that_is_reset_is_no_list(tmp_path):
     """A reset is no end: what was cut counts for nothing, though its brackets may be closed so far."""
-    world = World(tmp_path)
+    harness = GatewayHarness(tmp_path)
     try:
-        world.play("expect d1 asked")
-        body = json.dumps({"index": 1, "snapshot": True, "endpoints": [world.entry("a=Ready")]})
-        world.line("d1").sock.sendall(b"HTTP/1.1 200 OK\r\n\r\n" + body[:-2].encode())
-        world.play("""
+        harness.run("expect d1 request")
+        body = json.dumps({"index": 1, "snapshot": True, "endpoints": [harness.endpoint_entry("a=Ready")]})
+        harness.connection("d1").sock.sendall(b"HTTP/1.1 200 OK\r\n\r\n" + body[:-2].encode())
+        harness.run("""
             reset d1
             send d2 full b=Ready
             expect gw ready*from discovery
@@ -296,43 +304,43 @@
             expect b1 look 1
             wait gw tables=1""")
     finally:
-        world.end()
+        harness.tear_down()
 
 
 @pytest.mark.parametrize("later", ["start", "end"])
 def test_a_start_and_an_end_of_one_name_in_one_list(tmp_path, later):
     """The later entry is the later word, for the module and for the connections alike."""
-    world = World(tmp_path)
+    harness = GatewayHarness(tmp_path)
     try:
-        world.play("""
+        harness.run("""
             send d1 full a=Ready b=Terminating
             expect gw ready*from discovery
             send c1 look 1
             expect a1 look 1
             send a1 ok hello
             expect c1 ok hello""")
-        end, start = {"name": "s-a", "status": "Gone"}, world.entry("a=Ready@1000")
-        entries = [end, start] if later == "start" else [start, end, world.entry("b=Ready")]
-        world.send("d1", "say", json.dumps({"index": 9, "snapshot": False, "endpoints": entries}))
-        world.play(
+        end, start = {"name": "s-a", "status": "Gone"}, harness.endpoint_entry("a=Ready@1000")
+        entries = [end, start] if later == "start" else [start, end, harness.endpoint_entry("b=Ready")]
+        harness.send("d1", "line", json.dumps({"index": 9, "snapshot": False, "endpoints": entries}))
+        harness.run(
             "wait gw tables=2\nexpect a1 end\nsend c1 look 2\n"
             + ("expect a2 look 2" if later == "start" else "expect b1 look 2")
         )
     finally:
-        world.end()
+        harness.tear_down()
 
 
 def test_an_index_that_goes_back_is_followed(tmp_path):
     """A service that began anew counts from the start: its word holds, and the next call names its index."""
-    play(
+    run_scenario(
         tmp_path,
         READY
         + """
-        send d1 say {"index": 900, "snapshot": false, "endpoints": []}
-        send d1 say {"index": 3, "snapshot": true, "endpoints": []}
+        send d1 line {"index": 900, "snapshot": false, "endpoints": []}
+        send d1 line {"index": 3, "snapshot": true, "endpoints": []}
         wait gw tables=3
         close d1
-        expect d2 asked
+        expect d2 request
         send d2 full b=Ready
         wait gw tables=4
         send c1 look 1
@@ -345,13 +353,14 @@
     is decided on by the new list, not on the old one and refused at the next that drains. So few, alone and
     with so much time that none is refused or seconded for its wait, however long the clients take to ask."""
     count, classes = 24, [c | {"aim_ns": NEVER_NS, "deadline_ns": NEVER_NS} for c in settings()["classes"]]
-    world = World(
+    harness = GatewayHarness(
         tmp_path,
         {"settings": {"limits": {"connect_timeout_ns": NEVER_NS}, "classes": classes, "balancers": 1}},
     )
     try:
-        world.play(
-            "send d1 full a=Ready b=Ready c=Ready\nexpect gw ready*from discovery\nfill a\nfill b\nfill c\n"
+        harness.run(
+            "send d1 full a=Ready b=Ready c=Ready\nexpect gw ready*from discovery\n"
+            "fill_backlog a\nfill_backlog b\nfill_backlog c\n"
             + "".join(f"send c{k} look {k} d=900000\n" for k in range(1, count + 1))
             + f"""
                    wait gw connects={count}
@@ -359,8 +368,8 @@
                    send d2 change a=Terminating b=Terminating
                    wait gw tables=2"""
         )
-        counters = world.counters()
+        counters = harness.counters()
         assert counters["connect_failed"] > 0
         assert (counters["not_sent"], counters["connects"]) == (0, count + counters["connect_failed"])
     finally:
-        world.end()
+        harness.tear_down()
--- a/tests/test_watch_backoff.py
+++ b/tests/test_watch_backoff.py
@@ -4,7 +4,7 @@
 
 import pytest
 from endpoint_lists import (
-    change,
+    delta,
     endpoint,
     endpoint_table,
     endpoint_watcher,
@@ -61,13 +61,13 @@
 def test_a_watch_asks_for_what_changed_since_the_table_it_has_but_elsewhere_for_all():
     watcher = watcher_of(1, limits(40))
     watcher.begin(KNOWN)
-    assert watcher.opened_at == []  # not in the moment of its start, which many have in common
+    assert watcher.opened_addresses == []  # not in the moment of its start, which many have in common
     asked = []
     watch = Watch(watcher, watcher.address)
     watch.connection_made(SimpleNamespace(write=asked.append, abort=lambda: None))
     assert watcher.current is watch
     watcher.move(("10.2.0.9", 8500))
-    watcher.received(watch, change(44))  # it stands until the other is answered
+    watcher.received(watch, delta(44))  # it stands until the other is answered
     other = Watch(watcher, watcher.address)
     other.connection_made(SimpleNamespace(write=asked.append, abort=lambda: None))
     assert b"index=41 " in asked[0] and b"index=0 " in asked[1]
--- a/tests/test_wide.py
+++ b/tests/test_wide.py
@@ -1,6 +1,6 @@
 """Large sets of gateways: relays, the fleet's figures, doubts, cold backends."""
 
-from conftest import MS, SECOND, Gateway, backend, only
+from conftest import MS, SECOND, PolicyHarness, actions_of_type, backend
 
 from zincstile.decisions.messages import (
     AttemptResult,
@@ -21,17 +21,17 @@
 
 
 def sends(actions):
-    return [a.endpoint for a in only(actions, ForwardRequest)]
+    return [a.endpoint for a in actions_of_type(actions, ForwardRequest)]
 
 
 def gateway(me=0, seed=1, backends=8, **over):
     over = {"plans": [PLAN], "gateway_count": WIDE, "gateway_index": me} | over
-    return Gateway(over, backends=backends, seed=seed)
+    return PolicyHarness(over, backends=backends, seed=seed)
 
 
 def asked(g, **more):
-    rid, acts = g.ask(spread=WIDE, **more)
-    return rid, acts, only(acts, SendGossip)
+    rid, acts = g.submit(spread=WIDE, **more)
+    return rid, acts, actions_of_type(acts, SendGossip)
 
 
 def relay_of(customer=7):
@@ -55,7 +55,7 @@
     taken = 0.0
     for g in peers:
         rid, _, told = asked(g, units=4.0)
-        answer = only(pass_on(told[0], g.policy.settings.gateway_index, relay), SendGossip)[0]
+        answer = actions_of_type(pass_on(told[0], g.policy.settings.gateway_index, relay), SendGossip)[0]
         assert answer.peer == g.policy.settings.gateway_index and answer.usages[0].is_answer
         taken += 4.0 * len(sends(pass_on(answer, relay.policy.settings.gateway_index, g)))
     assert taken == 12.0
@@ -64,9 +64,9 @@
 def test_an_ask_without_answer_is_sent_again_then_the_even_part_decides():
     g = gateway()
     rid, acts, _ = asked(g)
-    timer = next(t for t in only(acts, SetTimer) if t.at_ns < g.now + SECOND)
+    timer = next(t for t in actions_of_type(acts, SetTimer) if t.at_ns < g.now + SECOND)
     acts = g.feed(TimerFired(timer.token), after=100 * MS)
-    assert len(only(acts, SendGossip)) == 1 and not sends(acts)
+    assert len(actions_of_type(acts, SendGossip)) == 1 and not sends(acts)
     assert len(sends(g.feed(TimerFired(timer.token), after=100 * MS))) == 1
     let_in = sum(len(sends(asked(g, units=4.0)[1])) for _ in range(20))
     assert let_in <= 1  # the relay counts as silent: no more than the largest request
@@ -76,12 +76,12 @@
     g = gateway()
     rid, acts, told = asked(g, units=4.0)
     no = CustomerUsage(7, 0, 0.0, 0.5, 0, -4.0, told[0].usages[0].query_id, True)
-    assert only(g.feed(GossipReceived(told[0].peer, 5, [no])), RejectRequest)
+    assert actions_of_type(g.feed(GossipReceived(told[0].peer, 5, [no])), RejectRequest)
     sent = 0
     for _ in range(10):  # none of these is answered
         rid, acts, _ = asked(g, units=4.0, after=200 * MS)
         sent += len(sends(acts))
-        for timer in only(acts, SetTimer):
+        for timer in actions_of_type(acts, SetTimer):
             if timer.at_ns < g.now + SECOND:
                 sent += len(sends(g.feed(TimerFired(timer.token)))) + len(
                     sends(g.feed(TimerFired(timer.token)))
@@ -101,9 +101,9 @@
 def test_messages_of_a_request_do_not_grow_with_the_gateways():
     for gateways in (40, 400):
         g = gateway(gateway_count=gateways)
-        _, acts = g.ask(spread=gateways)
+        _, acts = g.submit(spread=gateways)
         more = g.tick() + g.tick(after=2 * SECOND) + g.feed(TimerFired(3))
-        assert len(only(acts, SendGossip)) + len(only(more, SendGossip)) <= 2
+        assert len(actions_of_type(acts, SendGossip)) + len(actions_of_type(more, SendGossip)) <= 2
 
 
 def test_figures_of_the_fleet_meet_in_the_middle():
@@ -133,12 +133,13 @@
     told = [ErrorSample(name(1), 1, 0.9), ErrorSample(999999, 1, 0.9), ErrorSample(name(1), 99, 0.9)]
     g.feed(GossipReceived(3, 5, [], [], told))
     g.tick(after=MS)
-    assert 1 in [b for _ in range(60) for b in sends(g.ask(cls=1)[1])]  # one gateway's word is not enough
+    # one gateway's word is not enough
+    assert 1 in [b for _ in range(60) for b in sends(g.submit(class_index=1)[1])]
     for peer in (4, 5):
         g.feed(GossipReceived(peer, 5, [], [], told))
     g.tick(after=MS)
-    assert 1 not in [b for _ in range(60) for b in sends(g.ask(cls=1)[1])]
-    assert 1 in [b for _ in range(60) for b in sends(g.ask(cls=0)[1])]
+    assert 1 not in [b for _ in range(60) for b in sends(g.submit(class_index=1)[1])]
+    assert 1 in [b for _ in range(60) for b in sends(g.submit(class_index=0)[1])]
 
 
 def test_a_doubt_of_most_of_the_fleet_is_not_believed():
@@ -146,7 +147,7 @@
     for peer in (3, 4, 5):
         g.feed(GossipReceived(peer, 5, [], [], [ErrorSample(name(n), 1, 0.8) for n in range(1, 8)]))
     g.tick(after=MS)
-    where = [b for _ in range(60) for b in sends(g.ask(cls=1)[1])]
+    where = [b for _ in range(60) for b in sends(g.submit(class_index=1)[1])]
     assert len(set(where)) == 8
 
 
@@ -156,21 +157,21 @@
         g.feed(GossipReceived(peer, 5, [], [], [ErrorSample(name(1), 1, 0.9)]))
     for _ in range(40):
         g.tick(after=SECOND)
-    assert 1 in [b for _ in range(60) for b in sends(g.ask(cls=1)[1])]
+    assert 1 in [b for _ in range(60) for b in sends(g.submit(class_index=1)[1])]
 
 
 def test_full_for_one_plan_is_no_pressure_and_no_doubt_for_the_rest():
     plans = [CustomerPlan(n, rate=1000.0, burst=2000.0) for n in ("a", "b")]
-    g = Gateway({"plans": plans, "max_attempts": 1}, backends=4)
+    g = PolicyHarness({"plans": plans, "max_attempts": 1}, backends=4)
     for _ in range(60):
-        rid, acts = g.ask(cls=1, plan=0, customer=1)
+        rid, acts = g.submit(class_index=1, plan=0, customer=1)
         full = sends(acts) and sends(acts)[0] == 1
-        g.outcome(
+        g.finish_attempt(
             rid, 0, sends(acts)[0], AttemptResult.REJECTED if full else AttemptResult.OK, latency=20 * MS
         )
         g.tick(after=0)
     assert g.policy.parts.limit.limit == float("inf")
-    rest = [g.ask(cls=1, plan=1, customer=2) for _ in range(40)]
+    rest = [g.submit(class_index=1, plan=1, customer=2) for _ in range(40)]
     assert 1 in [b for _, acts in rest for b in sends(acts)]
 
 
@@ -183,15 +184,17 @@
     }
     fleet = [gateway(gateway_index=m, seed=m, backends=0, gateway_count=200, **over) for m in range(200)]
     for g in fleet:
-        g.list([backend(1), backend(2), backend(3, started=g.now)])
+        g.update_endpoints([backend(1), backend(2), backend(3, started_ns=g.now)])
     rate, seconds = 133.0, [0.0] * 5  # units that a warm one is seen to do in a second
     for step in range(50):
         for g in fleet[step % 10 :: 10]:
             g.policy.parts.limit.completed_per_s, g.policy.parts.capacity.healthy = 2 * rate / 200, 2
-            rid, acts = g.ask(cls=1, units=2.0, after=SECOND if step >= 10 else (1 + step) * 100 * MS)
+            rid, acts = g.submit(
+                class_index=1, units=2.0, after=SECOND if step >= 10 else (1 + step) * 100 * MS
+            )
             seconds[step // 10] += 2.0 * sends(acts).count(3)
             if sends(acts):
-                g.outcome(rid, 0, sends(acts)[0], AttemptResult.OK, after=0, latency=50 * MS)
+                g.finish_attempt(rid, 0, sends(acts)[0], AttemptResult.OK, after=0, latency=50 * MS)
     assert sum(seconds) > 0 and max(seconds) <= 2.0 * 0.1 * rate
 
 
@@ -225,7 +228,7 @@
         for leaf in row:
             leaf.rate = 0.0
     _, acts, told = asked(g)
-    assert not told and len(only(acts, RejectRequest)) == 1
+    assert not told and len(actions_of_type(acts, RejectRequest)) == 1
 
 
 def test_another_relay_stands_in_for_a_silent_one_and_one_that_was_heard_is_not_silent():
@@ -234,7 +237,7 @@
     def unanswered():
         _, acts, told = asked(g)
         for _ in range(2):
-            timer = next(t for t in only(acts, SetTimer) if t.at_ns < g.now + SECOND)
+            timer = next(t for t in actions_of_type(acts, SetTimer) if t.at_ns < g.now + SECOND)
             acts = g.feed(TimerFired(timer.token), after=100 * MS)
         return told[0].peer
 
@@ -258,13 +261,15 @@
     got = sent = 0
     for me in range(WIDE):
         g = gateway(me=me, seed=me, backends=0, **over)
-        g.list([backend(n) for n in range(1, 31)] + [backend(n, started=g.now) for n in range(31, 61)])
+        g.update_endpoints(
+            [backend(n) for n in range(1, 31)] + [backend(n, started_ns=g.now) for n in range(31, 61)]
+        )
         for _ in range(60):  # two a second, of two units: as much as half a second of the whole fleet's
             g.policy.parts.limit.completed_per_s = 4.0
             g.tick(after=SECOND // 2)
-            rid, acts = g.ask(cls=1, units=2.0)
+            rid, acts = g.submit(class_index=1, units=2.0)
             sent, got = sent + 1, got + sum(b > 30 for b in sends(acts))
-            g.outcome(rid, 0, sends(acts)[0], AttemptResult.OK, after=0, latency=50 * MS)
+            g.finish_attempt(rid, 0, sends(acts)[0], AttemptResult.OK, after=0, latency=50 * MS)
     due = 15 / 45  # by what they can do
     assert 0.6 * due < got / sent <= 1.1 * due
 
@@ -272,14 +277,14 @@
 def test_one_refused_connection_turns_every_class_away_and_costs_no_credit():
     g = gateway(backends=4, plans=[CustomerPlan("p", rate=1e6, burst=1e6)], max_attempts=4)
     g.policy.parts.admission.retry_budget, seen = 0.0, set()
-    rid, acts = g.ask(cls=0)
+    rid, acts = g.submit(class_index=0)
     for attempt in range(3):  # three of four don't listen any more, and no further attempt was earned
         seen.add(sends(acts)[0])
-        acts = g.outcome(rid, attempt, sends(acts)[0], AttemptResult.CONNECT_FAILED, latency=0)
+        acts = g.finish_attempt(rid, attempt, sends(acts)[0], AttemptResult.CONNECT_FAILED, latency=0)
     last = sends(acts)[0]
     assert len(seen) == 3 and last not in seen
-    g.outcome(rid, 3, last, AttemptResult.OK)
-    assert {sends(g.ask(cls=1 + k % 2)[1])[0] for k in range(12)} == {last}
+    g.finish_attempt(rid, 3, last, AttemptResult.OK)
+    assert {sends(g.submit(class_index=1 + k % 2)[1])[0] for k in range(12)} == {last}
 
 
 def test_a_peers_word_of_a_refused_connection_counts_for_every_class():
@@ -291,7 +296,7 @@
                 3, 1, [], [], [ErrorSample(name, ANY_CLASS, 1.0), ErrorSample(name, ANY_CLASS - 1, 1.0)]
             )
         )
-    assert {sends(g.ask(cls=k % 3)[1])[0] for k in range(12)} == {2}
+    assert {sends(g.submit(class_index=k % 3)[1])[0] for k in range(12)} == {2}
 
 
 def test_words_of_peers_do_not_end_the_learning_of_the_calm_time():
@@ -314,7 +319,7 @@
     let_in = 0.0
     for me in range(3):  # all of the customer's set
         g = gateway(gateway_index=me, seed=me, plans=[plan], max_request_units=6.0)
-        let_in += sum(len(sends(g.ask(cls=1, units=1.0, spread=3)[1])) for _ in range(30))
+        let_in += sum(len(sends(g.submit(class_index=1, units=1.0, spread=3)[1])) for _ in range(30))
     assert 6 <= let_in <= 39.0 - 24.0 + 6.0  # what was sent before a restart held the quota, at most
 
 
@@ -326,13 +331,13 @@
         "slow_start_window_ns": SECOND,
     }
     g = gateway(backends=0, plans=[CustomerPlan("p", rate=1e6, burst=1e6)], **over)
-    g.list([backend(n) for n in range(1, 31)] + [backend(99, started=g.now)])
+    g.update_endpoints([backend(n) for n in range(1, 31)] + [backend(99, started_ns=g.now)])
     got = 0
     for _ in range(600):  # 3 a second on 30 warm ones: a cold one is due about 0.06 of them
         g.policy.parts.limit.completed_per_s, g.policy.parts.capacity.healthy = 3.0, 30.5
-        rid, acts = g.ask(cls=1, after=SECOND // 3)
+        rid, acts = g.submit(class_index=1, after=SECOND // 3)
         got += sends(acts).count(99)
-        g.outcome(rid, 0, sends(acts)[0], AttemptResult.OK, after=0, latency=50 * MS)
+        g.finish_attempt(rid, 0, sends(acts)[0], AttemptResult.OK, after=0, latency=50 * MS)
     assert 5 <= got <= 30
 
 
@@ -359,16 +364,16 @@
 
 def test_own_samples_are_told_good_or_bad_and_not_for_long():
     g = gateway(plans=[CustomerPlan("p", rate=1e6, burst=1e6)])
-    relay = only(g.ask(spread=WIDE)[1], SendGossip)[0].peer
+    relay = actions_of_type(g.submit(spread=WIDE)[1], SendGossip)[0].peer
     for k in range(4):
-        rid, acts = g.ask(cls=1, customer=1)
+        rid, acts = g.submit(class_index=1, customer=1)
         result = AttemptResult.ERROR if k == 3 else AttemptResult.OK
-        g.outcome(rid, 0, sends(acts)[0], result, latency=40 * MS)
-    doubts = only(g.ask(spread=WIDE)[1], SendGossip)[0].error_samples
+        g.finish_attempt(rid, 0, sends(acts)[0], result, latency=40 * MS)
+    doubts = actions_of_type(g.submit(spread=WIDE)[1], SendGossip)[0].error_samples
     assert relay >= 0 and len(doubts) == 4 and [d.error == 1.0 for d in doubts] == [False] * 3 + [True]
     for _ in range(5):
         g.tick(after=SECOND)
-    assert not only(g.ask(spread=WIDE)[1], SendGossip)[0].error_samples
+    assert not actions_of_type(g.submit(spread=WIDE)[1], SendGossip)[0].error_samples
 
 
 def test_backends_that_are_doubted_do_not_count_in_the_budget():
