--- a/tests/test_subsetting.py
+++ b/tests/test_subsetting.py
@@ -497,9 +497,9 @@
 def test_budgets_are_shared_out_among_those_that_use_an_endpoint():
     """Else pressure is seen with fewer attempts out for each endpoint, the smaller the subset."""
     policy = gateway(gateways=60, min_endpoints=4, zones=[])
-    assert policy.parts.capacity.gateways_per_endpoint == 60
+    assert policy.parts.capacity.sharing_gateways == 60
     feed(policy, many(60, zone=0))
-    assert policy.parts.capacity.subset_ratio == 15.0 and policy.parts.capacity.gateways_per_endpoint == 4.0
+    assert policy.parts.capacity.subset_ratio == 15.0 and policy.parts.capacity.sharing_gateways == 4.0
 
 
 def test_types_that_the_settings_do_not_name_are_told_apart():
--- a/zincstile/decisions/budget_split.py
+++ b/zincstile/decisions/budget_split.py
@@ -1,7 +1,7 @@
-"""How a budget of units a second is split among groups of requests, by a normalized logistic of their
-payoffs.
+"""Splits a budget of units per second among groups of requests.
 
-Source: Equation 5 of "From 0.5 Million to 2.5 Million: Efficiently Scaling up Real-Time Bidding" (Shen and
+The weight of a group is a normalized logistic function of its payoff, the value earned per unit sent. Source:
+Equation 5 of "From 0.5 Million to 2.5 Million: Efficiently Scaling up Real-Time Bidding" (Shen and
 others).
 """
 
@@ -13,13 +13,15 @@
 from .records import TrafficGroup
 from .settings import Settings
 
-STEEPNESS: Final = -10.0  # alpha of Equation 5, on payoffs over their mean; below 0 favours higher payoff
-MAX_EXPONENT: Final = 50.0  # of the logistic, against overflow
-PRIOR_UNITS: Final = 20.0  # units that the value by settings weighs in a payoff: no group can starve
+# Alpha of Equation 5, applied to payoffs relative to their mean; a negative value favours higher payoffs.
+STEEPNESS: Final = -10.0
+MAX_EXPONENT: Final = 50.0  # bounds the exponent of the logistic function against overflow
+# Weight, in units, of the configured value within a measured payoff. It keeps any group from starving.
+PRIOR_UNITS: Final = 20.0
 
 
 def payoff(groups: list[TrafficGroup]) -> float:
-    """Value earned per unit sent, of one group or of several by their arrivals."""
+    """Value earned per unit sent, averaged over the groups and weighted by their arrival rates."""
     value = sum(
         (g.arrivals + 1e-9) * (g.earned + PRIOR_UNITS * g.prior_value) / (g.sent + PRIOR_UNITS)
         for g in groups
@@ -28,24 +30,24 @@
 
 
 def split(budget: float, children: list[list[TrafficGroup]]) -> list[float]:
-    """The part of each child; none gets more than arrives, and what is left goes to the others."""
+    """Returns the budget of each child. A child gets no more than arrives; the surplus goes to the others."""
     arrivals = [sum(g.arrivals for g in groups) for groups in children]
     payoffs = [payoff(groups) for groups in children]
-    mean = max(sum(payoffs) / len(payoffs), 1e-9)
-    weights = [_logistic(STEEPNESS * (one - mean) / mean) for one in payoffs]
-    given = [0.0] * len(payoffs)
-    wanting = list(range(len(payoffs)))
-    left = budget
-    while wanting:
-        norm = sum(weights[j] for j in wanting)
-        satisfied = [j for j in wanting if left * weights[j] / norm >= arrivals[j]]
-        for j in satisfied or wanting:
-            given[j] = arrivals[j] if satisfied else left * weights[j] / norm
+    mean_payoff = max(sum(payoffs) / len(payoffs), 1e-9)
+    weights = [_logistic(STEEPNESS * (value - mean_payoff) / mean_payoff) for value in payoffs]
+    shares = [0.0] * len(payoffs)
+    unsatisfied = list(range(len(payoffs)))
+    remaining = budget
+    while unsatisfied:
+        norm = sum(weights[j] for j in unsatisfied)
+        satisfied = [j for j in unsatisfied if remaining * weights[j] / norm >= arrivals[j]]
+        for j in satisfied or unsatisfied:
+            shares[j] = arrivals[j] if satisfied else remaining * weights[j] / norm
         if not satisfied:
             break
-        left -= sum(arrivals[j] for j in satisfied)
-        wanting = [j for j in wanting if j not in satisfied]
-    return given
+        remaining -= sum(arrivals[j] for j in satisfied)
+        unsatisfied = [j for j in unsatisfied if j not in satisfied]
+    return shares
 
 
 def _logistic(exponent: float) -> float:
@@ -53,55 +55,59 @@
 
 
 class BudgetTree:
-    """Owner of the groups: inside and beyond the quota, then by class, then by plan."""
+    """Traffic groups in a tree: inside or beyond the quota, then by request class, then by plan."""
 
     def __init__(self, settings: Settings) -> None:
-        """Makes a group for each class and plan, inside and beyond the quota."""
-        self.inside_quota = self._planted(settings, beyond_quota=False)
-        self.beyond_quota = self._planted(settings, beyond_quota=True)
+        """Creates one group per class and plan, inside and beyond the quota."""
+        self.inside_quota = self._make_groups(settings, beyond_quota=False)
+        self.beyond_quota = self._make_groups(settings, beyond_quota=True)
         self.sides = (self.inside_quota, self.beyond_quota)
         self.groups = [group for side in self.sides for row in side for group in row]
 
     @staticmethod
-    def _planted(settings: Settings, *, beyond_quota: bool) -> list[list[TrafficGroup]]:
-        """Groups by class and plan, with the value of a unit by the settings."""
+    def _make_groups(settings: Settings, *, beyond_quota: bool) -> list[list[TrafficGroup]]:
+        """Returns groups by class and plan, each with the configured value of a unit."""
         return [
             [
-                TrafficGroup(c.priority_weight * p.price * (p.over_quota_weight if beyond_quota else 1.0))
-                for p in settings.plans
+                TrafficGroup(
+                    request_class.priority_weight
+                    * plan.price
+                    * (plan.over_quota_weight if beyond_quota else 1.0)
+                )
+                for plan in settings.plans
             ]
-            for c in settings.classes
+            for request_class in settings.classes
         ]
 
     @property
     def is_limiting(self) -> bool:
-        """Some of what arrives is rejected by the budget."""
+        """True while the budget rejects part of the arriving requests."""
         return any(group.rate < 1 for group in self.groups)
 
     @property
     def arrivals(self) -> float:
-        """Units a second that arrive in all groups."""
+        """Units per second that arrive in all groups together."""
         return sum(group.arrivals for group in self.groups)
 
     def decay(self, span_s: float, keep: float, keep_earned: float) -> None:
-        """Lets arrivals and earnings decay by a tick of `span_s` seconds."""
+        """Decays the arrival rates and earnings of all groups after a tick of `span_s` seconds."""
         for group in self.groups:
             group.decay(span_s, keep, keep_earned)
 
     def sent_by_class(self) -> list[float]:
-        """Recent units of each class, a trace above 0."""
+        """Recently sent units by class; always above 0, so that callers can divide by their sum."""
         return [
             1e-9 + sum(group.sent for side in self.sides for group in side[index])
             for index in range(len(self.inside_quota))
         ]
 
     def admitted_per_s(self) -> float:
-        """Units a second that are admitted at present."""
+        """Units per second admitted at the current rates."""
         return sum(group.arrivals * group.rate for group in self.groups)
 
     def assign_rates(self, budget: float) -> None:
-        """Splits a budget of units a second: each group's rate is its part over its arrivals."""
-        if budget >= self.arrivals:  # all get what arrives, by any weights
+        """Splits a budget of units per second. The rate of a group is its budget divided by its arrivals."""
+        if budget >= self.arrivals:  # everything can be admitted, whatever the weights
             for group in self.groups:
                 group.rate = 1.0
             return
--- a/zincstile/decisions/capacity.py
+++ b/zincstile/decisions/capacity.py
@@ -1,4 +1,4 @@
-"""Capacity: how many healthy endpoints there are, in warm ones, and which of them are warm."""
+"""Counts the healthy endpoints, in equivalents of a warm one, and classifies endpoints as warm or warming."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Capacity:
-    """Owner of the number of healthy endpoints. Outliers count for the part of the work that they can do."""
+    """Number of healthy endpoints. An outlier counts only for the request classes that it serves well."""
 
     def __init__(
         self,
@@ -26,61 +26,71 @@
         budget: BudgetTree,
         slow_start: SlowStart,
     ) -> None:
-        """Takes the parts that it works with."""
+        """Starts from one healthy endpoint and the configured number of gateways."""
         self.settings = settings
         self.endpoints = endpoints
         self.detector = detector
         self.limit = limit
         self.budget = budget
         self.slow_start = slow_start
-        self.healthy_endpoints = 1.0  # endpoints, in warm ones
-        self.working_endpoints = 1.0  # endpoints that the recent completed work is of
-        self.fleet_gateways: float = settings.gateway_count  # among which the capacity is shared out
-        self.subset_ratio: float | None = None  # subsetting: endpoints of the table for each one that is used
-        # zone failover: called after each classification
+        self.healthy_endpoints = 1.0  # in equivalents of a warm endpoint
+        self.working_endpoints = 1.0  # endpoints that contributed to the recently completed work
+        self.fleet_gateways: float = settings.gateway_count  # gateways that share the whole capacity
+        # Ready endpoints per endpoint that this gateway uses; set by the subsetting feature.
+        self.subset_ratio: float | None = None
+        # Called after each classification; set by the zone failover feature.
         self.on_classified: Callable[[int], None] | None = None
 
     def warmth(self, now: int, endpoint: Endpoint) -> float:
-        """How far an endpoint is warmed up, above 0 to 1."""
+        """Returns how far an endpoint is warmed up, above 0 and at most 1."""
         return self.slow_start.warmth(now, endpoint.entry.started_ns)
 
     @property
-    def gateways_per_endpoint(self) -> float:
-        """Among how many gateways the endpoints' capacity is shared out: fewer use each of a subset."""
+    def sharing_gateways(self) -> float:
+        """Number of gateways that share the capacity of one endpoint; with subsets, fewer than all."""
         if self.subset_ratio is None:
             return self.fleet_gateways
         return max(1.0, self.fleet_gateways / self.subset_ratio)
 
     def decay(self, span_s: float) -> None:
-        """Draining endpoints, and what waited at any that were removed, are done with up to the longest
-        deadline later: what they do is no work of those that are left."""
+        """Lowers `working_endpoints` towards the number of healthy endpoints.
+
+        Draining and removed endpoints may complete requests until the longest deadline has passed. Counting
+        them keeps their work from being attributed to the remaining endpoints.
+        """
         keep = math.exp(-span_s * SECOND_NS / self.settings.longest_ns)
         self.working_endpoints = max(self.healthy_endpoints, self.working_endpoints * keep)
 
     def classify_if_due(self, now: int) -> None:
-        """Nothing is decided on a list that has changed since warm and warming ones were classified."""
+        """Classifies the endpoints again if the endpoint list has changed since the last classification."""
         if self.endpoints.classification_due:
             self.endpoints.classification_due = False
             self.classify(now)
 
     def classify(self, now: int) -> None:
-        """Tells warm and warming endpoints apart, counts the healthy ones, and takes the shares anew.
+        """Separates warm from warming endpoints, counts the healthy ones and updates the slow start shares.
 
-        An endpoint counts for the classes in which it is no outlier, so that the others are not overfilled
-        where some jam or hang. It may harm where scores are wrong and capacity lies idle.
+        An endpoint counts only for the classes in which it is not an outlier, so that the others are not
+        overloaded while some are congested or hang. The cost is idle capacity where scores are wrong.
         """
         warmths = [self.warmth(now, endpoint) for endpoint in self.endpoints.warming]
         self.endpoints.promote(warmths)
-        sent = self.budget.sent_by_class()
-        lost = sum(
+        sent_by_class = self.budget.sent_by_class()
+        lost_units = sum(
             self.warmth(now, endpoint) * units
             for endpoint in self.endpoints.tracked.values()
             if endpoint.ready_list is not None
-            for index, units in enumerate(sent)
+            for index, units in enumerate(sent_by_class)
             if self.detector.class_excess_score(endpoint, index) >= OUTLIER_SCORE
         )
-        self.healthy_endpoints = max(1.0, len(self.endpoints.warm) + sum(warmths) - lost / sum(sent))
-        worked_per_s = self.limit.completed_per_s / max(self.healthy_endpoints, self.working_endpoints)
-        self.slow_start.update(warmths, self.healthy_endpoints, worked_per_s, self.budget.admitted_per_s())
+        self.healthy_endpoints = max(
+            1.0, len(self.endpoints.warm) + sum(warmths) - lost_units / sum(sent_by_class)
+        )
+        completed_per_endpoint = self.limit.completed_per_s / max(
+            self.healthy_endpoints, self.working_endpoints
+        )
+        self.slow_start.update(
+            warmths, self.healthy_endpoints, completed_per_endpoint, self.budget.admitted_per_s()
+        )
         if self.on_classified is not None:
             self.on_classified(now)
--- a/zincstile/decisions/ticker.py
+++ b/zincstile/decisions/ticker.py
@@ -106,7 +106,7 @@
             ticks,
             parts.attempts.units(),
             capacity.healthy_endpoints,
-            capacity.gateways_per_endpoint,
+            capacity.sharing_gateways,
         )
         if parts.limit.limit < math.inf:
             parts.budget.assign_rates(parts.limit.budget_per_s(capacity.healthy_endpoints))
