--- a/zincstile/decisions/concurrency_limit.py
+++ b/zincstile/decisions/concurrency_limit.py
@@ -74,7 +74,7 @@
         self.mean_units += max(UNITS_WEIGHT, 1 / self.requests) * (units - self.mean_units)
 
     def record_latency(self, latency_ns: int, attempt: Attempt, *, timed_out: bool) -> None:
-        """Records the lateness of an attempt, unless it went to an outlier, whose latency is no sign of load."""
+        """Records the lateness of an attempt, except at an outlier, whose latency is no sign of load."""
         excess = self.detector.excess_score(attempt.endpoint, attempt.class_index, attempt.plan_index)
         if excess >= OUTLIER_SCORE:
             return
@@ -103,7 +103,7 @@
         `in_flight` has the units of each attempt in flight, `healthy` is the number of healthy endpoints,
         `gateways` the number of gateways that share the capacity of an endpoint.
         """
-        units_per_attempt = self.mean_units / gateways  # this gateway's share of an attempt per endpoint
+        units_per_attempt = self.mean_units / gateways  # this gateway's share of one attempt
         unlimited = self.limit == math.inf
         prior_samples = RELIABLE_SAMPLES / ticks
         signal_weight = self.samples / (self.samples + prior_samples)
--- a/zincstile/decisions/fleet_estimates.py
+++ b/zincstile/decisions/fleet_estimates.py
@@ -1,8 +1,9 @@
-"""Estimates that gateways share: a row of figures in queries of relays and their answers.
+"""Estimates that gateways exchange: a list of numbers in the queries to relays and in their answers.
 
-The row: answer lateness and its number, timeout lateness and its number, units in flight, units completed a
-second, error rates of kept and new connections, the concurrency limit (0: none), seconds that a unit takes by
-class, and, where the budget binds, the arrivals of each group.
+In order: the lateness of answers and their number, the lateness of timeouts and their number, units in
+flight, units completed per second, the error rates of kept and of new connections, the concurrency limit (0
+if there is none), the seconds that a unit takes in each class, and, while the budget limits admission, the
+arrivals of each traffic group.
 """
 
 from __future__ import annotations
@@ -16,24 +17,24 @@
 from .outlier_detection import OutlierDetector
 from .units import SECOND_NS
 
-LIMIT_INDEX: Final = 8  # place of the concurrency limit; the times per unit follow it
-PEER_WEIGHT: Final = 0.5  # what a peer's figures weigh beside the own ones
+LIMIT_INDEX: Final = 8  # index of the concurrency limit; the seconds per unit follow it
+PEER_WEIGHT: Final = 0.5  # weight of a peer's values in the mean with this gateway's own
 
 
 class FleetEstimates:
-    """The row of figures of this gateway, and how one of a peer is blended in."""
+    """Reads the estimates of this gateway and averages them with those of a peer."""
 
     def __init__(
         self, limit: ConcurrencyLimit, latency: LatencyModel, detector: OutlierDetector, budget: BudgetTree
     ) -> None:
-        """Takes the parts that it works with."""
+        """Takes the owners of the estimates."""
         self.limit = limit
         self.latency = latency
         self.detector = detector
         self.budget = budget
 
     def own_values(self) -> list[float]:
-        """The own row."""
+        """Returns the estimates of this gateway, in the order given above."""
         limit = self.limit
         arrivals = [group.arrivals for group in self.budget.groups] if self.budget.is_limiting else []
         return [
@@ -49,21 +50,29 @@
             *arrivals,
         ]
 
-    def blend(self, received: list[float]) -> None:
-        """A peer's row weighs as the own one: sparse samples of all become one figure in a few exchanges."""
+    def blend(self, peer_values: list[float]) -> None:
+        """Replaces each estimate by the mean of this gateway's and a peer's value.
+
+        Sparse samples of many gateways so converge to common estimates within a few exchanges. A list that is
+        too short or has invalid values is ignored.
+        """
         own = self.own_values()
-        required = LIMIT_INDEX + 1 + len(self.latency.unit_ns)
-        if len(received) < required or not all(math.isfinite(x) and x >= 0 for x in received):
+        min_length = LIMIT_INDEX + 1 + len(self.latency.unit_ns)
+        if len(peer_values) < min_length or not all(math.isfinite(x) and x >= 0 for x in peer_values):
             return
-        mean = [(1 - PEER_WEIGHT) * a + PEER_WEIGHT * b for a, b in zip(own, received, strict=False)]
-        if self.limit.limit == math.inf or not received[LIMIT_INDEX]:
-            # only who sees overload too takes over a first limit
+        mean = [(1 - PEER_WEIGHT) * a + PEER_WEIGHT * b for a, b in zip(own, peer_values, strict=False)]
+        if self.limit.limit == math.inf or not peer_values[LIMIT_INDEX]:
+            # A gateway adopts its first limit from a peer only if it observes overload itself.
             overloaded = self.limit.overload_signal > BUSY_THRESHOLD
-            mean[LIMIT_INDEX] = received[LIMIT_INDEX] * overloaded or own[LIMIT_INDEX]
-        self._take(mean)
+            mean[LIMIT_INDEX] = peer_values[LIMIT_INDEX] * overloaded or own[LIMIT_INDEX]
+        self._store(mean)
+
+    def _store(self, values: list[float]) -> None:
+        """Stores the estimates.
 
-    def _take(self, figures: list[float]) -> None:
-        """Figures of peers are no answers: they don't end the learning of the calm latency."""
+        The sample counts of the latency model stay as they are: values of peers are no samples, and must not
+        end the learning of the unloaded latency.
+        """
         limit = self.limit
         (
             limit.answer_lateness,
@@ -72,11 +81,11 @@
             limit.timeouts,
             limit.units_in_flight,
             limit.completed_per_s,
-        ) = figures[:6]
-        self.detector.connection_errors[:2] = figures[6:LIMIT_INDEX]
-        limit.limit = figures[LIMIT_INDEX] or limit.limit
-        groups_from = LIMIT_INDEX + 1 + len(self.latency.unit_ns)
-        unit_s = figures[LIMIT_INDEX + 1 : groups_from]
+        ) = values[:6]
+        self.detector.connection_errors[:2] = values[6:LIMIT_INDEX]
+        limit.limit = values[LIMIT_INDEX] or limit.limit
+        arrivals_index = LIMIT_INDEX + 1 + len(self.latency.unit_ns)
+        unit_s = values[LIMIT_INDEX + 1 : arrivals_index]
         self.latency.unit_ns = [max(1.0, seconds * SECOND_NS) for seconds in unit_s]
-        for group, arrivals in zip(self.budget.groups, figures[groups_from:], strict=False):
+        for group, arrivals in zip(self.budget.groups, values[arrivals_index:], strict=False):
             group.arrivals = arrivals
--- a/zincstile/decisions/gossip.py
+++ b/zincstile/decisions/gossip.py
@@ -1,7 +1,7 @@
-"""Gossip: what this gateway reports to its peers of customers' quotas, and when.
+"""Gossip: reports of customers' quota usage to the peers, and their schedule.
 
-Usage is reported as running totals, so that the next message makes good a lost one. Changes go out in one
-message a period; a heartbeat goes to all direct peers each second.
+Usage is reported as running totals, so that the next message makes up for a lost one. The changes of a period
+go out in one message per peer; a heartbeat goes to all direct peers every second.
 """
 
 from __future__ import annotations
@@ -21,13 +21,13 @@
 from .units import SECOND_NS
 
 HEARTBEAT_NS: Final = SECOND_NS
-INTAKE_SHARE: Final = 0.8  # part of a peer's intake of messages that may be filled
-TOTAL_MODULUS: Final = 2**28  # totals of units are sent modulo this
-UNKNOWN_QUERY: Final = -1
+INTAKE_SHARE: Final = 0.8  # share of the messages per second that a peer can take in that reports may use
+TOTAL_MODULUS: Final = 2**28  # running totals of units are sent modulo this
+LAST_QUERY: Final = -1  # stands for the last query of the customer that a relay answered
 
 
 class Gossip:
-    """Owner of what is still to be reported."""
+    """Collects changes of usage and sends them to the peers."""
 
     def __init__(
         self,
@@ -39,25 +39,29 @@
         detector: OutlierDetector,
         estimates: FleetEstimates,
     ) -> None:
-        """Takes the parts that it works with."""
+        """Derives the reporting period from the number of direct peers and their intake."""
         self.settings = settings
-        # names this process, so that peers don't take its totals for older ones
+        # Identifies this process, so that peers don't compare its totals with those of an earlier one.
         self.incarnation = incarnation
         self.actions = actions
         self.peers = peers
         self.ledger = ledger
         self.detector = detector
         self.estimates = estimates
-        direct = min(MAX_DIRECT_PEERS, settings.gateway_count - 1)
-        self.period_ns = int(SECOND_NS * direct / max(1.0, INTAKE_SHARE * settings.gossip_in_per_s))
-        self.changed: dict[int, Customer] = {}  # to be reported with the next message
-        self.last_tick_ns = 0  # the last tick: against it the age of samples is measured
-        self.reported_level: Callable[[Customer], float | None] | None = None  # leases: the level to report
+        direct_peers = min(MAX_DIRECT_PEERS, settings.gateway_count - 1)
+        self.period_ns = int(SECOND_NS * direct_peers / max(1.0, INTAKE_SHARE * settings.gossip_in_per_s))
+        self.changed: dict[int, Customer] = {}  # customers to report with the next message
+        self.last_tick_ns = 0  # time of the last tick, from which the age of samples is measured
+        # Returns the level to report instead of the bucket's, or None; set by the leases feature.
+        self.reported_level: Callable[[Customer], float | None] | None = None
         self._flushed_ns = 0
         self._flush_due = False
 
     def spend(self, now: int, customer: Customer, units: float) -> None:
-        """Own units leave a customer's bucket (0: its attempts in flight have changed), to be reported."""
+        """Takes units of this gateway from a customer's bucket and schedules the report of it.
+
+        0 units reports only that the customer's attempts in flight have changed.
+        """
         customer.spend(units, TOTAL_MODULUS)
         self.changed[customer.key] = customer
         if not self._flush_due:
@@ -65,12 +69,12 @@
             self.actions.set_timer(max(now, self._flushed_ns + self.period_ns), GOSSIP_TIMER)
 
     def flush_timer_fired(self, now: int) -> None:
-        """A period is over."""
+        """Sends the changes of the period that has ended."""
         self._flush_due = False
         self.flush(now)
 
     def flush(self, now: int, *, heartbeat: bool = False) -> None:
-        """Reports what has changed to those whom it concerns; a heartbeat goes to all direct peers."""
+        """Reports changes to the gateways of each customer's set; a heartbeat goes to all direct peers."""
         reports: dict[int, list[CustomerUsage]] = (
             {peer: [] for peer in self.peers.direct} if heartbeat else {}
         )
@@ -90,23 +94,30 @@
         return [] if relay == NO_RELAY else [relay]
 
     def send(self, peer: int, usages: list[CustomerUsage], *, with_estimates: bool = False) -> None:
-        """A message to one peer. With a query, its answer and a heartbeat go the last own error samples."""
+        """Sends a message to one peer.
+
+        Queries, their answers and heartbeats without usage also carry the last error samples of this gateway.
+        """
         if not self.settings.gossips or peer == self.settings.gateway_index:
             return
         with_samples = with_estimates or not usages
         samples = self.detector.samples_to_report(self.last_tick_ns) if with_samples else []
-        figures = self.estimates.own_values() if with_estimates else []
-        self.actions.append(SendGossip(peer, self.incarnation, usages, figures, samples))
+        estimates = self.estimates.own_values() if with_estimates else []
+        self.actions.append(SendGossip(peer, self.incarnation, usages, estimates, samples))
+
+    def usage_of(self, customer: Customer, want: float = 0.0, query_id: int = LAST_QUERY) -> CustomerUsage:
+        """Returns the usage to report of a customer.
 
-    def usage_of(self, customer: Customer, want: float = 0.0, query_id: int = UNKNOWN_QUERY) -> CustomerUsage:
-        """What is reported of a customer. `want`: units that a relay is asked for, under a query's id."""
+        `want` and `query_id` are set in a query to a relay: the units asked for, and the id of the query.
+        """
         level = customer.level
         if customer.relayed and customer.filled_ns - customer.relay_answer_ns >= SILENCE_NS:
-            level = self.settings.plans[customer.plan].burst  # the own level says nothing
+            # Without a recent answer of the relay, the level here is outdated.
+            level = self.settings.plans[customer.plan].burst
         if self.reported_level is not None:
-            own_level = self.reported_level(customer)
-            level = level if own_level is None else own_level
-        id_ = customer.query_id if query_id == UNKNOWN_QUERY else query_id
+            level_override = self.reported_level(customer)
+            level = level if level_override is None else level_override
+        reported_query_id = customer.query_id if query_id == LAST_QUERY else query_id
         return CustomerUsage(
-            customer.key, customer.plan, customer.total, level, customer.in_flight, want, id_
+            customer.key, customer.plan, customer.total, level, customer.in_flight, want, reported_query_id
         )
--- a/zincstile/decisions/gossip_receiver.py
+++ b/zincstile/decisions/gossip_receiver.py
@@ -1,4 +1,4 @@
-"""Gossip received from peers: usage of customers, error samples, estimates of the fleet."""
+"""Applies gossip received from peers: usage of customers, error samples, estimates of the fleet."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class GossipReceiver:
-    """Takes in what peers report. It holds no state of its own."""
+    """Passes the contents of gossip messages on to their owners; has no state of its own."""
 
     def __init__(
         self,
@@ -27,7 +27,7 @@
         detector: OutlierDetector,
         estimates: FleetEstimates,
     ) -> None:
-        """Takes the parts that it works with."""
+        """Takes the owners of the state that messages update."""
         self.settings = settings
         self.peers = peers
         self.ledger = ledger
@@ -35,12 +35,15 @@
         self.relayed = relayed
         self.detector = detector
         self.estimates = estimates
-        self.on_received: Callable[[int, GossipReceived], None] | None = None  # leases: sees each message
+        # Called with each message; set by the leases feature.
+        self.on_received: Callable[[int, GossipReceived], None] | None = None
 
     def on_gossip_received(self, now: int, event: GossipReceived) -> None:
-        """One message of a peer; one that doesn't fit the settings is dropped."""
-        plans = len(self.settings.plans)
-        if event.sender < self.settings.gateway_count and all(usage.plan < plans for usage in event.usages):
+        """Applies a message of a peer, unless it names a gateway or a plan that is not in the settings."""
+        plan_count = len(self.settings.plans)
+        if event.sender < self.settings.gateway_count and all(
+            usage.plan < plan_count for usage in event.usages
+        ):
             self._apply(now, event)
         if self.on_received is not None:
             self.on_received(now, event)
@@ -52,9 +55,8 @@
         if new_process and event.sender in self.peers.direct:
             self._report_all(event.sender)
         self.peers.unanswered_ns.pop(event.sender, None)
-        if (
-            self.detector.shared_suspicion is None
-        ):  # else samples come with their origin, by the failure detector
+        # With a shared failure detector, that detector brings the samples of peers.
+        if self.detector.shared_suspicion is None:
             self._apply_samples(event.error_samples)
         for usage in event.usages:
             self._apply_usage(now, event, usage)
@@ -62,7 +64,7 @@
             self.estimates.blend(event.figures)
 
     def _report_all(self, peer: int) -> None:
-        """A peer has just started and knows nothing yet."""
+        """Reports all customers shared with a peer that has just started."""
         usages = [
             self.gossip.usage_of(customer)
             for customer in self.ledger.customers.values()
@@ -72,10 +74,10 @@
 
     def _apply_samples(self, samples: list[ErrorSample]) -> None:
         by_hash = self.detector.endpoints.by_hash
-        groups = len(self.detector.baseline)
+        group_count = len(self.detector.baseline)
         for sample in samples:
             endpoint = by_hash.get(sample.endpoint_hash)
-            if endpoint is not None and (sample.group < groups or sample.group == ANY_CLASS):
+            if endpoint is not None and (sample.group < group_count or sample.group == ANY_CLASS):
                 self.detector.apply_sample(endpoint, sample.group, sample.error, TIMING_WEIGHT)
 
     def _apply_usage(self, now: int, event: GossipReceived, usage: CustomerUsage) -> None:
@@ -85,11 +87,12 @@
         if usage.is_answer:
             self.relayed.on_answer(now, usage, customer)
             return
-        flight_ns = MAX_QUERIES * QUERY_WAIT_NS
-        used = customer.merge(event.sender, event.incarnation, usage, now, TOTAL_MODULUS, flight_ns)
-        if used is None:
-            customer.level = min(customer.level, usage.level)  # no total to count from: its level holds
+        max_delay_ns = MAX_QUERIES * QUERY_WAIT_NS
+        used_units = customer.merge(event.sender, event.incarnation, usage, now, TOTAL_MODULUS, max_delay_ns)
+        if used_units is None:
+            # The first report of a process has no earlier total to compare with, but a level.
+            customer.level = min(customer.level, usage.level)
         else:
-            customer.take(used, -self.settings.max_request_units * self.settings.settles_actual_units)
+            customer.take(used_units, -self.settings.max_request_units * self.settings.settles_actual_units)
         if usage.want > 0:
             self.relayed.grant(now, event.sender, usage, customer)
--- a/zincstile/decisions/latency.py
+++ b/zincstile/decisions/latency.py
@@ -1,7 +1,4 @@
-"""Latency of the fleet by request class:
-
-what a unit usually takes, and what it takes when nothing is busy.
-"""
+"""Latency of the fleet by request class: the usual latency of a unit, and the latency without load."""
 
 from __future__ import annotations
 
@@ -11,47 +8,50 @@
 from .settings import Settings
 from .units import SECOND_NS
 
-SAMPLE_WEIGHT: Final = 0.02  # of one attempt; larger for the first ones
-CALM_RISE_WEIGHT: Final = 0.0005  # the calm latency follows down at once and up slowly
-MAX_RATIO: Final = 3.0  # a longer latency says no more
-MIN_UNITS: Final = 0.5  # a smaller request takes as long as this
-OVERLOAD_RATIO: Final = 3.0  # multiple of the calm latency that is a sign of overload
-OVERLOAD_OBJECTIVE_SHARE: Final = 0.5  # or this part of the latency objective, whichever is less
-FIRST_GUESS_DIVISOR: Final = 5  # a unit takes this part of the objective until something was seen
+SAMPLE_WEIGHT: Final = 0.02  # weight of one attempt; larger for the first ones
+UNLOADED_RISE_WEIGHT: Final = 0.0005  # the unloaded latency falls at once but rises slowly, by this weight
+MAX_RATIO: Final = 3.0  # cap on the latency of a sample relative to the expected latency
+MIN_UNITS: Final = 0.5  # smaller requests are expected to take as long as one of this size
+# A latency is a sign of overload from this multiple of the unloaded latency, or from this share of the
+# latency objective if that is less.
+OVERLOAD_RATIO: Final = 3.0
+OVERLOAD_OBJECTIVE_SHARE: Final = 0.5
+INITIAL_DIVISOR: Final = 5  # before the first sample, the largest request takes the objective divided by this
 
 
 class LatencyModel:
-    """Owner of the latencies that the fleet takes for a unit, in nanoseconds by class."""
+    """Latency of the fleet per unit, in nanoseconds by request class."""
 
     def __init__(self, settings: Settings) -> None:
-        """Starts with a guess from the latency objectives."""
-        guess = FIRST_GUESS_DIVISOR
+        """Starts from an estimate by the latency objectives."""
+        divisor = INITIAL_DIVISOR
         self.unit_ns = [
-            c.latency_objective_ns / guess / (1 + settings.max_request_units) for c in settings.classes
+            request_class.latency_objective_ns / divisor / (1 + settings.max_request_units)
+            for request_class in settings.classes
         ]
         self.unloaded_unit_ns = [math.inf] * len(settings.classes)
         self.samples = [0] * len(settings.classes)
 
     def expected_ns(self, class_index: int, units: float) -> float:
-        """What the fleet takes for a request of so many units."""
+        """Returns the latency that the fleet is expected to have for a request of this size."""
         return self.unit_ns[class_index] * max(units, MIN_UNITS)
 
     def overload_ns(self, class_index: int, units: float, objective_ns: int) -> float:
-        """The latency from which an attempt is a sign of overload."""
-        calm_ns = OVERLOAD_RATIO * self.unloaded_unit_ns[class_index] * max(units, MIN_UNITS)
-        return min(OVERLOAD_OBJECTIVE_SHARE * objective_ns, calm_ns)
+        """Returns the latency from which an attempt is a sign of overload."""
+        by_ratio_ns = OVERLOAD_RATIO * self.unloaded_unit_ns[class_index] * max(units, MIN_UNITS)
+        return min(OVERLOAD_OBJECTIVE_SHARE * objective_ns, by_ratio_ns)
 
     def learn(self, class_index: int, latency_ns: int, expected_ns: float) -> None:
-        """A request was served in `latency_ns` where `expected_ns` were expected."""
+        """Updates the estimates after a request that took `latency_ns` instead of `expected_ns`."""
         ratio = min(MAX_RATIO, latency_ns / expected_ns)
         weight = max(SAMPLE_WEIGHT, 1 / (1 + self.samples[class_index]))
         self.unit_ns[class_index] *= 1 + weight * (ratio - 1)
         self.samples[class_index] += 1
         if self.samples[class_index] >= 1 / SAMPLE_WEIGHT:
             unit_ns = self.unit_ns[class_index]
-            calm_ns = min(self.unloaded_unit_ns[class_index], unit_ns)
-            self.unloaded_unit_ns[class_index] = calm_ns + CALM_RISE_WEIGHT * (unit_ns - calm_ns)
+            unloaded_ns = min(self.unloaded_unit_ns[class_index], unit_ns)
+            self.unloaded_unit_ns[class_index] = unloaded_ns + UNLOADED_RISE_WEIGHT * (unit_ns - unloaded_ns)
 
     def mean_latency_s(self, units: float) -> float:
-        """Seconds that so many units take, in the mean of the classes."""
+        """Returns the expected latency of a request of this size in seconds, averaged over the classes."""
         return units * sum(self.unit_ns) / len(self.unit_ns) / SECOND_NS
--- a/zincstile/decisions/load_balancing.py
+++ b/zincstile/decisions/load_balancing.py
@@ -1,7 +1,7 @@
-"""Load balancing: which endpoint an attempt goes to.
+"""Load balancing: chooses the endpoint of an attempt.
 
-A warming endpoint by a draw, its due; else the best of some candidates by attempts in flight, latency, error
-score, zone and a little chance.
+A random draw gives each warming endpoint its slow start share of the attempts. All other attempts go to the
+best of some candidates, by attempts in flight, latency, error score, zone and a small random jitter.
 """
 
 from __future__ import annotations
@@ -19,19 +19,20 @@
 from .settings import DeduplicationScope, Idempotency, Settings
 from .slow_start import SlowStart
 
-CANDIDATES: Final = 10  # endpoints compared; all where there are at most twice as many
-IGNORED_EXCESS: Final = 0.1  # least excess of an error score that counts
-OTHER_ZONE_PENALTY: Final = 0.3  # factor above 1
-JITTER: Final = 0.1  # factor above 1, at most
-OUTLIER_PENALTY: Final = 1e6  # times the excess of an outlier: only where there is no other
+CANDIDATES: Final = 10  # endpoints compared per attempt; all of them if there are at most twice as many
+IGNORED_EXCESS: Final = 0.1  # an error score up to this far above the baseline has no effect
+OTHER_ZONE_PENALTY: Final = 0.3  # added to the factor of the score of an endpoint in another zone
+JITTER: Final = 0.1  # upper end of the random addition to the factor of a score
+OUTLIER_PENALTY: Final = (
+    1e6  # times the excess score: an outlier is chosen only if there is no other endpoint
+)
 
-EndpointChooser = Callable[
-    [int, PendingRequest], Endpoint | None
-]  # time, request -> endpoint; None: there is none
+# Takes the time and the request; returns the endpoint, or None if there is none to use.
+EndpointChooser = Callable[[int, PendingRequest], Endpoint | None]
 
 
 class LoadBalancer:
-    """Chooses endpoints. It holds no state of its own but what narrows the choice."""
+    """Chooses endpoints. Its only state is the filter that a feature may set."""
 
     def __init__(
         self,
@@ -42,36 +43,38 @@
         capacity: Capacity,
         slow_start: SlowStart,
     ) -> None:
-        """Takes the parts that it works with."""
+        """Starts without a filter."""
         self.settings = settings
         self.rng = rng
         self.endpoints = endpoints
         self.detector = detector
         self.capacity = capacity
         self.slow_start = slow_start
-        self.is_eligible: Callable[[Endpoint], bool] | None = (
-            None  # zone failover: endpoints of the zone at hand
-        )
+        # Returns whether an endpoint may be used for the attempt at hand; set by the zone failover feature.
+        self.is_eligible: Callable[[Endpoint], bool] | None = None
 
     def choose(self, now: int, pending: PendingRequest) -> Endpoint | None:
-        """The endpoint of the next attempt; None where no ready one may be used."""
+        """Returns the endpoint for the next attempt, or None if no ready endpoint may be used."""
         self.capacity.classify_if_due(now)
-        best, best_score, done = self._choose_warming(now, pending)
-        return best if done else self._choose_warm(pending, best, best_score)
+        best, best_score, is_final = self._choose_warming(now, pending)
+        return best if is_final else self._choose_warm(pending, best, best_score)
 
     def _choose_warming(self, now: int, pending: PendingRequest) -> tuple[Endpoint | None, float, bool]:
-        """A warming endpoint by a draw, its due (then the choice is done), or one that is compared with the
-        warm ones, up to its most; with its score."""
+        """Draws a warming endpoint: returns it with its score, and whether the choice is final.
+
+        An endpoint drawn for its slow start share is final. Beyond that share, up to the largest one allowed,
+        it is compared with the warm endpoints.
+        """
         slow_start = self.slow_start
         warming = self.endpoints.warming
         draw = self.rng.random()
         if not warming:
             return None, math.inf, False
-        due = slow_start.cumulative_shares[-1] if slow_start.cumulative_shares else 1.0
-        beyond_due = draw >= due and slow_start.max_share_multiple > 1
+        total_share = slow_start.cumulative_shares[-1] if slow_start.cumulative_shares else 1.0
+        beyond_share = draw >= total_share and slow_start.max_share_multiple > 1
         position = bisect(
             slow_start.cumulative_shares,
-            (draw - due) / (slow_start.max_share_multiple - 1) if beyond_due else draw,
+            (draw - total_share) / (slow_start.max_share_multiple - 1) if beyond_share else draw,
         )
         if position >= len(warming):
             return None, math.inf, False
@@ -81,7 +84,7 @@
             return None, math.inf, False
         if self.detector.excess_score(endpoint, request.class_index, request.plan) >= OUTLIER_SCORE:
             return None, math.inf, False
-        if not beyond_due:
+        if not beyond_share:
             return endpoint, 0.0, True
         score = (endpoint.in_flight + 1) * endpoint.latency_ratio / self.capacity.warmth(now, endpoint)
         return endpoint, score, False
@@ -89,18 +92,18 @@
     def _choose_warm(
         self, pending: PendingRequest, best: Endpoint | None, best_score: float
     ) -> Endpoint | None:
-        """The best of the warm candidates, if it is better than the best so far."""
+        """Returns the best of the warm candidates and the best endpoint so far."""
         request = pending.request
         detector = self.detector
         random_ = self.rng.random
         own_zone = self.settings.zone
-        pair = self.settings.pair(request.class_index, request.plan)
-        unscored = -min(detector.baseline[request.class_index], detector.baseline[pair])
+        group = self.settings.pair(request.class_index, request.plan)
+        excess_without_scores = -min(detector.baseline[request.class_index], detector.baseline[group])
         candidates = self.endpoints.warm
         if len(candidates) > 2 * CANDIDATES:
             candidates = self.rng.sample(candidates, CANDIDATES)
         for endpoint in candidates:
-            excess = unscored
+            excess = excess_without_scores
             if endpoint.error_scores:
                 excess = detector.excess_score(endpoint, request.class_index, request.plan)
             score = (endpoint.in_flight + 1) * endpoint.latency_ratio
@@ -115,7 +118,11 @@
         return best
 
     def may_use(self, pending: PendingRequest, endpoint: Endpoint) -> bool:
-        """Each endpoint once; a keyed request that may have run stays where its repeats are dropped."""
+        """Returns whether a request may be sent to an endpoint.
+
+        It is sent to each endpoint at most once. A request with an idempotency key that may have run goes
+        only to endpoints that detect its repetition.
+        """
         if self.is_eligible is not None and not self.is_eligible(endpoint):
             return False
         if endpoint in pending.tried:
--- a/zincstile/decisions/quotas.py
+++ b/zincstile/decisions/quotas.py
@@ -1,7 +1,8 @@
-"""Quotas and ceilings of customers: token buckets, and this gateway's part of each.
+"""Quotas and ceilings of customers: token buckets, and this gateway's share of each.
 
-A bucket starts full, fills at the plan's rate and holds its burst. Gateways of a customer's set report what
-they sent (`gossip`); this gateway's share is its part of the recent total, at least an even part.
+A bucket starts full, fills at the plan's rate and has the plan's burst as its capacity. The gateways that
+serve a customer report to each other what they sent (`gossip`). The share of a gateway is its part of the
+recent total, but at least an even share.
 """
 
 from __future__ import annotations
@@ -16,88 +17,97 @@
 from .settings import CustomerPlan, Settings
 from .units import NEVER_NS, SECOND_NS
 
-RELAYS: Final = 3  # of a wide set; a later one stands in for silent ones
-REPORT_LAG_S: Final = 0.25  # how old the reports of peers are, with a margin
-RECENT_USE_S: Final = 5.0  # time constant of the memory of who sends for a customer
-EVEN_PART_S: Final = 1.0  # seconds at the quota's rate that even parts of a ceiling weigh
-IDLE_S: Final = 15.0  # a customer whose bucket is full is forgotten after so long
-FORGET_S: Final = 120.0  # any other
+RELAY_COUNT: Final = 3  # relays of a wide set, in order: a later one replaces silent ones
+REPORT_LAG_S: Final = 0.25  # upper estimate of the age of peers' reports
+RECENT_USE_S: Final = 5.0  # time constant of the decay of recent usage
+EVEN_SHARE_S: Final = 1.0  # weight of even shares of a ceiling, in seconds of use at the rate of the quota
+FULL_BUCKET_IDLE_S: Final = 15.0  # an idle customer with a full bucket is forgotten after this time
+IDLE_S: Final = 120.0  # any other idle customer is forgotten after this time
 RELAY_ANSWER_VALID_NS: Final = 120 * SECOND_NS
-QUIET_START_NS: Final = SECOND_NS // 4  # without a report of any peer: nothing was sent before the start
+# If all peers have sent messages but no usage for this long after the start, nothing was sent before it.
+QUIET_START_NS: Final = SECOND_NS // 4
 
 
 class QuotaLedger:
-    """Owner of the customers' buckets."""
+    """Token buckets of the customers."""
 
     def __init__(self, settings: Settings, rng: random.Random, peers: PeerTable) -> None:
-        """Takes the parts that it works with."""
+        """Starts without customers."""
         self.settings = settings
         self.rng = rng
         self.peers = peers
         self.customers: dict[int, Customer] = {}
         self.started_ns = 0
-        self.traffic_seen = False  # a request, or a report of one, has come
-        self.on_first_request: Callable[[Customer], None] | None = (
-            None  # leases: called at a customer's first request
-        )
-        self.ceilings_spent_ns = 0  # when ceilings were last spent before the start, at the latest
+        self.traffic_seen = False  # whether a request or a report of usage has arrived
+        # Called at a customer's first request; set by the leases feature.
+        self.on_first_request: Callable[[Customer], None] | None = None
+        self.ceilings_spent_ns = 0  # latest time before the start at which a ceiling may have been used
 
     def start(self, now: int) -> None:
-        """The gateway starts."""
+        """Records the start of the gateway."""
         self.started_ns = now
         self.ceilings_spent_ns = now
 
     def record_traffic(self, now: int) -> None:
-        """The first request or report of one. What was spent of ceilings before is not known; but where all
-        peers have sent a message and none has reported anything for a while, nothing was."""
+        """Notes a request or a report of usage; the first one sets the time from which new ceilings fill.
+
+        The use of ceilings before the start is not known, so they fill from the time of the start. But if all
+        peers have sent messages and none has reported usage for a while, nothing was used and they are full.
+        """
         if self.traffic_seen:
             return
         all_reachable = len(self.peers.last_message) == self.settings.gateway_count - 1
-        quiet = now - self.started_ns >= QUIET_START_NS and all_reachable
+        was_quiet = now - self.started_ns >= QUIET_START_NS and all_reachable
         self.traffic_seen = True
-        self.ceilings_spent_ns = NEVER_NS if quiet else self.started_ns
+        self.ceilings_spent_ns = NEVER_NS if was_quiet else self.started_ns
 
     def get_or_create(self, key: int, plan: int, burst: float, now: int) -> Customer:
-        """The customer of a key; a new one has a full bucket."""
+        """Returns the customer with a key; a new one gets a full bucket."""
         if key not in self.customers:
             self.customers[key] = Customer(key, plan, burst, now)
         return self.customers[key]
 
     def customer_of(self, now: int, request: Request) -> Customer:
-        """The customer of a request, with its set of gateways."""
+        """Returns the customer of a request, whose set of gateways is known from then on."""
         customer = self.get_or_create(
             request.customer, request.plan, self.settings.plans[request.plan].burst, now
         )
         if not customer.known:
-            self._meet(customer, request)
+            self._initialize(customer, request)
             if self.on_first_request is not None:
                 self.on_first_request(customer)
         return customer
 
-    def _meet(self, customer: Customer, request: Request) -> None:
-        """A customer's first request here. All of a small set get its usage, the relay of a wide one."""
+    def _initialize(self, customer: Customer, request: Request) -> None:
+        """Sets up a customer at its first request.
+
+        Usage is reported to all gateways of a small set, but only to the relay of a wide one.
+        """
         settings = self.settings
         plan = settings.plans[customer.plan]
         customer.known = True
         customer.spread = min(max(1, request.spread), settings.gateway_count)
         customer.ceiling_filled_ns = self.ceilings_spent_ns
-        members = [(request.first + k) % settings.gateway_count for k in range(customer.spread)]
-        # What was spent before held the quota, so that the ceiling has its lead over that at least: else a
-        # tier too large for a message of each soon would reject inside the quota for seconds after each
-        # start.
-        lead = max(0.0, plan.ceiling_burst - plan.burst)
-        customer.ceiling = lead / customer.spread * (plan.over_quota_weight <= plan.over_quota_cost)
+        gateways = [(request.first + k) % settings.gateway_count for k in range(customer.spread)]
+        # Use before the start was within the quota, so that at least the difference of both bursts is left of
+        # the ceiling. With an empty ceiling, a tier too large to hear from all gateways soon would reject
+        # requests inside the quota for seconds after each start.
+        headroom = max(0.0, plan.ceiling_burst - plan.burst)
+        customer.ceiling = headroom / customer.spread * (plan.over_quota_weight <= plan.over_quota_cost)
         customer.relayed = customer.spread > MAX_DIRECT_PEERS + 1 and settings.gossips
         if customer.relayed:
             first = scatter(request.customer)
-            customer.peers = [members[(first + k) % customer.spread] for k in range(RELAYS)]
+            customer.peers = [gateways[(first + k) % customer.spread] for k in range(RELAY_COUNT)]
         else:
-            customer.peers = [peer for peer in members if peer != settings.gateway_index]
+            customer.peers = [peer for peer in gateways if peer != settings.gateway_index]
             self.peers.direct.update(dict.fromkeys(customer.peers, True))
 
     def refill(self, now: int, customer: Customer) -> None:
-        """At the whole rate by a relay or while a peer of the customer is reachable, else at the even
-        part."""
+        """Refills a customer's bucket.
+
+        The rate is the whole rate at a relay and while a peer of the customer is reachable, otherwise an even
+        share of it.
+        """
         peers = self.peers
         if customer.relayed:
             reachable = self.settings.gateway_index in customer.peers
@@ -106,75 +116,88 @@
                 now - peers.last_message[p][1] < SILENCE_NS for p in customer.peers if p in peers.last_message
             )
         plan = self.settings.plans[customer.plan]
-        part = 1.0 if reachable else 1.0 / customer.spread
-        # after a relay's answer the own bucket goes on from it
-        whole = reachable or now - customer.relay_answer_ns < RELAY_ANSWER_VALID_NS
-        capacity = plan.burst if whole else max(plan.burst * part, self.settings.max_request_units)
-        customer.fill(now, plan.rate * part, capacity, RECENT_USE_S)
+        share = 1.0 if reachable else 1.0 / customer.spread
+        # A relay's answer sets the level here; the bucket keeps its whole capacity for a while after it.
+        has_full_capacity = reachable or now - customer.relay_answer_ns < RELAY_ANSWER_VALID_NS
+        capacity = (
+            plan.burst if has_full_capacity else max(plan.burst * share, self.settings.max_request_units)
+        )
+        customer.fill(now, plan.rate * share, capacity, RECENT_USE_S)
 
     def admits(self, customer: Customer, units: float) -> bool:
-        """The units are inside this gateway's part of the quota, and of the plan's attempts in flight.
+        """Returns whether this gateway's share of the quota covers the units, and an attempt may start.
 
-        A draw, so that not all gateways of the set send at once when an empty bucket has filled for one.
+        The check of the share is randomized. Otherwise all gateways of the set would send at once when an
+        empty bucket has refilled for a single request.
         """
         plan = self.settings.plans[customer.plan]
-        if plan.rate and not self._part_covers(customer, units):
+        if plan.rate and not self._share_covers(customer, units):
             return False
         return not plan.max_in_flight or not self.at_max_in_flight(customer, plan)
 
-    def _part_covers(self, customer: Customer, units: float) -> bool:
+    def _share_covers(self, customer: Customer, units: float) -> bool:
         if customer.relayed:
             share = 1.0
         else:
             recent = customer.own_recent + customer.peers_recent
             share = max(1 / customer.spread, (customer.own_recent + units) / (recent + units))
-        # what peers have sent by now and not reported yet
+        # Less an estimate of what peers have sent but not reported yet.
         level = customer.level - customer.peers_recent * REPORT_LAG_S / RECENT_USE_S
         if level < units:
             return False
-        left = share * (level + customer.unreported) - customer.unreported
-        return left >= units * self.rng.random()
+        available = share * (level + customer.unreported) - customer.unreported
+        return available >= units * self.rng.random()
 
     def at_max_in_flight(self, customer: Customer, plan: CustomerPlan) -> bool:
-        """As many attempts are in flight, here and by the reports of peers, as the plan allows."""
+        """Returns whether this gateway and its peers have as many attempts in flight as the plan allows."""
         since_ns = customer.filled_ns - self.settings.longest_ns
         return customer.in_flight + customer.in_flight_at_peers(since_ns) >= plan.max_in_flight
 
     def ceiling_part(self, now: int, customer: Customer, plan: CustomerPlan) -> float:
-        """This gateway's part of the ceiling, by recent use.
+        """Returns this gateway's share of the ceiling, 0 to 1, by recent use.
 
-        The parts sum up to one where all know the same, and are even as soon as a peer of the customer is not
-        reachable. Views differ for as long as reports travel; the quota, which is lower, then holds what goes
-        out. Where more than the quota is admitted nothing does: parts are even there.
+        The shares of all gateways add up to 1 if they have the same information. They are even while a peer
+        of the customer is not reachable. While reports are on their way the shares may add up to more than 1;
+        the quota, which is lower, then limits what is sent. Plans that admit more than the quota have no such
+        limit, so their shares are always even.
         """
-        even = 1 / customer.spread
+        even_share = 1 / customer.spread
         if (
             not plan.ceiling_rate
             or customer.relayed
             or not customer.peers
             or plan.over_quota_weight > plan.over_quota_cost
         ):
-            return even
+            return even_share
         last_message = self.peers.last_message
         oldest_ns = now - CEILING_SILENCE_NS
         if any(p not in last_message or last_message[p][1] < oldest_ns for p in customer.peers):
-            return even
-        prior = EVEN_PART_S * plan.rate
-        own = customer.own_recent + prior / customer.spread
-        return own / (customer.own_recent + customer.peers_recent + prior)
+            return even_share
+        prior_use = EVEN_SHARE_S * plan.rate
+        own_use = customer.own_recent + prior_use / customer.spread
+        return own_use / (customer.own_recent + customer.peers_recent + prior_use)
 
     def idle_customers(self, now: int) -> list[int]:
-        """Keys of those that may be forgotten, so that customers that come once don't fill the memory."""
+        """Returns the keys of customers that may be forgotten.
+
+        Forgetting them keeps customers that come only once from filling the memory.
+        """
         return [key for key, customer in self.customers.items() if self._is_idle(now, customer)]
 
     def _is_idle(self, now: int, customer: Customer) -> bool:
-        """A forgotten customer starts with a full bucket, so the own one has to be full by now."""
+        """Returns whether a customer may be forgotten.
+
+        A forgotten customer starts again with a full bucket, so its bucket should be full by now. Customers
+        whose bucket is not full, and those with a relay, are kept for longer.
+        """
         plan = self.settings.plans[customer.plan]
         idle_s = (now - customer.filled_ns) / SECOND_NS
-        full = customer.level + plan.rate * idle_s / customer.spread >= plan.burst
-        return not customer.in_flight and idle_s > (IDLE_S if full and not customer.relayed else FORGET_S)
+        is_full = customer.level + plan.rate * idle_s / customer.spread >= plan.burst
+        return not customer.in_flight and idle_s > (
+            FULL_BUCKET_IDLE_S if is_full and not customer.relayed else IDLE_S
+        )
 
     def forget(self, keys: list[int]) -> None:
-        """Drops these customers."""
+        """Removes customers."""
         for key in keys:
             del self.customers[key]
--- a/zincstile/decisions/relay_queries.py
+++ b/zincstile/decisions/relay_queries.py
@@ -1,7 +1,7 @@
-"""Quotas by gossip: whether the units of a request are inside the quota, by the own bucket or by a relay's.
+"""Quotas by gossip: checks units against this gateway's bucket, or against the bucket of a relay.
 
-Where a customer's set of gateways is wide no report is fresh: the request waits for the answer of the
-customer's relay, some milliseconds. `RelayedQuotas` is the usual `QuotaSource`.
+If many gateways serve a customer, direct reports would never be up to date. Requests of such a customer wait
+a few milliseconds for an answer of the customer's relay. `RelayedQuotas` is the default `QuotaSource`.
 """
 
 from __future__ import annotations
@@ -21,14 +21,16 @@
 from .timers import QUOTA_TIMER, TIMER_KINDS
 from .units import SECOND_NS
 
-QUERY_WAIT_NS: Final = SECOND_NS // 12  # for a relay's answer
-MAX_QUERIES: Final = 2  # of one request
+QUERY_WAIT_NS: Final = SECOND_NS // 12  # timeout of a query
+MAX_QUERIES: Final = 2  # per request
 QUERY_MODULUS: Final = 2**16  # ids of queries are sent modulo this
-HOPED_PARTS: Final = 4.0  # even parts of the refill that an empty bucket is hoped to hold
+# An empty bucket at the relay is expected to refill for this gateway by at most this many even shares of the
+# rate.
+EXPECTED_SHARES: Final = 4.0
 
 
 class RelayedQuotas:
-    """Owner of the queries that wait for a relay's answer."""
+    """Queries to relays, and the requests that wait for their answers."""
 
     def __init__(
         self,
@@ -41,7 +43,7 @@
         requests: RequestTable,
         decide: Decide,
     ) -> None:
-        """Takes the parts that it works with."""
+        """Starts without queries."""
         self.settings = settings
         self.actions = actions
         self.peers = peers
@@ -50,63 +52,64 @@
         self.budget = budget
         self.requests = requests
         self.decide = decide
-        self.waiting: dict[int, PendingRequest] = {}  # by the id of the query
+        self.waiting: dict[int, PendingRequest] = {}  # requests by the id of their query
 
-    # ---- the quota source
+    # ---- `QuotaSource`
 
     def request_units(self, now: int, pending: PendingRequest) -> None:
-        """Asks the relay where the set is wide, after a loss again; else the last report decides.
+        """Queries the relay if the customer has one, and again after a timeout; otherwise decides here.
 
-        Not where no answer could help, which spares a relay's intake customers of many requests, and jams.
+        No query is sent if its answer could not change the decision. This spares relays queries for customers
+        with many requests, and queries during overload.
         """
         request = pending.request
         customer = pending.customer
-        lost = pending.relay_queries == MAX_QUERIES
-        if lost and now - self.peers.last_message.get(pending.relay, (0, 0))[1] > HEARTBEAT_NS:
+        is_lost = pending.relay_queries == MAX_QUERIES
+        if is_lost and now - self.peers.last_message.get(pending.relay, (0, 0))[1] > HEARTBEAT_NS:
             self.peers.unanswered_ns[pending.relay] = now
         self.ledger.refill(now, customer)
         age_ns = now - customer.relay_answer_ns
-        hoped_rate = pending.plan.rate * min(1.0, HOPED_PARTS / customer.spread)
-        empty = (
+        expected_rate = pending.plan.rate * min(1.0, EXPECTED_SHARES / customer.spread)
+        is_empty = (
             customer.relayed
             and age_ns < SILENCE_NS
-            and customer.relay_level + hoped_rate * age_ns / SECOND_NS < request.units
+            and customer.relay_level + expected_rate * age_ns / SECOND_NS < request.units
         )
         over_budget = pending.draw >= self.budget.inside_quota[request.class_index][request.plan].rate
-        no_use = empty or over_budget or lost or not customer.relayed
-        if no_use or not self._query(now, pending):
+        decides_here = is_empty or over_budget or is_lost or not customer.relayed
+        if decides_here or not self._query(now, pending):
             self.decide(
-                now, pending, not empty and self.ledger.admits(customer, request.units), counted=False
+                now, pending, not is_empty and self.ledger.admits(customer, request.units), counted=False
             )
 
     def timer_fired(self, now: int, request_id: int, pending: PendingRequest | None) -> None:
-        """No answer came in time."""
+        """Handles the timeout of a query."""
         self.forget_query(request_id)
         if pending is not None and pending.group is None:
             self.request_units(now, pending)
 
     def spend(self, now: int, customer: Customer, units: float) -> None:
-        """Units were sent (below 0: were not); 0: attempts in flight have changed."""
+        """Records sent units; below 0, units that come back; 0, a change of the attempts in flight."""
         self.gossip.spend(now, customer, units)
 
     def ceiling_part(self, now: int, customer: Customer, plan: CustomerPlan) -> float:
-        """This gateway's part of the customer's ceiling."""
+        """Returns this gateway's share of the customer's ceiling."""
         return self.ledger.ceiling_part(now, customer, plan)
 
     def request_closed(self, pending: PendingRequest) -> None:
-        """Nothing to do: a query that is out ends by its timer."""
+        """Does nothing: the timer of a pending query cleans up."""
 
     def customers_forgotten(self, keys: list[int]) -> None:
-        """Nothing is kept of customers but their buckets."""
+        """Does nothing: customers have no state here."""
 
     # ---- queries
 
     def _query(self, now: int, pending: PendingRequest) -> bool:
-        """Asks the customer's relay; False where there is none, or no time."""
+        """Sends a query to the customer's relay; returns False if there is no relay or too little time."""
         request = pending.request
         relay = self.peers.relay_of(now, pending.customer)
-        too_late = request.deadline_ns - now < MAX_QUERIES * QUERY_WAIT_NS
-        if relay < 0 or relay == self.settings.gateway_index or too_late:
+        is_too_late = request.deadline_ns - now < MAX_QUERIES * QUERY_WAIT_NS
+        if relay < 0 or relay == self.settings.gateway_index or is_too_late:
             return False
         query_id = request.id % QUERY_MODULUS
         pending.relay = relay
@@ -118,13 +121,13 @@
         return True
 
     def forget_query(self, request_id: int) -> None:
-        """A query that nobody answered would be kept for good."""
+        """Removes a query that was not answered in time, and would be kept forever."""
         self.waiting.pop(request_id % QUERY_MODULUS, None)
 
     def grant(self, now: int, peer: int, query: CustomerUsage, customer: Customer) -> None:
         """Answers a peer's query.
 
-        What is granted leaves the bucket at once, so that two that ask together get it once.
+        Granted units leave the bucket at once, so that two gateways that ask together don't both get them.
         """
         granted = self.ledger.admits(customer, query.want)
         if granted:
@@ -134,7 +137,7 @@
         self.gossip.send(peer, [answer], with_estimates=True)
 
     def on_answer(self, now: int, answer: CustomerUsage, customer: Customer) -> None:
-        """A relay's answer to a query; it is dropped where the request does not wait for it any more."""
+        """Decides on the request that waits for an answer; ignores answers that no request waits for."""
         pending = self.waiting.pop(answer.query_id, None)
         if pending is None or pending.customer is not customer or pending.group is not None:
             return
@@ -145,6 +148,6 @@
         customer.relay_answer_ns = now
         customer.query_id = answer.query_id
         granted = answer.want > 0
-        if granted:  # the relay has counted it already
+        if granted:  # the relay has already counted these units
             customer.total = (customer.total + pending.request.units) % TOTAL_MODULUS
         self.decide(now, pending, granted, counted=granted)
--- a/zincstile/decisions/slow_start.py
+++ b/zincstile/decisions/slow_start.py
@@ -1,7 +1,7 @@
-"""Slow start: how far an endpoint that has just started is warmed up, and which share of all sends is due
-to it.
+"""Slow start: how far a recently started endpoint is warmed up, and which share of all attempts it gets.
 
-A draw decides, and no token bucket: divided among many gateways a bucket would stand idle while it fills.
+The share is applied by a random draw, not by a token bucket. Divided among many gateways, a bucket would be
+waiting to fill most of the time, and leave the endpoint idle.
 """
 
 from __future__ import annotations
@@ -11,55 +11,67 @@
 
 from .settings import Settings
 
-OVERLOAD_SHARE: Final = 0.5  # of the multiple of its capacity by which a warming endpoint is overloaded
-INITIAL_RATE_DIVISOR: Final = 4  # a warming endpoint's first rate: this part of the largest request a second
+# A warming endpoint gets at most this share of the load at which it is overloaded by the settings.
+OVERLOAD_SHARE: Final = 0.5
+# Before any endpoint has completed work, an endpoint is assumed to complete one largest request in this many
+# seconds.
+INITIAL_RATE_DIVISOR: Final = 4
 
 
 def warmth(now: int, started_ns: int, settings: Settings) -> float:
-    """From the settings' share at its start to 1 once it is warm; 1 where its start is long ago (0)."""
+    """Returns the warmth of an endpoint: from the configured share at its start up to 1 once it is warm.
+
+    A start time of 0 stands for a start long ago.
+    """
     age = (now - started_ns) / max(1, settings.slow_start_ns) if started_ns else 1.0
     return min(1.0, settings.slow_start_share + (1 - settings.slow_start_share) * max(0.0, age))
 
 
 def max_share(settings: Settings, peak_endpoint_rate: float, sent_per_s: float) -> float:
-    """Of all that is sent (units a second), the most that one warming endpoint may get from all gateways
-    together: a part of the multiple that the settings allow of what healthy warm ones were seen to work."""
+    """Returns the largest share of all sent units that one warming endpoint may get from all gateways.
+
+    It derives from the rate that healthy warm endpoints have reached, and from the multiple of it that the
+    settings allow.
+    """
     return OVERLOAD_SHARE * settings.slow_start_overload_multiple * peak_endpoint_rate / sent_per_s
 
 
-def cumulative_shares(warmths: list[float], healthy: float, most: float) -> list[float]:
-    """The share of all sends that is due to each warming endpoint, summed up: as much of a warm one's as it
-    is warm, but no more than `most`."""
-    return list(accumulate(w * min(1 / healthy, most) for w in warmths))
+def cumulative_shares(warmths: list[float], healthy: float, share_limit: float) -> list[float]:
+    """Returns cumulative sums of the shares of the warming endpoints.
+
+    The share of an endpoint is that of a warm one times its warmth, but at most `warmth * share_limit`.
+    """
+    return list(accumulate(endpoint_warmth * min(1 / healthy, share_limit) for endpoint_warmth in warmths))
 
 
 class SlowStart:
-    """Owner of the shares that are due to warming endpoints."""
+    """Shares of the warming endpoints in all attempts."""
 
     def __init__(self, settings: Settings) -> None:
-        """Starts without any warming endpoint."""
+        """Starts without warming endpoints."""
         self.settings = settings
-        self.cumulative_shares: list[float] = []  # of all sends, of each warming endpoint, summed up
-        self.max_share_multiple = 1.0  # so many times its due each may get at most
-        self.peak_endpoint_rate = (
-            0.0  # units a second that a warm one was seen to work for this gateway, at most
-        )
+        self.cumulative_shares: list[float] = []  # of all attempts; sums over the warming endpoints
+        self.max_share_multiple = 1.0  # an endpoint may get up to this multiple of its share
+        self.peak_endpoint_rate = 0.0  # highest rate, in units per second, of an endpoint for this gateway
 
     def warmth(self, now: int, started_ns: int) -> float:
-        """How far an endpoint is warmed up, above 0 to 1."""
+        """Returns how far an endpoint is warmed up, above 0 and at most 1."""
         return warmth(now, started_ns, self.settings)
 
-    def update(self, warmths: list[float], healthy: float, worked_per_s: float, sent_per_s: float) -> None:
-        """Takes the shares anew: `worked_per_s`: units that each endpoint completed for this gateway."""
+    def update(self, warmths: list[float], healthy: float, completed_per_s: float, sent_per_s: float) -> None:
+        """Computes the shares again.
+
+        `completed_per_s` is the rate at which each endpoint completed units for this gateway, `sent_per_s`
+        the rate of units that this gateway sends.
+        """
         settings = self.settings
-        least = (
-            settings.max_request_units / INITIAL_RATE_DIVISOR / settings.gateway_count
-        )  # where none was seen to work
-        self.peak_endpoint_rate = max(self.peak_endpoint_rate, worked_per_s, least)
-        most = max_share(settings, self.peak_endpoint_rate, max(1e-9, sent_per_s))
-        self.max_share_multiple = max(1.0, most * healthy)
-        self.cumulative_shares = self.compute_shares(warmths, healthy, most)
-
-    def compute_shares(self, warmths: list[float], healthy: float, most: float) -> list[float]:
-        """The share due to each warming endpoint, summed up."""
-        return cumulative_shares(warmths, healthy, most)
+        # This gateway's share of the rate that is assumed at first.
+        min_rate = settings.max_request_units / INITIAL_RATE_DIVISOR / settings.gateway_count
+        self.peak_endpoint_rate = max(self.peak_endpoint_rate, completed_per_s, min_rate)
+        share_limit = max_share(settings, self.peak_endpoint_rate, max(1e-9, sent_per_s))
+        self.max_share_multiple = max(1.0, share_limit * healthy)
+        self.cumulative_shares = self.compute_shares(warmths, healthy, share_limit)
+
+    def compute_shares(self, warmths: list[float], healthy: float, share_limit: float) -> list[float]:
+        """Returns cumulative sums of the shares of the warming endpoints."""
+        return cumulative_shares(warmths, healthy, share_limit)
