--- a/zincstile/decisions/load_balancing.py
+++ b/zincstile/decisions/load_balancing.py
@@ -95,7 +95,7 @@
         """Returns the best of the warm candidates and the best endpoint so far."""
         request = pending.request
         detector = self.detector
-        random_ = self.rng.random
+        draw = self.rng.random
         own_zone = self.settings.zone
         group = self.settings.pair(request.class_index, request.plan)
         excess_without_scores = -min(detector.baseline[request.class_index], detector.baseline[group])
@@ -109,7 +109,7 @@
             score = (endpoint.in_flight + 1) * endpoint.latency_ratio
             score = score * (1 + 2 * max(0.0, excess - IGNORED_EXCESS))
             zone_penalty = OTHER_ZONE_PENALTY if endpoint.entry.zone != own_zone else 0.0
-            score *= 1 + JITTER * random_() + zone_penalty
+            score *= 1 + JITTER * draw() + zone_penalty
             if excess >= OUTLIER_SCORE:
                 score += OUTLIER_PENALTY * excess
             if score < best_score and self.may_use(pending, endpoint):
--- a/zincstile/decisions/relay_queries.py
+++ b/zincstile/decisions/relay_queries.py
@@ -57,15 +57,15 @@
     # ---- `QuotaSource`
 
     def request_units(self, now: int, pending: PendingRequest) -> None:
-        """Queries the relay if the customer has one, and again after a timeout; otherwise decides here.
+        """Queries the relay if the customer has one, and again after a timeout; otherwise decides locally.
 
         No query is sent if its answer could not change the decision. This spares relays queries for customers
         with many requests, and queries during overload.
         """
         request = pending.request
         customer = pending.customer
-        is_lost = pending.relay_queries == MAX_QUERIES
-        if is_lost and now - self.peers.last_message.get(pending.relay, (0, 0))[1] > HEARTBEAT_NS:
+        out_of_queries = pending.relay_queries == MAX_QUERIES
+        if out_of_queries and now - self.peers.last_message.get(pending.relay, (0, 0))[1] > HEARTBEAT_NS:
             self.peers.unanswered_ns[pending.relay] = now
         self.ledger.refill(now, customer)
         age_ns = now - customer.relay_answer_ns
@@ -76,8 +76,8 @@
             and customer.relay_level + expected_rate * age_ns / SECOND_NS < request.units
         )
         over_budget = pending.draw >= self.budget.inside_quota[request.class_index][request.plan].rate
-        decides_here = is_empty or over_budget or is_lost or not customer.relayed
-        if decides_here or not self._query(now, pending):
+        decides_locally = is_empty or over_budget or out_of_queries or not customer.relayed
+        if decides_locally or not self._query(now, pending):
             self.decide(
                 now, pending, not is_empty and self.ledger.admits(customer, request.units), counted=False
             )
@@ -129,10 +129,10 @@
 
         Granted units leave the bucket at once, so that two gateways that ask together don't both get them.
         """
-        granted = self.ledger.admits(customer, query.want)
-        if granted:
+        is_granted = self.ledger.admits(customer, query.want)
+        if is_granted:
             customer.grant(peer, query, now, TOTAL_MODULUS)
-        want = query.want if granted else -query.want
+        want = query.want if is_granted else -query.want
         answer = CustomerUsage(query.customer, query.plan, 0.0, customer.level, 0, want, query.query_id, True)
         self.gossip.send(peer, [answer], with_estimates=True)
 
@@ -147,7 +147,7 @@
         customer.relay_level = answer.level
         customer.relay_answer_ns = now
         customer.query_id = answer.query_id
-        granted = answer.want > 0
-        if granted:  # the relay has already counted these units
+        is_granted = answer.want > 0
+        if is_granted:  # the relay has already counted these units
             customer.total = (customer.total + pending.request.units) % TOTAL_MODULUS
-        self.decide(now, pending, granted, counted=granted)
+        self.decide(now, pending, is_granted, counted=is_granted)
