--- a/zincstile/decisions/outlier_detection.py
+++ b/zincstile/decisions/outlier_detection.py
@@ -1,9 +1,9 @@
 """Outlier detection: error scores of endpoints by request class, and their decay.
 
 Scores range from 0 (good) to 1 (every attempt fails). They are kept by group: a request class, or a class and
-a plan together (`Settings.class_plan_index`). Each gateway reports its samples to its peers, so that the samples of many
-add up and outweigh those of a gateway with a bad network path. Latency is not reported: all gateways would
-send to whichever endpoint they agree is fastest (herding).
+a plan together (`Settings.class_plan_index`). Each gateway reports its samples to its peers, so that the
+samples of many add up and outweigh those of a gateway with a bad network path. Latency is not reported: all
+gateways would send to whichever endpoint they agree is fastest (herding).
 """
 
 from __future__ import annotations
