--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -192,11 +192,11 @@
 
 
 def test_every_part_of_the_decisions_that_keeps_state_has_its_row():
-    """Modules of `decisions` whose class calls itself an owner."""
+    """An owner is a class of `decisions` whose doc comment begins with "Owns "."""
     owners = set()
     for path in (PACKAGE / "decisions").glob("*.py"):
         for node in ast.walk(ast.parse(path.read_text(encoding="utf-8"))):
-            if isinstance(node, ast.ClassDef) and (ast.get_docstring(node) or "").startswith("Owner of"):
+            if isinstance(node, ast.ClassDef) and (ast.get_docstring(node) or "").startswith("Owns "):
                 owners.add(f"decisions/{path.stem}.{node.name}")
     listed = {name for row in rows(section("State")) for name in names_in(row[1])}
     assert owners and owners <= listed
--- a/zincstile/decisions/admission.py
+++ b/zincstile/decisions/admission.py
@@ -26,7 +26,7 @@
 
 
 class Admission:
-    """Admits or rejects new requests. Owns the retry budget."""
+    """Owns the retry budget; admits or rejects new requests."""
 
     def __init__(
         self,
--- a/zincstile/decisions/budget_split.py
+++ b/zincstile/decisions/budget_split.py
@@ -57,7 +57,7 @@
 
 
 class BudgetTree:
-    """Traffic groups in a tree: inside or beyond the quota, then by request class, then by plan."""
+    """Owns the tree of traffic groups: inside or beyond the quota, then by request class, then by plan."""
 
     def __init__(self, settings: Settings) -> None:
         """Creates one group per class and plan, inside and beyond the quota."""
--- a/zincstile/decisions/capacity.py
+++ b/zincstile/decisions/capacity.py
@@ -15,7 +15,7 @@
 
 
 class Capacity:
-    """Number of healthy endpoints. An outlier counts only for the request classes that it serves well."""
+    """Owns the number of healthy endpoints. An outlier counts only for the request classes it serves well."""
 
     def __init__(
         self,
--- a/zincstile/decisions/concurrency_limit.py
+++ b/zincstile/decisions/concurrency_limit.py
@@ -37,7 +37,7 @@
 
 
 class ConcurrencyLimit:
-    """The concurrency limit and the measurements behind it, which are also averaged with those of peers."""
+    """Owns the concurrency limit and the measurements behind it, which are also averaged with the peers'."""
 
     def __init__(self, settings: Settings, detector: OutlierDetector, latency: LatencyModel) -> None:
         """Starts without a limit."""
--- a/zincstile/decisions/endpoints.py
+++ b/zincstile/decisions/endpoints.py
@@ -112,7 +112,7 @@
 
 
 class EndpointRegistry:
-    """All listed endpoints by id, and lists of the warm and the warming ones among the ready."""
+    """Owns all listed endpoints by id, and the lists of the warm and the warming ones among the ready."""
 
     def __init__(self) -> None:
         """Starts empty."""
--- a/zincstile/decisions/gossip.py
+++ b/zincstile/decisions/gossip.py
@@ -27,7 +27,7 @@
 
 
 class Gossip:
-    """Collects changes of usage and sends them to the peers."""
+    """Owns the changes of usage that are still to be reported; collects them and sends them to the peers."""
 
     def __init__(
         self,
--- a/zincstile/decisions/latency.py
+++ b/zincstile/decisions/latency.py
@@ -20,7 +20,7 @@
 
 
 class LatencyModel:
-    """Latency of the fleet per unit, in nanoseconds by request class."""
+    """Owns the latency of the fleet per unit, in nanoseconds by request class."""
 
     def __init__(self, settings: Settings) -> None:
         """Starts from an estimate by the latency objectives."""
--- a/zincstile/decisions/outlier_detection.py
+++ b/zincstile/decisions/outlier_detection.py
@@ -58,7 +58,7 @@
 
 
 class OutlierDetector:
-    """Updates the error scores and latency ratios of endpoints, and the error rates of connections."""
+    """Owns and updates error scores and latency ratios of endpoints, and the error rates of connections."""
 
     def __init__(self, settings: Settings, endpoints: EndpointRegistry) -> None:
         """Starts without samples."""
--- a/zincstile/decisions/peers.py
+++ b/zincstile/decisions/peers.py
@@ -16,7 +16,7 @@
 
 
 class PeerTable:
-    """State of the peers."""
+    """Owns the state of the peers."""
 
     def __init__(self, settings: Settings) -> None:
         """Starts without messages. In a small tier all peers are direct ones."""
--- a/zincstile/decisions/quotas.py
+++ b/zincstile/decisions/quotas.py
@@ -29,7 +29,7 @@
 
 
 class QuotaLedger:
-    """Token buckets of the customers."""
+    """Owns the token buckets of the customers."""
 
     def __init__(self, settings: Settings, rng: random.Random, peers: PeerTable) -> None:
         """Starts without customers."""
--- a/zincstile/decisions/relay_queries.py
+++ b/zincstile/decisions/relay_queries.py
@@ -30,7 +30,7 @@
 
 
 class RelayedQuotas:
-    """Queries to relays, and the requests that wait for their answers."""
+    """Owns the queries to relays, and the requests that wait for their answers."""
 
     def __init__(
         self,
--- a/zincstile/decisions/slow_start.py
+++ b/zincstile/decisions/slow_start.py
@@ -45,7 +45,7 @@
 
 
 class SlowStart:
-    """Shares of the warming endpoints in all attempts."""
+    """Owns the shares of the warming endpoints in all attempts."""
 
     def __init__(self, settings: Settings) -> None:
         """Starts without warming endpoints."""
