--- a/zincstile/decisions/messages.py
+++ b/zincstile/decisions/messages.py
@@ -74,7 +74,7 @@
     cell: int
     state: EndpointState
     weight: float
-    started_ns: int  # 0: not known; long ago
+    started_ns: int  # 0: long ago
 
 
 @dataclass(slots=True)
@@ -230,8 +230,8 @@
     """Sends an attempt of a request to an endpoint, and gives it up at `give_up_ns`.
 
     `new_connection`: requires a connection that has carried no request before. `write_deadline_ns`, if above
-    0: the request must be written completely by then or not at all, as backends no longer recognize a
-    duplicate after that and would run it twice.
+    0: the request must be written completely by then or not at all. After that it would earn nothing or, as
+    the retry of a keyed request, run twice, because backends no longer recognize it as a duplicate.
     """
 
     request: int
--- a/zincstile/decisions/settings.py
+++ b/zincstile/decisions/settings.py
@@ -81,7 +81,7 @@
     hedges: bool = False  # a hedged request may be in flight beside the first attempt
     retry_after: bool = False  # clients comply with the time after which they may retry
     max_attempts: int = 1
-    max_retry_after_ns: int = 0
+    max_retry_after_ns: int = 0  # the longest such time that clients comply with
     gossip_in_per_s: float = 0.0  # messages per second that a gateway accepts from its peers
     max_request_units: float = 1.0
     settles_actual_units: bool = False  # the units that a request actually cost are known after its answer
