--- a/zincstile/decisions/deferred_admission.py
+++ b/zincstile/decisions/deferred_admission.py
@@ -80,7 +80,7 @@
     def request_units(self, now: int, pending: PendingRequest) -> None:
         """Admits or rejects a request, or has it wait for its units."""
         if not pending.plan.rate:
-            self.parts.relayed.request_units(now, pending)
+            self.parts.relayed_quotas.request_units(now, pending)
             return
         self.parts.ledger.refill(now, pending.customer)
         if self._at_max_in_flight(pending):
@@ -91,7 +91,7 @@
 
     def timer_fired(self, now: int, request_id: int, pending: PendingRequest | None) -> None:
         """Admits or rejects a request whose wait has ended."""
-        self.parts.relayed.forget_query(request_id)
+        self.parts.relayed_quotas.forget_query(request_id)
         if pending is not None and pending.group is None:
             self.request_units(now, pending)
 
--- a/zincstile/decisions/parts.py
+++ b/zincstile/decisions/parts.py
@@ -40,7 +40,7 @@
         self._make_estimates()
         self._make_tables(incarnation)
         self._make_deciders()
-        self.use_quotas(self.relayed)
+        self.use_quotas(self.relayed_quotas)
 
     def use_quotas(self, quotas: QuotaSource) -> None:
         """Has quotas enforced by this source from now on."""
@@ -91,7 +91,7 @@
             self.forwarder,
             self.balancer.choose,
         )
-        self.relayed = RelayedQuotas(
+        self.relayed_quotas = RelayedQuotas(
             settings,
             self.actions,
             self.peers,
@@ -114,6 +114,6 @@
             self.admission,
             self.retries,
         )
-        self.receiver = GossipReceiver(
-            settings, self.peers, self.ledger, self.gossip, self.relayed, self.detector, self.estimates
+        self.gossip_receiver = GossipReceiver(
+            settings, self.peers, self.ledger, self.gossip, self.relayed_quotas, self.detector, self.estimates
         )
--- a/zincstile/decisions/policy.py
+++ b/zincstile/decisions/policy.py
@@ -51,7 +51,7 @@
         self.handlers: dict[type, Callable[[int, Any], None]] = {
             AttemptOutcome: self.parts.outcomes.on_attempt_outcome,
             EndpointList: self.on_endpoint_list,
-            GossipReceived: self.parts.receiver.on_gossip_received,
+            GossipReceived: self.parts.gossip_receiver.on_gossip_received,
             Request: self.parts.admission.on_request,
             RequestAbandoned: self.on_request_abandoned,
             Started: self.on_started,
--- a/zincstile/leases/leased_units.py
+++ b/zincstile/leases/leased_units.py
@@ -53,7 +53,7 @@
         self.parts = parts
         parts.gossip.own_level = self.own_units
         parts.ledger.met = self.on_customer_met
-        parts.receiver.received = self.on_gossip_received
+        parts.gossip_receiver.received = self.on_gossip_received
 
     def start(self, now: int) -> None:
         """Opens the accounts: their token buckets fill from now on."""
--- a/zincstile/simulation/leftovers.py
+++ b/zincstile/simulation/leftovers.py
@@ -34,7 +34,7 @@
         "open request ids": len(gateway.listener.open_requests),
         "requests in the policy": len(parts.requests.pending),
         "attempts in the policy": len(parts.attempts.in_flight),
-        "relayed requests": len(parts.relayed.waiting),
+        "relayed requests": len(parts.relayed_quotas.waiting),
         "deferred admissions": len(parts.admission.quotas.waiting),
         "queued attempts": sum(len(backend.queued) for backend in pool.backends.values()),
         "ended client connections": _ended(gateway.listener.clients, process),
