--- a/tests/test_quota_service.py
+++ b/tests/test_quota_service.py
@@ -1,4 +1,4 @@
-"""Leases from a quota service that fails: no unit has two owners, and what is sent stays under the bound."""
+"""Leases from a quota service under failures: units have one owner, and overshoot stays within its bound."""
 
 from __future__ import annotations
 
@@ -28,11 +28,11 @@
 SETTINGS = QuotaServiceSettings()
 QUOTA = Quota("plus", 10.0, 30.0, 2, 3.0)
 START_NS = 3000 * SECOND_NS
-INTO_EPOCH_NS = 300 * MS_NS  # when the totals of the epochs before stand
+INTO_EPOCH_NS = 300 * MS_NS  # late enough in an epoch that the totals of earlier epochs are final
 
 
-class Setup:
-    """A quota service by hand, and gateways on it."""
+class Fleet:
+    """Gateways that use a quota service whose calls the test answers itself."""
 
     def __init__(self, gateways=2, quota=QUOTA, settings=SETTINGS):
         self.totals = {}
@@ -43,7 +43,7 @@
         self.accounts = [Accounts(settings, detector) for detector in self.detectors]
 
     def heartbeat(self):
-        """Every gateway's heartbeat, answered, and its message to the others."""
+        """Answers a heartbeat of each gateway, and delivers the gateways' messages to each other."""
         for detector in self.detectors:
             self.answer_heartbeat(detector)
         for sender in self.gateways:
@@ -53,18 +53,18 @@
                     self.detectors[other].peers.receive(self.now, message)
 
     def answer_heartbeat(self, detector, total=None):
-        """One gateway's heartbeat; `total`: the answer, where it isn't the counter's."""
+        """Answers one gateway's heartbeat with `total`; the default is the counter's new total."""
         due = detector.heartbeat_call(self.now)
         if total is None:
             total = self.totals[due.name] = self.totals.get(due.name, 0) + 1
         detector.heartbeat_answered(self.now, due.counter_number, total)
 
     def lose_service(self, gateway):
-        """As many heartbeats without an answer as it takes to lose the service."""
+        """Leaves heartbeats unanswered until the gateway considers the service lost."""
         for _ in range(SETTINGS.max_missed_heartbeats):
             self.detectors[gateway].heartbeat_answered(self.now, 0, None)
 
-    def pass_time(self, ms):
+    def advance(self, ms):
         end = self.now + ms * MS_NS
         while self.now < end:
             self.now = min(end, self.now + SETTINGS.heartbeat_interval_ns)
@@ -73,164 +73,164 @@
     def account(self, gateway, key=1):
         return self.accounts[gateway].account(key, self.quota, self.gateways, self.now)
 
-    def take(self, gateway, units=1.0):
+    def reserve(self, gateway, units=1.0):
         return self.accounts[gateway].reserve(self.now, self.account(gateway), units)
 
-    def add(self, call):
-        """Adds what a call asks for, and returns the total."""
+    def add_to_counter(self, call):
+        """Adds the amount of a call to its counter and returns the total."""
         self.totals[call.name] = self.totals.get(call.name, 0.0) + call.amount
         return self.totals[call.name]
 
-    def answer(self, gateway, *, lose=False):
-        """Carries out the gateway's calls until there are none; `lose`: they are added and not answered."""
+    def answer_calls(self, gateway, *, lose_answers=False):
+        """Executes the gateway's calls until there are none; with `lose_answers` they get no answer."""
         while calls := self.accounts[gateway].calls():
             for call in calls:
-                total = self.add(call)
-                call.on_answer(self.now, None if lose else total)
+                total = self.add_to_counter(call)
+                call.on_answer(self.now, None if lose_answers else total)
 
-    def burst(self, gateway, attempts=60, units=1.0):
-        """Units sent of so many attempts, each with one retry after an answer."""
+    def send_attempts(self, gateway, attempts=60, units=1.0):
+        """Makes attempts, each with one retry after the calls are answered; returns the units sent."""
         sent = 0.0
         for _ in range(attempts):
-            if not self.take(gateway, units):
-                self.answer(gateway)
-                if not self.take(gateway, units):
-                    self.answer(gateway)
+            if not self.reserve(gateway, units):
+                self.answer_calls(gateway)
+                if not self.reserve(gateway, units):
+                    self.answer_calls(gateway)
                     continue
             sent += units
-            self.answer(gateway)
+            self.answer_calls(gateway)
         return sent
 
-    def leased(self):
-        """The sum of all counters of leased units."""
+    def leased_units(self):
+        """Returns the sum of all counters of leased units."""
         return sum(total for name, total in self.totals.items() if ".q." in name)
 
 
 @pytest.fixture
-def setup():
-    made = Setup()
-    made.heartbeat()
-    made.pass_time(10_000)
-    made.now += INTO_EPOCH_NS
-    return made
+def fleet():
+    fleet = Fleet()
+    fleet.heartbeat()
+    fleet.advance(10_000)
+    fleet.now += INTO_EPOCH_NS
+    return fleet
 
 
-def test_two_gateways_together_get_what_one_may(setup):
-    both = setup.burst(0) + setup.burst(1)
+def test_two_gateways_together_send_no_more_than_the_quota(fleet):
+    sent = fleet.send_attempts(0) + fleet.send_attempts(1)
     carry = max_carry_units(QUOTA, SETTINGS)
-    assert 0.8 * carry < both <= carry + QUOTA.rate * 0.3 + 1e-6
-    more = sum(setup.burst(gateway) for gateway in setup.gateways)
-    assert more < 1.0  # nothing is left
+    assert 0.8 * carry < sent <= carry + QUOTA.rate * 0.3 + 1e-6
+    sent_later = sum(fleet.send_attempts(gateway) for gateway in fleet.gateways)
+    assert sent_later < 1.0  # the quota is used up
 
 
-def test_what_is_leased_for_an_attempt_that_goes_away_is_returned(setup):
-    assert not setup.take(0, 3.0)
-    for call in setup.accounts[0].calls():
-        call.on_answer(setup.now, setup.add(call))
-    setup.answer(0)  # there is no retry
-    assert setup.account(0).unspent_units <= setup.account(0).max_unspent_units + 1e-6
-    assert setup.leased() == pytest.approx(setup.account(0).unspent_units)
+def test_units_leased_for_an_attempt_that_is_not_retried_are_returned(fleet):
+    assert not fleet.reserve(0, 3.0)
+    for call in fleet.accounts[0].calls():
+        call.on_answer(fleet.now, fleet.add_to_counter(call))
+    fleet.answer_calls(0)  # without a retry of the attempt
+    assert fleet.account(0).unspent_units <= fleet.account(0).max_unspent_units + 1e-6
+    assert fleet.leased_units() == pytest.approx(fleet.account(0).unspent_units)
 
 
-def test_a_lease_that_is_not_answered_grants_nothing(setup):
-    setup.take(0)
-    setup.answer(0, lose=True)
-    assert setup.account(0).unspent_units == 0 and not setup.take(0)
-    setup.answer(0)
-    assert setup.take(0)  # the next, which is answered, does
+def test_an_unanswered_lease_grants_nothing(fleet):
+    fleet.reserve(0)
+    fleet.answer_calls(0, lose_answers=True)
+    assert fleet.account(0).unspent_units == 0 and not fleet.reserve(0)
+    fleet.answer_calls(0)
+    assert fleet.reserve(0)  # the next lease, which was answered, grants units
 
 
-def test_totals_are_never_less_than_what_was_granted(setup):
+def test_counter_totals_are_never_below_the_granted_units(fleet):
     for gateway in (0, 1, 0, 1, 1, 0):
-        setup.burst(gateway, attempts=9, units=2.0)
-        setup.now += 70 * MS_NS
-        counts = [accounts.counts for accounts in setup.accounts]
-        assert setup.leased() >= sum(c.granted_units - c.returned_units for c in counts) - 1e-6
-
-
-def test_a_lost_service_leaves_the_even_part_and_not_before_the_peers_know(setup):
-    setup.lose_service(0)
-    assert setup.detectors[0].state is ServiceState.LOST and not setup.take(0)
-    begins = setup.detectors[0].fallback_from_ns()
-    setup.now = begins - MS_NS
-    assert not setup.take(0)
-    # the other has stopped counting on it before it begins
-    assert not setup.detectors[1].peers.on_same_service(setup.now, 0)
-    setup.now = begins + SECOND_NS
-    sent = sum(setup.take(0, 0.5) for _ in range(99)) * 0.5
+        fleet.send_attempts(gateway, attempts=9, units=2.0)
+        fleet.now += 70 * MS_NS
+        counts = [accounts.counts for accounts in fleet.accounts]
+        assert fleet.leased_units() >= sum(c.granted_units - c.returned_units for c in counts) - 1e-6
+
+
+def test_a_gateway_falls_back_to_its_part_only_after_its_peers_stop_counting_it(fleet):
+    fleet.lose_service(0)
+    assert fleet.detectors[0].state is ServiceState.LOST and not fleet.reserve(0)
+    fallback_from_ns = fleet.detectors[0].fallback_from_ns()
+    fleet.now = fallback_from_ns - MS_NS
+    assert not fleet.reserve(0)
+    # the peer stopped counting this gateway before the fallback begins
+    assert not fleet.detectors[1].peers.on_same_service(fleet.now, 0)
+    fleet.now = fallback_from_ns + SECOND_NS
+    sent = sum(fleet.reserve(0, 0.5) for _ in range(99)) * 0.5
     assert 0 < sent <= QUOTA.rate / 2 * 1.3
 
 
-def test_what_was_sent_without_a_service_is_reported_to_it_once(setup):
-    detector = setup.detectors[0]
-    setup.lose_service(0)
-    setup.now += SETTINGS.fallback_delay_ns + 2 * SECOND_NS
-    setup.now -= setup.now % SETTINGS.epoch_ns - INTO_EPOCH_NS
-    assert setup.take(0, 2.0)
-    due = detector.heartbeat_call(setup.now)
-    setup.answer_heartbeat(detector, setup.totals.setdefault(due.name, 50) + 1)
-    assert detector.trusts_service and not setup.take(0, 1.0)
-    calls = setup.accounts[0].calls()
+def test_units_sent_without_a_service_are_reported_once_when_it_is_trusted_again(fleet):
+    detector = fleet.detectors[0]
+    fleet.lose_service(0)
+    fleet.now += SETTINGS.fallback_delay_ns + 2 * SECOND_NS
+    fleet.now -= fleet.now % SETTINGS.epoch_ns - INTO_EPOCH_NS
+    assert fleet.reserve(0, 2.0)
+    due = detector.heartbeat_call(fleet.now)
+    fleet.answer_heartbeat(detector, fleet.totals.setdefault(due.name, 50) + 1)
+    assert detector.trusts_service and not fleet.reserve(0, 1.0)
+    calls = fleet.accounts[0].calls()
     assert [call.amount for call in calls] == [2.0]
-    calls[0].on_answer(setup.now, 2.0)
-    setup.take(0, 1.0)
-    assert all(call.amount != 2.0 for call in setup.accounts[0].calls())
+    calls[0].on_answer(fleet.now, 2.0)
+    fleet.reserve(0, 1.0)
+    assert all(call.amount != 2.0 for call in fleet.accounts[0].calls())
 
 
-def test_a_report_of_units_that_is_not_answered_closes_the_epoch(setup):
-    epoch = setup.account(0).epoch(setup.now // SETTINGS.epoch_ns)
+def test_an_unanswered_report_of_units_closes_the_epoch(fleet):
+    epoch = fleet.account(0).epoch(fleet.now // SETTINGS.epoch_ns)
     epoch.unreported_units.append(2.0)
-    setup.take(0, 1.0)
-    setup.accounts[0].calls()[0].on_answer(setup.now, None)
-    assert epoch.closed and not setup.take(0, 1.0) and not setup.accounts[0].calls()
+    fleet.reserve(0, 1.0)
+    fleet.accounts[0].calls()[0].on_answer(fleet.now, None)
+    assert epoch.closed and not fleet.reserve(0, 1.0) and not fleet.accounts[0].calls()
 
 
-def test_a_service_that_forgot_is_detected_by_a_heartbeat_or_by_any_lease(setup):
-    detector, other = setup.detectors
-    setup.answer_heartbeat(detector, 1)
-    assert detector.state is ServiceState.NEW and not detector.may_lease(setup.now)
-    setup.burst(1, attempts=3)
-    setup.totals.clear()
+def test_lost_counters_are_detected_by_a_heartbeat_or_by_a_lease(fleet):
+    detector, other = fleet.detectors
+    fleet.answer_heartbeat(detector, 1)
+    assert detector.state is ServiceState.NEW and not detector.may_lease(fleet.now)
+    fleet.send_attempts(1, attempts=3)
+    fleet.totals.clear()
     assert other.state is ServiceState.TRUSTED
-    setup.burst(1, attempts=20)
+    fleet.send_attempts(1, attempts=20)
     assert other.state is ServiceState.NEW
-    assert setup.account(1).epochs[setup.now // SETTINGS.epoch_ns].closed
+    assert fleet.account(1).epochs[fleet.now // SETTINGS.epoch_ns].closed
 
 
-def test_the_same_total_given_twice_separates_two_gateways(setup):
-    detector, other = setup.detectors
-    assert detector.peers.on_same_service(setup.now, 1)
-    now = setup.now + 1
-    last_total = detector.peer_heartbeat(setup.now).totals[-1]
+def test_two_gateways_with_the_same_total_are_separated(fleet):
+    detector, other = fleet.detectors
+    assert detector.peers.on_same_service(fleet.now, 1)
+    now = fleet.now + 1
+    last_total = detector.peer_heartbeat(fleet.now).totals[-1]
     counter_number = other.peer_heartbeat(now).counter_number
     detector.peers.receive(now, PeerHeartbeat(1, now, True, counter_number, (last_total,)))
     assert not detector.peers.on_same_service(now, 1)
     assert detector.service_part(now, [0, 1]) == 0.5
 
 
-@pytest.mark.parametrize(("late_ms", "received"), [(0, True), (149, True), (170, False), (-30, False)])
-def test_a_message_that_took_too_long_is_dropped(late_ms, received):
+@pytest.mark.parametrize(("delay_ms", "accepted"), [(0, True), (149, True), (170, False), (-30, False)])
+def test_a_heartbeat_that_is_too_old_or_from_the_future_is_dropped(delay_ms, accepted):
     detector = FailureDetector(SETTINGS, 0, START_NS)
-    detector.peers.receive(START_NS, PeerHeartbeat(1, START_NS - late_ms * MS_NS, True, 0, ()))
-    assert detector.peers.on_same_service(START_NS, 1) is received
+    detector.peers.receive(START_NS, PeerHeartbeat(1, START_NS - delay_ms * MS_NS, True, 0, ()))
+    assert detector.peers.on_same_service(START_NS, 1) is accepted
 
 
 @pytest.mark.parametrize("failure", FAILURES)
 @pytest.mark.parametrize("seed", range(2))
-def test_a_trial_stays_under_its_bound(failure, seed):
+def test_the_overshoot_of_a_random_trial_is_within_the_bound(failure, seed):
     outcome = Trial(failure, seed).play()
     assert outcome.overshoot <= outcome.bound + 1e-6 and outcome.served > 0.4
 
 
-def test_without_separation_a_split_passes_its_bound(monkeypatch):
-    """That the trial can fail: a gateway that counts on every peer."""
+def test_a_split_exceeds_the_bound_if_gateways_count_every_peer(monkeypatch):
+    """Shows that the trial detects a fault: gateways that count every peer as on the same service."""
     monkeypatch.setattr(Peers, "on_same_service", lambda self, now, peer: True)
     monkeypatch.setattr(FailureDetector, "service_part_since", lambda self, now, gateways, since_ns: 1.0)
     outcomes = [Trial("split", seed).play() for seed in range(6)]
     assert any(o.overshoot > o.bound for o in outcomes)
 
 
-def test_bounds_grow_with_their_terms_and_name_what_dominates():
+def test_bounds_follow_the_settings_and_a_refusal_names_the_largest_term():
     assert [bound.failure for bound in overshoot_bounds(QUOTA, SETTINGS)] == list(FAILURES)
     assert all(
         bound.share <= SETTINGS.max_overshoot_ratio + 1e-9 for bound in overshoot_bounds(QUOTA, SETTINGS)
@@ -247,7 +247,7 @@
     assert units[Failure.SPLIT] > units[Failure.REPLACED] > units[Failure.UNREACHABLE]
 
 
-def test_failures_have_the_names_that_operators_write():
+def test_failures_have_the_names_used_in_operators_files():
     names = ("none", "gone", "slow", "calls lost", "gateway dead", "split", "swapped")
     assert tuple(str(failure) for failure in FAILURES) == names
 
@@ -268,25 +268,25 @@
         ),
     ],
 )
-def test_a_file_that_cannot_be_held_is_refused_in_one_line(text, error, tmp_path):
+def test_the_bound_command_rejects_an_invalid_file_with_a_one_line_error(text, error, tmp_path):
     (tmp_path / "k.yaml").write_text(text)
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "zincstile", "bound", str(tmp_path / "k.yaml")],
         cwd=ROOT,
         capture_output=True,
         text=True,
         timeout=60,
     )
-    assert done.returncode == 2 and error in done.stderr and len(done.stderr.splitlines()) == 1
+    assert completed.returncode == 2 and error in completed.stderr and len(completed.stderr.splitlines()) == 1
 
 
-# ---- whole gateways, on virtual time
+# ---- complete gateways, on virtual time
 
 
-def simulated(seed, *faults, **over):
-    """A run of whole gateways that hold their quotas through a quota service."""
-    usual = {"seed": seed, "keeper": True, "requests": 220, "last_ms": 5000, "faults": list(faults)}
-    return Run(Plan(**(usual | over)))
+def gateway_run(seed, *faults, **overrides):
+    """Returns a run of complete gateways that enforce their quotas through a quota service."""
+    defaults = {"seed": seed, "keeper": True, "requests": 220, "last_ms": 5000, "faults": list(faults)}
+    return Run(Plan(**(defaults | overrides)))
 
 
 @pytest.mark.parametrize(
@@ -302,8 +302,8 @@
     ],
     ids=lambda faults: "+".join(f.kind for f in faults) or "calm",
 )
-def test_whole_gateways_hold_quotas_and_all_rules_whatever_the_service_does(faults):
-    run = simulated(4, Fault("surge", 500, 3000, [], 8.0), *faults)
+def test_simulated_gateways_keep_quotas_and_all_rules_under_service_failures(faults):
+    run = gateway_run(4, Fault("surge", 500, 3000, [], 8.0), *faults)
     result = run.play()
     assert result.breach is None, f"{result.line()}: {result.breach.text}"
     assert result.tally["served"] > 40 and result.nearest["quota"] < 1
@@ -312,8 +312,8 @@
         assert node.gateway.counters.quota_service_calls > 20
 
 
-def test_gateways_that_trust_any_service_pass_the_stated_bound(monkeypatch):
-    """That the rule can break: leases are granted whatever the total is."""
+def test_the_quota_rule_is_violated_if_every_lease_is_granted(monkeypatch):
+    """Shows that the rule can be violated: leases are granted regardless of the total."""
 
     def grant_all(accounts, now, request, total):
         request.account.requested_units = 0.0
@@ -323,7 +323,7 @@
     rules = {
         run.breach.rule
         for run in (
-            simulated(seed, Fault("surge", 500, 4000, [], 8.0), requests=600, last_ms=9000).play()
+            gateway_run(seed, Fault("surge", 500, 4000, [], 8.0), requests=600, last_ms=9000).play()
             for seed in range(4)
         )
         if run.breach
@@ -331,13 +331,13 @@
     assert "quota" in rules
 
 
-def test_messages_survive_packing_and_damaged_ones_are_dropped():
+def test_heartbeats_are_decoded_as_encoded_and_damaged_ones_are_dropped():
     last_answer_ns = 1_799_999_999 * SECOND_NS
     message = PeerHeartbeat(2, 1_800_000_000 * SECOND_NS, True, 60_000_000, (7, 8, 2**32 - 1), last_answer_ns)
     data = codec.pack(message)
     assert codec.unpack(2, data) == message and len(data) <= 64
-    without = PeerHeartbeat(1, 5, False, -1, ())
-    assert codec.unpack(1, codec.pack(without)) == PeerHeartbeat(1, 5, False, 0, ())
+    without_totals = PeerHeartbeat(1, 5, False, -1, ())
+    assert codec.unpack(1, codec.pack(without_totals)) == PeerHeartbeat(1, 5, False, 0, ())
     for at in range(len(data)):
         assert codec.unpack(2, data[:at]) is None
         assert codec.unpack(2, data[:at] + bytes([data[at] ^ 4]) + data[at + 1 :]) is None
@@ -346,7 +346,7 @@
 
 @pytest.fixture
 def configuration(tmp_path):
-    """A gateway's configuration that names a feature file, and the file's path."""
+    """Returns a gateway's configuration that names a feature file, and the path of that file."""
     peers = ["127.0.0.1:3"] * 3
     table = traffic.configuration(Plan(seed=1), 0, "127.0.0.1:1", "127.0.0.1:2", peers, 1, {})
     assert config.read(dict(table), {}).quota_service is None
@@ -362,7 +362,7 @@
         ("keeper: {most_overshoot: 0.001}\n", "most of it by"),
     ],
 )
-def test_a_bad_feature_file_is_an_error_of_the_configuration(configuration, text, error):
+def test_an_invalid_feature_file_is_a_configuration_error(configuration, text, error):
     table, path = configuration
     path.write_text(text)
     with pytest.raises(config.ConfigError, match=error) as caught:
@@ -370,11 +370,11 @@
     assert str(path) in str(caught.value)
 
 
-def test_a_feature_file_is_read_at_load(configuration):
+def test_the_feature_file_is_read_with_the_configuration(configuration):
     table, path = configuration
     path.write_text("keeper: {most_overshoot: 0.1}\n")
-    found = config.read(dict(table), {})
-    assert found.quota_service.max_overshoot_ratio == 0.1
-    assert found.quota_service_address == ("127.0.0.1", 6400)
+    loaded = config.read(dict(table), {})
+    assert loaded.quota_service.max_overshoot_ratio == 0.1
+    assert loaded.quota_service_address == ("127.0.0.1", 6400)
     with pytest.raises(config.ConfigError, match="no counter"):
         config.read(table | {"counter": None}, {})
--- a/tests/test_quota_service_client.py
+++ b/tests/test_quota_service_client.py
@@ -1,4 +1,4 @@
-"""The quota service's client against its emulator, on virtual time: a call ends once and goes once."""
+"""The quota service's client with the emulated service: each call is sent at most once and ends once."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class Environment:
-    """One client and one service on a virtual network, and the totals that the client was answered."""
+    """One client and one quota service on a virtual network, with the answers that the client received."""
 
     def __init__(self, limits=None, **behaviour):
         self.scheduler = Scheduler(SECOND_NS)
@@ -67,7 +67,7 @@
     return Environment()
 
 
-def test_totals_come_in_the_order_of_the_calls_over_few_connections(environment):
+def test_totals_arrive_in_the_order_of_the_calls_over_few_connections(environment):
     environment.call(count=40)
     environment.run(45)
     totals = [total for total in environment.answers if total is not None]
@@ -77,27 +77,27 @@
     assert 1 <= len(environment.client.connections) <= Limits().quota_service_connections
 
 
-def test_a_call_times_out_after_50_ms_and_its_late_answer_leaves_the_next_in_order():
+def test_a_late_answer_to_a_timed_out_call_is_not_taken_for_the_answer_to_the_next():
     environment = Environment(calls_per_s=10.0, call_latency_s=0.1)
     environment.call(count=2)
     environment.run(60)
     assert environment.answers == [None, None] and environment.service.total("a") == 0
     environment.run(500)
-    assert environment.service.total("a") == 2  # both were added, and the caller knows of none
+    assert environment.service.total("a") == 2  # both amounts were added, although both calls timed out
     environment.service.call_latency_s = 0.001
     environment.call(amount=0.0)
     environment.run(100)
     assert environment.answers[2:] == [2.0]
 
 
-def test_a_service_that_refuses_ends_the_call_at_once(environment):
+def test_a_call_that_the_service_rejects_ends_at_once(environment):
     environment.service.open = False
     environment.call()
     environment.run(20)
     assert environment.answers == [None] and environment.service.total("a") == 0
 
 
-def test_a_malformed_answer_ends_its_connection_and_is_no_total(environment):
+def test_a_malformed_answer_closes_its_connection_and_gives_no_total(environment):
     environment.call()
     environment.run(60)
     first = list(environment.client.connections)
@@ -108,15 +108,19 @@
     environment.service.is_corrupt = lambda: False
     environment.call()
     environment.run(60)
-    assert environment.answers == [1.0, None, 3.0]  # the one with the malformed answer was added
+    assert environment.answers == [
+        1.0,
+        None,
+        3.0,
+    ]  # the amount of the call with the malformed answer was added
 
 
-@pytest.mark.parametrize("how", ["kill", "cut"])
-def test_a_service_that_vanishes_leaves_no_call_without_an_end(how):
+@pytest.mark.parametrize("failure", ["kill", "cut"])
+def test_every_call_ends_when_the_service_is_killed_or_unreachable(failure):
     environment = Environment(call_latency_s=0.02)
     environment.call(count=5)
     environment.run(10)
-    if how == "kill":
+    if failure == "kill":
         environment.process.kill()
     else:
         environment.network.isolate(environment.process.host)
@@ -127,13 +131,13 @@
     assert not environment.client.waiting and len(environment.dispatcher.deadlines) <= 2
 
 
-def test_a_stuck_connection_is_closed_and_the_next_call_gets_another(environment):
+def test_a_stuck_connection_is_closed_and_the_next_call_uses_a_new_one(environment):
     environment.call()
     environment.run(60)
     environment.network.isolate(environment.process.host)
     environment.call()
     environment.run(2000)
-    assert not environment.client.connections  # no answer for a second: of no use
+    assert not environment.client.connections  # closed after a second without an answer
     environment.network.reconnect(environment.process.host)
     environment.call(amount=0.0)
     environment.run(3000)
@@ -142,19 +146,19 @@
     assert environment.answers[-1] in (1.0, 2.0)
 
 
-def test_the_address_moves_and_connections_to_the_old_one_are_closed(environment):
+def test_after_a_change_of_address_connections_to_the_old_one_are_closed(environment):
     environment.call()
     environment.run(60)
-    other = Process(environment.network, "k2", "10.0.0.9")
-    moved = environment.start_service(other)
+    new_process = Process(environment.network, "k2", "10.0.0.9")
+    new_service = environment.start_service(new_process)
     environment.run(5)
-    environment.client.move((other.host, 80))
+    environment.client.move((new_process.host, 80))
     environment.call(amount=5.0)
     environment.run(100)
     assert environment.answers == [1.0, 5.0]
-    assert moved.total("a") == 5 and environment.service.total("a") == 1
+    assert new_service.total("a") == 5 and environment.service.total("a") == 1
     environment.run(1000)
-    assert [c.address for c in environment.client.connections] == [(other.host, 80)]
+    assert [connection.address for connection in environment.client.connections] == [(new_process.host, 80)]
 
 
 def test_idle_connections_are_closed_before_the_service_closes_them(environment):
@@ -165,7 +169,7 @@
     assert not environment.client.connections and environment.gateway.loop.unhandled_errors == []
 
 
-def test_more_calls_than_may_wait_are_not_made():
+def test_calls_beyond_the_waiting_limit_are_not_made():
     environment = Environment(Limits(quota_service_waiting=3))
     environment.call(count=10)
     environment.run(1)
@@ -178,12 +182,12 @@
     [("", 1.0), ("x" * 65, 1.0), ("ü", 1.0), ("a", float("nan")), ("a", 2e9)],
     ids=["no name", "long name", "not ascii", "not a number", "too much"],
 )
-def test_a_call_that_the_service_does_not_take_is_an_error(environment, name, amount):
+def test_an_invalid_call_raises_an_error(environment, name, amount):
     with pytest.raises(MalformedCallError, match="no such call"):
         environment.client.call(name, amount, 1000, print)
 
 
-def test_interim_answers_are_passed_over():
+def test_interim_responses_are_skipped():
     answers = http.PipelinedResponses(Limits())
     data = (
         b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n7"
