--- a/zincstile/quota_service/accounts.py
+++ b/zincstile/quota_service/accounts.py
@@ -20,7 +20,7 @@
 from .overshoot_bound import max_carry_units, max_lease_units
 from .settings import SECOND_NS, QuotaServiceSettings
 
-# After a lease was not granted in full, the gateway waits at least this long before it calls again: the
+# After a lease that was not granted in full, the gateway waits at least this long before it calls again: the
 # service allows few calls.
 MIN_EXHAUSTED_S: Final = 0.02
 # It waits no longer than this: this gateway's part or the carried units may have grown meanwhile.
@@ -62,7 +62,7 @@
         self._carry_over = CarryOver(settings, detector, self._make_call, self._on_counters_lost)
         self._calls: list[CounterCall] = []
         # epoch number of the last lease, by customer key, for customers granted one since the last `calls()`
-        self._granted: dict[int, int] = {}
+        self._granted_epochs: dict[int, int] = {}
         self._limits: dict[Quota, tuple[float, float]] = {}  # max_carry_units and max_unspent_units
 
     def account(self, key: int, quota: Quota, gateways: list[int], now: int) -> Account:
@@ -80,8 +80,8 @@
         The caller first retries the attempts that waited for an answer: units that are unspent after that,
         beyond `max_unspent_units`, are returned to the service.
         """
-        granted, self._granted = self._granted, {}
-        for key, number in granted.items():
+        granted_epochs, self._granted_epochs = self._granted_epochs, {}
+        for key, number in granted_epochs.items():
             account = self.accounts.get(key)
             if account is not None:
                 self._return_excess(account, number)
@@ -191,7 +191,7 @@
             return
         granted = self._granted_units(now, request, epoch, total)
         account.unspent_units += granted
-        self._granted[account.key] = number
+        self._granted_epochs[account.key] = number
         self.counts.granted_units += granted
         refused = amount - granted
         if refused > NEGLIGIBLE_UNITS:
@@ -217,8 +217,8 @@
         excess = account.unspent_units - account.max_unspent_units
         if excess > NEGLIGIBLE_UNITS:
             account.unspent_units -= excess
-            # They go to the counter of the epoch that they were leased in. The total of any other epoch would
-            # fall below what was added to it, which looks like a service that has lost its counters.
+            # The units go to the counter of the epoch that they were leased in. The total of another epoch
+            # would fall below what was added to it, which looks like a service that has lost its counters.
             self._return(account, number, account.epochs.get(number), excess)
 
     def _return(self, account: Account, number: int, epoch: Epoch | None, units: float) -> None:
@@ -237,7 +237,7 @@
             account.requested_units = 0.0
             epoch.unreported_units.clear()
             if total is None:
-                epoch.closed = True  # it may have been added or not
+                epoch.closed = True  # the amount may or may not have been added
                 return
             epoch.added_units += amount
             self.counts.reported_units += amount
