--- a/tests/test_quota_service_client.py
+++ b/tests/test_quota_service_client.py
@@ -108,11 +108,8 @@
     environment.service.is_corrupt = lambda: False
     environment.call()
     environment.run(60)
-    assert environment.answers == [
-        1.0,
-        None,
-        3.0,
-    ]  # the amount of the call with the malformed answer was added
+    # the amount of the call with the malformed answer was added
+    assert environment.answers == [1.0, None, 3.0]
 
 
 @pytest.mark.parametrize("failure", ["kill", "cut"])
