--- a/zincstile/zone_failover/agreement.py
+++ b/zincstile/zone_failover/agreement.py
@@ -1,7 +1,7 @@
-"""Agreement on zones, as one gateway takes part in it: its reports, the elections and the routing table.
+"""One gateway's participation in the agreement on zones: its reports, the elections and the routing table.
 
-No I/O and no clock. Messages come in by `receive` and go out by `take_messages`. The feature
-(`feature`) and the model of any number of gateways (`simulation/place_model`) build on it.
+No I/O and no clock. Messages come in by `receive` and go out by `take_messages`. Used by the policy feature
+(`feature`) and by the model of any number of gateways (`simulation/place_model`).
 """
 
 from __future__ import annotations
@@ -16,12 +16,14 @@
 from .zone_states import ZoneState, ZoneTracker
 from .zone_view import FAILED_RATIO, ZoneView
 
-REPORT_FAN_OUT: Final = 2  # gateways besides the leader that receive each report, for the next leader
-RENEWAL_NS_PER_GATEWAY: Final = 5_000_000  # a table is renewed to all within this long for each gateway
+# Number of gateways besides the leader that receive each report, so that the next leader has recent ones.
+REPORT_FAN_OUT: Final = 2
+# The renewal of an unchanged table is spread over this time for each gateway of the fleet.
+RENEWAL_NS_PER_GATEWAY: Final = 5_000_000
 
 
 class Agreement:
-    """One process of one gateway in the agreement on zones."""
+    """The participation of one gateway process in the agreement on zones."""
 
     def __init__(
         self,
@@ -33,10 +35,10 @@
         process: int,
         rng: random.Random,
     ) -> None:
-        """Takes the gateway's index, how many there are, and the index of its zone.
+        """Does not send anything before `start`.
 
-        `distance` holds the nanoseconds between zones by their indexes, `process` is a number that differs
-        between processes of a gateway, `rng` spreads over time what gateways send.
+        `distance` holds the nanoseconds between zones by their indexes. `process` is a number that differs
+        between processes of a gateway. `rng` spreads the messages of the gateways over time.
         """
         self.settings = settings
         self.gateway_index = gateway_index
@@ -47,33 +49,34 @@
         self.rng = rng
         self.view = ZoneView(settings, gateway_count, len(distance))
         self.trackers = [ZoneTracker(settings) for _ in distance]
-        self.terms: LeaderTerms | None = None  # from `start` on
+        self.terms: LeaderTerms | None = None  # None before `start`
         self.peers = [gateway for gateway in range(gateway_count) if gateway != gateway_index]
-        self.table_changes = 0  # of the routing weights
+        self.table_changes = 0  # routing tables so far whose weights differed from the previous ones
         self._report_number = 0
         self._reported_ns = 0
-        self._failed = [False] * len(distance)  # by zone, as it was found last
+        self._failed = [False] * len(distance)  # by zone: whether it failed at the last observation
         self._outbox: list[tuple[int, ZoneMessage]] = []
 
     def start(self, now: int) -> None:
-        """Begins to take part in elections; the first report follows at a random moment."""
+        """Begins to take part in elections; the first report follows after a random delay."""
         self.terms = LeaderTerms(
             self.settings, self.gateway_index, self.gateway_count, self.process, now, self.rng
         )
-        self._reported_ns = now - self.rng.randrange(self.view.report_interval_ns)  # else all report in step
+        # random, so that gateways do not report in step
+        self._reported_ns = now - self.rng.randrange(self.view.report_interval_ns)
 
     def table(self, now: int) -> RoutingTable | None:
-        """Returns the table that holds for this gateway, if any."""
+        """Returns the valid routing table, if this gateway has one."""
         return self.terms.current_table(now) if self.terms is not None else None
 
     def observe(self, now: int, demand: float, observations: list[ZoneObservation]) -> None:
-        """Takes what this gateway observes; to be called once each `beat_ns` of the settings.
+        """Processes this gateway's observations; has to be called once in each heartbeat interval.
 
         `demand` is in units a second, `observations` are by zone index.
         """
         self._report_number += 1
         table = self.table(now)
-        self._hasten_report(now, table, observations)
+        self._bring_report_forward(now, table, observations)
         report = ZoneReport(
             self.gateway_index,
             self.process,
@@ -91,20 +94,20 @@
         if now - self._reported_ns >= self.view.report_interval_ns:
             self._send_report(now, table, report)
 
-    def _hasten_report(
+    def _bring_report_forward(
         self, now: int, table: RoutingTable | None, observations: list[ZoneObservation]
     ) -> None:
-        """Makes the next report due soon where a zone fails that the table does not hold for lost.
+        """Brings the next report forward if a zone begins to fail that the table does not list as lost.
 
-        Soon is a random moment, apart from the other gateways that observe the same.
+        The report is sent after a short random delay, as other gateways observe the same failure.
         """
         failed = [
-            before if observation.failed_ratio < 0 else observation.failed_ratio >= FAILED_RATIO
-            for observation, before in zip(observations, self._failed, strict=True)
+            failed_before if observation.failed_ratio < 0 else observation.failed_ratio >= FAILED_RATIO
+            for observation, failed_before in zip(observations, self._failed, strict=True)
         ]
         newly_failed = any(
-            fails and not before and (table is None or table.states[zone] != ZoneState.LOST)
-            for zone, (fails, before) in enumerate(zip(failed, self._failed, strict=True))
+            fails and not failed_before and (table is None or table.states[zone] != ZoneState.LOST)
+            for zone, (fails, failed_before) in enumerate(zip(failed, self._failed, strict=True))
         )
         if newly_failed:
             interval_ns = self.view.report_interval_ns
@@ -125,10 +128,10 @@
         return self.rng.sample(candidates, min(REPORT_FAN_OUT, len(candidates)))
 
     def _propose(self, now: int) -> None:
-        """Proposes what holds from here on.
+        """Proposes a routing table from the current view of the zones, or renews the last one.
 
-        A new table goes to all gateways at once. One that is only renewed goes to some of them each time: the
-        datagrams to all of a fleet at one moment would overflow the path.
+        A new table is sent to all gateways at once. A renewal is sent to some of them at a time, as sending
+        to the whole fleet at one moment would overflow buffers on the network path.
         """
         zones = self.view.evaluate(now, self.trackers)
         last = self.terms.table
@@ -150,7 +153,7 @@
     def receive(self, now: int, sender: int, message: ZoneMessage) -> None:
         """Handles another gateway's message.
 
-        A table with another number of zones is of another configuration and is ignored.
+        A table with another number of zones comes from a gateway with another configuration and is ignored.
         """
         if not 0 <= sender < self.gateway_count or sender == self.gateway_index or self.terms is None:
             return
@@ -166,18 +169,18 @@
             self.terms.receive(now, sender, message)
 
     def _adopt_states(self, now: int, table: RoutingTable) -> None:
-        """Keeps the published states, so that the next leader goes on from them."""
+        """Takes over the published states, to continue from them if this gateway becomes the leader."""
         for tracker, number in zip(self.trackers, table.states, strict=True):
             if tracker.state != number and number in ZoneState._value2member_map_:
                 tracker.adopt(now, ZoneState(number))
 
     def override(self, zone: int, *, drained: bool, frozen: bool) -> None:
-        """Takes an operator's override of a zone, which travels with the reports and so holds everywhere."""
+        """Applies an operator's override of a zone. The reports carry it to all other gateways."""
         self.view.override(zone, drained=drained, frozen=frozen)
         self._reported_ns = 0
 
     def take_messages(self) -> list[tuple[int, ZoneMessage]]:
-        """Returns the messages to send since the last call, each with the gateway it is for."""
+        """Returns the messages to send that were added since the last call, each with its receiver."""
         messages = self._outbox
         self._outbox = []
         return messages + (self.terms.take_messages() if self.terms is not None else [])
--- a/zincstile/zone_failover/codec.py
+++ b/zincstile/zone_failover/codec.py
@@ -1,6 +1,6 @@
-"""Codec of the messages between gateways about zones: one datagram of at most 256 bytes each. No I/O.
+"""Encodes the messages between gateways about zones as datagrams of at most 256 bytes. No I/O.
 
-A datagram begins with a byte that no other kind of message between gateways begins with, and has a checksum.
+The first byte differs from that of all other message types between gateways. Each datagram has a checksum.
 """
 
 from __future__ import annotations
@@ -24,18 +24,17 @@
 from .routing_weights import WEIGHT_TOTAL
 from .settings import MAX_ZONES
 
-MAGIC: Final = 0xBD  # first byte of these datagrams
+MAGIC: Final = 0xBD  # first byte of each datagram
 VOTE_REQUEST: Final = struct.Struct("<II")  # term, process
 VOTE_REPLY: Final = struct.Struct("<IIB")  # term, process, granted
 TABLE: Final = struct.Struct("<IIHIHB")  # term, number, leader, process, age in 10 ms, zones
-REPORT: Final = struct.Struct(
-    "<HIIBIHIB"
-)  # origin, process, number, zone, demand, overrides, their number, zones
-OBSERVATION: Final = struct.Struct("<HHBI")  # ready, good, failed ratio, capacity
+# gateway, process, number, zone, demand, overrides, override number, zones
+REPORT: Final = struct.Struct("<HIIBIHIB")
+OBSERVATION: Final = struct.Struct("<HHBI")  # ready endpoints, healthy endpoints, failed ratio, capacity
 AGE_UNIT_NS: Final = 10_000_000
-STEPS_PER_UNIT: Final = 16  # demand, capacity and good endpoints travel in sixteenths
-RATIO_STEPS: Final = 254  # a ratio travels as 0 to 254 ...
-NOT_TRIED: Final = 255  # ... and this says that there is none
+STEPS_PER_UNIT: Final = 16  # demand, capacity and healthy endpoints are encoded in sixteenths
+RATIO_STEPS: Final = 254  # a ratio is encoded as 0 to 254
+NOT_TRIED: Final = 255  # encodes a ratio that is unknown, as no connection was tried
 U16_MAX: Final = 2**16 - 1
 U32_MAX: Final = 2**32 - 1
 
@@ -50,7 +49,7 @@
 
 
 def pack(message: ZoneMessage) -> bytes:
-    """Returns the message as one datagram."""
+    """Encodes a message as one datagram."""
     if isinstance(message, VoteRequest):
         kind = MessageKind.VOTE_REQUEST
         body = VOTE_REQUEST.pack(message.term, message.process)
@@ -67,13 +66,13 @@
 
 
 def unpack(data: bytes) -> ZoneMessage | None:
-    """Returns the message in a datagram; None where it is damaged or of another layout."""
+    """Decodes a datagram; returns None if it is damaged or has another layout."""
     return datagrams.decode(MAGIC, data, READERS)
 
 
 def _pack_table(table: RoutingTable) -> bytes:
     generation = table.generation
-    age = min(U16_MAX, -(-max(0, table.age_ns) // AGE_UNIT_NS))  # rounded up: never younger than it is
+    age = min(U16_MAX, -(-max(0, table.age_ns) // AGE_UNIT_NS))  # rounded up: must not appear newer
     head = TABLE.pack(
         generation.term,
         generation.number,
@@ -96,7 +95,7 @@
         report.override_number,
         len(report.observations),
     )
-    return head + b"".join(_pack_observation(one) for one in report.observations)
+    return head + b"".join(_pack_observation(observation) for observation in report.observations)
 
 
 def _pack_observation(observation: ZoneObservation) -> bytes:
@@ -112,7 +111,7 @@
 
 
 def _to_steps(value: float, infinite: int) -> int:
-    """A figure in steps; `infinite` stands for a figure without bound."""
+    """Converts a value to steps; `infinite` is the encoding of infinity."""
     if value == math.inf:
         return infinite
     return min(infinite - 1, max(0, int(value * STEPS_PER_UNIT)))
@@ -150,7 +149,10 @@
         number,
         zone,
         demand / STEPS_PER_UNIT,
-        tuple(_read_observation(body, REPORT.size + k * OBSERVATION.size) for k in range(zones)),
+        tuple(
+            _read_observation(body, REPORT.size + zone_index * OBSERVATION.size)
+            for zone_index in range(zones)
+        ),
         overrides,
         override_number,
     )
--- a/zincstile/zone_failover/events.py
+++ b/zincstile/zone_failover/events.py
@@ -1,4 +1,4 @@
-"""What zone failover adds to the events that a policy handles and to the actions that it returns."""
+"""Events and actions that zone failover adds to the policy."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(slots=True)
 class SendZoneMessage:
-    """An action: send a message to one peer."""
+    """Action: sends a message to one peer."""
 
     peer: int
     message: ZoneMessage
@@ -17,7 +17,7 @@
 
 @dataclass(slots=True)
 class ZoneMessageReceived:
-    """An event: a message of a peer has come."""
+    """Event: a message was received from a peer."""
 
     sender: int
     message: ZoneMessage
@@ -25,7 +25,7 @@
 
 @dataclass(slots=True)
 class ZoneOverridden:
-    """An event: an operator has a zone drained, or its state frozen; with neither, an override ends."""
+    """Event: an operator drains a zone or freezes its state; with neither flag, the override ends."""
 
     zone: int
     drained: bool = False
--- a/zincstile/zone_failover/feature.py
+++ b/zincstile/zone_failover/feature.py
@@ -1,10 +1,11 @@
-"""Routing by zones (`features.place`): before each choice of an endpoint, the zone it is chosen from.
-
-The agreed routing table says which part of this gateway's traffic goes to which zone; each first attempt
-draws its zone by that, and the policy chooses among that zone's endpoints as ever. A zone that fails here is
-left at once, whatever the table says. Without a table, and for what a zone here can't take, a gateway
-sends other zones at most its even part of `spill`: the sum over all gateways stays under that whatever each
-believes, so that a part of the fleet that receives nothing can't overload a zone.
+"""Routing by zones (`features.place`): chooses the zone of an attempt before the policy chooses an endpoint.
+
+The agreed routing table contains the share of this gateway's traffic for each zone. The zone of each first
+attempt is drawn by these shares, and the policy chooses among the endpoints of that zone as usual. A zone
+that fails from this gateway's view gets no more traffic at once, regardless of the table. Without a table,
+and for requests that no endpoint of the drawn zone can take, a gateway sends other zones at most an even
+share of `max_spill_ratio`. The sum over all gateways is thus bounded whatever their views are, so that
+gateways that are cut off from the others can't overload a zone.
 """
 
 from __future__ import annotations
@@ -30,36 +31,37 @@
 from .zone_health import ZoneHealth
 from .zone_states import UNUSABLE_STATES, ZoneState
 
-PROBE_INTERVAL_RATIO: Final = 0.5  # of `back`: a zone that is left is probed at least once within that time
-ANY_ZONE: Final = -1  # in place of a zone index
-UNNAMED_ZONE: Final = "?"  # the one more zone: of endpoints whose zone the settings don't name
+# Mean time between two probes of an unused zone, as a ratio of `recovery_ns`.
+PROBE_INTERVAL_RATIO: Final = 0.5
+ANY_ZONE: Final = -1  # used in place of a zone index
+UNNAMED_ZONE: Final = "?"  # stands for all zones of endpoints that the settings don't name
 
 
 @dataclass(slots=True)
 class AttemptCounts:
-    """Attempts since the start, by where they went."""
+    """Numbers of attempts since the start, by destination."""
 
     local: int = 0  # to this gateway's own zone
-    remote: int = 0  # to another
-    spilled: int = 0  # those of `remote` that no routing table sent there
-    unroutable: int = 0  # to none: the table leaves this part of the traffic without a zone
+    remote: int = 0  # to another zone
+    spilled: int = 0  # of the remote ones, those that were not sent by a routing table
+    unroutable: int = 0  # rejected, as the routing table has no zone for this share of the traffic
 
 
 class ZoneRoutingFeature:
-    """Owner of the choice of zones, and of this gateway's part in the agreement (`agreement`)."""
+    """Policy feature that chooses zones and takes part in the agreement on zones (`agreement`)."""
 
     def __init__(
         self, settings: Settings, seed: int, zone_settings: ZoneFailoverSettings, zones: list[str]
     ) -> None:
-        """Takes the seed of all random draws, and the names of the zones in the settings' order.
+        """`zones` are the names of the zones in the settings' order; `seed` is that of all random draws.
 
-        Endpoints of a zone that is not among them are of one more, `UNNAMED_ZONE`.
+        Endpoints of other zones are assigned to an additional zone, `UNNAMED_ZONE`.
         """
         self.settings = settings
         self.zone_settings = zone_settings
         self.zone_names = [*zones, UNNAMED_ZONE]
         self.zone_count = len(self.zone_names)
-        self.distance = zone_settings.distance_matrix(self.zone_names)  # between zones, by index
+        self.distance = zone_settings.distance_matrix(self.zone_names)  # between zones, by zone index
         self.rng = random.Random(f"place {seed}")
         self.own_zone = min(settings.zone, self.zone_count - 1)
         self.agreement = Agreement(
@@ -72,15 +74,15 @@
             self.rng,
         )
         self.spill_budgets = [SpillBudget() for _ in self.zone_names]
-        self.probe_due_ns = [0] * self.zone_count  # for a zone that is left
-        self.excluded_zones: list[bool] = []  # that a retry may not go to, while it is chosen; empty: none
-        self.target_zone = ANY_ZONE  # of the attempt that is chosen just now
+        self.probe_due_ns = [0] * self.zone_count  # by zone index; only for unused zones
+        self.excluded_zones: list[bool] = []  # by zone index, during the choice of a retry; empty: none
+        self.target_zone = ANY_ZONE  # zone of the attempt during the choice of its endpoint
         self.attempt_counts = AttemptCounts()
 
     # ---- the feature
 
     def attach(self, policy: Policy) -> None:
-        """Chooses the zone before each choice of an endpoint."""
+        """Installs the choice of a zone before each choice of an endpoint."""
         self.parts = policy.parts
         self.health = ZoneHealth(policy.parts, self.zone_count)
         self.capacity = ZoneCapacity(policy.parts, self.health)
@@ -95,21 +97,21 @@
         policy.handlers[ZoneOverridden] = self.on_zone_overridden
 
     def before_start(self, now: int) -> None:
-        """The agreement begins."""
+        """Starts to take part in the agreement."""
         self.agreement.start(now)
 
     def started(self, now: int) -> None:
-        """The first heartbeat, at a random moment: else all gateways send in step."""
+        """Schedules the first heartbeat at a random time, so that gateways do not send in step."""
         first_ns = now + self.rng.randrange(self.zone_settings.heartbeat_interval_ns)
         self.parts.actions.set_timer(first_ns, ZONE_HEARTBEAT_TOKEN)
 
     def state_inherited(self, now: int) -> None:
-        """Nothing is inherited: the table comes from the peers."""
+        """Nothing is inherited, as the table comes from peers."""
 
     def figures(self) -> dict[str, float]:
-        """Attempts by where they went, tables seen so far, and the leader term of the last.
+        """Returns attempts by destination, the number of table changes, and the last table's leader term.
 
-        Stored results have these keys.
+        Stored results contain these keys.
         """
         terms = self.agreement.terms
         term = terms.table.generation.term if terms is not None and terms.table is not None else 0
@@ -123,18 +125,18 @@
         }
 
     def describe(self, now: int) -> str:
-        """The routing table and what is seen of each zone, for operators."""
+        """Returns the description of the routing table and of each zone, for operators."""
         return describe_zones(now, self.zone_names, self.agreement, self.health)
 
     # ---- the agreement
 
     def on_message_received(self, now: int, event: ZoneMessageReceived) -> None:
-        """A message of a peer."""
+        """Handles a message of a peer."""
         self.agreement.receive(now, event.sender, event.message)
         self._send_messages()
 
     def on_zone_overridden(self, _: int, event: ZoneOverridden) -> None:
-        """An operator drains a zone, freezes its state, or ends both."""
+        """Applies an operator's override of a zone."""
         self.agreement.override(event.zone, drained=event.drained, frozen=event.frozen)
 
     def _heartbeat(self, now: int) -> None:
@@ -145,11 +147,11 @@
         self._send_messages()
 
     def _observation(self, zone: int, budget_per_s: float) -> ZoneObservation:
-        """What is reported of a zone; its capacity is the budget's part by healthy endpoints."""
+        """Returns the observation of a zone; its capacity is a share of the budget by healthy endpoints."""
         all_healthy = self.parts.capacity.healthy
         healthy = self.health.healthy[zone]
-        part = healthy / all_healthy if all_healthy else 0.0
-        capacity_per_s = budget_per_s * part if budget_per_s < math.inf else math.inf
+        share = healthy / all_healthy if all_healthy else 0.0
+        capacity_per_s = budget_per_s * share if budget_per_s < math.inf else math.inf
         failed_ratio = self.health.connections[zone].failed_ratio
         return ZoneObservation(self.health.ready[zone], healthy, failed_ratio, capacity_per_s)
 
@@ -161,10 +163,10 @@
     # ---- weights
 
     def on_classified(self, now: int) -> None:
-        """Counts the endpoints of each zone, and raises the first rates of those that are warming up.
+        """Counts the endpoints of each zone, and raises the initial traffic shares of warming endpoints.
 
-        A warming endpoint gets its part from the gateways alone that send to its zone, so each of these
-        compares it with the endpoints of the zones that it sends to.
+        A warming endpoint gets traffic only from gateways that send to its zone. So its share is relative to
+        the endpoints in the zones that this gateway sends to, instead of all endpoints.
         """
         self.health.count_endpoints(now)
         healthy = self.health.healthy
@@ -177,7 +179,7 @@
             slow_start.shares = [min(1.0, share * total / used) for share in slow_start.shares]
 
     def _weights(self, now: int) -> list[float]:
-        """The part of this gateway's traffic for each zone; 0 for one that fails here."""
+        """Returns the share of this gateway's traffic for each zone; 0 for a zone that fails in its view."""
         is_failing = self.health.is_failing
         table = self.agreement.table(now)
         if table is not None:
@@ -187,7 +189,7 @@
         return [float(own_usable) if zone == self.own_zone else 0.0 for zone in range(self.zone_count)]
 
     def _draw_zone(self, now: int) -> int:
-        """A zone by the weights; `ANY_ZONE` where they leave a part of the traffic without a zone."""
+        """Draws a zone by the weights; `ANY_ZONE` for the share of the traffic that has no zone."""
         draw = self.rng.random()
         for zone, weight in enumerate(self._weights(now)):
             draw -= weight
@@ -198,14 +200,14 @@
     # ---- the choice
 
     def accepts(self, endpoint: Endpoint) -> bool:
-        """The endpoint is of a zone that the attempt may go to."""
+        """Returns whether the endpoint is in a zone that the attempt may go to."""
         zone = self.health.zone_of(endpoint)
         if self.target_zone not in (ANY_ZONE, zone):
             return False
         return not (self.excluded_zones and self.excluded_zones[zone])
 
     def choose(self, now: int, pending: PendingRequest) -> Endpoint | None:
-        """The endpoint of the next attempt, in the zone that the weights draw."""
+        """Chooses the endpoint of the next attempt, in a zone that is drawn by the weights."""
         idempotent = pending.request_class.idempotency is Idempotency.ALWAYS
         if pending.may_have_run_at is not None and pending.tried:
             return self._choose_retry(now, pending, idempotent=idempotent)
@@ -221,7 +223,7 @@
         return self._choose_spilled(now, pending, zone)
 
     def _choose_retry(self, now: int, pending: PendingRequest, *, idempotent: bool) -> Endpoint | None:
-        """The endpoint of a retry: the scope in which its repeats are dropped says where it may go."""
+        """Chooses the endpoint of a retry, within the deduplication scope of its class."""
         table = self.agreement.table(now)
         if idempotent and table is not None:
             self.excluded_zones = [state in UNUSABLE_STATES for state in table.states]
@@ -231,13 +233,13 @@
             self.excluded_zones = []
 
     def _choose_probe(self, now: int, pending: PendingRequest) -> Endpoint | None:
-        """An endpoint of a zone that is left and due for a probe.
+        """Chooses an endpoint of an unused zone that is due for a probe, if there is one.
 
-        Now and then such a zone gets one request that may be repeated elsewhere: else nobody would ever know
-        that it is back. The times are random, so that the probes of a fleet are apart.
+        Without probes no gateway would notice that the zone is back. Only requests that may be repeated
+        elsewhere are used. The times are random, so that the gateways of a fleet do not probe in step.
         """
         for zone in range(self.zone_count):
-            if now < self.probe_due_ns[zone] or not self.health.ready[zone] or not self._is_left(now, zone):
+            if now < self.probe_due_ns[zone] or not self.health.ready[zone] or not self._is_unused(now, zone):
                 continue
             wait_ns = self.zone_settings.recovery_ns * PROBE_INTERVAL_RATIO * (0.5 + self.rng.random())
             self.probe_due_ns[zone] = now + int(wait_ns)
@@ -247,13 +249,13 @@
                 return endpoint
         return None
 
-    def _is_left(self, now: int, zone: int) -> bool:
-        """Nothing is sent to the zone, because it is lost or fails here."""
+    def _is_unused(self, now: int, zone: int) -> bool:
+        """Returns whether the zone gets no traffic because it is lost or fails from this gateway's view."""
         table = self.agreement.table(now)
         if table is not None:
             state = table.states[zone]
-            own_unused = zone == self.own_zone and not table.weights[zone][zone]
-            if state == ZoneState.LOST or (state != ZoneState.DRAINING and own_unused):
+            own_zone_unused = zone == self.own_zone and not table.weights[zone][zone]
+            if state == ZoneState.LOST or (state != ZoneState.DRAINING and own_zone_unused):
                 return True
         return self.health.is_failing(zone)
 
@@ -265,9 +267,9 @@
             self.target_zone = ANY_ZONE
 
     def _choose_spilled(self, now: int, pending: PendingRequest, tried_zone: int) -> Endpoint | None:
-        """An endpoint of the nearest zone that has something left of what it may be sent without a table.
+        """Chooses an endpoint in the nearest zone with spill budget left.
 
-        Where the table leaves a part of the traffic without a zone, that part is rejected.
+        Returns None for the share of the traffic that the table leaves without a zone: it is rejected.
         """
         table = self.agreement.table(now)
         failing = [zone for zone in range(self.zone_count) if self.health.is_failing(zone)]
@@ -279,7 +281,7 @@
                 continue
             if table is not None and table.states[zone] in UNUSABLE_STATES:
                 continue
-            if zone != self.own_zone and not self._take_spill(now, zone, pending.request.units):
+            if zone != self.own_zone and not self._spend_spill_budget(now, zone, pending.request.units):
                 continue
             endpoint = self._choose_within(now, pending, zone)
             if endpoint is not None:
@@ -289,14 +291,14 @@
         return None
 
     def _by_distance(self) -> list[int]:
-        """All zones, the nearest first; those at the same distance in random order."""
+        """Returns all zones, the nearest first; zones at the same distance are in random order."""
         distance = self.distance[self.own_zone]
         return sorted(range(self.zone_count), key=lambda zone: (distance[zone], self.rng.random()))
 
-    def _take_spill(self, now: int, zone: int, units: float) -> bool:
-        """Takes the units from this gateway's even part of what the zone may be sent without a table."""
+    def _spend_spill_budget(self, now: int, zone: int, units: float) -> bool:
+        """Takes the units from this gateway's even share of the zone's spill; returns whether it could."""
         fleet_rate = self.zone_settings.max_spill_ratio * self.capacity.capacity_per_s(zone)
-        return self.spill_budgets[zone].take(now, fleet_rate / self.settings.gateway_count, units)
+        return self.spill_budgets[zone].try_spend(now, fleet_rate / self.settings.gateway_count, units)
 
     def _count_attempt(self, zone: int) -> None:
         if zone == self.own_zone:
--- a/zincstile/zone_failover/leader_terms.py
+++ b/zincstile/zone_failover/leader_terms.py
@@ -1,19 +1,20 @@
-"""Leader terms: which gateway may propose a routing table, and which table holds. No I/O and no clock.
-
-A fixed set of gateways, the same wherever it is computed (rendezvous hashing), are electors. A candidate
-requests votes for a term. An elector grants its vote to one candidate at a time, for `term` from when it
-granted it, and to no other before that is over. Who has the votes of more than half of all electors leads the
-term until `term` after it *requested* them, which is before any vote was granted: so at any moment there is
-at most one leader. Each process compares spans of its own clock alone.
-
-Votes are counted by elector, for one term and one process. An elector that starts has forgotten what it
-promised, and grants no vote for a whole `term`. Each table has a generation: term, leader, the leader's
-process, and a number. All tables of a term come from one process, so that no two of one generation differ.
-The newest generation holds, in whatever order tables arrive. A table that nobody renewed for `hold` ends, and
-each gateway falls back to its configured part of the spill (`module`).
-
-A leader that was suspended looks at its clock before it proposes: its term is over. What it had sent before
-that is of an older generation by then, or still the newest: the same for all in either case.
+"""Leader terms: which gateway may propose a routing table, and which table is valid. No I/O and no clock.
+
+A fixed set of gateways, which every gateway computes alike by rendezvous hashing, are the electors. A
+candidate requests votes for a term. An elector that grants its vote to a candidate does not vote for another
+one for `term_ns` from then on. A candidate with the votes of a majority of all electors is the leader until
+`term_ns` after it *requested* the votes. As that is before any vote was granted, there is at most one leader
+at any time. Each process only compares time spans on its own clock.
+
+Votes are counted by elector, for one term and one process. An elector that restarts has lost the record of
+the vote that it granted, so it grants none for one `term_ns`. Each table has a generation: term, number,
+leader and the leader's process. All tables of a term come from one process, so tables of the same generation
+are equal. The newest generation is valid, regardless of the order in which tables arrive. A table that has
+not been renewed for `table_lifetime_ns` is no longer valid, and each gateway falls back to its share of the
+spill (`feature`).
+
+A leader that was suspended checks its clock before it proposes, and finds that its term is over. A table that
+it sent earlier is either of an older generation by then or still the newest one, the same for all gateways.
 """
 
 from __future__ import annotations
@@ -25,20 +26,21 @@
 from .messages import Generation, LeaderMessage, RoutingTable, VoteReply, VoteRequest
 from .settings import ZoneFailoverSettings
 
-RENEWAL_GRACE: Final = 3  # report intervals without a renewed table after which electors stand for a term
+# Electors request votes when the table has not been renewed for this many heartbeat intervals.
+RENEWAL_GRACE: Final = 3
 U64: Final = 2**64
 
 
 def select_electors(gateway_count: int, limit: int) -> list[int]:
-    """Returns the gateways that elect the leader, at most `limit`, in the order in which they stand for it.
+    """Returns the gateways that elect the leader, at most `limit`, in the order of their candidacy.
 
-    The same everywhere for the same number of gateways.
+    All gateways get the same result for the same number of gateways.
     """
     return sorted(range(gateway_count), key=_mix)[:limit]
 
 
 def _mix(value: int) -> int:
-    """SplitMix64 (Steele, Lea, Flood 2014)."""
+    """Hashes a number with SplitMix64 (Steele, Lea, Flood 2014)."""
     value = (value + 1) * 0x9E3779B97F4A7C15 % U64
     value = (value ^ value >> 30) * 0xBF58476D1CE4E5B9 % U64
     value = (value ^ value >> 27) * 0x94D049BB133111EB % U64
@@ -47,26 +49,26 @@
 
 @dataclass(slots=True)
 class GrantedVote:
-    """The vote that this elector granted last."""
+    """The latest vote that this elector granted."""
 
     term: int
     candidate: int
     process: int  # of the candidate
-    binding_until_ns: int  # it binds the elector until then
+    binding_until_ns: int  # until then the elector may not vote for another candidate
 
 
 @dataclass(slots=True)
 class Candidacy:
-    """A term for which this gateway requested votes."""
+    """This gateway's candidacy for one term."""
 
     term: int
     requested_ns: int
     votes: dict[int, None] = field(default_factory=dict)  # electors, in the order of their replies
-    proposed_tables: int = 0  # proposed in the term
+    proposed_tables: int = 0  # number of tables proposed in the term
 
 
 class LeaderTerms:
-    """Elections and routing tables, as one process of one gateway takes part in them."""
+    """The participation of one gateway process in elections and in the distribution of routing tables."""
 
     def __init__(
         self,
@@ -77,27 +79,28 @@
         now: int,
         rng: random.Random,
     ) -> None:
-        """Takes the gateway's index and how many there are; `process` differs between its processes."""
+        """`process` is a number that differs between the processes of a gateway."""
         self.settings = settings
         self.gateway_index = gateway_index
         self.process = process
         self.rng = rng
         self.electors = select_electors(gateway_count, settings.max_electors)
         self.majority = len(self.electors) // 2 + 1
-        self.latest_term = 0  # that this gateway knows of
+        self.latest_term = 0  # latest term that this gateway knows of
         self.granted_vote: GrantedVote | None = None
-        self.no_vote_before_ns = now + settings.term_ns  # until then a vote of the process before may bind it
+        # until then, a vote that the previous process granted may still be binding
+        self.no_vote_before_ns = now + settings.term_ns
         self.candidacy: Candidacy | None = None
         self.renewal: Candidacy | None = None  # for the next term, while this gateway leads the current one
         self.table: RoutingTable | None = None
-        self.table_renewed_ns = 0  # when the table was made or renewed at the latest, by this process's clock
+        self.table_renewed_ns = 0  # when the table was last proposed or renewed, on this process's clock
         self.next_request_ns = now + rng.randrange(settings.term_ns) + settings.term_ns
         self._outbox: list[tuple[int, LeaderMessage]] = []
 
     # ---- proposing
 
     def is_leader(self, now: int) -> bool:
-        """Returns whether enough electors granted their votes to this gateway and its term still runs."""
+        """Returns whether this gateway has the votes of a majority and its term has not ended."""
         candidacy = self.candidacy
         return (
             candidacy is not None
@@ -106,10 +109,11 @@
         )
 
     def update(self, now: int, reporting: set[int]) -> None:
-        """Requests votes where it is time to; to be called once each report interval.
+        """Requests votes when due; has to be called once in each heartbeat interval.
 
-        A leader renews its term in time. Without a renewed table, the first elector of those whose reports
-        arrive (`reporting`) requests votes, and the others half a term later.
+        A leader requests votes for the next term after half of its term. If the table is not renewed, the
+        first elector among the gateways whose reports arrive (`reporting`) requests votes; the others do so
+        half a term later.
         """
         if self.gateway_index not in self.electors:
             return
@@ -118,7 +122,7 @@
                 self._request_votes(now)
             return
         first = next(
-            (one for one in self.electors if one == self.gateway_index or one in reporting),
+            (elector for elector in self.electors if elector == self.gateway_index or elector in reporting),
             self.gateway_index,
         )
         renewed = (
@@ -136,7 +140,7 @@
         if self._may_grant(now, self.gateway_index, self.process, candidacy.term):
             self._grant(now, self.gateway_index, self.process, candidacy.term)
             candidacy.votes[self.gateway_index] = None
-        if leads:  # it goes on with the current term until the votes for the next arrive, or the term ends
+        if leads:  # the current term continues until the votes for the next one arrive or it ends
             self.renewal = candidacy
         else:
             self.candidacy = candidacy
@@ -146,7 +150,7 @@
         self._complete_renewal()
 
     def _complete_renewal(self) -> None:
-        """Replaces the current term by the next one, once that has the votes."""
+        """Replaces the current term by the next one once that has a majority."""
         if self.renewal is not None and len(self.renewal.votes) >= self.majority:
             self.candidacy = self.renewal
             self.renewal = None
@@ -154,9 +158,9 @@
     def propose(
         self, now: int, weights: tuple[tuple[int, ...], ...], states: tuple[int, ...]
     ) -> RoutingTable | None:
-        """Returns a table of this term; None where this gateway is not the leader.
+        """Returns a table of this term, or None if this gateway is not the leader.
 
-        Weights and states equal to those of the last table of the term renew that table.
+        If weights and states equal those of the term's last table, that table is renewed.
         """
         if not self.is_leader(now):
             return None
@@ -171,7 +175,7 @@
         return table
 
     def _is_mine(self, table: RoutingTable) -> bool:
-        """Whether this process proposed a table in its current term."""
+        """Returns whether this process proposed the table in its current term."""
         generation = table.generation
         return (
             generation.term == self.candidacy.term
@@ -182,7 +186,7 @@
     # ---- messages
 
     def receive(self, now: int, sender: int, message: LeaderMessage) -> bool:
-        """Handles another gateway's message; returns True where a newer table holds by it."""
+        """Handles another gateway's message; returns True if it is a newer table than the current one."""
         if isinstance(message, VoteRequest):
             self._reply(now, sender, message)
         elif isinstance(message, VoteReply):
@@ -192,7 +196,7 @@
         return False
 
     def take_messages(self) -> list[tuple[int, LeaderMessage]]:
-        """Returns the messages to send since the last call, each with the gateway it is for."""
+        """Returns the messages to send that were added since the last call, each with its receiver."""
         messages = self._outbox
         self._outbox = []
         return messages
@@ -226,7 +230,7 @@
         self.latest_term = max(self.latest_term, reply.term)
         for candidacy in (self.candidacy, self.renewal):
             if reply.granted and candidacy is not None and candidacy.term == reply.term:
-                candidacy.votes[sender] = None  # by elector: a duplicated reply counts once
+                candidacy.votes[sender] = None  # keyed by elector, so that a duplicated reply counts once
         self._complete_renewal()
 
     def _adopt(self, now: int, table: RoutingTable) -> bool:
@@ -241,7 +245,7 @@
         return True
 
     def current_table(self, now: int) -> RoutingTable | None:
-        """Returns the table that holds; None where none was renewed for `hold`."""
+        """Returns the valid table; None if it has not been renewed for `table_lifetime_ns`."""
         if self.table is None or now - self.table_renewed_ns >= self.settings.table_lifetime_ns:
             return None
         return self.table
--- a/zincstile/zone_failover/routing_weights.py
+++ b/zincstile/zone_failover/routing_weights.py
@@ -1,9 +1,9 @@
-"""Routing weights: which part of each zone's traffic goes to which zone, from one view of the zones.
+"""Computes routing weights: the share of each zone's traffic that goes to each zone.
 
-A zone serves its own traffic first, up to its capacity. What it can't serve goes to the nearest zones with
-free capacity, in proportion to that where several are equally near, and never uses a zone's headroom. Demand
-that is left over is routed nowhere: the gateways' budgets reject it by priority weight. The functions are
-deterministic: equal views give equal weights, whichever gateway computes them.
+A zone serves its own traffic first, up to its capacity. Traffic beyond that goes to the nearest zones with
+free capacity, in proportion to their free capacity if several are equally near. It never uses a zone's
+headroom. Demand that exceeds all capacity is not routed: the gateways' budgets reject it by priority weight.
+The functions are deterministic, so that all gateways compute the same weights from the same view.
 """
 
 from __future__ import annotations
@@ -13,9 +13,9 @@
 from dataclasses import dataclass
 from typing import Final
 
-WEIGHT_TOTAL: Final = 250  # a weight is a whole number of these parts: it travels as one byte
-NEGLIGIBLE_RATE: Final = 1e-9  # units a second; what is left below this is a rounding error of floats
-ROUNDING_MARGIN: Final = 1e-6  # added before a weight is rounded down, for the same reason
+WEIGHT_TOTAL: Final = 250  # weights that add up to this are all of the traffic; a weight is sent as one byte
+NEGLIGIBLE_RATE: Final = 1e-9  # units a second; a smaller remainder is a floating-point rounding error
+ROUNDING_MARGIN: Final = 1e-6  # added before a weight is rounded down, against floating-point rounding errors
 
 Matrix = Sequence[Sequence[float]]
 Weights = Sequence[Sequence[int]]
@@ -23,23 +23,23 @@
 
 @dataclass(frozen=True, slots=True)
 class ZoneLoad:
-    """What is known of one zone. Rates are in units a second."""
+    """Demand, capacity and health of one zone. Rates are in units a second."""
 
-    demand: float  # asked of the zone's gateways
-    capacity: float  # what the zone's endpoints bear; inf where no bound was seen
-    healthy_endpoints: float  # endpoints that serve well
-    usable_ratio: float = 1.0  # of the capacity; below 1 while the zone returns
-    accepts_traffic: bool = True  # traffic may be routed to it
-    reachable_from: tuple[bool, ...] = ()  # by zone: whether that zone's gateways reach its endpoints
+    demand: float  # rate of the requests to the zone's gateways
+    capacity: float  # rate that the zone's endpoints can serve; infinite while no bound is known
+    healthy_endpoints: float  # number of healthy endpoints, as in `messages.ZoneObservation`
+    usable_ratio: float = 1.0  # ratio of the capacity that may be used; below 1 while the zone returns
+    accepts_traffic: bool = True  # whether traffic may be routed to the zone
+    reachable_from: tuple[bool, ...] = ()  # by zone: whether that zone's gateways reach the endpoints here
 
     @property
     def usable(self) -> float:
-        """Units a second that may be routed to the zone, its headroom included."""
+        """The rate that may be routed to the zone, including its headroom."""
         return self.capacity * self.usable_ratio if self.healthy_endpoints > 0 else 0.0
 
 
 class _Routes:
-    """Units a second routed from zone to zone, while they are being worked out."""
+    """Rates in units a second from zone to zone, filled in step by step by `route`."""
 
     def __init__(self, zones: Sequence[ZoneLoad], distance: Sequence[Sequence[int]], headroom: float) -> None:
         self.zones = zones
@@ -58,7 +58,7 @@
                 self.used[index] = local
 
     def spill_to(self, ring: int) -> None:
-        """Routes what is left to the zones at exactly this distance, until all is routed or they are full."""
+        """Routes the remaining demand to zones at this distance, until it is routed or the zones are full."""
         count = len(self.zones)
         for _ in range(count * count):
             offers = [self._offer(origin, ring) for origin in range(count)]
@@ -68,14 +68,14 @@
                 self._accept(target, offers)
 
     def _offer(self, origin: int, ring: int) -> list[float]:
-        """What a zone has left, split among the targets at this distance."""
+        """Splits the remaining demand of a zone among the targets at this distance."""
         offer = [0.0] * len(self.zones)
         left = self.zones[origin].demand - sum(self.sent[origin])
         if left <= NEGLIGIBLE_RATE:
             return offer
         targets = [target for target in range(len(self.zones)) if self._may_receive(origin, target, ring)]
         free = {target: self._free(target) for target in targets}
-        # by free capacity where that is known of all, else by good endpoints
+        # in proportion to free capacity if that is known of all targets, otherwise to healthy endpoints
         known = all(capacity < math.inf for capacity in free.values())
         shares = free if known else {target: self.zones[target].healthy_endpoints for target in targets}
         total = sum(shares.values())
@@ -95,7 +95,7 @@
         )
 
     def _accept(self, target: int, offers: list[list[float]]) -> None:
-        """Takes the offers to one zone, all in the same proportion where they are more than it has free."""
+        """Accepts the offers to one zone; reduces all by the same ratio if they exceed its free capacity."""
         offered = sum(offer[target] for offer in offers)
         if offered <= 0:
             return
@@ -105,7 +105,7 @@
         self.used[target] += offered * accepted_ratio
 
     def _free(self, target: int) -> float:
-        """Capacity of a zone that is free for other zones' traffic."""
+        """Returns the capacity of a zone that is free for traffic of other zones."""
         usable = self.zones[target].usable
         if usable == math.inf:
             return math.inf
@@ -113,9 +113,10 @@
 
 
 def route(zones: Sequence[ZoneLoad], distance: Sequence[Sequence[int]], headroom: float) -> list[list[float]]:
-    """Returns the units a second that each zone (row) sends to each (column).
+    """Returns the units a second that each zone (row) sends to each zone (column).
 
-    A row's sum is at most that zone's demand. `distance` is by zone index; `headroom` is a ratio of capacity.
+    The sum of a row is at most that zone's demand. `distance` is by zone index, `headroom` a ratio of
+    capacity.
     """
     count = len(zones)
     routes = _Routes(zones, distance, headroom)
@@ -134,11 +135,11 @@
     previous: Weights | None = None,
     step: float = 1.0,
 ) -> list[list[int]]:
-    """Returns the units a second of `route` as weights out of WEIGHT_TOTAL.
+    """Converts the rates of `route` to weights in parts of WEIGHT_TOTAL.
 
-    A row that sums to less leaves the rest unrouted. Against the `previous` weights, at most `step` (a ratio)
-    of a zone's traffic moves, but for traffic to a zone that no longer accepts any. Weights are rounded down,
-    so that no capacity is promised that is not there.
+    If a row adds up to less, the remaining traffic is not routed. Compared with the `previous` weights, at
+    most the ratio `step` of a zone's traffic moves, except away from a zone that no longer accepts any.
+    Weights are rounded down, so that they never exceed the capacity.
     """
     weights = []
     for origin, row in enumerate(sent):
@@ -153,11 +154,11 @@
     zone = zones[origin]
     if zone.demand > NEGLIGIBLE_RATE:
         wanted = [int(WEIGHT_TOTAL * min(1.0, units / zone.demand) + ROUNDING_MARGIN) for units in row]
-    else:  # without demand, what would come stays in the zone
+    else:  # without demand, any traffic that arrives stays in the zone
         stays = zone.reachable_from[origin] and zone.accepts_traffic
         wanted = [WEIGHT_TOTAL if target == origin and stays else 0 for target in range(len(row))]
     total = sum(wanted)
-    if total > WEIGHT_TOTAL - len(row):  # all is routed: the largest weight gets what rounding left over
+    if total > WEIGHT_TOTAL - len(row):  # all is routed: adds the rounding difference to the largest weight
         largest = max(range(len(row)), key=lambda target: (wanted[target], target == origin, -target))
         wanted[largest] += WEIGHT_TOTAL - total
     return wanted
@@ -170,26 +171,30 @@
     origin: int,
     max_step: int,
 ) -> list[int]:
-    """From the previous weights towards the wanted ones, by `max_step` parts.
+    """Moves the previous weights towards the wanted ones, by at most `max_step` parts.
 
-    The weights of zones that can't be reached any more move at once.
+    Weights of zones that no longer accept traffic or can no longer be reached move at once.
     """
     current = [
         weight if zone.reachable_from[origin] and zone.accepts_traffic and zone.healthy_endpoints > 0 else 0
         for zone, weight in zip(zones, previous, strict=True)
     ]
     freed = sum(previous) - sum(current)
-    growth = [max(0, goal - weight) for goal, weight in zip(wanted, current, strict=True)]
-    decline = [max(0, weight - goal) for goal, weight in zip(wanted, current, strict=True)]
+    increases = [
+        max(0, target_weight - weight) for target_weight, weight in zip(wanted, current, strict=True)
+    ]
+    decreases = [
+        max(0, weight - target_weight) for target_weight, weight in zip(wanted, current, strict=True)
+    ]
     moved = list(current)
-    left = min(sum(growth), max(max_step, freed) if freed else max_step)
+    left = min(sum(increases), max(max_step, freed) if freed else max_step)
     for target in sorted(range(len(moved)), key=lambda target: (target != origin, target)):  # own zone first
-        part = min(growth[target], left)
+        part = min(increases[target], left)
         moved[target] += part
         left -= part
     excess = max(0, sum(moved) - max(sum(wanted), sum(previous) - max_step), sum(moved) - WEIGHT_TOTAL)
     for target in sorted(range(len(moved)), key=lambda target: (target == origin, target)):  # own zone last
-        part = min(decline[target], excess)
+        part = min(decreases[target], excess)
         moved[target] -= part
         excess -= part
     return moved
--- a/zincstile/zone_failover/settings.py
+++ b/zincstile/zone_failover/settings.py
@@ -1,4 +1,4 @@
-"""Settings of zone failover: regions, distances between them, and the times of a failover."""
+"""Settings of zone failover: regions, distances between them, and durations."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 
 MS: Final = 1_000_000  # nanoseconds
 SECOND: Final = 1_000_000_000  # nanoseconds
-MAX_ZONES: Final = 14  # a routing table of more zones does not fit into one datagram
+MAX_ZONES: Final = 14  # a routing table with more zones does not fit into one datagram
 UNIT_NS: Final = {"us": 1000, "ms": MS, "s": SECOND}
 
 
 def parse_duration(text: str) -> int:
     """Returns a duration such as `40ms` in nanoseconds.
 
-    Raises ValueError where the number or its unit (us, ms, s) is missing.
+    Raises ValueError if the number or its unit (us, ms, s) is missing.
     """
-    found = re.fullmatch(r"(\d+(?:\.\d+)?)\s*(us|ms|s)", text.strip())
-    if found is None:
+    match = re.fullmatch(r"(\d+(?:\.\d+)?)\s*(us|ms|s)", text.strip())
+    if match is None:
         raise ValueError(f"{text!r}: must be a duration with its unit, such as 40ms")
-    return int(float(found[1]) * UNIT_NS[found[2]])
+    return int(float(match[1]) * UNIT_NS[match[2]])
 
 
 @dataclass(frozen=True, slots=True)
@@ -114,13 +114,13 @@
                     raise ValueError(f"distances: no region is called {region!r}")
 
     def region(self, zone: str) -> str:
-        """Returns the region of a zone; a zone that is listed in none is a region of its own."""
+        """Returns the region of a zone; a zone without a configured region forms a region of its own."""
         return next((region for region, zones in self.regions.items() if zone in zones), zone)
 
     def distance(self, origin: str, target: str) -> int:
         """Returns the distance between two zones in nanoseconds.
 
-        Two regions without a configured distance are as far apart as the farthest two that have one.
+        For two regions without a configured distance it is the greatest configured distance.
         """
         if origin == target:
             return 0
@@ -133,5 +133,5 @@
         return self.distances.get((origin_region, target_region), reverse)
 
     def distance_matrix(self, zones: list[str]) -> list[list[int]]:
-        """Returns the distances in nanoseconds between all these zones, by their indexes."""
+        """Returns the distances in nanoseconds between all zones, by their indexes in `zones`."""
         return [[self.distance(origin, target) for target in zones] for origin in zones]
--- a/zincstile/zone_failover/zone_description.py
+++ b/zincstile/zone_failover/zone_description.py
@@ -1,4 +1,4 @@
-"""The text about zones that an operator gets: the routing table, and what this gateway sees of each zone."""
+"""Describes the routing table and this gateway's observations of each zone, for operators."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def describe_zones(now: int, zone_names: list[str], agreement: Agreement, health: ZoneHealth) -> str:
-    """Returns a line on the table, then one on each zone that has endpoints or is this gateway's own."""
+    """Returns a line for the table, and one for each zone that has endpoints or is this gateway's own."""
     table = agreement.table(now)
     lines = [_table_line(now, agreement, table)]
     for zone in range(len(zone_names)):
@@ -41,7 +41,7 @@
 
 
 def _weights_text(weights: tuple[int, ...], zone_names: list[str]) -> str:
-    """The part of the traffic that goes to each zone, those without any left out."""
+    """Formats the share of the traffic of each zone that gets some."""
     parts = [
         f"{zone_names[target]}:{100 * weight / WEIGHT_TOTAL:.0f}%"
         for target, weight in enumerate(weights)
--- a/zincstile/zone_failover/zone_states.py
+++ b/zincstile/zone_failover/zone_states.py
@@ -1,15 +1,15 @@
 """The state of one zone, with hysteresis.
 
-A zone is left at once where its connections fail. It returns only after it was reached for a while, and later
-each time if it keeps failing.
+A zone gets no more traffic soon after connections to it fail. It returns only when it has been reachable for
+some time, which is longer after repeated losses.
 
-| state | from | to |
+| state | entered when | next states |
 | --- | --- | --- |
 | well | | short, draining, lost |
 | short | its capacity is below its demand | well, draining, lost |
-| draining | an operator drains it | returning, once the operator takes that back |
-| lost | its endpoints can't be reached for `lost` | returning, after `back` (doubled by each recent loss) |
-| returning | its used ratio doubles each `ramp`, from a tenth | well, lost, draining |
+| draining | an operator drains it | returning, when the operator ends that |
+| lost | it can't be reached for `loss_detection_ns` | returning, after `recovery_ns` or a multiple |
+| returning | it comes back; its used ratio doubles in each `ramp_doubling_ns` | well, lost, draining |
 """
 
 from __future__ import annotations
@@ -20,13 +20,16 @@
 
 from .settings import SECOND, ZoneFailoverSettings
 
-INITIAL_RATIO: Final = 0.1  # of its capacity that a returning zone gets at first: enough to see it fail again
-MAX_DOUBLINGS: Final = 4  # of the time before a return: 32 s by the usual settings
-LOSS_MEMORY_NS: Final = 60 * SECOND  # a zone without a loss for this long begins anew with the shortest time
+# Ratio of its capacity that a returning zone gets at first, which is enough to detect another failure.
+INITIAL_RATIO: Final = 0.1
+# Limits the doublings of `recovery_ns`: 32 s with the default settings.
+MAX_DOUBLINGS: Final = 4
+# A loss that is this long ago does not extend the time before a return any more.
+LOSS_MEMORY_NS: Final = 60 * SECOND
 
 
 class ZoneState(IntEnum):
-    """State of a zone. The numbers travel between gateways."""
+    """State of a zone. Gateways send each other the numbers."""
 
     WELL = 0
     SHORT = 1
@@ -40,15 +43,15 @@
 
 @dataclass(slots=True)
 class ZoneTracker:
-    """The state of one zone, as the gateway that proposes routing tables follows it."""
+    """The state of one zone, updated by the gateway that proposes routing tables."""
 
     settings: ZoneFailoverSettings
     state: ZoneState = ZoneState.WELL
-    state_changes: int = 0  # of the state
-    recent_losses: int = 0  # in a row, each within FORGET_LOSS_NS of the one before
+    state_changes: int = 0  # number of state changes
+    recent_losses: int = 0  # in a row, each within LOSS_MEMORY_NS of the one before
     entered_ns: int = 0  # when the zone entered the state
-    contradicted_since_ns: int = -1  # since when observations contradict the state; -1: they don't
-    last_lost_ns: int = -1  # when the zone was lost last
+    contradicted_since_ns: int = -1  # since when observations contradict the state; -1 if they don't
+    last_lost_ns: int = -1  # when the zone was last lost
 
     def update(
         self,
@@ -60,10 +63,11 @@
         draining: bool,
         frozen: bool = False,
     ) -> ZoneState:
-        """Returns the state that follows from what is observed by now.
+        """Updates the state by the current observations, and returns it.
 
-        `reached` is None where no gateway tried the zone; `short` and `relieved` compare capacity and demand.
-        `draining` and `frozen` are an operator's overrides; a frozen zone keeps its state.
+        `reached` is None if no gateway tried to reach the zone. `short`: the demand exceeds the capacity;
+        `relieved`: the capacity exceeds the demand by a margin. `draining` and `frozen` are an operator's
+        overrides; a frozen zone keeps its state.
         """
         if frozen:
             self.contradicted_since_ns = -1
@@ -102,7 +106,7 @@
         return min(1.0, INITIAL_RATIO * 2 ** ((now - self.entered_ns) / self.settings.ramp_doubling_ns))
 
     def adopt(self, now: int, state: ZoneState) -> None:
-        """Takes over the state that the leader published, so that the next leader goes on from it."""
+        """Takes over the state that the leader published, so that the next leader continues from it."""
         self.state = state
         self.entered_ns = now
         self.contradicted_since_ns = -1
@@ -114,7 +118,10 @@
         return self.settings.recovery_ns << min(max(0, self.recent_losses - 1), MAX_DOUBLINGS)
 
     def _contradicted_for(self, now: int, contradicts: bool | None, span_ns: int) -> bool:
-        """Whether observations have contradicted the state for so long; None: there is no observation."""
+        """Returns whether observations have contradicted the state for `span_ns`.
+
+        `contradicts` is None if there is no observation.
+        """
         if contradicts is None:
             return False
         if not contradicts:
--- a/zincstile/zone_failover/zone_view.py
+++ b/zincstile/zone_failover/zone_view.py
@@ -1,8 +1,8 @@
-"""The reports of all gateways on the zones, merged into the view that routing weights are computed from.
+"""Merges the zone reports of all gateways into the view from which routing weights are computed.
 
-The newest report of a gateway's newest process counts, in whatever order and however often reports arrive.
-With many gateways nobody receives all reports: each gateway reports as rarely as the leader's intake needs,
-and a gateway without a recent report is taken to be like the others of its zone.
+The newest report of a gateway's newest process counts, regardless of reordered and duplicated reports. In a
+large fleet no gateway receives all reports: the report interval grows so that the leader can process them,
+and the demand of a gateway without a recent report is taken to be the mean of the others in its zone.
 """
 
 from __future__ import annotations
@@ -16,29 +16,35 @@
 from .settings import SECOND, ZoneFailoverSettings
 from .zone_states import UNUSABLE_STATES, ZoneState, ZoneTracker
 
-REPORT_LIFETIME: Final = 4  # report intervals for which a report counts: three lost datagrams change nothing
-REPORTS_PER_S: Final = 30  # that all gateways together send to the leader, half of its usual intake
-FAILED_RATIO: Final = 0.5  # of a zone's connections, from which a gateway finds that it can't reach the zone
-UNREACHED_RATIO: Final = 0.5  # of a zone's gateways that find so: the zone then doesn't reach the other
-LOST_RATIO: Final = 0.5  # of all gateways that tried a zone and find so: the zone is lost
-RELIEF_FACTOR: Final = 1.1  # a short zone is well again once its capacity is so many times its demand
-FROZEN_BIT: Final = 16  # in an override: the first bit of frozen zones; drained zones are the bits below
-MIN_HEALTHY_ENDPOINTS: Final = (
-    1e-3  # good endpoints of a zone that lists some, so that it counts as having any
-)
+# Number of report intervals for which a report counts, so that three lost datagrams in a row have no effect.
+REPORT_LIFETIME: Final = 4
+# Reports a second that all gateways together send to the leader: half of what it can usually receive.
+REPORTS_PER_S: Final = 30
+# A gateway can't reach a zone if at least this ratio of its connection attempts to it failed.
+FAILED_RATIO: Final = 0.5
+# A zone can't reach another one if at least this ratio of its gateways can't.
+UNREACHED_RATIO: Final = 0.5
+# A zone is lost if at least this ratio of all gateways that tried to reach it can't.
+LOST_RATIO: Final = 0.5
+# A short zone is well again when its capacity is at least its demand times this factor.
+RELIEF_FACTOR: Final = 1.1
+# First bit of the frozen zones in an override; the bits below are the drained zones.
+FROZEN_BIT: Final = 16
+# Lower bound for a zone that has ready endpoints, as zero would mean that it has none.
+MIN_HEALTHY_ENDPOINTS: Final = 1e-3
 
 
 @dataclass(slots=True)
 class _ConnectionTries:
-    """Of the gateways of one zone towards another zone."""
+    """Connection attempts of the gateways of one zone to another zone."""
 
-    tried: int = 0  # gateways that tried to connect lately
-    failed: int = 0  # those of them that found the zone unreachable
+    tried: int = 0  # gateways that tried to connect recently
+    failed: int = 0  # of these, gateways that can't reach the zone
 
 
 @dataclass(slots=True)
 class ReceivedReport:
-    """The last report of a gateway, and when it arrived."""
+    """The last report of a gateway, and when it was received."""
 
     report: ZoneReport
     received_ns: int
@@ -46,32 +52,32 @@
 
 @dataclass(slots=True)
 class ZoneView:
-    """What one gateway knows of all zones by the reports of all gateways."""
+    """One gateway's view of all zones, from the reports of all gateways."""
 
     settings: ZoneFailoverSettings
     gateway_count: int
     zones: int
     reports: dict[int, ReceivedReport] = field(default_factory=dict)  # by gateway
     ended_processes: dict[int, int] = field(default_factory=dict)  # by gateway: the one before its newest
-    home_zones: dict[int, int] = field(default_factory=dict)  # by gateway, of all that ever reported
-    overrides: int = 0  # by an operator, as in `ZoneReport`
+    home_zones: dict[int, int] = field(default_factory=dict)  # by gateway, for all that ever reported
+    overrides: int = 0  # of operators, as in `ZoneReport`
     override_number: int = 0
-    # (zone of gateways, zone they can't reach): since when they reach it again, -1 while they don't
+    # By zone and target zone that its gateways can't reach: since when they reach it again; -1 if they don't.
     unreachable: dict[tuple[int, int], int] = field(default_factory=dict)
 
     @property
     def report_lifetime_ns(self) -> int:
-        """Time for which a report counts."""
+        """The time for which a report counts."""
         interval_ns = max(self.settings.heartbeat_interval_ns, self.report_interval_ns)
         return max(SECOND, REPORT_LIFETIME * interval_ns)
 
     @property
     def report_interval_ns(self) -> int:
-        """Time between two reports of a gateway, so that all reports fit into the leader's intake."""
+        """The time between two reports of a gateway; long enough for the leader to process all reports."""
         return max(self.settings.heartbeat_interval_ns, self.gateway_count * SECOND // REPORTS_PER_S)
 
     def record(self, now: int, report: ZoneReport) -> bool:
-        """Records a report; returns False where it is outdated or can't be valid."""
+        """Records a report; returns False if it is outdated or invalid."""
         if (
             not 0 <= report.gateway < self.gateway_count
             or not 0 <= report.zone < self.zones
@@ -89,7 +95,7 @@
         return True
 
     def _is_newer(self, report: ZoneReport, last: ZoneReport) -> bool:
-        """Whether a report replaces the last of its gateway; notes that a process was followed by another."""
+        """Returns whether a report replaces the last one of its gateway; records the end of a process."""
         if report.process == last.process:
             return report.number > last.number
         if self.ended_processes.get(report.gateway) == report.process:
@@ -98,7 +104,7 @@
         return True
 
     def override(self, zone: int, *, drained: bool, frozen: bool) -> None:
-        """Replaces an operator's override of a zone; with neither flag it ends."""
+        """Replaces an operator's override of a zone; with neither flag, the override ends."""
         drained_bit = 1 << zone
         frozen_bit = 1 << (zone + FROZEN_BIT)
         self.overrides &= ~(drained_bit | frozen_bit)
@@ -114,7 +120,7 @@
         return {gateway for gateway, last in self.reports.items() if now - last.received_ns < lifetime_ns}
 
     def evaluate(self, now: int, trackers: list[ZoneTracker]) -> list[ZoneLoad]:
-        """Updates the state of each zone and returns all zones as routing weights need them."""
+        """Updates the state of each zone, and returns the load of each zone for the routing weights."""
         lifetime_ns = self.report_lifetime_ns
         reports = [last.report for last in self.reports.values() if now - last.received_ns < lifetime_ns]
         tries = _count_tries(reports, self.zones)
@@ -149,7 +155,7 @@
             frozen=bool(self.overrides >> (zone + FROZEN_BIT) & 1),
         )
         if state is ZoneState.RETURNING and capacity == math.inf:
-            # finite, so that a ratio of it can be used
+            # must be finite, so that a ratio of it can be used
             capacity = max(demand, sum(report.demand for report in reports) / self.zones)
         return ZoneLoad(
             demand,
@@ -163,23 +169,23 @@
         )
 
     def _demand(self, zone: int, reports: list[ZoneReport]) -> float:
-        """Of all gateways of a zone, extrapolated from those that reported lately."""
+        """Returns the demand of all gateways of a zone, extrapolated from those with recent reports."""
         local = [report.demand for report in reports if report.zone == zone]
         members = sum(home == zone for home in self.home_zones.values())
         return sum(local) * (members / len(local) if local else 0.0)
 
     def _reached(self, zone: int, tries: list[list[_ConnectionTries]]) -> bool | None:
-        """Whether the gateways that tried a zone reach it; None where none tried."""
+        """Returns whether the gateways that tried to reach a zone succeed; None if none tried."""
         tried = sum(row[zone].tried for row in tries)
         failed = sum(row[zone].failed for row in tries)
         return failed < LOST_RATIO * tried if tried else None
 
     def _update_unreachable(self, now: int, tries: list[list[_ConnectionTries]]) -> None:
-        """Updates which zones' gateways reach which zone.
+        """Updates which zones can't be reached from which zone.
 
-        Guards against a table that alternates: gateways whose traffic goes elsewhere don't try the zone any
-        more, and their silence does not mean that it can be reached. Only connections that came up for `back`
-        mean that.
+        Prevents routing tables from alternating: gateways whose traffic goes elsewhere no longer try to reach
+        the zone, and a lack of failures does not mean that it is reachable. It counts as reachable only when
+        connections have succeeded for `recovery_ns`.
         """
         for origin, row in enumerate(tries):
             for zone, tries_to_zone in enumerate(row):
@@ -195,7 +201,7 @@
 
 
 def _count_tries(reports: list[ZoneReport], zones: int) -> list[list[_ConnectionTries]]:
-    """For the gateways of each zone (row) and each zone that they may try (column)."""
+    """Counts the connection attempts of the gateways of each zone (row) to each zone (column)."""
     counts = [[_ConnectionTries() for _ in range(zones)] for _ in range(zones)]
     for report in reports:
         row = counts[report.zone]
