--- a/zincstile/cold_start/admission_ramp.py
+++ b/zincstile/cold_start/admission_ramp.py
@@ -1,23 +1,24 @@
-"""Admission ramp: how a gateway's admission opens after its start.
-
-At a start nobody knows what the backends bear: the budget has no bound yet, all token buckets are full, no
-connection is open. Hundreds of gateways that start at the same moment would send, before the first answer,
-all that their clients ask. So each gateway sends at a limited pace at first: its part of a rate that all
-together may send to each ready endpoint. Each answer that came in time raises the pace by its units divided
-by `double`. No message between gateways is needed for that.
-
-A gateway's part may be far less than one request in the time that matters. So it saves up: it sends while it
-has saved the units of the largest request, spends what the request costs, and starts with a random part of
-that and with what its pace gives in `double`. A fleet of any size so sends from the first moment on, by those
-that the draw favoured, and the sum is the same: what all together send within `t` of the start to `S` ready
-endpoints (one that is warming up counts by its warmth) is on average at most
-
-    S x first_per_s x double x (2 e^(t / double) - 1)        (units)
-
-as the paces sum up to `S x first_per_s` and what they start with to that times `double`, and as the units
-answered are never more than the units sent: A' <= S x first_per_s + A / double. The draws spread it by half
-of the largest request times the square root of the number of gateways (one deviation); at the very most each
-gateway is one request ahead. No more connections are opened than requests are sent.
+"""Admission ramp: limits the requests that a gateway sends after its start.
+
+At a start the capacity of the backends is unknown: the budget has no bound yet, all token buckets are full
+and no connection is open. Hundreds of gateways that start at the same time would send all requests of their
+clients before the first answer arrives. So each gateway sends at a limited pace at first: its share of a rate
+that all gateways together may send to each ready endpoint. Each answer in time raises the pace by its units
+divided by the time constant `T` (`ramp_time_constant_ns`). No messages between gateways are needed for this.
+
+A gateway's share may be far less than one request within the ramp. So it uses a token bucket: it sends while
+the bucket has the units of the largest request, and takes the units of the request that it sends. The bucket
+starts with a random part of the largest request plus the units that the pace yields in `T`. In a fleet of any
+size some gateways can therefore send at once, and the total is independent of the fleet's size. With an
+initial rate `r` (`initial_units_per_s`) and `S` ready endpoints (a warming one counts by its warmth), all
+gateways together send within `t` of the start on average at most
+
+    S x r x T x (2 e^(t / T) - 1)        (units)
+
+since the paces add up to `S x r`, the initial tokens to `S x r x T`, and the units answered are never more
+than the units sent, `A`: A' <= S x r + A / T. The standard deviation from the random draws is half of the
+largest request times the square root of the number of gateways; each gateway is at most one request ahead. No
+more connections are opened than requests are sent.
 """
 
 from __future__ import annotations
@@ -29,24 +30,25 @@
 
 from .settings import SECOND, ColdStartSettings
 
-QUIET_SPANS: Final = 5  # times `double` without a rejection end the ramp: 1 s by the usual settings
-MAX_EXPONENT: Final = 50.0  # of the bound's growth, so that it does not overflow
+# The ramp ends after this many time constants without a rejection: 1 s with the default settings.
+QUIET_SPANS: Final = 5
+MAX_EXPONENT: Final = 50.0  # prevents an overflow in `max_sent_units`
 
 
 @dataclass(slots=True)
 class AdmissionRamp:
-    """The ramp of one gateway among `gateways`."""
+    """The admission ramp of one gateway."""
 
     settings: ColdStartSettings
     gateway_count: int
-    largest_units: float  # of a request
+    largest_units: float  # units of the largest request
     rng: random.Random
     started_ns: int = -1
-    tokens: float = -1.0  # below 0 before the first request
+    tokens: float = -1.0  # negative before the first request
     refilled_ns: int = 0
-    earned_units_per_s: float = 0.0  # units a second, by answers
-    rejected_attempts: int = 0  # attempts so far
-    last_rejected_ns: int = -1  # the last of them
+    earned_units_per_s: float = 0.0  # units a second that answers in time added to the pace
+    rejected_attempts: int = 0  # number of attempts that the ramp rejected
+    last_rejected_ns: int = -1  # time of the last rejection
 
     def start(self, now: int) -> None:
         """Starts the ramp."""
@@ -54,16 +56,16 @@
         self.refilled_ns = now
 
     def pace(self, endpoints: float) -> float:
-        """Returns the units a second that this gateway may send to so many ready endpoints."""
+        """Returns the units a second that this gateway may send to that number of ready endpoints."""
         return self.settings.initial_units_per_s * endpoints / self.gateway_count + self.earned_units_per_s
 
     def admits(self, now: int, endpoints: float) -> bool:
-        """Returns whether an attempt of any size may be sent now, to so many ready endpoints."""
+        """Returns whether an attempt of any size may be sent now, with that number of ready endpoints."""
         pace = self.pace(endpoints)
-        double_s = self.settings.ramp_time_constant_ns / SECOND
-        if self.tokens < 0:  # random: gateways that save up alike would send in step
-            self.tokens = self.largest_units * self.rng.random() + pace * double_s
-        max_tokens = self.largest_units + pace * double_s
+        time_constant_s = self.settings.ramp_time_constant_ns / SECOND
+        if self.tokens < 0:  # random, so that gateways do not send in step
+            self.tokens = self.largest_units * self.rng.random() + pace * time_constant_s
+        max_tokens = self.largest_units + pace * time_constant_s
         elapsed_ns = max(0, now - self.refilled_ns)
         self.tokens = min(max_tokens, self.tokens + pace * elapsed_ns / SECOND)
         self.refilled_ns = max(self.refilled_ns, now)
@@ -74,24 +76,24 @@
         return False
 
     def record_sent(self, units: float) -> None:
-        """Notes an attempt that was sent."""
+        """Takes the units of an attempt that was sent."""
         self.tokens -= units
 
     def record_answer(self, units: float, *, in_time: bool) -> None:
-        """Notes the end of an attempt; a late answer raises nothing, as the backends bear no more."""
+        """Raises the pace for an answer in time. A late answer indicates overload and does not raise it."""
         if in_time:
             self.earned_units_per_s += units / (self.settings.ramp_time_constant_ns / SECOND)
 
     def inherit(self, served_per_s: float) -> None:
-        """Takes the units a second that the process before this one was served: the backends bear these.
+        """Raises the pace to the rate that the previous process completed, which the backends can serve.
 
-        What peers were served is not taken: if all raised their pace to that of the fastest, the sum would
-        have no bound.
+        Rates of peers are not used: if all gateways raised their pace to that of the fastest one, the total
+        would be unbounded.
         """
         self.earned_units_per_s = max(self.earned_units_per_s, served_per_s)
 
     def is_over(self, now: int) -> bool:
-        """Returns whether admission is open: nothing was rejected for a while, or `open` is over."""
+        """Returns whether the ramp is over: no rejection for some time, or `max_ramp_ns` has passed."""
         last_ns = max(self.last_rejected_ns, self.started_ns)
         quiet = (
             self.earned_units_per_s > 0 and now - last_ns >= QUIET_SPANS * self.settings.ramp_time_constant_ns
@@ -100,7 +102,7 @@
 
 
 def max_sent_units(settings: ColdStartSettings, endpoints: float, within_ns: int) -> float:
-    """Returns the units that all gateways together send within so long of the start, on average at most."""
-    double_s = settings.ramp_time_constant_ns / SECOND
+    """Returns the bound on the mean units that all gateways together send within this time of the start."""
+    time_constant_s = settings.ramp_time_constant_ns / SECOND
     growth = math.exp(min(MAX_EXPONENT, within_ns / settings.ramp_time_constant_ns))
-    return endpoints * settings.initial_units_per_s * double_s * (2 * growth - 1)
+    return endpoints * settings.initial_units_per_s * time_constant_s * (2 * growth - 1)
--- a/zincstile/cold_start/codec.py
+++ b/zincstile/cold_start/codec.py
@@ -1,7 +1,7 @@
-"""Codec of the messages between gateways about their list of endpoints: datagrams of at most 256 bytes.
+"""Encodes the messages by which gateways exchange endpoint lists as datagrams of at most 256 bytes. No I/O.
 
-No I/O. A datagram begins with a byte that no other kind of message between gateways begins with, and has a
-checksum. A line that does not fit into one datagram is not sent at all, and its bucket stays unknown.
+The first byte differs from that of all other message types between gateways. Each datagram has a checksum. A
+list with a line that does not fit into one datagram is not sent.
 """
 
 from __future__ import annotations
@@ -14,20 +14,21 @@
 from ..serialization import datagrams
 from .messages import BUCKETS, BucketPart, BucketRequest, ListDigest, ListMessage, ListQuery, Provenance
 
-MAGIC: Final = 0xBC  # first byte of these datagrams
+MAGIC: Final = 0xBC  # first byte of each datagram
 DIGEST: Final = struct.Struct(f"<QHIB{BUCKETS}I")  # version, count, age in 10 ms, provenance, checksums
-REQUEST: Final = struct.Struct("<QI")  # version, the wanted buckets by a bit each
+REQUEST: Final = struct.Struct("<QI")  # version, bit set of the requested buckets
 PART: Final = struct.Struct("<QBHH")  # version, bucket, part, parts
 AGE_UNIT_NS: Final = 10_000_000
 MAX_AGE: Final = 2**32 - 1
-OPEN_BIT: Final = 128  # beside the provenance: the sender's admission is open
-PART_ROOM_BYTES: Final = datagrams.MAX_BYTES - datagrams.HEADER.size - PART.size  # of a datagram, for lines
-LENGTH_BYTES: Final = 1  # before each line
+OPEN_BIT: Final = 128  # added to the provenance if the sender's admission is open
+# Bytes of a datagram that lines may use.
+PART_ROOM_BYTES: Final = datagrams.MAX_BYTES - datagrams.HEADER.size - PART.size
+LENGTH_BYTES: Final = 1  # length prefix of each line
 MAX_LINE_BYTES: Final = PART_ROOM_BYTES - LENGTH_BYTES
 
 
 class MessageKind(IntEnum):
-    """The second byte of a datagram. 4 was a part whose index had one byte, too few for 32,000 entries."""
+    """The second byte of a datagram. 4 was a part with a one-byte index, too small for 32,000 entries."""
 
     QUERY = 1
     DIGEST = 2
@@ -36,7 +37,7 @@
 
 
 def pack(message: ListMessage) -> bytes:
-    """Returns the message as one datagram."""
+    """Encodes a message as one datagram."""
     if isinstance(message, ListQuery):
         kind = MessageKind.QUERY
         body = b""
@@ -54,12 +55,12 @@
 
 
 def unpack(data: bytes) -> ListMessage | None:
-    """Returns the message in a datagram; None where it is damaged or of another layout."""
+    """Decodes a datagram; returns None if it is damaged or has another layout."""
     return datagrams.decode(MAGIC, data, READERS)
 
 
 def split_bucket(version: int, bucket: int, lines: Iterable[bytes]) -> list[BucketPart]:
-    """Returns a bucket's lines as parts that fit into a datagram each; the same parts for all senders."""
+    """Splits a bucket's lines into parts that fit into a datagram each, the same way at all senders."""
     parts: list[list[bytes]] = [[]]
     for line in sorted(lines):
         used = sum(LENGTH_BYTES + len(other) for other in parts[-1])
@@ -70,7 +71,7 @@
 
 
 def _pack_digest(digest: ListDigest) -> bytes:
-    age = min(MAX_AGE, -(-max(0, digest.age_ns) // AGE_UNIT_NS))  # rounded up: never younger than it is
+    age = min(MAX_AGE, -(-max(0, digest.age_ns) // AGE_UNIT_NS))  # rounded up: must not appear newer
     flags = digest.provenance + (OPEN_BIT if digest.admission_open else 0)
     return DIGEST.pack(digest.version % 2**64, digest.entry_count, age, flags, *digest.checksums)
 
--- a/zincstile/cold_start/entry_lines.py
+++ b/zincstile/cold_start/entry_lines.py
@@ -1,4 +1,4 @@
-"""Lines of a list of endpoints: one entry of discovery's list as text, and what is computed from lines."""
+"""Encodes entries of discovery's endpoint list as lines of text, and computes buckets and checksums."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from .codec import MAX_LINE_BYTES
 from .messages import BUCKETS
 
-SEPARATOR: Final = "\x1f"  # between the fields of a line; no field may hold it
+SEPARATOR: Final = "\x1f"  # between the fields of a line; no field may contain it
 FIELDS: Final = ("name", "address", "zone", "type", "group", "status", "weight", "since_ms")
-MAX_WEIGHT: Final = 1e9  # an entry with a greater weight is damaged
+MAX_WEIGHT: Final = 1e9  # an entry with a greater weight is invalid
 
 
 def encode_entry(entry: dict[str, Any]) -> bytes | None:
-    """Returns an entry of discovery's list as a line; None where it has no such form or is too long."""
+    """Encodes an entry of discovery's list; returns None if it can't be encoded or is too long."""
     fields = [str(entry.get(name, "")) for name in FIELDS]
     line = SEPARATOR.join(fields).encode()
     if len(line) > MAX_LINE_BYTES or any(SEPARATOR in field for field in fields):
@@ -24,7 +24,7 @@
 
 
 def decode_entry(line: bytes) -> dict[str, Any] | None:
-    """Returns the entry of a line, as discovery would write it; None where the line is damaged."""
+    """Decodes a line to an entry in discovery's format; returns None if the line is damaged."""
     try:
         fields = line.decode().split(SEPARATOR)
         if len(fields) != len(FIELDS):
@@ -39,12 +39,12 @@
 
 
 def bucket_of(name: str) -> int:
-    """Returns the bucket of an endpoint by its name."""
+    """Returns the bucket of the endpoint with this name."""
     return zlib.crc32(name.encode()) % BUCKETS
 
 
 def checksum(lines: Iterable[bytes]) -> int:
-    """Returns the checksum of a bucket's lines, the same in whatever order they are."""
+    """Returns the checksum of a bucket's lines, which is independent of their order."""
     total = 0
     for line in lines:
         total = (total + zlib.crc32(line) * (1 + zlib.adler32(line))) % 2**32
--- a/zincstile/cold_start/events.py
+++ b/zincstile/cold_start/events.py
@@ -1,4 +1,4 @@
-"""What a cold start adds to the events that a policy handles."""
+"""The event that a cold start adds to the policy."""
 
 from __future__ import annotations
 
@@ -7,4 +7,4 @@
 
 @dataclass(slots=True)
 class FleetIsServing:
-    """An event: the other gateways serve with open admission, and this one starts beside them."""
+    """Event: the other gateways already serve with open admission while this one starts."""
--- a/zincstile/cold_start/feature.py
+++ b/zincstile/cold_start/feature.py
@@ -1,6 +1,6 @@
-"""The admission ramp after a start (`features.start`), before the policy's choice of an endpoint.
+"""Applies the admission ramp after a start (`features.start`) before the policy chooses an endpoint.
 
-The ramp ends when a concurrency limit is known, or by itself.
+The ramp ends when there is a concurrency limit, or when `AdmissionRamp.is_over`.
 """
 
 from __future__ import annotations
@@ -23,10 +23,10 @@
 
 
 class AdmissionRampFeature:
-    """Owner of the ramp of a start; there is none any more once admission is open."""
+    """Policy feature with the admission ramp, which it drops when admission is open."""
 
     def __init__(self, settings: Settings, seed: int, start_settings: ColdStartSettings) -> None:
-        """Takes the seed of all random draws."""
+        """`seed` is that of all random draws."""
         rng = random.Random(f"opening {seed}")
         self.ramp: AdmissionRamp | None = AdmissionRamp(
             start_settings, settings.gateway_count, settings.max_request_units, rng
@@ -35,7 +35,7 @@
     # ---- the feature
 
     def attach(self, policy: Policy) -> None:
-        """Stands before the choice of an endpoint for each attempt."""
+        """Installs the ramp before each choice of an endpoint."""
         self.parts = policy.parts
         self._choose_endpoint: EndpointChooser = self.parts.admission.choose
         self.parts.admission.choose = self.choose
@@ -45,34 +45,34 @@
 
     @property
     def is_open(self) -> bool:
-        """Admission is open: there is no ramp any more."""
+        """Whether admission is open, that is, the ramp is over."""
         return self.ramp is None
 
     def before_start(self, now: int) -> None:
-        """The ramp begins."""
+        """Starts the ramp."""
         if self.ramp is not None:
             self.ramp.start(now)
 
     def started(self, now: int) -> None:
-        """Nothing goes by a timer of its own."""
+        """The feature has no timer."""
 
     def state_inherited(self, now: int) -> None:
-        """The old process of this gateway knew what the backends can take."""
+        """Raises the pace to the rate of the previous process, which the backends can serve."""
         if self.ramp is not None:
             self.ramp.inherit(self.parts.limit.completed_per_s)
 
     def figures(self) -> dict[str, float]:
-        """`pace`: units a second that may be sent; -1: admission is open.
+        """Returns `pace`: the units a second that may be sent, or -1 if admission is open.
 
-        Stored results have this key.
+        Stored results contain this key.
         """
         healthy = self.parts.capacity.healthy
         return {"pace": -1.0 if self.ramp is None else round(self.ramp.pace(healthy), 2)}
 
     def choose(self, now: int, pending: PendingRequest) -> Endpoint | None:
-        """The endpoint of the next attempt; None where the ramp rejects it.
+        """Chooses the endpoint of the next attempt; returns None if the ramp rejects the attempt.
 
-        The ramp rejects retries too: at a start the budget for them is full everywhere.
+        The ramp applies to retries too, as the retry budgets of all gateways are full after a start.
         """
         ramp = self.ramp
         if ramp is None:
@@ -85,30 +85,30 @@
         return endpoint
 
     def on_outcome(self, now: int, outcome: AttemptOutcome, attempt: Attempt) -> None:
-        """An answer in time raises the pace; a warming endpoint takes longer without being overloaded."""
+        """Raises the pace for an answer in time; a warming endpoint is slower without being overloaded."""
         if self.ramp is not None and outcome.result is AttemptResult.OK:
             latency_ns = outcome.latency_ns * self.parts.capacity.warmth(now, attempt.endpoint)
             self.ramp.record_answer(attempt.units, in_time=latency_ns <= attempt.overload_ns)
 
     def on_limit_updated(self, now: int) -> None:
-        """The ramp ends once there is a concurrency limit, or nothing was rejected for a while."""
+        """Ends the ramp if there is a concurrency limit or the ramp is over."""
         ramp = self.ramp
         if ramp is None:
             return
         limited = self.parts.limit.limit < math.inf
         if limited or ramp.is_over(now):
-            self._open_admission(now, ramp, "by the budget's own bound" if limited else "by what was seen")
+            self._open_admission(now, ramp, "concurrency limit found" if limited else "end of the ramp")
 
     def on_fleet_is_serving(self, now: int, _: FleetIsServing) -> None:
-        """The other gateways serve with open admission: so does this one."""
+        """Ends the ramp, as the other gateways serve with open admission."""
         if self.ramp is not None:
-            self._open_admission(now, self.ramp, "as the fleet's is")
+            self._open_admission(now, self.ramp, "the fleet is serving")
 
     def _open_admission(self, now: int, ramp: AdmissionRamp, reason: str) -> None:
         after_ms = (now - self.parts.ledger.started_ns) // NS_PER_MS
         text = (
-            f"start admission is open after {after_ms} ms, {reason}; "
-            f"{ramp.rejected_attempts} attempts rejected by it"
+            f"start admission is open after {after_ms} ms: {reason}; "
+            f"{ramp.rejected_attempts} attempts were rejected"
         )
         self.parts.actions.append(LogMessage(text))
         self.ramp = None
--- a/zincstile/cold_start/list_copy.py
+++ b/zincstile/cold_start/list_copy.py
@@ -1,4 +1,4 @@
-"""The list of endpoints that this gateway has, as it may be passed on to others."""
+"""This gateway's endpoint list in the form in which peers get it."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from .entry_lines import bucket_of, checksum, encode_entry
 from .messages import BUCKETS, ListDigest, Provenance
 
-MAX_COUNT: Final = 65535  # entries that a digest can name
+MAX_COUNT: Final = 65535  # maximum entry count of a digest
 
 
 def _empty_buckets() -> list[dict[str, bytes]]:
@@ -18,30 +18,30 @@
 
 @dataclass(slots=True)
 class ListCopy:
-    """The list as lines by endpoint name, in buckets."""
+    """The endpoint list as encoded lines by endpoint name, in buckets."""
 
     version: int = 0
     provenance: Provenance = Provenance.PEERS
-    confirmed_ns: int = 0  # when discovery confirmed it last, as far as is known
+    confirmed_ns: int = 0  # when discovery last confirmed the list, as far as known
     buckets: list[dict[str, bytes]] = field(default_factory=_empty_buckets)
-    complete: bool = False  # every entry has the form of a line
+    complete: bool = False  # whether all entries could be encoded
 
     @property
     def count(self) -> int:
-        """Entries of the list."""
+        """The number of entries."""
         return sum(len(bucket) for bucket in self.buckets)
 
     def replace(
         self, confirmed_ns: int, version: int, provenance: Provenance, entries: Iterable[dict[str, Any]]
     ) -> None:
-        """Takes a complete list, with entries as discovery writes them."""
+        """Replaces the list by a complete one, with entries in discovery's format."""
         self.buckets = _empty_buckets()
         self.provenance = provenance
         self.complete = True
         self.apply(confirmed_ns, version, entries)
 
     def apply(self, confirmed_ns: int, version: int, entries: Iterable[dict[str, Any]]) -> None:
-        """Takes discovery's entries that are new, have changed, or are gone."""
+        """Applies new, changed and removed entries of discovery."""
         self.version = version
         self.confirmed_ns = confirmed_ns
         for entry in entries:
@@ -59,7 +59,7 @@
         return tuple(checksum(bucket.values()) for bucket in self.buckets)
 
     def digest(self, now: int) -> ListDigest | None:
-        """Returns the digest of the list; None where there is nothing that may be passed on."""
+        """Returns the digest of the list; None if it may not be passed on."""
         if not self.complete or not self.count or self.provenance is Provenance.PEERS:
             return None
         age_ns = max(0, now - self.confirmed_ns)
--- a/zincstile/cold_start/list_search.py
+++ b/zincstile/cold_start/list_search.py
@@ -1,9 +1,9 @@
-"""Search for an endpoint list that other gateways have, in place of one more list from the service.
+"""Fetches an endpoint list from peers, which saves a call to the list service.
 
-A gateway without a list queries a few random peers, again and again. A peer's digest names the version of its
-list, how long ago discovery confirmed it, by whom the peer has it, and the checksum of each bucket. Then only
-the buckets that differ are requested, each from one peer that has that list, and as many at once as this
-gateway's intake of messages has room for. A bucket counts once its lines give its checksum.
+A gateway without a list repeatedly queries a few random peers. A peer's digest contains the version of its
+list, the time since discovery confirmed it, its provenance and the checksum of each bucket. Only buckets that
+differ are requested then, each from one peer that has the list, and as many at a time as this gateway can
+receive. A bucket is complete when the checksum of its lines is right.
 """
 
 from __future__ import annotations
@@ -20,21 +20,21 @@
 from .readiness import ListTrust
 from .settings import ColdStartSettings
 
-LINES_PER_PART: Final = 3.0  # of usual entries, about
-INTAKE_RATIO: Final = 0.8  # of this gateway's intake of messages that lists may use
-MIN_INTAKE_PER_S: Final = 4.0  # below that not even one part would fit into a burst
-MAX_QUERY_DOUBLINGS: Final = 3  # of the span between two queries
-WAIT_ANSWERS: Final = 3  # requested lines are waited for so many times what the last ones took
-MAX_WAIT_SPANS: Final = 20  # but so many times `again` at most
-MISSES_PER_TIER: Final = 3  # requests in a row that a peer does not answer before other peers are preferred
+LINES_PER_PART: Final = 3.0  # about this many typical lines fit into a part
+INTAKE_RATIO: Final = 0.8  # ratio of the messages that this gateway can receive which lists may use
+MIN_INTAKE_PER_S: Final = 4.0  # with less, not even one part would fit into a burst
+MAX_QUERY_DOUBLINGS: Final = 3  # limits the span between two rounds of queries
+WAIT_ANSWERS: Final = 3  # timeout of a request, as a multiple of recent response times
+MAX_WAIT_SPANS: Final = 20  # maximum timeout of a request, as a multiple of `retry_interval_ns`
+MISSES_PER_TIER: Final = 3  # after this many unanswered requests in a row, other peers are preferred
 
 
 @dataclass(slots=True)
 class PeerListState:
-    """What a peer says of its list."""
+    """The last digest of a peer, and how the peer answers requests."""
 
     digest: ListDigest
-    missed: int = 0  # requests in a row that it did not answer
+    missed: int = 0  # number of requests in a row that the peer did not answer
 
 
 class ReceivedPart(NamedTuple):
@@ -46,29 +46,29 @@
 
 @dataclass(slots=True)
 class PendingBucket:
-    """A bucket that was requested.
+    """A bucket that was requested from a peer.
 
-    Its parts are kept when it is requested again: they are the same whoever sends them.
+    Its parts are kept when it is requested again, as all peers send the same parts.
     """
 
     peer: int
     requested_ns: int
     parts: dict[int, ReceivedPart] = field(default_factory=dict)  # by index
-    progressed: bool = False  # a part has come since the last request
+    progressed: bool = False  # whether a part has arrived since the last request
 
 
 @dataclass(frozen=True, slots=True)
 class FoundList:
-    """A complete list from peers, with entries as discovery writes them."""
+    """A complete list from peers, with entries in discovery's format."""
 
     version: int
     entries: list[dict[str, Any]]
     trust: ListTrust  # PEERS_AGREE or ONE_PEER
-    age_ns: int  # since discovery confirmed it
+    age_ns: int  # time since discovery confirmed the list
 
 
 class ListSearch:
-    """The search of one gateway. It hands its messages to `send`, each with the peer it is for."""
+    """One gateway's search for a list. Calls `send` with each message and its receiver."""
 
     def __init__(
         self,
@@ -79,34 +79,34 @@
         rng: random.Random,
         send: Callable[[int, ListMessage], None],
     ) -> None:
-        """Takes the numbers of all other gateways and the messages that this one reads in a second."""
+        """`peers` are the indexes of all other gateways; `intake_per_s`: messages that this one can receive."""
         self.settings = settings
         self.peers = peers
         self.copy = copy
         self.rng = rng
         self.send = send
         self.active = False
-        self.cache_confirmed = False  # the newest list of peers equals the cached copy
+        self.cache_confirmed = False  # whether the newest list of peers equals the cached one
         self.result: FoundList | None = None
         self._taken_result: FoundList | None = None
         self._intake = MessageRateLimit(max(MIN_INTAKE_PER_S, INTAKE_RATIO * intake_per_s))
         self._peer_states: dict[int, PeerListState] = {}
-        self._target: ListDigest | None = None  # the list that is being fetched
+        self._target: ListDigest | None = None  # digest of the list that is being fetched
         self._pending: dict[int, PendingBucket] = {}
         self._partial: dict[int, dict[int, ReceivedPart]] = {}  # by bucket: parts of requests that timed out
-        self._complete: dict[int, dict[str, bytes]] = {}  # by bucket: lines whose checksum is right
-        self._queries = 0  # rounds of queries without an answer so far
+        self._complete: dict[int, dict[str, bytes]] = {}  # by bucket: lines by endpoint name
+        self._queries = 0  # number of rounds of queries without an answer
         self._next_query_ns = 0
-        self._wait_ns = settings.retry_interval_ns  # for requested lines
+        self._wait_ns = settings.retry_interval_ns  # timeout of requests
 
     def start(self, now: int) -> None:
-        """Begins the search, if lists may come from peers and there are any."""
+        """Starts the search if peer lists are enabled and there are peers."""
         if self.settings.use_peer_lists and self.peers:
             self.active = True
             self._query(now)
 
     def stop(self) -> None:
-        """Ends the search: discovery itself has sent a list."""
+        """Stops the search, as discovery has sent a list."""
         self.active = False
         self._pending = {}
         self._partial = {}
@@ -114,24 +114,24 @@
         self._target = None
 
     def take_result(self) -> FoundList | None:
-        """Returns a complete list that was found, once."""
+        """Returns a complete list once; None if there is no new one."""
         if self.result is self._taken_result:
             return None
         self._taken_result = self.result
         return self.result
 
     def update(self, now: int) -> None:
-        """Repeats queries and requests that are due; to be called every few tens of milliseconds."""
+        """Repeats queries and requests that are due; has to be called every few tens of milliseconds."""
         if not self.active:
             return
         self._expire_requests(now)
-        agreed = self.result is not None and self.result.trust is ListTrust.PEERS_AGREE
-        if now >= self._next_query_ns and not agreed:
+        peers_agree = self.result is not None and self.result.trust is ListTrust.PEERS_AGREE
+        if now >= self._next_query_ns and not peers_agree:
             self._query(now)
         self._request_missing(now)
 
     def receive_digest(self, now: int, sender: int, digest: ListDigest) -> None:
-        """Handles a peer's digest; a list that is old, empty, or itself from peers is not used."""
+        """Handles a peer's digest; ignores lists that are too old, empty, or were fetched from peers."""
         if (
             self.active
             and digest.age_ns < self.settings.max_list_age_ns
@@ -142,7 +142,7 @@
             self._choose_target(now)
 
     def receive_part(self, now: int, sender: int, part: BucketPart) -> None:
-        """Handles a part of a bucket, also one that comes after the wait for it was over."""
+        """Handles a part of a bucket, even if it arrives after its request timed out."""
         target = self._target
         if (
             not self.active
@@ -179,12 +179,12 @@
                     lines[entry["name"]] = line
         if valid and checksum(lines.values()) == expected:
             self._complete[last.bucket] = lines
-        else:  # damaged, or a peer's lines don't give its digest: none of these peers is asked again
+        else:  # damaged, or not the lines of the digest: excludes all peers that sent parts of the bucket
             for received in parts.values():
                 self._peer_states.pop(received.sender, None)
 
     def _query(self, now: int) -> None:
-        """Queries some peers; the next round is at a random moment, later each time nobody answers."""
+        """Queries some peers, and sets a random time for the next round, with backoff while none answers."""
         for peer in self.rng.sample(self.peers, min(self.settings.query_fan_out, len(self.peers))):
             self.send(peer, ListQuery())
         span_ns = self.settings.retry_interval_ns << min(self._queries, MAX_QUERY_DOUBLINGS)
@@ -193,7 +193,7 @@
         self._next_query_ns = now + self.settings.retry_interval_ns // 2 + self.rng.randrange(span_ns)
 
     def _choose_target(self, now: int) -> None:
-        """Fetches the newest list, the nearest to discovery first; of equals the one that more peers have."""
+        """Chooses the list to fetch by provenance, then version, then the number of peers that have it."""
         holders: dict[tuple, list[ListDigest]] = {}
         for peer_state in self._peer_states.values():
             holders.setdefault(peer_state.digest.identity, []).append(peer_state.digest)
@@ -207,8 +207,8 @@
         self._request_missing(now)
 
     def _reuse_buckets(self, digest: ListDigest) -> None:
-        """Keeps the buckets of the last target and of the own copy that the new target has as well."""
-        own = self.copy.checksums()
+        """Keeps the buckets of the previous target and of this gateway's copy that the new target has too."""
+        own_checksums = self.copy.checksums()
         self._pending = {}
         self._partial = {}
         self._complete = {
@@ -217,11 +217,11 @@
             if checksum(lines.values()) == digest.checksums[bucket]
         }
         for bucket in range(BUCKETS):
-            if own[bucket] == digest.checksums[bucket]:
+            if own_checksums[bucket] == digest.checksums[bucket]:
                 self._complete[bucket] = dict(self.copy.buckets[bucket])
 
     def _holders(self) -> list[int]:
-        """Peers that have the target."""
+        """Returns the peers that have the target list."""
         return [
             peer
             for peer, peer_state in self._peer_states.items()
@@ -229,7 +229,7 @@
         ]
 
     def _request_missing(self, now: int) -> None:
-        """Requests missing buckets, as many as the intake has room for."""
+        """Requests missing buckets, as many as this gateway can receive."""
         target = self._target
         peers = self._holders()
         if target is None or not peers:
@@ -240,11 +240,11 @@
             if bucket not in self._complete and bucket not in self._pending
         ]
         parts_per_bucket = max(1.0, target.entry_count / BUCKETS / LINES_PER_PART)
-        chosen = missing[: int(self._intake.available(now) / parts_per_bucket)]
-        self._intake.spend(parts_per_bucket * len(chosen))
+        requested_buckets = missing[: int(self._intake.available(now) / parts_per_bucket)]
+        self._intake.spend(parts_per_bucket * len(requested_buckets))
         requests: dict[int, list[int]] = {}
         peers = self._responsive(peers)
-        for bucket in chosen:
+        for bucket in requested_buckets:
             peer = self.rng.choice(peers)
             requests.setdefault(peer, []).append(bucket)
             self._pending[bucket] = PendingBucket(peer, now, self._partial.pop(bucket, {}))
@@ -253,36 +253,36 @@
         self._finish()
 
     def _responsive(self, peers: list[int]) -> list[int]:
-        """Those of the peers that left the fewest requests unanswered."""
+        """Returns the peers that left the fewest requests unanswered."""
         tiers = {peer: self._peer_states[peer].missed // MISSES_PER_TIER for peer in peers}
-        best = min(tiers.values())
-        return [peer for peer in peers if tiers[peer] == best]
+        lowest_tier = min(tiers.values())
+        return [peer for peer in peers if tiers[peer] == lowest_tier]
 
     def _expire_requests(self, now: int) -> None:
-        progressed: dict[int, bool] = {}  # by peer with requests that are overdue: whether any part has come
+        progressed: dict[int, bool] = {}  # by peer with overdue requests: whether any part arrived
         for bucket, pending in list(self._pending.items()):
             if now - pending.requested_ns >= self._wait_ns:
                 del self._pending[bucket]
                 self._partial[bucket] = pending.parts
                 progressed[pending.peer] = progressed.get(pending.peer, False) or pending.progressed
         if progressed and not any(progressed.values()):
-            # a busy fleet answers late, and requests that are repeated would make it busier
+            # the peers may be overloaded, and repeated requests would add to their load
             self._wait_ns = min(MAX_WAIT_SPANS * self.settings.retry_interval_ns, 2 * self._wait_ns)
-        for peer, any_part in progressed.items():
+        for peer, any_progress in progressed.items():
             peer_state = self._peer_states.get(peer)
             if peer_state is not None:
-                peer_state.missed = 0 if any_part else peer_state.missed + 1
+                peer_state.missed = 0 if any_progress else peer_state.missed + 1
 
     def _finish(self) -> None:
-        """Notes the target as found once all its buckets are complete, again when more peers have it."""
+        """Sets the result when all buckets of the target are complete, and when more peers have the list."""
         target = self._target
         if target is None or len(self._complete) < BUCKETS:
             return
         found = self.result
         if found is not None and found.version >= target.version and found.trust is ListTrust.PEERS_AGREE:
             return
-        agreed = len(self._holders()) >= min(self.settings.min_agreeing_peers, len(self.peers))
-        trust = ListTrust.PEERS_AGREE if agreed else ListTrust.ONE_PEER
+        peers_agree = len(self._holders()) >= min(self.settings.min_agreeing_peers, len(self.peers))
+        trust = ListTrust.PEERS_AGREE if peers_agree else ListTrust.ONE_PEER
         if found is not None and (found.version, found.trust) == (target.version, trust):
             return
         lines = [line for bucket in range(BUCKETS) for line in self._complete[bucket].values()]
@@ -291,7 +291,7 @@
 
 
 def _preference(digests: list[ListDigest]) -> tuple[int, int, int, int]:
-    """The greatest for the list to fetch; all digests are of one list."""
+    """Returns a list's sort key, greatest for the one to fetch; `digests`: its digests from all peers."""
     nearest = min(digest.provenance for digest in digests)
     youngest_ns = min(digest.age_ns for digest in digests)
     return -nearest, digests[0].version, len(digests), -youngest_ns
--- a/zincstile/cold_start/message_rate.py
+++ b/zincstile/cold_start/message_rate.py
@@ -1,4 +1,4 @@
-"""A limit on messages in a second, as a token bucket."""
+"""A limit on messages a second."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 
 from .settings import SECOND
 
-BURST_S: Final = 0.25  # so many seconds' worth of messages may come at once
+BURST_S: Final = 0.25  # size of a burst, in seconds of the rate
 
 
 @dataclass(slots=True)
 class MessageRateLimit:
-    """A token bucket of messages; it is full at first."""
+    """A token bucket of messages, which is full at first."""
 
     per_s: float
     tokens: float = field(init=False)
@@ -30,5 +30,5 @@
         return self.tokens
 
     def spend(self, messages: float) -> None:
-        """Takes messages that `available` allowed."""
+        """Takes the tokens of messages that `available` permitted."""
         self.tokens -= messages
--- a/zincstile/cold_start/messages.py
+++ b/zincstile/cold_start/messages.py
@@ -1,7 +1,7 @@
-"""Messages by which gateways send each other their list of endpoints.
+"""Messages by which gateways exchange endpoint lists.
 
-The entries of a list are divided into a fixed number of buckets by the endpoint's name, so that only buckets
-that differ need to be sent.
+The entries of a list are distributed to a fixed number of buckets by endpoint name, so that only buckets that
+differ need to be sent.
 """
 
 from __future__ import annotations
@@ -10,42 +10,42 @@
 from enum import IntEnum
 from typing import Final
 
-BUCKETS: Final = 32  # of a list: the checksums of all of them fit into one datagram
+BUCKETS: Final = 32  # the checksums of all buckets have to fit into one datagram
 
 
 class Provenance(IntEnum):
-    """By whom a gateway has its list; a lower number is nearer to discovery. The numbers travel."""
+    """The source of a gateway's list; a lower number is preferred. Gateways send each other the numbers."""
 
     DISCOVERY = 0
-    CACHED = 1  # it was there before the process started
+    CACHED = 1  # from before the start of the process
     PEERS = 2
 
 
 @dataclass(frozen=True, slots=True)
 class ListQuery:
-    """Asks a gateway which list it has."""
+    """Asks a gateway for the digest of its list."""
 
 
 @dataclass(frozen=True, slots=True)
 class ListDigest:
-    """Which list the sender has, or that it has none to pass on."""
+    """Digest of the sender's list."""
 
     version: int
-    entry_count: int  # of the entries; 0: there is no list to pass on
-    age_ns: int  # since discovery confirmed the list
+    entry_count: int  # 0 if the sender has no list that it may pass on
+    age_ns: int  # time since discovery confirmed the list
     provenance: Provenance
-    checksums: tuple[int, ...]  # of the buckets
-    admission_open: bool = False  # the sender's own admission ramp is over
+    checksums: tuple[int, ...]  # by bucket
+    admission_open: bool = False  # whether the sender's admission ramp is over
 
     @property
     def identity(self) -> tuple[int, int, tuple[int, ...]]:
-        """Equal for equal lists."""
+        """A value that is equal for equal lists."""
         return self.version, self.entry_count, self.checksums
 
 
 @dataclass(frozen=True, slots=True)
 class BucketRequest:
-    """Asks for the lines of some buckets, if the list still has that version."""
+    """Asks for the lines of some buckets, if the receiver's list still has this version."""
 
     version: int
     buckets: tuple[int, ...]
@@ -57,8 +57,8 @@
 
     version: int
     bucket: int
-    part_index: int  # index
-    part_count: int  # of the bucket
+    part_index: int
+    part_count: int  # number of parts of the bucket
     lines: tuple[bytes, ...]
 
 
--- a/zincstile/cold_start/peer_lists.py
+++ b/zincstile/cold_start/peer_lists.py
@@ -1,9 +1,9 @@
-"""Exchange of endpoint lists with other gateways: passes on the list of this one, and searches for one.
+"""Exchange of endpoint lists with peers: sends them this gateway's list, and searches for one.
 
-Only what discovery sent is passed on (also by changes since a list that peers agreed on), or what was cached
-before the start. What came from peers alone is never passed on, so that a wrong list can't spread, nor
-outlive the gateways that had it from discovery. The age of a list travels with it and only grows. A list from
-discovery itself ends the search at once.
+Only a list from discovery or from before the start is sent to peers. A list from peers is sent only after
+discovery sent its changes since that list, which confirms it. Otherwise a wrong list could spread, and
+outlive the gateways that had it from discovery. The age of a list is sent with it and never decreases. A list
+from discovery stops the search at once.
 """
 
 from __future__ import annotations
@@ -20,16 +20,18 @@
 from .readiness import ListTrust
 from .settings import ColdStartSettings
 
-NO_LIST: Final = ListDigest(0, 0, 0, Provenance.PEERS, (0,) * BUCKETS)  # of a gateway with nothing to pass on
-MAX_NOTIFIED: Final = 8  # peers that are sent the digest when a list arrives, the last that queried in vain
-MIN_OPEN_PEERS: Final = 2  # whose answers say that the fleet serves: one alone may be wrong
+# Digest of a gateway without a list that it may pass on.
+NO_LIST: Final = ListDigest(0, 0, 0, Provenance.PEERS, (0,) * BUCKETS)
+# When a list arrives, at most this many of the peers that queried before get its digest, the latest ones.
+MAX_NOTIFIED: Final = 8
+# Minimum number of answers that show that the fleet is serving, as a single one may be wrong.
+MIN_OPEN_PEERS: Final = 2
 
 
 class PeerLists:
-    """One gateway's part of the exchange.
+    """One gateway's participation in the exchange.
 
-    Events come in by the methods; messages go out by `take_messages`, and `update` has to be called while a
-    list is searched for.
+    Outgoing messages are fetched by `take_messages`. `search.update` has to be called during a search.
     """
 
     def __init__(
@@ -40,15 +42,15 @@
         intake_per_s: float,
         rng: random.Random,
     ) -> None:
-        """Takes the gateway's index, how many there are, and the messages that it reads in a second."""
+        """`intake_per_s` is the number of messages that this gateway can receive in a second."""
         self.settings = settings
         self.peers = [gateway for gateway in range(gateway_count) if gateway != gateway_index]
         self.copy = ListCopy()
         self.search = ListSearch(settings, self.peers, intake_per_s, self.copy, rng, self._send)
-        self.admission_open = False  # of this gateway; sent with each digest
-        self._open_peers: dict[int, bool] = {}  # by peer that answered: whether its admission was open then
+        self.admission_open = False  # whether this gateway's is; sent with each digest
+        self._open_peers: dict[int, bool] = {}  # by peer: whether its admission was open in its first answer
         self._sending = MessageRateLimit(settings.max_sent_per_s)
-        self._waiting_peers: dict[int, None] = {}  # that queried while there was no list
+        self._waiting_peers: dict[int, None] = {}  # peers that queried while there was no list
         self._outbox: list[tuple[int, ListMessage]] = []
 
     # ---- events of this gateway
@@ -56,11 +58,11 @@
     def receive_discovery_list(
         self, now: int, version: int, entries: list[dict[str, Any]], *, complete: bool
     ) -> None:
-        """Takes discovery's list, or its changes, and ends the search."""
+        """Applies discovery's list or its changes, and stops the search."""
         found = self.search.result
-        agreed = found is not None and found.trust is ListTrust.PEERS_AGREE
-        if agreed and not complete and not self.copy.count:
-            # discovery sent what changed since the list that peers agree on, and so confirmed that list
+        peers_agree = found is not None and found.trust is ListTrust.PEERS_AGREE
+        if peers_agree and not complete and not self.copy.count:
+            # discovery sent the changes since the list that peers agree on, which confirms that list
             self.copy.replace(now, found.version, Provenance.DISCOVERY, found.entries)
         self.search.stop()
         if complete:
@@ -71,14 +73,14 @@
         self._notify_waiting_peers(now)
 
     def load_cached_list(self, now: int, version: int, entries: list[dict[str, Any]]) -> None:
-        """Takes the list of before the start.
+        """Takes the list from before the start.
 
-        Nobody knows its age: it counts as half of the age at which a list is no longer passed on.
+        Its age is unknown and set to half of the age up to which a list is sent to peers.
         """
         self.copy.replace(now - self.settings.max_list_age_ns // 2, version, Provenance.CACHED, entries)
 
     def record_discovery_contact(self, now: int) -> None:
-        """Notes that discovery's watch sent something, if only that nothing has changed."""
+        """Records that discovery's watch is alive, which confirms a list from discovery."""
         if self.copy.provenance is Provenance.DISCOVERY:
             self.copy.confirmed_ns = now
 
@@ -91,37 +93,36 @@
         elif isinstance(message, BucketRequest):
             self._answer_request(now, sender, message)
         elif isinstance(message, ListDigest):
-            # the first one counts: later the peer may have opened after this gateway started
+            # the first digest counts: later the peer's ramp may have ended after this gateway's start
             self._open_peers.setdefault(sender, message.admission_open)
             self.search.receive_digest(now, sender, message)
         elif isinstance(message, BucketPart):
             self.search.receive_part(now, sender, message)
 
     def take_messages(self) -> list[tuple[int, ListMessage]]:
-        """Returns the messages to send since the last call, each with the peer it is for."""
+        """Returns the messages to send that were added since the last call, each with its receiver."""
         messages = self._outbox
         self._outbox = []
         return messages
 
     def take_result(self) -> FoundList | None:
-        """Returns a complete list from peers, once."""
+        """Returns a complete list from peers once; None if there is no new one."""
         return self.search.take_result()
 
     def fleet_is_serving(self) -> bool:
-        """Returns whether all peers that answered serve with open admission, and at least two answered.
+        """Returns whether enough peers answered and the admission of all of them is open.
 
-        Then this gateway starts into a fleet that serves, and not together with it. Gateways that start say
-        that their admission is not open, so that a fleet of which half has just come back is hardly ever
-        taken for one that serves.
+        Then only this gateway starts, and not the whole fleet. Starting gateways answer that their admission
+        is not open, so it is very unlikely that this is true while half of the fleet restarts.
         """
-        enough = min(max(MIN_OPEN_PEERS, self.settings.min_agreeing_peers), len(self.peers))
-        return len(self._open_peers) >= enough and all(self._open_peers.values())
+        min_answers = min(max(MIN_OPEN_PEERS, self.settings.min_agreeing_peers), len(self.peers))
+        return len(self._open_peers) >= min_answers and all(self._open_peers.values())
 
     def _send(self, peer: int, message: ListMessage) -> None:
         self._outbox.append((peer, message))
 
     def _may_send(self, now: int, datagrams: int) -> bool:
-        """Guards a gateway that serves against a crowd of those that start."""
+        """Limits the datagrams to starting peers, as many gateways may start at the same time."""
         if self._sending.available(now) < datagrams:
             return False
         self._sending.spend(datagrams)
@@ -137,7 +138,7 @@
 
     def _answer_request(self, now: int, sender: int, request: BucketRequest) -> None:
         if request.version != self.copy.version or self.copy.digest(now) is None:
-            return  # another list by now: the peer will query again
+            return  # the list has changed: the peer will query again
         for bucket in request.buckets:
             parts = split_bucket(request.version, bucket, self.copy.buckets[bucket].values())
             if not self._may_send(now, len(parts)):
--- a/zincstile/cold_start/readiness.py
+++ b/zincstile/cold_start/readiness.py
@@ -1,17 +1,17 @@
-"""When a gateway answers `PING` that it is ready, by the endpoint list that it has. No I/O and no clock.
+"""Determines when a gateway answers `PING` that it is ready, by its endpoint list. No I/O and no clock.
 
 | list | ready |
 | --- | --- |
 | from discovery | at once |
-| from peers, of which `agree` have the same one | at once |
-| from one peer alone | `lone` after the start |
-| cached, and a peer's newest list equals it | at once |
-| cached | `known` after the start |
-| none | never: a gateway without endpoints could only reject |
-
-So with a list service that is down, a gateway with a cached list is ready `known` after its start at the
-latest. One without is ready once it has reached a peer that has a list, and not before `lone` after its start
-where only one peer has one.
+| from peers, of which `min_agreeing_peers` have the same one | at once |
+| from one peer only | `single_peer_wait_ns` after the start |
+| cached, and the newest list of peers equals it | at once |
+| cached | `cached_list_wait_ns` after the start |
+| none | never, as a gateway without endpoints can only reject requests |
+
+If the list service is down, a gateway with a cached list is therefore ready at the latest
+`cached_list_wait_ns` after its start. A gateway without one is ready when it has a list from peers, but not
+before `single_peer_wait_ns` after its start if only one peer has the list.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class ListTrust(Enum):
-    """By which list a gateway serves, from the least trusted to the most. The texts are for log lines."""
+    """Trust in a gateway's list, in increasing order. The values are texts for log lines."""
 
     NONE = "no list"
     CACHED = "cached"
@@ -33,7 +33,7 @@
 
     @property
     def rank(self) -> int:
-        """Greater for a list that is trusted more."""
+        """A number that is greater for a list that is trusted more."""
         return RANKS[self]
 
 
@@ -42,21 +42,21 @@
 
 @dataclass(slots=True)
 class Readiness:
-    """From when on one process is ready. Times are in nanoseconds of its own clock."""
+    """Readiness of one process. Times are in nanoseconds on its own clock."""
 
     settings: ColdStartSettings
     started_ns: int
     trust: ListTrust = ListTrust.NONE
-    cache_confirmed: bool = False  # the newest list of peers equals the cached one
+    cache_confirmed: bool = False  # whether the newest list of peers equals the cached one
 
     def record_list(self, trust: ListTrust, *, cache_confirmed: bool = False) -> None:
-        """Notes a list; one that is trusted less than the present one changes nothing."""
+        """Records a list; one that is trusted less than the current one is ignored."""
         self.cache_confirmed = self.cache_confirmed or cache_confirmed
         if trust.rank > self.trust.rank:
             self.trust = trust
 
     def ready_ns(self) -> int | None:
-        """Returns from when on the process is ready by the list that it has; None where it has none."""
+        """Returns the time from which the process is ready with its current list; None without a list."""
         if self.trust is ListTrust.NONE:
             return None
         if self.trust in (ListTrust.DISCOVERY, ListTrust.PEERS_AGREE) or self.cache_confirmed:
