--- a/tests/test_subsetting.py
+++ b/tests/test_subsetting.py
@@ -523,9 +523,9 @@
     [
         ("subset: {service_by: name}", "service_by"),
         ("subset: {service_by: type, least: 0}", "least: must be above 0"),
-        ("subset: {service_by: type, least_good: 9}", r"least_good: at most least \(3\)"),
+        ("subset: {service_by: type, least_good: 9}", r"least_good: must be at most least \(3\)"),
         ("subset: {service_by: none, reach: region, layout: blocks}", "no regions are given"),
-        ("subset: {service_by: none, reach: zone}", "used by nobody"),
+        ("subset: {service_by: none, reach: zone}", "used by no gateway"),
         ("subset: {service_by: none, regions: {x: [q]}}", "no zone is called q"),
         ("subset: {service_by: none, regions: {x: [a], y: [a]}}", "zone a is in x and in y"),
         ("subset: {service_by: none, layout: blocks}", "puts gateway 0 of 6 in zone a"),
--- a/zincstile/cold_start/list_search.py
+++ b/zincstile/cold_start/list_search.py
@@ -79,7 +79,7 @@
         rng: random.Random,
         send: Callable[[int, ListMessage], None],
     ) -> None:
-        """`peers` are the indexes of all other gateways; `intake_per_s`: messages that this one can receive."""
+        """`peers` are the indexes of all other gateways; `intake_per_s`: messages that this one can read."""
         self.settings = settings
         self.peers = peers
         self.copy = copy
--- a/zincstile/subsetting/departed_endpoints.py
+++ b/zincstile/subsetting/departed_endpoints.py
@@ -1,4 +1,4 @@
-"""What was learned of endpoints that have left the subset, kept for their return."""
+"""Keeps the scores of endpoints that left the subset, in case they return."""
 
 from __future__ import annotations
 
@@ -10,33 +10,33 @@
 from ..decisions.outlier_detection import NEGLIGIBLE_SCORE, SCORE_DECAY_S
 from ..decisions.units import SECOND_NS
 
-MAX_DEPARTED: Final = 1024  # bounds the memory; small changes of a ring let a few endpoints come and go
+MAX_DEPARTED: Final = 1024  # bounds the memory; small changes of a ring exchange only a few endpoints
 
 
 class DepartedEndpoint(NamedTuple):
-    """An endpoint as it was when it left."""
+    """An endpoint in its state at the time when it left."""
 
     left_ns: int
     endpoint: Endpoint
 
 
 class DepartedEndpoints:
-    """Owner of the endpoints that left last, at most `MAX_DEPARTED`."""
+    """The endpoints that left most recently, at most `MAX_DEPARTED`."""
 
     def __init__(self) -> None:
-        """Starts without any."""
-        self.count = 0  # of all that left since the start
-        self._by_id: dict[int, DepartedEndpoint] = {}  # the oldest first
+        """Starts empty."""
+        self.count = 0  # number of endpoints that left since the start
+        self._by_id: dict[int, DepartedEndpoint] = {}  # in the order in which they left
 
     def add(self, now: int, endpoint_id: int, endpoint: Endpoint) -> None:
-        """Keeps an endpoint that leaves, in place of the oldest one where there are too many."""
+        """Keeps an endpoint that leaves; drops the oldest one if there are too many."""
         self.count += 1
         self._by_id[endpoint_id] = DepartedEndpoint(now, endpoint)
         if len(self._by_id) > MAX_DEPARTED:
             del self._by_id[next(iter(self._by_id))]
 
     def restore(self, now: int, entry: EndpointEntry) -> Endpoint | None:
-        """Returns an endpoint that returns, its scores decayed; None where it was started anew since."""
+        """Returns a kept endpoint with decayed scores; None if it is unknown or was restarted since."""
         departed = self._by_id.pop(entry.id, None)
         if departed is None or departed.endpoint.entry.started_ns != entry.started_ns:
             return None
@@ -48,7 +48,7 @@
 
 
 def _decay(endpoint: Endpoint, elapsed_s: float) -> None:
-    """Moves the latency ratio towards 1, and the error scores towards 0."""
+    """Decays the latency ratio towards 1 and the error scores towards 0."""
     keep = math.exp(-elapsed_s / SCORE_DECAY_S)
     endpoint.latency_ratio += (1 - keep) * (1 - endpoint.latency_ratio)
     endpoint.error_scores = {
--- a/zincstile/subsetting/feature.py
+++ b/zincstile/subsetting/feature.py
@@ -1,9 +1,9 @@
-"""Subsetting (`features.subset`): the policy gets the endpoints alone that this gateway uses.
+"""Subsetting (`features.subset`): passes only the endpoints that this gateway uses to the policy.
 
-All endpoints stand in `rings`; the policy gets changes of the subset's endpoints, and no other. What it
-learned of an endpoint that leaves the subset is kept for a while (`departed_endpoints`). Slow start holds as
-it is: each of the fewer gateways that send to a warming endpoint compares it with the same fewer endpoints,
-and the first rate stays each gateway's even part among all (docs/subset.md).
+`rings` contains all endpoints; the policy only gets changes of the subset's endpoints. The scores of an
+endpoint that leaves the subset are kept for some time (`departed_endpoints`). Slow start needs no change:
+fewer gateways send to a warming endpoint, but each of them compares it with fewer endpoints, and the initial
+rate stays an even share for each gateway of the fleet (docs/subset.md).
 """
 
 from __future__ import annotations
@@ -24,14 +24,15 @@
 from .settings import ServiceBy, SubsetSettings
 from .widening import Health
 
-# Error score below which an endpoint counts as healthy again: less than an outlier's, so that a score near
-# that does not widen a slice and shrink it in turns.
+# Error score below which an endpoint counts as healthy again. It is less than that of an outlier, so that a
+# score near the limit does not alternately widen and shrink a slice.
 RECOVERED_SCORE: Final = OUTLIER_SCORE / 2
-MIN_DEDUPLICATING_ENDPOINTS: Final = 2  # of a scope: a request with a key may be repeated at the second one
+# Minimum number of endpoints in a scope, so that a request with a key can be retried at another one.
+MIN_DEDUPLICATING_ENDPOINTS: Final = 2
 
 
 def deduplication_scopes(settings: Settings) -> set[DeduplicationScope]:
-    """Returns the scopes outside of which some class's requests may not be repeated."""
+    """Returns the scopes within which the retries of some class have to stay."""
     scopes = {
         request_class.deduplication_scope
         for request_class in settings.classes
@@ -41,14 +42,14 @@
 
 
 class SubsettingFeature:
-    """Owner of all endpoints of the list, and of the choice among them."""
+    """Policy feature that selects the subset from all endpoints of discovery's list."""
 
     def __init__(
         self, settings: Settings, subset_settings: SubsetSettings, zones: list[str], machine_types: list[int]
     ) -> None:
-        """Takes the names of the zones, in the settings' order, and a number for each machine type.
+        """`zones` are the zone names in the settings' order; `machine_types` has a number for each type.
 
-        The number of a type is the same at gateways whose settings name other types besides.
+        A type has the same number at all gateways, even if their settings name different types.
         """
         self.settings = settings
         self.subset_settings = subset_settings
@@ -61,14 +62,14 @@
         if scopes:
             min_endpoints = max(min_endpoints, MIN_DEDUPLICATING_ENDPOINTS)
         self.selection = Selection(subset_settings, fleet, self.rings, min_endpoints)
-        self.applied_entries: dict[int, EndpointEntry] = {}  # by id, as the policy has them
+        self.applied_entries: dict[int, EndpointEntry] = {}  # by endpoint id: the entries that the policy has
         self.departed = DepartedEndpoints()
-        self._applied_ns = 0  # when the policy got a change last
+        self._applied_ns = 0  # when the policy last got a change
 
     # ---- the feature
 
     def attach(self, policy: Policy) -> None:
-        """Stands between discovery's list and the policy."""
+        """Installs the selection between discovery's list and the policy."""
         self.parts = policy.parts
         self._apply: Callable[[int, EndpointList], None] = policy.on_endpoint_list
         policy.handlers[EndpointList] = self.on_endpoint_list
@@ -77,18 +78,18 @@
         self.parts.capacity.dilution = 1.0
 
     def before_start(self, now: int) -> None:
-        """Nothing is known before the first list."""
+        """There is nothing to do before the first list."""
 
     def started(self, now: int) -> None:
-        """Nothing goes by a timer of its own."""
+        """The feature has no timer."""
 
     def state_inherited(self, now: int) -> None:
-        """Scores come back with the endpoints of the subset."""
+        """The policy inherits the scores together with the endpoints of the subset."""
 
     def figures(self) -> dict[str, float]:
-        """Endpoints of the list and of the subset, widened slices, and endpoints that left the subset.
+        """Returns the counts of listed, selected and departed endpoints, and of widened slices.
 
-        Stored results have these keys.
+        Stored results contain these keys.
         """
         return {
             "endpoints": len(self.rings.endpoints),
@@ -98,16 +99,16 @@
         }
 
     def service_of(self, entry: EndpointEntry) -> int:
-        """The service of an endpoint, by the field that the settings name."""
+        """Returns the service of an endpoint, by the field that the settings select."""
         if self.subset_settings.service_by is ServiceBy.TYPE:
-            known = 0 <= entry.machine_type < len(self.machine_types)
-            return self.machine_types[entry.machine_type] if known else entry.machine_type
+            is_configured = 0 <= entry.machine_type < len(self.machine_types)
+            return self.machine_types[entry.machine_type] if is_configured else entry.machine_type
         return entry.cell if self.subset_settings.service_by is ServiceBy.GROUP else 0
 
     # ---- the list
 
     def on_endpoint_list(self, now: int, event: EndpointList) -> None:
-        """A list or a change of it, of which the policy gets its part."""
+        """Applies a list or a change, and passes the subset's part of it to the policy."""
         if event.kind is EndpointListKind.FAILED:
             self._apply(now, event)
             return
@@ -120,42 +121,42 @@
             services = self.rings.replace(event.entries)
         self._apply_changes(now, changed | self.selection.update(services), event.version)
         if first and self.applied_entries:
-            self.parts.actions.append(LogMessage(self._log_line()))
+            self.parts.actions.append(LogMessage(self._summary()))
 
     def _apply_changes(self, now: int, changed: set[int], version: int) -> None:
-        """Has the policy apply what has changed for it, among these endpoint ids."""
+        """Passes the policy the changes that concern it, among these endpoint ids."""
         changes = (self._change(now, endpoint_id) for endpoint_id in sorted(changed))
         entries = [entry for entry in changes if entry is not None]
-        ready = len(self.selection.members)
-        self.parts.capacity.dilution = self.rings.ready_count / ready if ready else 1.0
+        member_count = len(self.selection.members)
+        self.parts.capacity.dilution = self.rings.ready_count / member_count if member_count else 1.0
         if entries:
             self._applied_ns = now
             self._apply(now, EndpointList(EndpointListKind.DELTA, version, entries))
 
     def _change(self, now: int, endpoint_id: int) -> EndpointEntry | None:
-        """An endpoint's entry as the policy is to have it; None where it has that already."""
+        """Returns the new entry of an endpoint for the policy; None if nothing changes for it."""
         entry = self.rings.endpoints.get(endpoint_id)
-        used = self.applied_entries.get(endpoint_id)
-        drains = entry is not None and entry.state is EndpointState.DRAINING and used is not None
-        if entry is not None and (drains or endpoint_id in self.selection.members):
+        applied = self.applied_entries.get(endpoint_id)
+        keeps_draining = entry is not None and entry.state is EndpointState.DRAINING and applied is not None
+        if entry is not None and (keeps_draining or endpoint_id in self.selection.members):
             self.applied_entries[endpoint_id] = entry
-            return entry if entry != used else None
-        if used is None:
+            return entry if entry != applied else None
+        if applied is None:
             return None
         del self.applied_entries[endpoint_id]
         endpoint = self.parts.endpoints.by_id.get(endpoint_id)
         if endpoint is not None:
             self.departed.add(now, endpoint_id, endpoint)
-        return replace(used, state=EndpointState.REMOVED)
+        return replace(applied, state=EndpointState.REMOVED)
 
     def recall(self, entry: EndpointEntry) -> Endpoint | None:
-        """What was learned of an endpoint before it left the subset, if any."""
+        """Returns an endpoint with its earlier scores if it was in the subset before."""
         return self.departed.restore(self._applied_ns, entry)
 
     # ---- outliers
 
     def on_ticked(self, now: int) -> None:
-        """Slices with outliers are widened, those without are taken back."""
+        """Widens slices with outliers, and shrinks those that have recovered."""
         touched = self.parts.endpoints.touched
         suspects = [endpoint_id for endpoint_id, endpoint in touched.items() if endpoint.error_scores]
         services = self.selection.review(now, suspects, self._health)
@@ -163,17 +164,20 @@
             self._apply_changes(now, self.selection.update(services), 0)
 
     def _health(self, endpoint_id: int) -> Health:
-        """The health of an endpoint by its scores, not less the baseline: all of a subset may fail alike."""
+        """Returns the health of an endpoint by its scores.
+
+        The baseline is not subtracted, as all endpoints of a subset may fail alike.
+        """
         endpoint = self.parts.endpoints.by_id.get(endpoint_id)
         if endpoint is None:
             return Health.HEALTHY
         scores = endpoint.error_scores
-        worst = max((scores.get(group, 0.0) for group in range(len(self.settings.classes))), default=0.0)
-        if worst >= OUTLIER_SCORE:
+        max_score = max((scores.get(group, 0.0) for group in range(len(self.settings.classes))), default=0.0)
+        if max_score >= OUTLIER_SCORE:
             return Health.UNHEALTHY
-        return Health.RECOVERING if worst >= RECOVERED_SCORE else Health.HEALTHY
+        return Health.RECOVERING if max_score >= RECOVERED_SCORE else Health.HEALTHY
 
-    def _log_line(self) -> str:
+    def _summary(self) -> str:
         return (
             f"subset {len(self.selection.members)} of {self.rings.ready_count} ready endpoints, "
             f"{len(self.selection.slices)} services, {self.selection.widened} slices widened"
--- a/zincstile/subsetting/placement.py
+++ b/zincstile/subsetting/placement.py
@@ -1,11 +1,11 @@
-"""Where a gateway's slice of a ring of endpoints lies: pure functions of numbers.
+"""Position and size of a gateway's slice of a ring of endpoints, as pure functions.
 
-The endpoints of one service in one zone are on a ring in the order of a stable hash. The gateways are on it
-too, exactly evenly: the one with index `i` among `count` at the `i * stride`-th of `count` places, with a
-stride near the golden ratio's part of `count`, so that also any block or regular selection of indices is
-spread out. Each gateway takes the endpoints from its place on. So an endpoint is taken by
+The endpoints of one service in one zone are on a ring, in the order of a stable hash. The gateways are placed
+on the ring at even distances: the one with index `i` among `count` is at position `i * stride` of `count`.
+The stride is near `count` divided by the golden ratio, so that any block or regular selection of indices is
+spread out too. Each gateway takes the endpoints that follow its position. So each endpoint is taken by
 `count * size / total` gateways, rounded down or up, and a change of one endpoint exchanges at most one other
-of a slice.
+endpoint of a slice.
 """
 
 from __future__ import annotations
@@ -15,33 +15,33 @@
 from functools import lru_cache
 from typing import Final
 
-GOLDEN_RATIO_PART: Final = (math.sqrt(5) - 1) / 2  # multiples of this part spread most evenly round a ring
-ID_BITS: Final = 64  # of an endpoint's number
+GOLDEN_RATIO_PART: Final = (math.sqrt(5) - 1) / 2  # multiples of this part are spread most evenly on a ring
+ID_BITS: Final = 64  # of an endpoint id
 ID_MASK: Final = (1 << ID_BITS) - 1
-HASH_BYTES: Final = 6  # 48 bits: two of 32,000 endpoints have the same hash once in 550,000 lists
-STRIDE_CANDIDATES: Final = 400  # enough to find an even one; they are compared once for each fleet size
+HASH_BYTES: Final = 6  # 48 bits: among 32,000 endpoints, one list in 550,000 has a collision
+STRIDE_CANDIDATES: Final = 400  # enough to find an even stride; compared once for each fleet size
 
 
 def stable_hash(*parts: object) -> int:
-    """A hash that is the same at every gateway and after restarts."""
+    """Returns a hash that is the same at all gateways and after restarts."""
     text = "/".join(map(str, parts)).encode()
     return int.from_bytes(hashlib.blake2b(text, digest_size=HASH_BYTES).digest(), "big")
 
 
 def ring_key(service: int, endpoint: int) -> int:
-    """An endpoint's place in the order of its service's rings; the lower bits are its number."""
+    """Returns the sort key of an endpoint in the rings of its service; the lower bits are its id."""
     return stable_hash(service, endpoint) << ID_BITS | endpoint & ID_MASK
 
 
 def endpoint_id_of(key: int) -> int:
-    """The endpoint's number, from its key in a ring."""
+    """Returns the endpoint id in a ring key."""
     return key & ID_MASK
 
 
 def largest_quotient(part: int, whole: int) -> int:
-    """The largest quotient of the continued fraction of `part / whole`.
+    """Returns the largest quotient of the continued fraction of `part / whole`.
 
-    The smaller it is, the more evenly the multiples of `part` spread over `whole`.
+    The smaller it is, the more evenly the multiples of `part` are spread over `whole`.
     """
     largest = 0
     while part:
@@ -52,27 +52,27 @@
 
 @lru_cache(maxsize=64)
 def stride(count: int) -> int:
-    """The distance between two gateways with consecutive indices, on a ring of `count` places.
+    """Returns the distance between two gateways with consecutive indexes on a ring of `count` positions.
 
-    Coprime to `count` and near the golden ratio's part of it. Of those it is the one whose multiples spread
-    most evenly, so that also a block of consecutive indices has no large gaps.
+    It is coprime to `count` and near `count` divided by the golden ratio. Among such numbers, it is the one
+    whose multiples are spread most evenly, so that a block of consecutive indexes has no large gaps either.
     """
     wanted = round(count * GOLDEN_RATIO_PART)
     first = max(1, wanted - STRIDE_CANDIDATES // 2)
     last = min(count, wanted + STRIDE_CANDIDATES // 2)
     coprime = [candidate for candidate in range(first, last + 1) if math.gcd(candidate, count) == 1]
-    return min(coprime, key=lambda found: (largest_quotient(found, count), abs(found - wanted)))
+    return min(coprime, key=lambda part: (largest_quotient(part, count), abs(part - wanted)))
 
 
-def slice_size(total: int, min_endpoints: int, min_gateways: int, gateways: int) -> int:
-    """How many of `total` endpoints each of `gateways` takes.
+def slice_size(total: int, min_endpoints: int, min_gateways: int, gateway_count: int) -> int:
+    """Returns how many of `total` endpoints each gateway takes.
 
-    It is `min_endpoints`, and more where each endpoint would be taken by fewer than `min_gateways`.
+    This is `min_endpoints`, or more if each endpoint would otherwise be taken by fewer than `min_gateways`.
     """
-    return min(total, max(min_endpoints, -(-min_gateways * total // gateways)))
+    return min(total, max(min_endpoints, -(-min_gateways * total // gateway_count)))
 
 
 def first_rank(index: int, count: int, total: int, offset: int = 0) -> int:
-    """The rank at which the slice of gateway `index` of `count` begins, on a ring of `total` endpoints."""
-    place = (offset + index * stride(count)) % count
-    return place * total // count
+    """Returns the rank at which the slice of gateway `index` begins on a ring of `total` endpoints."""
+    position = (offset + index * stride(count)) % count
+    return position * total // count
--- a/zincstile/subsetting/rings.py
+++ b/zincstile/subsetting/rings.py
@@ -1,7 +1,7 @@
 """All endpoints of discovery's list, and a ring of the ready ones for each service and zone.
 
-A change costs a search and an insertion in one ring; only a full list, which is as long as the table itself,
-goes through all endpoints. Endpoints that drain are kept, and are in no ring.
+A change of an endpoint takes a search and an insertion in one ring; only a full list is compared with all
+endpoints. Draining endpoints are kept, but are in no ring.
 """
 
 from __future__ import annotations
@@ -15,14 +15,14 @@
 
 
 class RingId(NamedTuple):
-    """Which ring: of one service in one zone."""
+    """Identifies the ring of one service in one zone."""
 
     service: int
     zone: int
 
 
 class RingMembership(NamedTuple):
-    """The ring of an endpoint, and its cell there."""
+    """The ring of an endpoint, and its cell."""
 
     ring: RingId
     cell: int
@@ -34,7 +34,7 @@
     __slots__ = ("keys", "keys_by_cell")
 
     def __init__(self, *, by_cell: bool) -> None:
-        """Starts empty; `by_cell`: it knows the keys of each cell too."""
+        """Starts empty; with `by_cell`, the ring indexes its keys by cell too."""
         self.keys: list[int] = []
         self.keys_by_cell: dict[int, list[int]] | None = {} if by_cell else None
 
@@ -43,13 +43,13 @@
         return len(self.keys)
 
     def add(self, key: int, cell: int) -> None:
-        """Puts an endpoint in its place."""
+        """Inserts an endpoint."""
         insort(self.keys, key)
         if self.keys_by_cell is not None:
             insort(self.keys_by_cell.setdefault(cell, []), key)
 
     def remove(self, key: int, cell: int) -> None:
-        """Takes an endpoint off."""
+        """Removes an endpoint."""
         del self.keys[bisect_left(self.keys, key)]
         if self.keys_by_cell is not None:
             keys = self.keys_by_cell[cell]
@@ -58,22 +58,22 @@
                 del self.keys_by_cell[cell]
 
     def take(self, first: int, size: int) -> list[int]:
-        """The keys of `size` endpoints from rank `first` on, round the ring; each once."""
+        """Returns the keys of `size` endpoints from rank `first` on, wrapping around; each key once."""
         size = min(size, len(self.keys))
         end = first + size
         return self.keys[first:end] + self.keys[: max(0, end - len(self.keys))]
 
     def partner(self, key: int, cell: int) -> int:
-        """The endpoint of the same cell that follows, or the same one where it is the only one."""
+        """Returns the key that follows in the same cell, or `key` itself if it is the only one."""
         keys = (self.keys_by_cell or {})[cell]
         return keys[(bisect_left(keys, key) + 1) % len(keys)]
 
 
 class EndpointRings:
-    """All endpoints, by number, and the rings of the ready ones."""
+    """All endpoints by id, and the rings of the ready ones."""
 
     def __init__(self, service_of: Callable[[EndpointEntry], int], *, by_cell: bool = False) -> None:
-        """Starts empty; `service_of` gives an endpoint's service, `by_cell`: the rings know cells too."""
+        """Starts empty; `service_of` returns an endpoint's service; with `by_cell`, rings index cells too."""
         self.service_of = service_of
         self.by_cell = by_cell
         self.endpoints: dict[int, EndpointEntry] = {}
@@ -81,20 +81,20 @@
         self.ready_count = 0
 
     def apply(self, entries: Iterable[EndpointEntry]) -> set[int]:
-        """Takes changes, in their order. Returns the services of which a ring has changed."""
+        """Applies changes in their order. Returns the services with a changed ring."""
         changed: set[int] = set()
         for entry in entries:
             self._put(entry, changed)
         return changed
 
     def replace(self, entries: Iterable[EndpointEntry]) -> set[int]:
-        """Takes a full list: what it leaves out is removed.
+        """Applies a full list; endpoints that it does not contain are removed.
 
-        Returns the services of which a ring has changed.
+        Returns the services with a changed ring.
         """
         listed = {entry.id: entry for entry in entries}
         changed: set[int] = set()
-        for endpoint_id in [known for known in self.endpoints if known not in listed]:
+        for endpoint_id in [existing_id for existing_id in self.endpoints if existing_id not in listed]:
             self._leave_ring(self.endpoints.pop(endpoint_id), changed)
         for entry in listed.values():
             self._put(entry, changed)
@@ -102,19 +102,19 @@
 
     def _put(self, entry: EndpointEntry, changed: set[int]) -> None:
         old = self.endpoints.get(entry.id)
-        unmoved = old is not None and self._membership(old) == self._membership(entry)
+        same_membership = old is not None and self._membership(old) == self._membership(entry)
         if entry.state is EndpointState.REMOVED:
             self.endpoints.pop(entry.id, None)
         else:
             self.endpoints[entry.id] = entry
-        if unmoved:
+        if same_membership:
             return
         if old is not None:
             self._leave_ring(old, changed)
         self._join_ring(entry, changed)
 
     def _membership(self, entry: EndpointEntry) -> RingMembership | None:
-        """Where an endpoint belongs; None: in no ring."""
+        """Returns the ring and cell of an endpoint; None if it belongs to no ring."""
         if entry.state is not EndpointState.READY:
             return None
         return RingMembership(RingId(self.service_of(entry), entry.zone), entry.cell)
--- a/zincstile/subsetting/settings.py
+++ b/zincstile/subsetting/settings.py
@@ -1,4 +1,4 @@
-"""How large a gateway's subset of endpoints is, from which zones it comes, and when it is widened."""
+"""Settings of subsetting: size of a subset, the zones it is taken from, and when it is widened."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 
 
 class ServiceBy(Enum):
-    """The field of discovery's entries that names an endpoint's service."""
+    """The field of discovery's entries that identifies an endpoint's service."""
 
     TYPE = "type"
     GROUP = "group"
-    NONE = "none"  # all endpoints are of one service
+    NONE = "none"  # all endpoints belong to one service
 
 
 class Reach(Enum):
-    """The zones from which a gateway takes endpoints as long as a service has any there."""
+    """The zones from which a gateway takes the endpoints of a service as long as there are any."""
 
     ZONE = "zone"
     REGION = "region"
@@ -28,11 +28,11 @@
 
 
 class Layout(Enum):
-    """How the gateways' numbers are laid out over the zones, in the order of the settings."""
+    """How gateway indexes are assigned to zones, in the order of the settings."""
 
     UNKNOWN = "unknown"
     INTERLEAVED = "interleaved"  # gateway g is in zone g modulo the number of zones
-    BLOCKS = "blocks"  # the first so many in the first zone, and so on, in even blocks
+    BLOCKS = "blocks"  # consecutive gateways are in the same zone, in blocks of equal size
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,29 +41,36 @@
 
     service_by: ServiceBy = ServiceBy.NONE
     reach: Reach = Reach.ALL
-    regions: dict[str, tuple[str, ...]] = field(default_factory=dict)  # zones by region
+    # Zones of each region.
+    regions: dict[str, tuple[str, ...]] = field(default_factory=dict)
     layout: Layout = Layout.UNKNOWN
-    min_endpoints: int = 3  # of each service and zone in reach, where there are so many
-    min_gateways: int = 4  # that use each endpoint: with 4 or more the load is even within 25%
-    min_usable: int = 2  # endpoints of a slice: with fewer it is widened
-    max_growth: int = 3  # a slice is at most so many times its regular size
-    recovery_ns: int = 5 * SECOND_NS  # its regular endpoints are healthy for so long before it shrinks
+    # Minimum number of endpoints of a slice, if the service has as many in the zone.
+    min_endpoints: int = 3
+    # Minimum number of gateways that use each endpoint. With 4 or more, the load is even within 25%.
+    min_gateways: int = 4
+    # A slice with fewer usable endpoints is widened.
+    min_usable: int = 2
+    # A widened slice has at most this many times its regular size.
+    max_growth: int = 3
+    # A widened slice shrinks when its regular endpoints have been healthy for this long.
+    recovery_ns: int = 5 * SECOND_NS
 
     def __post_init__(self) -> None:
-        """Raises ValueError, which names the field, where a value can't work."""
+        """Raises ValueError that names the field with an invalid value."""
         require_above_zero(self, "min_endpoints", "min_gateways", "min_usable", "max_growth", "recovery_ns")
         if self.min_usable > self.min_endpoints:
             raise ValueError(
-                f"min_usable: at most min_endpoints ({self.min_endpoints}): a slice would always be widened"
+                f"min_usable: must be at most min_endpoints ({self.min_endpoints}), "
+                "or slices would always be widened"
             )
         self._check_regions()
         if self.reach is not Reach.ALL and self.layout is Layout.UNKNOWN:
             raise ValueError(
-                f"reach: {self.reach.value}, and layout is unknown: who shares a zone has to be known, "
-                "else some would be used by nobody"
+                f"reach: {self.reach.value} needs a layout other than unknown: without knowing which "
+                "gateways share a zone, some endpoints would be used by no gateway"
             )
         if self.reach is Reach.REGION and not self.regions:
-            raise ValueError("reach: region, and no regions are given")
+            raise ValueError("reach: region needs regions, and no regions are given")
 
     def _check_regions(self) -> None:
         region_of: dict[str, str] = {}
@@ -74,13 +81,13 @@
                 region_of[zone] = region
 
     def region(self, zone: str) -> tuple[str, ...]:
-        """The zones of a zone's region; one that is in none is a region of its own."""
+        """Returns the zones of a zone's region; a zone without a region forms a region of its own."""
         return next((zones for zones in self.regions.values() if zone in zones), (zone,))
 
     def tiers(self, zone: str, zones: list[str]) -> list[tuple[str, ...]]:
-        """Zones that a gateway of `zone` takes endpoints from, then those that it falls back on.
+        """Returns the zones that a gateway in `zone` takes endpoints from, then those that it falls back to.
 
-        Each tier contains the ones before it; the last one is all `zones`.
+        Each tier contains the previous one; the last tier is all `zones`.
         """
         tiers: list[tuple[str, ...]] = []
         if self.reach is Reach.ZONE:
--- a/zincstile/subsetting/widening.py
+++ b/zincstile/subsetting/widening.py
@@ -1,4 +1,4 @@
-"""How far one slice is widened while its endpoints are unhealthy: bounded, and back with hysteresis."""
+"""Widens a slice while its endpoints are unhealthy, within a bound, and shrinks it with hysteresis."""
 
 from __future__ import annotations
 
@@ -8,25 +8,26 @@
 
 from .settings import SECOND_NS
 
-RELAPSE_NS: Final = 60 * SECOND_NS  # widened again this soon after it shrank, a slice waits twice as long
-MAX_RECOVERY_FACTOR: Final = 16  # four doublings: 80 s at the usual settings
+# If a slice is widened again within this time after it shrank, its recovery time is doubled.
+RELAPSE_NS: Final = 60 * SECOND_NS
+MAX_RECOVERY_FACTOR: Final = 16  # four doublings: 80 s with the default settings
 
 
 class Health(IntEnum):
-    """The health of one endpoint, as the decision module sees it."""
+    """The health of one endpoint, from the scores of the policy."""
 
     HEALTHY = 0
-    RECOVERING = 1  # no longer unhealthy, and not yet healthy
+    RECOVERING = 1  # no longer unhealthy, but not healthy yet
     UNHEALTHY = 2
 
 
 @dataclass(slots=True)
 class Widening:
-    """How far one slice is widened at present, and since when its regular endpoints are healthy."""
+    """How far one slice is widened, and since when its regular endpoints are healthy."""
 
-    recovery_ns: int  # they have to be for so long before the slice shrinks
-    extra_count: int = 0  # endpoints besides the regular ones
-    needs_further_zones: bool = False  # the widest slice is not enough
+    recovery_ns: int  # time for which the regular endpoints must be healthy before the slice shrinks
+    extra_count: int = 0  # number of endpoints added to the regular ones
+    needs_further_zones: bool = False  # even the widest slice has too few usable endpoints
     healthy_since_ns: int | None = None
     shrunk_at_ns: int | None = None
 
@@ -38,9 +39,9 @@
     def review(
         self, now: int, regular: list[Health], extra: list[Health], *, required: int, max_extra: int
     ) -> bool:
-        """Widens or shrinks the slice by the health of its endpoints; True where it changes.
+        """Widens or shrinks the slice by the health of its endpoints; returns whether it changes.
 
-        At least `required` endpoints have to be usable, and `max_extra` may be added at most.
+        At least `required` endpoints must be usable; at most `max_extra` may be added.
         """
         before = self.extra_count, self.needs_further_zones
         self.extra_count = min(self.extra_count, max_extra)
@@ -55,11 +56,11 @@
         return (self.extra_count, self.needs_further_zones) != before
 
     def is_obsolete(self, now: int) -> bool:
-        """Whether nothing of it is needed any more."""
+        """Returns whether this object may be dropped: no widening now, and no recent one."""
         return not self.active and not self._relapses(now)
 
     def _relapses(self, now: int) -> bool:
-        """Whether widening now would be a relapse."""
+        """Returns whether a widening now would be a relapse."""
         return self.shrunk_at_ns is not None and now - self.shrunk_at_ns < RELAPSE_NS
 
     def _widen(self, now: int, unhealthy: int, max_extra: int, *, at_limit: bool) -> None:
