--- a/zincstile/decisions/budget_split.py
+++ b/zincstile/decisions/budget_split.py
@@ -21,7 +21,7 @@
 
 
 def payoff(groups: list[TrafficGroup]) -> float:
-    """Value earned per unit sent, averaged over the groups and weighted by their arrival rates."""
+    """Returns the value earned per unit sent, averaged over the groups by their arrival rates."""
     value = sum(
         (g.arrival_rate + 1e-9)
         * (g.earned_value + PRIOR_UNITS * g.prior_value)
@@ -41,10 +41,10 @@
     unsatisfied = list(range(len(payoffs)))
     remaining = budget
     while unsatisfied:
-        norm = sum(weights[j] for j in unsatisfied)
-        satisfied = [j for j in unsatisfied if remaining * weights[j] / norm >= arrivals[j]]
+        total_weight = sum(weights[j] for j in unsatisfied)
+        satisfied = [j for j in unsatisfied if remaining * weights[j] / total_weight >= arrivals[j]]
         for j in satisfied or unsatisfied:
-            shares[j] = arrivals[j] if satisfied else remaining * weights[j] / norm
+            shares[j] = arrivals[j] if satisfied else remaining * weights[j] / total_weight
         if not satisfied:
             break
         remaining -= sum(arrivals[j] for j in satisfied)
@@ -64,7 +64,7 @@
         self.inside_quota = self._make_groups(settings, beyond_quota=False)
         self.beyond_quota = self._make_groups(settings, beyond_quota=True)
         self.sides = (self.inside_quota, self.beyond_quota)
-        self.groups = [group for side in self.sides for row in side for group in row]
+        self.groups = [group for side in self.sides for class_groups in side for group in class_groups]
 
     @staticmethod
     def _make_groups(settings: Settings, *, beyond_quota: bool) -> list[list[TrafficGroup]]:
@@ -113,10 +113,12 @@
             for group in self.groups:
                 group.admission_rate = 1.0
             return
-        flat = [[group for row in side for group in row] for side in self.sides]
-        for side, side_budget in zip(self.sides, split(budget, flat), strict=True):
-            for row, row_budget in zip(side, split(side_budget, side), strict=True):
-                for group, units in zip(row, split(row_budget, [[g] for g in row]), strict=True):
+        groups_by_side = [[group for class_groups in side for group in class_groups] for side in self.sides]
+        for side, side_budget in zip(self.sides, split(budget, groups_by_side), strict=True):
+            for class_groups, class_budget in zip(side, split(side_budget, side), strict=True):
+                for group, units in zip(
+                    class_groups, split(class_budget, [[g] for g in class_groups]), strict=True
+                ):
                     group.admission_rate = (
                         min(1.0, units / group.arrival_rate) if group.arrival_rate > 0 else 1.0
                     )
--- a/zincstile/decisions/concurrency_limit.py
+++ b/zincstile/decisions/concurrency_limit.py
@@ -61,7 +61,7 @@
         self.completed_per_s = 0.0  # units per second
         self.completed_units = 0.0  # units since the last tick
         self.mean_units = 1.0  # units per request
-        self.requests = 0
+        self.requests = 0  # number of requests in that mean
 
     @property
     def samples(self) -> float:
--- a/zincstile/decisions/gossip.py
+++ b/zincstile/decisions/gossip.py
@@ -105,10 +105,12 @@
         estimates = self.estimates.own_values() if with_estimates else []
         self.actions.append(SendGossip(peer, self.incarnation, usages, estimates, samples))
 
-    def usage_of(self, customer: Customer, want: float = 0.0, query_id: int = LAST_QUERY) -> CustomerUsage:
+    def usage_of(
+        self, customer: Customer, requested_units: float = 0.0, query_id: int = LAST_QUERY
+    ) -> CustomerUsage:
         """Returns the usage to report of a customer.
 
-        `want` and `query_id` are set in a query to a relay: the units asked for, and the id of the query.
+        `requested_units` and `query_id` are set in a query to a relay.
         """
         level = customer.level
         if customer.relayed and customer.filled_ns - customer.relay_answer_ns >= SILENCE_NS:
@@ -119,5 +121,11 @@
             level = level if level_override is None else level_override
         reported_query_id = customer.query_id if query_id == LAST_QUERY else query_id
         return CustomerUsage(
-            customer.key, customer.plan, customer.total, level, customer.in_flight, want, reported_query_id
+            customer.key,
+            customer.plan,
+            customer.total,
+            level,
+            customer.in_flight,
+            requested_units,
+            reported_query_id,
         )
--- a/zincstile/decisions/relay_queries.py
+++ b/zincstile/decisions/relay_queries.py
@@ -135,8 +135,10 @@
         is_granted = self.ledger.admits(customer, query.requested_units)
         if is_granted:
             customer.record_grant(peer, query, now, TOTAL_MODULUS)
-        want = query.requested_units if is_granted else -query.requested_units
-        answer = CustomerUsage(query.customer, query.plan, 0.0, customer.level, 0, want, query.query_id, True)
+        requested_units = query.requested_units if is_granted else -query.requested_units
+        answer = CustomerUsage(
+            query.customer, query.plan, 0.0, customer.level, 0, requested_units, query.query_id, True
+        )
         self.gossip.send(peer, [answer], with_estimates=True)
 
     def on_answer(self, now: int, answer: CustomerUsage, customer: Customer) -> None:
