--- a/zincstile/leases/leased_units.py
+++ b/zincstile/leases/leased_units.py
@@ -58,7 +58,7 @@
         self.parts = parts
         parts.gossip.reported_level = self.own_units
         parts.ledger.on_first_request = self.on_customer_met
-        parts.receiver.on_received = self.on_gossip_received
+        parts.gossip_receiver.on_received = self.on_gossip_received
 
     def start(self, now: int) -> None:
         """Creates the lease manager; token buckets fill from now on."""
