--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -1,4 +1,4 @@
-"""The start of many gateways: lists from peers, readiness, the admission ramp, whole fleets that start."""
+"""Start of many gateways: endpoint lists from peers, readiness, the admission ramp, whole fleets."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 from zincstile.simulation import starts, traffic
 from zincstile.simulation.plan import Plan
 
-SET = ColdStartSettings(use_peer_lists=True)
+SETTINGS = ColdStartSettings(use_peer_lists=True)
 
 
 def entries(count, version=1):
@@ -49,113 +49,119 @@
 
 
 class Fleet:
-    """Lists that send each other datagrams, some lost, through their codec."""
+    """`PeerLists` of several gateways that exchange encoded datagrams, some of which are lost."""
 
-    def __init__(self, count, loss=0.0, seed=1, settings=SET):
+    def __init__(self, count, loss=0.0, seed=1, settings=SETTINGS):
         self.rng, self.loss, self.now = random.Random(seed), loss, 0
-        self.all = [PeerLists(settings, k, count, 60.0, random.Random(f"{seed} {k}")) for k in range(count)]
-        self.came = [0] * count  # datagrams with lines
-        self.spoil = lambda sender, data: data
+        self.gateways = [
+            PeerLists(settings, k, count, 60.0, random.Random(f"{seed} {k}")) for k in range(count)
+        ]
+        self.received_parts = [0] * count  # by gateway: number of received datagrams with lines
+        self.corrupt = lambda sender, data: data
 
     def run(self, until_ns, step_ns=20 * MS):
         while self.now < until_ns:
             self.now += step_ns
-            for one in self.all:
+            for one in self.gateways:
                 one.search.update(self.now)
             for _ in range(3):
-                for sender, one in enumerate(self.all):
-                    for to, message in one.take_messages():
-                        data = self.spoil(sender, codec.pack(message))
+                for sender, gateway in enumerate(self.gateways):
+                    for receiver, message in gateway.take_messages():
+                        data = self.corrupt(sender, codec.pack(message))
                         if self.rng.random() >= self.loss and (found := codec.unpack(data)) is not None:
-                            self.came[to] += isinstance(found, BucketPart)
-                            self.all[to].receive(self.now, sender, found)
+                            self.received_parts[receiver] += isinstance(found, BucketPart)
+                            self.gateways[receiver].receive(self.now, sender, found)
 
 
 @pytest.mark.parametrize(("count", "loss"), [(3, 0.0), (12, 0.3), (40, 0.073)])
-def test_who_starts_gets_the_list_from_those_that_have_it_within_the_intake(count, loss):
+def test_starting_gateways_get_the_list_from_peers_within_their_message_rate(count, loss):
     fleet, listed = Fleet(count, loss), entries(200)
-    for one in fleet.all[: max(2, count // 3)]:
+    for one in fleet.gateways[: max(2, count // 3)]:
         one.receive_discovery_list(0, 41, listed, complete=True)
-    seekers = fleet.all[max(2, count // 3) :]
-    for one in seekers:
+    searching = fleet.gateways[max(2, count // 3) :]
+    for one in searching:
         one.search.start(0)
     fleet.run(12 * SECOND)
-    for one in seekers:
+    for one in searching:
         found = one.take_result()
         assert found.trust is ListTrust.PEERS_AGREE and found.version == 41 and one.take_result() is None
         assert sorted(e["name"] for e in found.entries) == sorted(e["name"] for e in listed)
         assert {e["name"]: e["since_ms"] for e in found.entries} == {e["name"]: e["since_ms"] for e in listed}
-        assert one.copy.digest(fleet.now) is None  # what came from peers is not told on
-    assert max(fleet.came) <= 60 * 12
+        assert one.copy.digest(fleet.now) is None  # a list from peers is not passed on
+    assert max(fleet.received_parts) <= 60 * 12
 
 
-def test_the_newest_list_wins_one_that_lies_is_dropped_and_discovery_prevails():
+def test_the_newest_list_is_used_a_peer_with_wrong_lines_is_excluded_and_discovery_takes_precedence():
     fleet = Fleet(6)
     for k in range(4):
-        fleet.all[k].receive_discovery_list(0, 40 + (k >= 2), entries(60, version=k // 2), complete=True)
-    # one teller of the newest list tells lines that don't give its sums
-    fleet.spoil = (
+        fleet.gateways[k].receive_discovery_list(0, 40 + (k >= 2), entries(60, version=k // 2), complete=True)
+    # one of the peers with the newest list sends lines that do not match its checksums
+    fleet.corrupt = (
         lambda sender, data: codec.pack(
             BucketPart(41, part.bucket, part.part_index, part.part_count, (b"x",))
         )
         if (sender == 3 and isinstance(part := codec.unpack(data), BucketPart))
         else data
     )
-    fleet.all[4].search.start(0)
+    fleet.gateways[4].search.start(0)
     fleet.run(6 * SECOND)
-    found = fleet.all[4].take_result()
+    found = fleet.gateways[4].take_result()
     assert found.version == 41 and all(e["address"].startswith("10.1.1.") for e in found.entries)
-    # discovery tells it what has changed since: from here on the list is its word, and is told on
-    fleet.all[4].receive_discovery_list(fleet.now, 42, entries(61, version=1)[60:], complete=False)
-    assert fleet.all[4].copy.digest(fleet.now).version == 42 and fleet.all[4].copy.count == 61
-    late = fleet.all[5]
-    late.search.start(fleet.now)
-    late.receive_discovery_list(fleet.now, 7, entries(3), complete=True)  # whatever its number
+    # discovery sends the changes since this list, which confirms it, so that it may be passed on
+    fleet.gateways[4].receive_discovery_list(fleet.now, 42, entries(61, version=1)[60:], complete=False)
+    assert fleet.gateways[4].copy.digest(fleet.now).version == 42 and fleet.gateways[4].copy.count == 61
+    late_gateway = fleet.gateways[5]
+    late_gateway.search.start(fleet.now)
+    # a lower version than that of the peers
+    late_gateway.receive_discovery_list(fleet.now, 7, entries(3), complete=True)
     fleet.run(fleet.now + SECOND)
-    assert late.take_result() is None and late.copy.digest(fleet.now).version == 7
-    assert late.fleet_is_serving() is False and fleet.all[0].search.active is False
+    assert late_gateway.take_result() is None and late_gateway.copy.digest(fleet.now).version == 7
+    assert late_gateway.fleet_is_serving() is False and fleet.gateways[0].search.active is False
 
 
-def test_a_list_that_is_old_or_of_no_one_is_not_taken_and_an_equal_one_confirms():
+def test_a_list_that_is_too_old_is_not_used_and_an_equal_list_confirms_the_cached_one():
     fleet = Fleet(3, settings=ColdStartSettings(use_peer_lists=True, max_list_age_ns=2 * SECOND))
-    fleet.all[0].receive_discovery_list(0, 9, entries(5), complete=True)
+    fleet.gateways[0].receive_discovery_list(0, 9, entries(5), complete=True)
     fleet.now = 3 * SECOND
-    fleet.all[1].search.start(fleet.now)
+    fleet.gateways[1].search.start(fleet.now)
     fleet.run(fleet.now + SECOND)
-    assert fleet.all[1].take_result() is None
-    fleet.all[0].record_discovery_contact(fleet.now)
-    fleet.all[2].load_cached_list(fleet.now, 9, entries(5))
-    fleet.all[2].search.start(fleet.now)
+    assert fleet.gateways[1].take_result() is None
+    fleet.gateways[0].record_discovery_contact(fleet.now)
+    fleet.gateways[2].load_cached_list(fleet.now, 9, entries(5))
+    fleet.gateways[2].search.start(fleet.now)
     fleet.run(fleet.now + SECOND)
-    assert fleet.all[2].search.cache_confirmed and fleet.all[1].take_result().trust is ListTrust.PEERS_AGREE
+    assert (
+        fleet.gateways[2].search.cache_confirmed
+        and fleet.gateways[1].take_result().trust is ListTrust.PEERS_AGREE
+    )
 
 
 @given(st.binary(max_size=300))
-def test_no_datagram_is_read_for_another(data):
+def test_arbitrary_data_decodes_to_nothing_or_to_a_message_that_round_trips(data):
     message = codec.unpack(data)
     assert message is None or codec.unpack(codec.pack(message)) == message
     entry = decode_entry(data)
     assert entry is None or encode_entry(entry) is not None
 
 
-def test_messages_survive_their_codec_and_nothing_is_longer_than_a_datagram():
+def test_messages_round_trip_and_fit_into_a_datagram():
     lines = [encode_entry(entry) for entry in entries(40)]
     pairs = zip(lines, entries(40), strict=True)
     assert all(decode_entry(line)["name"] == entry["name"] for line, entry in pairs)
-    made = [
+    messages = [
         ListQuery(),
         BucketRequest(5, (0, 31)),
         *codec.split_bucket(5, 3, lines),
         ListDigest(5, 40, 20 * MS, Provenance.CACHED, tuple(range(BUCKETS)), True),
     ]
-    for message in made:
+    for message in messages:
         data = codec.pack(message)
         assert len(data) <= 256 and codec.unpack(data) == message
         assert codec.unpack(data[:-1]) is None and codec.unpack(data[:2] + b"\0\0" + data[4:]) != message
     assert encode_entry(entries(1)[0] | {"name": "x" * 300}) is None
 
 
-def test_a_list_whose_buckets_take_more_than_255_datagrams_is_sent_complete():
+def test_a_list_with_buckets_of_more_than_255_datagrams_is_sent_completely():
     buckets = {number: [] for number in range(BUCKETS)}
     for entry in entries(40_000):
         buckets[bucket_of(entry["name"])].append(encode_entry(entry))
@@ -171,32 +177,33 @@
 
 
 @pytest.mark.parametrize("gateways", [1, 8, 200, 1000])
-def test_no_fleet_sends_more_at_its_start_than_is_stated_whatever_is_asked(gateways):
-    """Every gateway is asked far more than it may send; every answer comes in time, after a twentieth of a
-    second."""
-    rng, servers, sent = random.Random(gateways), 40.0, 0.0
-    fleet = [AdmissionRamp(SET, gateways, 6.0, random.Random(f"{gateways} {k}")) for k in range(gateways)]
+def test_a_starting_fleet_of_any_size_stays_within_the_bound_under_overload(gateways):
+    """Every gateway gets far more requests than it may send; every answer is in time, after 50 ms."""
+    rng, endpoints, sent = random.Random(gateways), 40.0, 0.0
+    fleet = [
+        AdmissionRamp(SETTINGS, gateways, 6.0, random.Random(f"{gateways} {k}")) for k in range(gateways)
+    ]
     for one in fleet:
         one.start(0)
-    answers, step = [], 10 * MS
-    for now in range(0, 5 * SET.ramp_time_constant_ns, step):
-        while answers and answers[0][0] <= now:
-            _, one, units = answers.pop(0)
+    pending_answers, step = [], 10 * MS
+    for now in range(0, 5 * SETTINGS.ramp_time_constant_ns, step):
+        while pending_answers and pending_answers[0][0] <= now:
+            _, one, units = pending_answers.pop(0)
             one.record_answer(units, in_time=True)
         for one in fleet:
             for _ in range(3):
                 units = rng.choice((1.0, 2.0, 6.0))
-                if one.admits(now, servers):
+                if one.admits(now, endpoints):
                     one.record_sent(units)
                     sent += units
-                    answers.append((now + 50 * MS, one, units))
-        assert sent <= max_sent_units(SET, servers, now + step) + 3 * 6.0 * math.sqrt(gateways) / 2
+                    pending_answers.append((now + 50 * MS, one, units))
+        assert sent <= max_sent_units(SETTINGS, endpoints, now + step) + 3 * 6.0 * math.sqrt(gateways) / 2
     assert sent > 0 and not any(one.is_over(now) for one in fleet)
-    assert all(one.is_over(SET.max_ramp_ns) for one in fleet)
+    assert all(one.is_over(SETTINGS.max_ramp_ns) for one in fleet)
 
 
-def test_late_answers_raise_no_pace_and_the_old_process_says_what_is_borne():
-    one = AdmissionRamp(SET, 200, 6.0, random.Random(3))
+def test_late_answers_do_not_raise_the_pace_but_the_rate_of_the_previous_process_does():
+    one = AdmissionRamp(SETTINGS, 200, 6.0, random.Random(3))
     one.start(0)
     before = one.pace(10.0)
     one.record_answer(6.0, in_time=False)
@@ -205,16 +212,16 @@
     assert one.pace(10.0) == before + 50.0 and one.is_over(2 * SECOND)
 
 
-def test_a_gateway_is_ready_by_the_most_trusted_list_it_has():
+def test_readiness_depends_on_the_most_trusted_list():
     for trust, confirmed, at in (
         (ListTrust.DISCOVERY, False, 0),
         (ListTrust.PEERS_AGREE, False, 0),
-        (ListTrust.ONE_PEER, False, SET.single_peer_wait_ns),
-        (ListTrust.CACHED, False, SET.cached_list_wait_ns),
+        (ListTrust.ONE_PEER, False, SETTINGS.single_peer_wait_ns),
+        (ListTrust.CACHED, False, SETTINGS.cached_list_wait_ns),
         (ListTrust.CACHED, True, 0),
         (ListTrust.NONE, True, None),
     ):
-        one = Readiness(SET, 5 * SECOND)
+        one = Readiness(SETTINGS, 5 * SECOND)
         one.record_list(trust, cache_confirmed=confirmed)
         one.record_list(ListTrust.NONE)
         assert one.ready_ns() == (None if at is None else 5 * SECOND + at)
@@ -222,7 +229,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "said"),
+    ("text", "error"),
     [
         ("start: {wait_ms: 0}", "wait_ns: must be above 0"),
         ("start: {first_per_s: 0}", "first_per_s"),
@@ -231,10 +238,10 @@
         ("begin: {}", "begin"),
     ],
 )
-def test_a_bad_file_is_one_line_and_the_settings_have_to_allow_peers(text, said, tmp_path):
+def test_invalid_files_give_an_error_and_peer_lists_need_messages_between_gateways(text, error, tmp_path):
     path = tmp_path / "start.yaml"
     path.write_text(text)
-    with pytest.raises(FileError, match=said):
+    with pytest.raises(FileError, match=error):
         features.start(str(path))
     path.write_text("start: {peers: true}")
     plan = Plan(seed=1)
@@ -246,8 +253,8 @@
         read(table, {})
 
 
-def test_worlds_of_starts_break_no_rule_and_all_come_back():
-    """One of each wave; sim starts plays more."""
+def test_simulated_starts_break_no_rule_and_all_gateways_get_ready():
+    """One start of each kind of wave; `sim starts` runs more."""
     rows = list(starts.play_all(range(18, 18 + len(starts.WAVES)), 5, True, 4))
     assert not [row.broken for row in rows if row.broken]
     assert min(row.ready_s for row in rows) >= 0 and len({row.wave for row in rows}) == len(starts.WAVES)
--- a/tests/test_list_freshness.py
+++ b/tests/test_list_freshness.py
@@ -1,6 +1,6 @@
-"""What discovery has counts as received 6 s after it can be reached, whatever calls failed before.
+"""Changes at discovery arrive within 6 s after it becomes reachable, regardless of previous failed calls.
 
-A term of the standing test, on real sockets, with the term's own bounds. docs/crossings.md lists the rows.
+On real sockets, with the bounds of the long-running test. docs/crossings.md lists the cases.
 """
 
 from __future__ import annotations
@@ -16,10 +16,10 @@
 from zincstile.net.limits import MS, SECOND
 
 RECEIVED_WITHIN_S = 6.0
-ANSWER_NS = 500 * MS  # a call and its answer
-SEED_OF_LATE_RETRY = "1108"  # its second wait is drawn near the end of its span
-SEED_OF_LATE_FIRST_RETRY = "1"  # its first wait is
-FAILED_CALLS = {  # what discovery sends before it ends the connection
+ANSWER_NS = 500 * MS  # time of a call and its answer
+SEED_OF_LATE_RETRY = "1108"  # draws the second wait near the end of its span
+SEED_OF_LATE_FIRST_RETRY = "1"  # draws the first wait near the end of its span
+FAILED_CALLS = {  # what discovery sends before it closes the connection; None: it resets the connection
     "reset": None,
     "ended": b"",
     "rejected": b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n",
@@ -31,12 +31,12 @@
 
 
 def large_fleet(seed: str) -> dict:
-    """Discovery is one service that has to be asked, by so many that spans of waits are long at once."""
+    """Settings of a fleet that polls one discovery service and is so large that backoffs are long at once."""
     return {"settings": {"discovery": "on_request", "balancers": 200}, "seed": seed}
 
 
 def expect_change_received(world: World, watch: str) -> None:
-    """A backend drains while no watch is open; from now on discovery can be reached, and is followed."""
+    """Discovery becomes reachable after a backend started to drain: the change has to arrive in time."""
     began = time.monotonic()
     world.play(f"send {watch} change a=Terminating b=Ready\nwait gw tables=2")
     took = time.monotonic() - began
@@ -48,7 +48,7 @@
     ("failure", "on_request"),
     [*((failure, False) for failure in FAILED_CALLS), ("reset", True), ("rejected with Retry-After", True)],
 )
-def test_a_change_is_followed_6_s_after_failed_calls(tmp_path, failure, on_request):
+def test_a_change_arrives_within_6_s_after_failed_calls(tmp_path, failure, on_request):
     world = World(tmp_path, large_fleet(SEED_OF_LATE_RETRY) if on_request else {})
     try:
         world.play("send d1 full a=Ready\nexpect gw ready*from discovery\nreset d1\nexpect d2 asked")
@@ -62,8 +62,8 @@
         world.end()
 
 
-def test_a_silent_watch_of_a_service_that_is_asked_is_opened_anew_in_6_s(tmp_path):
-    """One clock for silence: it counts from the last that the watch sent."""
+def test_a_silent_watch_of_a_polled_service_is_reopened_within_6_s(tmp_path):
+    """The silence is measured from the last data that the watch sent."""
     world = World(tmp_path, large_fleet(SEED_OF_LATE_FIRST_RETRY))
     try:
         world.play("send d1 full a=Ready")
@@ -73,13 +73,15 @@
 
 
 @pytest.mark.parametrize("gateways", [1, 24, 90, 200, 1000])
-def test_no_backoff_is_longer_than_a_change_may_take(gateways):
-    """The last moment of each span, after any number of failures, with and without a Retry-After;
-    with a connection that never came up before it, and an answer behind it."""
-    for within in (0, 10 * SECOND):
-        limits = limits_in_fleet(gateways, within)
-        dial, silence = limits.backoff_most_ns, limits.table_silence_ns
-        for answered_once in (False, True):
+def test_no_backoff_delays_a_change_beyond_the_limit(gateways):
+    """Checks the end of each backoff span, after any number of failures, with and without Retry-After.
+
+    Includes the time of a connection that was never established, and that of the answer.
+    """
+    for poll_interval_ns in (0, 10 * SECOND):
+        limits = limits_in_fleet(gateways, poll_interval_ns)
+        connect_ns, silence_ns = limits.backoff_most_ns, limits.table_silence_ns
+        for answered_before in (False, True):
             for retry_after in (0, SECOND, 30 * SECOND):
                 polling = ListPolling(
                     SimpleNamespace(randint=lambda first, last: last),
@@ -87,15 +89,14 @@
                     limits.table_again_most_ns,
                     limits.table_patience_ns,
                     limits.table_longest_ns,
-                    answered_before=answered_once,
+                    answered_before=answered_before,
                 )
                 waits = [polling.record_failure(retry_after) for _ in range(20)]
-                assert dial + max(waits) + ANSWER_NS <= RECEIVED_WITHIN_S * SECOND
+                assert connect_ns + max(waits) + ANSWER_NS <= RECEIVED_WITHIN_S * SECOND
                 assert (
-                    silence + polling.record_failure(0, silence) + dial + ANSWER_NS
+                    silence_ns + polling.record_failure(0, silence_ns) + connect_ns + ANSWER_NS
                     <= RECEIVED_WITHIN_S * SECOND
                 )
-                assert (
-                    polling.record_failure(0, 50 * SECOND) + ANSWER_NS <= 2 * SECOND
-                )  # a call that waited, and is over
+                # after the timeout of a long silent call
+                assert polling.record_failure(0, 50 * SECOND) + ANSWER_NS <= 2 * SECOND
                 assert retry_after > limits.table_longest_ns or min(waits) >= retry_after
--- a/tests/test_list_polling.py
+++ b/tests/test_list_polling.py
@@ -1,4 +1,4 @@
-"""Polling of a list service that can't collapse: no timeout while it works, random backoff, bounded calls."""
+"""Polling of the list service: no timeout while it is working, random backoff, bounded rate of calls."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 @pytest.mark.parametrize("gateways", [1, 24, 200, 1000])
-def test_a_fleet_that_fails_makes_no_more_calls_than_are_stated_whatever_its_size(gateways):
+def test_the_rate_of_failed_calls_of_a_fleet_is_bounded_for_any_size(gateways):
     calls = []
     for number in range(gateways):
         one, now = polling(number, gateways), 0
@@ -35,15 +35,18 @@
             now += one.record_failure()
             calls.append(now)
     calls.sort()
-    first = sum(at < SECOND for at in calls)
-    # 2 / `again` for each, and `again` grows with them; but all have called when the longest wait is over
-    longest = Limits().table_longest_ns
-    assert first <= max(60 + gateways * 50 * MS / SECOND, 1.15 * gateways * SECOND / longest)
+    calls_in_first_second = sum(at < SECOND for at in calls)
+    # Each gateway calls 2 / backoff times a second, and the backoff grows with the number of gateways.
+    # But all of them have called by the end of the longest wait.
+    longest_wait_ns = Limits().table_longest_ns
+    assert calls_in_first_second <= max(
+        60 + gateways * 50 * MS / SECOND, 1.15 * gateways * SECOND / longest_wait_ns
+    )
     assert sum(10 * SECOND <= at < 20 * SECOND for at in calls) / 10 <= max(25, gateways / 4)
     assert len(set(calls)) > 0.99 * len(calls)
 
 
-def test_the_timeout_follows_what_the_service_needs_and_retry_after_is_kept():
+def test_the_timeout_follows_the_response_time_and_retry_after_is_respected():
     one = polling(1, 200)
     assert (
         one.timeout_ns() == 50 * SECOND
@@ -54,11 +57,11 @@
     one.record_answer(20 * SECOND)
     assert one.timeout_ns() == 80 * SECOND and one.failures == one.timeouts == 0
     assert all(one.record_failure(2 * SECOND) >= 2 * SECOND for _ in range(50))
-    lone = polling(1, 1)
-    assert lone.timeout_ns() == 2600 * MS and lone.record_failure() <= 50 * MS
+    single = polling(1, 1)
+    assert single.timeout_ns() == 2600 * MS and single.record_failure() <= 50 * MS
 
 
-def test_retry_after_is_read_where_it_gives_seconds():
+def test_retry_after_is_parsed_if_it_is_in_seconds_and_in_range():
     for text, seconds in (
         (b"Retry-After: 3\r\n", 3),
         (b"retry-after: soon\r\n", 0),
@@ -71,21 +74,21 @@
 
 
 @pytest.mark.parametrize(
-    ("wave", "manners"),
+    ("wave", "behaviour"),
     [
         ("all", ListServiceBehaviour(6.0)),
         ("seven-in-ten", ListServiceBehaviour(12.0, slows_after_calls=10)),
         ("all", ListServiceBehaviour(40.0, resets_every=3, truncates_every=7)),
         ("all", ListServiceBehaviour(40.0, queue_capacity=4)),
     ],
-    ids=["slow", "slower", "resets and halves", "turned away"],
+    ids=["slow", "slower", "resets and truncated lists", "rejected calls"],
 )
-def test_a_fleet_of_real_processes_gets_ready_with_a_slow_service(wave, manners, tmp_path):
-    """24 of them; one whole list each, and calls beyond that only where the service itself breaks them."""
+def test_a_fleet_of_real_processes_gets_ready_with_a_slow_or_failing_service(wave, behaviour, tmp_path):
+    """24 processes. Each gets one full list; more calls are only made if the service breaks some."""
     waves = ["all", wave] if wave != "all" else [wave]
     plan = Plan(seed=3, gateways=24, boxes=24, requests=0, asked=True)
-    row = start.play(plan, tmp_path, manners, waves, 40.0)[-1]
-    broken = manners.resets_every or manners.queue_capacity < 100
-    assert row.ready == row.gateways and row.for_the_left <= (row.gateways if broken else 0)
-    assert row.calls_each <= (8 if broken else 1.2), row
-    assert row.times < (20 if broken else 2.5), row
+    row = start.play(plan, tmp_path, behaviour, waves, 40.0)[-1]
+    breaks_calls = behaviour.resets_every or behaviour.queue_capacity < 100
+    assert row.ready == row.gateways and row.for_the_left <= (row.gateways if breaks_calls else 0)
+    assert row.calls_each <= (8 if breaks_calls else 1.2), row
+    assert row.times < (20 if breaks_calls else 2.5), row
