--- a/tests/gateway_parts.py
+++ b/tests/gateway_parts.py
@@ -25,7 +25,7 @@
         """Keeps the answer."""
         self.answers.append((session.id, answer.kind))
 
-    def has_left(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Never."""
         return False
 
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -21,7 +21,7 @@
 )
 from zincstile.net.backends.attempts import Attempts
 from zincstile.net.backends.pool import ConnectionPool
-from zincstile.net.deadlines import every
+from zincstile.net.deadlines import run_every
 from zincstile.net.discovery.messages import ListedEndpoint
 from zincstile.net.limits import Limits
 from zincstile.net.session import AnswerKind
@@ -238,7 +238,7 @@
             if len(rounds) == 2:
                 raise KeyError("round")
 
-        every(dispatcher, 1, act)
+        run_every(dispatcher, 1, act)
         while len(rounds) < 4:
             await asyncio.sleep(0)
         return dispatcher.counters.faults
--- a/tests/test_emulators.py
+++ b/tests/test_emulators.py
@@ -157,7 +157,7 @@
 
     parser = resp.ReplyParser(Limits(answer_bytes=100_000))
     found = parser.feed(CORRUPT_ANSWERS[kind])
-    assert parser.error or not found or resp.answer(found[0]) is None
+    assert parser.error or not found or resp.parse_answer(found[0]) is None
 
 
 def test_discovery_sends_the_list_then_changes_and_what_was_missed():
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -440,7 +440,7 @@
 
     async def play():
         dispatcher = make_dispatcher(None)
-        dispatcher.readable = dispatcher.has_ended = lambda transport: False
+        dispatcher.readable = dispatcher.closed_by_peer = lambda transport: False
         listener = ClientListener(dispatcher, module_settings(), memoryview(bytearray(64)), HOST)
         wires = [Wire(gone=k == 0) for k in range(3)]
         for wire in wires:
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -112,9 +112,9 @@
 
 
 def test_a_violation_tells_what_its_request_went_through(guard, capsys):
-    guard._trace.note(0, Step.RECEIVED, b"id")
-    guard._trace.note(2 * MS, Step.SENT, b"other", ("10.0.0.1", 1))
-    guard._trace.note(3 * MS, Step.OUTCOME, b"id", AttemptResult.RESET)
+    guard._trace.record(0, Step.RECEIVED, b"id")
+    guard._trace.record(2 * MS, Step.SENT, b"other", ("10.0.0.1", 1))
+    guard._trace.record(3 * MS, Step.OUTCOME, b"id", AttemptResult.RESET)
     owner = session()
     owner.ended = True
     guard.may_send(5 * MS, attempt(owner, server()))
@@ -126,7 +126,7 @@
 def test_the_trace_is_bounded_and_tells_the_last():
     trace = Trace()
     for n in range(RING_ENTRIES + 5):
-        trace.note(n, Step.RECEIVED, n)
+        trace.record(n, Step.RECEIVED, n)
     assert len(trace) == RING_ENTRIES
     told = trace.describe(RING_ENTRIES + 5)
     assert len(told) == DESCRIBED_ENTRIES and told[-1].endswith(f"received {RING_ENTRIES + 4}")
--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -9,7 +9,7 @@
 
 from scenario import READY, GatewayHarness
 
-from zincstile.net.resp import stream_head
+from zincstile.net.resp import parse_stream_head
 from zincstile.net.value_stream import ValueStream
 
 MIB = 1 << 20
@@ -93,10 +93,10 @@
 def test_the_head_of_a_large_value_is_found_in_any_piece():
     whole = b"*3\r\n$70000\r\n" + b"v" * 10
     for cut in range(len(whole)):
-        got = stream_head(whole[:cut], 65536)
+        got = parse_stream_head(whole[:cut], 65536)
         assert got in ((0, 0), (70000, 4)), (cut, got)
-    assert stream_head(whole, 65536) == (70000, 4)
-    assert stream_head(b"*3\r\n$65536\r\n", 65536) is None  # not larger: read whole as before
+    assert parse_stream_head(whole, 65536) == (70000, 4)
+    assert parse_stream_head(b"*3\r\n$65536\r\n", 65536) is None  # not larger: read whole as before
     for other in (
         b"-BUSY\r\n",
         b"*2\r\n$9\r\n",
@@ -105,7 +105,7 @@
         b"*3\r\n$1x\r\n",
         b"*3\r\n$" + b"9" * 12,
     ):
-        assert stream_head(other, 65536) is None, other
+        assert parse_stream_head(other, 65536) is None, other
 
 
 def test_a_stream_tells_each_side_and_is_cut_once():
--- a/zincstile/net/admin_endpoint.py
+++ b/zincstile/net/admin_endpoint.py
@@ -19,7 +19,7 @@
 from ..admin.operator_state import OperatorChange, OperatorReply, OperatorState
 from .acceptor import Acceptor, AcceptResult
 from .config import Address
-from .deadlines import every
+from .deadlines import run_every
 from .dispatcher import Dispatcher
 from .handover_file import HandoverFile
 from .host import Host
@@ -144,7 +144,9 @@
         """
         self._socket = self._host.listen(address, self.dispatcher.limits.backlog)
         self._resume_accepting(None)
-        every(self.dispatcher, self.dispatcher.limits.control_call_ns // CHECKS_PER_TIMEOUT, self._close_late)
+        run_every(
+            self.dispatcher, self.dispatcher.limits.control_call_ns // CHECKS_PER_TIMEOUT, self._close_late
+        )
 
     def close(self) -> None:
         """Listens no more; the connections go on."""
--- a/zincstile/net/administration.py
+++ b/zincstile/net/administration.py
@@ -12,7 +12,7 @@
 from .admin_endpoint import AdminEndpoint
 from .clients.listener import ClientListener
 from .config import Address, Config
-from .deadlines import every
+from .deadlines import run_every
 from .discovery.table import EndpointTable
 from .dispatcher import Dispatcher
 from .handover_file import HandoverFile
@@ -92,7 +92,7 @@
 
     def watch_files(self) -> None:
         """Polls the files from now on."""
-        every(self._dispatcher, self._dispatcher.limits.handover_poll_ns, self._poll_files)
+        run_every(self._dispatcher, self._dispatcher.limits.handover_poll_ns, self._poll_files)
 
     def _poll_files(self) -> None:
         self.handover.poll()
--- a/zincstile/net/backends/attempts.py
+++ b/zincstile/net/backends/attempts.py
@@ -67,7 +67,7 @@
             return
         number = session.attempts
         session.attempts = number + 1
-        if session.ended or session.client.has_left():
+        if session.ended or session.client.has_disconnected():
             # The client left, or was answered, in the very batch in which this attempt was decided on. It
             # is reported all the same: the decisions would take it to be in flight for good.
             self.report(session, number, action.endpoint, AttemptResult.NOT_SENT, 0)
@@ -163,7 +163,7 @@
             request = HEALTH_CHECK
         else:
             session.sent_attempts.append(attempt)
-            dispatcher.trace.note(now_ns, Step.SENT, session.call.id, attempt.backend.address)
+            dispatcher.trace.record(now_ns, Step.SENT, session.call.id, attempt.backend.address)
             dispatcher.counters.attempts += 1
             request = call_command(session.call, attempt.until_ns - now_ns)
         connection.carry(attempt, request, reused=reused)
@@ -213,12 +213,12 @@
         self, connection: BackendConnection, attempt: Attempt, reply: resp.Reply, *, alone: bool
     ) -> None:
         """A complete reply has come; `alone`: nothing came behind it."""
-        is_error = isinstance(reply, resp.ErrorLine)
+        is_error = isinstance(reply, resp.ErrorReply)
         if is_error:
             result = None
             reusable = reply.startswith(REUSABLE_ERRORS)
         else:
-            result = resp.answer(reply)
+            result = resp.parse_answer(reply)
             reusable = result is not None or attempt.session is None
         if reusable and alone and connection.request_written:
             self.pool.add_idle(connection)
@@ -287,7 +287,7 @@
             self.dispatcher.post(HealthCheckResult(backend_id, result, latency_ns, figures))
             return
         session.last_result = result
-        self.dispatcher.trace.note(self.dispatcher.now_ns(), Step.OUTCOME, session.call.id, result)
+        self.dispatcher.trace.record(self.dispatcher.now_ns(), Step.OUTCOME, session.call.id, result)
         counters = self.dispatcher.counters
         name = RESULT_COUNTERS[result]
         setattr(counters, name, getattr(counters, name) + 1)
--- a/zincstile/net/backends/connecting.py
+++ b/zincstile/net/backends/connecting.py
@@ -78,7 +78,9 @@
             self.pool.add_idle(connection, unused=True)
             return
         session = attempt.session
-        ended = session is not None and (session.ended or session.client.has_left())  # since the last batch
+        ended = session is not None and (
+            session.ended or session.client.has_disconnected()
+        )  # since the last batch
         if ended or self.dispatcher.now_ns() >= attempt.by_ns:
             result = AttemptResult.CANCELLED if ended else AttemptResult.CONNECT_FAILED
             self.carrier.finish(attempt, result)
--- a/zincstile/net/backends/connection.py
+++ b/zincstile/net/backends/connection.py
@@ -185,9 +185,9 @@
             owner.streams.push(self, data)
             return
         if not self._form_known and attempt is not None and attempt.session is not None:
-            kept = parser.incomplete()
+            kept = parser.incomplete_bytes()
             limits = owner.dispatcher.limits
-            head = resp.stream_head(kept[:HEAD_BYTES] + data[:HEAD_BYTES], limits.stream_bytes)
+            head = resp.parse_stream_head(kept[:HEAD_BYTES] + data[:HEAD_BYTES], limits.stream_bytes)
             self._form_known = head is None
             if head is not None and head[0]:
                 value_bytes, start = head
--- a/zincstile/net/backends/pool.py
+++ b/zincstile/net/backends/pool.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from ...decisions.messages import EndpointState
-from ..deadlines import every
+from ..deadlines import run_every
 from ..discovery.messages import ListedEndpoint
 from ..dispatcher import Dispatcher
 from .attempt import Attempt, Backend
@@ -33,7 +33,7 @@
         self.on_withdrawn: Callable[[Attempt], None] = (
             _ignore_withdrawal  # gets what must not be sent any more
         )
-        every(dispatcher, dispatcher.limits.idle_ns // 8, self.close_expired)
+        run_every(dispatcher, dispatcher.limits.idle_ns // 8, self.close_expired)
 
     # ---- listed backends
 
--- a/zincstile/net/clients/call_reader.py
+++ b/zincstile/net/clients/call_reader.py
@@ -92,9 +92,9 @@
             raise CallError("no key")
         wait_ns = wait_ms * 1_000_000
         deadline_ns = now + wait_ns - min(self._margin_ns, wait_ns // 2)
-        deadline_field = fields.index(b"d=" + wait)
+        deadline_field_index = fields.index(b"d=" + wait)
         body = arguments[ARGUMENTS_WITHOUT_BODY] if len(arguments) > ARGUMENTS_WITHOUT_BODY else None
-        call = Call(verb == READ, arguments[1], arguments[2], fields, deadline_field, body)
+        call = Call(verb == READ, arguments[1], arguments[2], fields, deadline_field_index, body)
         is_retry = values.get(b"r") == b"1"
         return call, Request(
             request_id, class_number, plan, customer, deadline_ns, units, spread, first, is_retry
--- a/zincstile/net/clients/closer.py
+++ b/zincstile/net/clients/closer.py
@@ -83,7 +83,7 @@
         try:
             self._transport.write_eof()
         except OSError:  # the client has reset it since it was last looked at
-            self.abort(CloseReason.CLIENT)
+            self.abort(CloseReason.CLOSED_BY_CLIENT)
             return False
         return True
 
@@ -92,7 +92,7 @@
 
         Only a client that left, or has to see that a value is truncated, frees the gateway of what it owes.
         """
-        if reason in (CloseReason.CLIENT, CloseReason.TRUNCATED) or self._may_close():
+        if reason in (CloseReason.CLOSED_BY_CLIENT, CloseReason.TRUNCATED) or self._may_close():
             self.set_reason(reason)
             self._transport.abort()
 
--- a/zincstile/net/clients/connection.py
+++ b/zincstile/net/clients/connection.py
@@ -157,9 +157,9 @@
     def connection_lost(self, err: Exception | None) -> None:
         """The connection is closed; what it still owed is abandoned."""
         self._closer.reading_ended = True
-        reason = self._closer.reason or CloseReason.CLIENT
+        reason = self._closer.reason or CloseReason.CLOSED_BY_CLIENT
         self.counters.count_close(reason)
-        self.dispatcher.trace.note(self.dispatcher.now_ns(), Step.CLOSED, id(self), reason)
+        self.dispatcher.trace.record(self.dispatcher.now_ns(), Step.CLOSED, id(self), reason)
         self.listener.on_disconnected(self)
         for session in self._answers.take_sessions():
             if type(session.reply) is ValueStream:
@@ -210,14 +210,14 @@
                 raise CallError("the id of an open request")
         except CallError as err:
             self.counters.malformed += 1
-            self._reply(resp.error(str(err)))
+            self._reply(resp.encode_error(str(err)))
             return
         self.commands += 1
         reason = GatewayRejection.UNKNOWN_AGE if of_unknown_age else listener.rejection_reason()
         if reason is not None:
             self.counters.rejected += 1
             self.counters.count_rejection(reason)
-            self._reply(resp.busy(0))
+            self._reply(resp.encode_busy(0))
             return
         listener.last_request_ns = now
         request_class = listener.reader.request_classes[request.class_index]
@@ -230,7 +230,7 @@
         """Gives the last answer; all that comes after it is discarded, so that it is not lost by a reset."""
         self._closer.reading_ended = True
         self._closer.set_reason(reason)
-        self._reply(resp.error(problem))
+        self._reply(resp.encode_error(problem))
         if self._answers.pending:  # these come first; till then it is read no further
             self._reading_paused = True
             self.transport.pause_reading()
@@ -257,7 +257,7 @@
     def _schedule_flush(self) -> None:
         if not self._flush_scheduled:
             self._flush_scheduled = True
-            self.dispatcher.flush_later(self)
+            self.dispatcher.schedule_flush(self)
 
     def answer(self, session: Session, answer: Answer) -> None:
         """Takes the final answer of one of its sessions."""
@@ -266,21 +266,21 @@
             session.reply = answer.stream
             answer.stream.sink = self
         elif answer.kind is SERVED:
-            session.reply = resp.bulk(answer.value)
+            session.reply = resp.encode_bulk_string(answer.value)
         elif answer.kind is REJECTED:
-            session.reply = resp.busy(answer.retry_ms)
+            session.reply = resp.encode_busy(answer.retry_ms)
         else:
-            session.reply = resp.error("failed")
+            session.reply = resp.encode_error("failed")
         self._schedule_flush()
 
     def on_stream_progress(self) -> None:
         """A value that is passed on has more, or its end."""
         self._schedule_flush()
 
-    def has_left(self) -> bool:
+    def has_disconnected(self) -> bool:
         """The client has left; its end may have come with the request, or behind what is not read yet."""
-        if not self.transport.is_closing() and self.dispatcher.has_ended(self.transport):
-            self._closer.abort(CloseReason.CLIENT)
+        if not self.transport.is_closing() and self.dispatcher.closed_by_peer(self.transport):
+            self._closer.abort(CloseReason.CLOSED_BY_CLIENT)
         return self.transport.is_closing()
 
     def flush(self) -> None:
@@ -302,7 +302,7 @@
             self.idle_since_ns = self.dispatcher.now_ns()
             closer, listener = self._closer, self.listener
             if closer.reading_ended or listener.closing or listener.standby or closer.draining:
-                self._end_when_written(CloseReason.STOP if listener.closing else CloseReason.STANDBY)
+                self._end_when_written(CloseReason.SHUTDOWN if listener.closing else CloseReason.STANDBY)
                 return
         if self._reading_paused:
             self._update_reading()
@@ -342,7 +342,7 @@
         That bounds what clients cost that send nothing, begin a command and never complete it, or ask once
         and stay; and what backend servers do for one that left while it was not read.
         """
-        if self._reading_paused and self.has_left():
+        if self._reading_paused and self.has_disconnected():
             return
         if self._closer.reading_ended or self._answers.pending or self.transport.is_closing():
             return
--- a/zincstile/net/clients/listener.py
+++ b/zincstile/net/clients/listener.py
@@ -9,7 +9,7 @@
 from ...decisions.settings import Settings
 from .. import resp
 from ..acceptor import Acceptor, AcceptResult
-from ..deadlines import every
+from ..deadlines import run_every
 from ..dispatcher import Dispatcher
 from ..host import Host
 from ..reasons import CloseReason, GatewayRejection
@@ -18,8 +18,8 @@
 from .connection import ClientConnection, ConnectionState
 from .eviction import evict_one
 
-STANDBY_ANSWER: Final = resp.error("standby")  # to PING: the front sends new connections elsewhere
-NOT_READY_ANSWER: Final = resp.error("not ready")
+STANDBY_ANSWER: Final = resp.encode_error("standby")  # to PING: the front sends new connections elsewhere
+NOT_READY_ANSWER: Final = resp.encode_error("not ready")
 
 
 class ClientListener:
@@ -58,7 +58,7 @@
         else:
             self._socket = self.host.listen(address, self.dispatcher.limits.backlog)
         self._resume()
-        every(self.dispatcher, self.dispatcher.limits.tend_ns, self._check_timeouts)
+        run_every(self.dispatcher, self.dispatcher.limits.tend_ns, self._check_timeouts)
 
     @property
     def address(self) -> str:
@@ -138,7 +138,7 @@
         if self.rejects_all:
             return GatewayRejection.STOPPING
         full = len(self.dispatcher.sessions) >= self.dispatcher.limits.sessions
-        return GatewayRejection.SESSIONS if full else None
+        return GatewayRejection.SESSION_LIMIT if full else None
 
     def on_request_ended(self, session: Session) -> None:
         """A request was answered or abandoned: its id may be used again."""
@@ -185,7 +185,7 @@
         if standby:
             self.counters.standby_closed += self.close_idle(CloseReason.STANDBY)
 
-    def close_idle(self, reason: CloseReason = CloseReason.STOP) -> int:
+    def close_idle(self, reason: CloseReason = CloseReason.SHUTDOWN) -> int:
         """Closes all idle connections; returns how many.
 
         Those that came last and have not asked are spared for a moment: what they came for is on its way.
--- a/zincstile/net/deadlines.py
+++ b/zincstile/net/deadlines.py
@@ -67,7 +67,7 @@
         ...
 
 
-def every(scheduler: Scheduler, period_ns: int, action: Callable[[], None]) -> None:
+def run_every(scheduler: Scheduler, period_ns: int, action: Callable[[], None]) -> None:
     """Calls `action()` soon and then once in each period, for as long as the process lives.
 
     The next time is set before the call, so that a round that fails does not end the series.
--- a/zincstile/net/discovery/table.py
+++ b/zincstile/net/discovery/table.py
@@ -80,7 +80,7 @@
         if follows:
             self.version = version
         self.dispatcher.counters.tables += 1
-        self.dispatcher.trace.note(
+        self.dispatcher.trace.record(
             self.dispatcher.now_ns(), Step.STATE, "list", (kind, version, len(endpoints))
         )
         endpoints = self._correct_starts(kind, endpoints)
@@ -158,7 +158,7 @@
         may know of endpoints that are not listed here yet.
         """
         now_ns = self.dispatcher.now_ns()
-        self.dispatcher.trace.note(now_ns, Step.STATE, name, "maintenance" if enter else "back")
+        self.dispatcher.trace.record(now_ns, Step.STATE, name, "maintenance" if enter else "back")
         listed = self.endpoints.get(endpoint_id(name))
         if enter:
             self.maintenance.enter(name, now_ns)
--- a/zincstile/net/dispatcher.py
+++ b/zincstile/net/dispatcher.py
@@ -68,7 +68,7 @@
         # What the connections ask of the machine, without a call in between
         self.now_ns = host.monotonic_ns
         self.readable = host.readable
-        self.has_ended = host.ended
+        self.closed_by_peer = host.ended
         self.trace = Trace()
         self.guard = InvariantGuard(counters, log, self.trace)
         self.deadlines = Deadlines()
@@ -98,7 +98,7 @@
         if not self._scheduled:
             self.wake()
 
-    def flush_later(self, writer: Writer) -> None:
+    def schedule_flush(self, writer: Writer) -> None:
         """Has the connection write at the end of the next batch."""
         self._writers.append(writer)
         if not self._scheduled:
@@ -118,7 +118,7 @@
     def submit(self, session: Session, request: Request) -> None:
         """Takes a request over; the policy decides on it in the next batch."""
         self.counters.requests += 1
-        self.trace.note(self.now_ns(), Step.RECEIVED, session.call.id)
+        self.trace.record(self.now_ns(), Step.RECEIVED, session.call.id)
         self.sessions[session.id] = session
         self.post(request)
 
@@ -130,7 +130,7 @@
         self.sessions.pop(session.id, None)
         self.ended_sessions[session.id] = session
         kind = answer.kind
-        self.trace.note(self.now_ns(), Step.ANSWERED, session.call.id, kind)
+        self.trace.record(self.now_ns(), Step.ANSWERED, session.call.id, kind)
         if kind is AnswerKind.SERVED:
             self.counters.served += 1
         elif kind is AnswerKind.REJECTED:
@@ -147,7 +147,7 @@
             self.sessions.pop(session.id, None)
             self.ended_sessions[session.id] = session
             self.counters.abandoned += 1
-            self.trace.note(self.now_ns(), Step.ABANDONED, session.call.id)
+            self.trace.record(self.now_ns(), Step.ABANDONED, session.call.id)
             self.post(RequestAbandoned(session.id))
 
     # ---- the batch
@@ -246,7 +246,7 @@
         if session is not None:
             reason = POLICY_REJECTIONS[action.reason]
             self.counters.count_rejection(reason)
-            self.trace.note(self.now_ns(), Step.REJECTED, session.call.id, reason)
+            self.trace.record(self.now_ns(), Step.REJECTED, session.call.id, reason)
             retry_ms = -(-action.retry_after_ns // 1_000_000)
             answer = Answer(AnswerKind.REJECTED, retry_ms=retry_ms) if retry_ms else REJECTED
             self.finish(session, answer)
--- a/zincstile/net/lifecycle.py
+++ b/zincstile/net/lifecycle.py
@@ -142,7 +142,7 @@
         parts = self._parts
         if parts.listener.ready or not self._may_be_ready():
             return
-        self._dispatcher.trace.note(self._dispatcher.now_ns(), Step.STATE, "ready")
+        self._dispatcher.trace.record(self._dispatcher.now_ns(), Step.STATE, "ready")
         parts.listener.start_serving()
         if parts.administration is not None:
             parts.administration.handover.announce_ready()
--- a/zincstile/net/quota_service.py
+++ b/zincstile/net/quota_service.py
@@ -15,7 +15,7 @@
 
 from . import http
 from .config import Address
-from .deadlines import DeadlineKey, every
+from .deadlines import DeadlineKey, run_every
 from .dispatcher import Dispatcher
 
 MAX_NAME_BYTES: Final = 64  # the service refuses longer names
@@ -88,7 +88,7 @@
             self.transport.abort()
             return
         self.idle_since_ns = dispatcher.now_ns()
-        dispatcher.flush_later(self.client)
+        dispatcher.schedule_flush(self.client)
 
     def _take_answer(self, status: int, body: bytes) -> None:
         if not self.calls:
@@ -118,7 +118,7 @@
         self._connecting = 0
         self._tasks: dict[asyncio.Task, None] = {}
         self._no_connect_before_ns = 0  # after a connect that failed
-        every(dispatcher, dispatcher.limits.tend_ns, self._check_connections)
+        run_every(dispatcher, dispatcher.limits.tend_ns, self._check_connections)
 
     def call(self, name: str, amount: float, ttl_ms: int, on_answer: OnAnswer) -> None:
         """Adds the amount to the counter `name`, which lives for `ttl_ms`.
@@ -140,7 +140,7 @@
         timeout_ns = now + dispatcher.limits.quota_service_call_ns
         call.deadline = dispatcher.deadlines.add(timeout_ns, self._timed_out, call)
         self.waiting.append(call)
-        dispatcher.flush_later(self)
+        dispatcher.schedule_flush(self)
 
     def move(self, address: Address) -> None:
         """The service is found elsewhere from now on.
@@ -150,7 +150,7 @@
         if address != self.address:
             self.address = address
             self._no_connect_before_ns = 0
-            self.dispatcher.flush_later(self)
+            self.dispatcher.schedule_flush(self)
 
     # ---- writing, once a batch of the dispatcher
 
@@ -202,14 +202,14 @@
             self._connecting -= 1
 
     def _retry_connect(self, _: object) -> None:
-        self.dispatcher.flush_later(self)
+        self.dispatcher.schedule_flush(self)
 
     # ---- called by connections
 
     def connected(self, connection: QuotaServiceConnection) -> None:
         """A connection is up: waiting calls may be written to it."""
         self.connections[connection] = None
-        self.dispatcher.flush_later(self)
+        self.dispatcher.schedule_flush(self)
 
     def disconnected(self, connection: QuotaServiceConnection) -> None:
         """A connection is closed: the amounts of its calls may have been added."""
@@ -217,7 +217,7 @@
         calls, connection.calls = connection.calls, deque()
         for call in calls:
             self._finish(call, None)
-        self.dispatcher.flush_later(self)
+        self.dispatcher.schedule_flush(self)
 
     def answered(self, call: PendingCall, status: int, body: bytes) -> bool:
         """Ends a call with its answer.
--- a/zincstile/net/reasons.py
+++ b/zincstile/net/reasons.py
@@ -14,14 +14,14 @@
 class CloseReason(CountedReason):
     """Why a client's connection was closed; the first reason holds."""
 
-    CLIENT = "client"  # the client ended or reset it
+    CLOSED_BY_CLIENT = "client"  # the client ended or reset it
     MALFORMED = "malformed"  # nothing after what it sent can be understood
     INCOMPLETE = "incomplete"  # it began a command and did not complete it in time
     SILENT = "silent"  # it never sent a complete command
     IDLE = "idle"  # it was idle for as long as a connection may be
     EVICTED = "evicted"  # its descriptor was needed for another
     STANDBY = "standby"  # an operator put the gateway on standby
-    STOP = "stop"  # the gateway is about to end
+    SHUTDOWN = "stop"  # the gateway is about to end
     TRUNCATED = "truncated"  # the value that was passed on can't be completed
     STALLED = "stalled"  # it does not read what was written, or does not close after the end
     FLOOD = "flood"  # it sent too much after the end
@@ -33,7 +33,7 @@
     The policy's own reasons (`decisions.messages.RejectionReason`) have the same names here.
     """
 
-    SESSIONS = "sessions"  # as many requests are open as may be
+    SESSION_LIMIT = "sessions"  # as many requests are open as may be
     NOT_READY = "not_ready"  # there is no endpoint list yet
     UNKNOWN_AGE = "unknown_age"  # it waited in a queue that no process served, nobody knows for how long
     STOPPING = "stopping"  # too late before the end of the process
--- a/zincstile/net/resp.py
+++ b/zincstile/net/resp.py
@@ -25,15 +25,15 @@
     """The peer does not speak RESP, or goes past a limit; the text is for the peer and the log."""
 
 
-class ErrorLine(bytes):
+class ErrorReply(bytes):
     """The text of an error reply, without its sign."""
 
 
-class PlainLine(bytes):
+class SimpleReply(bytes):
     """The text of a simple string or the digits of an integer, without its sign: never a value."""
 
 
-Reply = bytes | None | ErrorLine | PlainLine | list["Reply"]
+Reply = bytes | None | ErrorReply | SimpleReply | list["Reply"]
 
 
 class Parser:
@@ -56,7 +56,7 @@
         """No message is incomplete."""
         return not self._buffer
 
-    def incomplete(self) -> bytes:
+    def incomplete_bytes(self) -> bytes:
         """The message that is incomplete, as far as it has come."""
         return bytes(self._buffer)
 
@@ -195,7 +195,7 @@
                 raise RespError("too long a line")
             return None, -1
         text = buffer[at + 1 : end]
-        return (ErrorLine(text) if sign == ERROR_SIGN else PlainLine(text)), end + 2
+        return (ErrorReply(text) if sign == ERROR_SIGN else SimpleReply(text)), end + 2
 
     def _array(self, buffer: bytes, at: int) -> tuple[Reply, int]:
         count, at = self._number(buffer, at, self.limits.words)
@@ -212,7 +212,7 @@
         return parts, at
 
 
-def stream_head(head: bytes | bytearray, least: int) -> tuple[int, int] | None:
+def parse_stream_head(head: bytes | bytearray, least: int) -> tuple[int, int] | None:
     """Whether an answer begins with a value larger than `least` bytes, to be passed on as it comes.
 
     `head`: the first bytes that have come. Returns the value's size and where its bulk string begins; None
@@ -232,7 +232,7 @@
     return int(digits), len(STREAM_HEAD) - 1
 
 
-def answer(reply: Reply) -> tuple[bytes, bytes] | None:
+def parse_answer(reply: Reply) -> tuple[bytes, bytes] | None:
     """The value and the load report of a backend server's answer; None where it is not of that form.
 
     A length that swallowed what follows leaves too few parts: such a value is never served.
@@ -244,7 +244,7 @@
     return reply[0], reply[2] or b""
 
 
-def command(arguments: list[bytes]) -> bytes:
+def encode_command(arguments: list[bytes]) -> bytes:
     """A command, as it is sent to a backend server."""
     parts = [b"*%d\r\n" % len(arguments)]
     for argument in arguments:
@@ -252,16 +252,16 @@
     return b"".join(parts)
 
 
-def bulk(value: bytes) -> bytes:
+def encode_bulk_string(value: bytes) -> bytes:
     """A value, as an answer."""
     return b"$%d\r\n%b\r\n" % (len(value), value)
 
 
-def busy(retry_ms: int) -> bytes:
+def encode_busy(retry_ms: int) -> bytes:
     """A rejection; `retry_ms`: when the client may retry, 0: nothing is said."""
     return b"-BUSY %d\r\n" % retry_ms if retry_ms > 0 else b"-BUSY\r\n"
 
 
-def error(text: str) -> bytes:
+def encode_error(text: str) -> bytes:
     """An error, as an answer."""
     return b"-ERR " + text.replace("\r", " ").replace("\n", " ").encode("ascii", "replace") + CRLF
--- a/zincstile/net/session.py
+++ b/zincstile/net/session.py
@@ -22,7 +22,7 @@
     customer: bytes
     id: bytes
     fields: list[bytes]  # name=value
-    deadline_field: int  # index in `fields` of the one that says how long the client waits
+    deadline_field_index: int  # index in `fields` of the one that says how long the client waits
     body: bytes | None
 
 
@@ -55,7 +55,7 @@
         """Takes the final answer of one of its sessions."""
         ...
 
-    def has_left(self) -> bool:
+    def has_disconnected(self) -> bool:
         """The client has left, though its end may not be read yet; then its sessions are abandoned too."""
         ...
 
--- a/zincstile/net/shutdown.py
+++ b/zincstile/net/shutdown.py
@@ -51,7 +51,7 @@
         if self.begun:
             return
         self.begun = True
-        self._dispatcher.trace.note(self._dispatcher.now_ns(), Step.STATE, "stop")
+        self._dispatcher.trace.record(self._dispatcher.now_ns(), Step.STATE, "stop")
         self._dispatcher.log.line(f"stop with {len(self._dispatcher.sessions)} sessions")
         if not self._listener.has_listened:
             self._end(None)
--- a/zincstile/net/trace.py
+++ b/zincstile/net/trace.py
@@ -51,7 +51,7 @@
         """How many entries it holds."""
         return len(self._ring)
 
-    def note(self, at_ns: int, step: Step, subject: bytes | str | int, detail: object = "") -> None:
+    def record(self, at_ns: int, step: Step, subject: bytes | str | int, detail: object = "") -> None:
         """Adds an entry; the oldest is dropped where the ring is full."""
         self._ring.append((at_ns, step, subject, detail))
 
--- a/zincstile/net/transient.py
+++ b/zincstile/net/transient.py
@@ -14,7 +14,7 @@
 EXHAUSTION_ERRNOS: Final = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 TRANSIENT_FILE_ERRNOS: Final = (*EXHAUSTION_ERRNOS, errno.EIO)  # of reading a file that exists
 RETRY_INTERVAL_S: Final = 0.02  # short against the 10 s in which a process has to be ready
-MOST_ATTEMPTS: Final = 400  # 8 s in all: a process is ready within 10 s, or ends with the error
+MAX_ATTEMPTS: Final = 400  # 8 s in all: a process is ready within 10 s, or ends with the error
 
 
 def is_exhaustion(err: BaseException | None) -> bool:
@@ -32,7 +32,7 @@
 
     Raises the OSError of `make` where it is of another kind, or the machine lacks resources for 8 s.
     """
-    for _ in range(MOST_ATTEMPTS):
+    for _ in range(MAX_ATTEMPTS):
         try:
             made = make()
             return await made if isinstance(made, Awaitable) else made
--- a/zincstile/serve.py
+++ b/zincstile/serve.py
@@ -24,7 +24,7 @@
 
     from .net.config import Config, ConfigError, load
     from .net.gateway import Gateway
-    from .net.transient import MOST_ATTEMPTS, RETRY_INTERVAL_S, is_exhaustion
+    from .net.transient import MAX_ATTEMPTS, RETRY_INTERVAL_S, is_exhaustion
 
     async def run(config: Config) -> None:
         gateway = Gateway(config, asyncio.get_running_loop())
@@ -33,7 +33,7 @@
 
     def make_loop() -> asyncio.AbstractEventLoop:
         """Makes the event loop; tries again where the machine lacks descriptors for a moment."""
-        for _ in range(MOST_ATTEMPTS):
+        for _ in range(MAX_ATTEMPTS):
             try:
                 return asyncio.new_event_loop()
             except OSError as err:
--- a/zincstile/simulation/mutants_network.py
+++ b/zincstile/simulation/mutants_network.py
@@ -55,7 +55,7 @@
 
     def answer_again(self, session, answer):
         if session not in self._answers.pending:
-            self._answers._ready.append(resp.bulk(answer.value))
+            self._answers._ready.append(resp.encode_bulk_string(answer.value))
         old(self, session, answer)
 
     return undo_all(
@@ -279,7 +279,7 @@
             return bytes(reply[0]), b""
         return (bytes(reply), b"") if isinstance(reply, bytes) else None
 
-    return replace_attribute(resp, "answer", answer)
+    return replace_attribute(resp, "parse_answer", answer)
 
 
 def invariant_guard_off() -> Undo:
@@ -312,7 +312,7 @@
     return undo_all(
         replace_attribute(attempts.Attempts, "forward", send),
         replace_attribute(dispatcher.Dispatcher, "abandon", abandon),
-        replace_attribute(connection.ClientConnection, "has_left", lambda self: False),
+        replace_attribute(connection.ClientConnection, "has_disconnected", lambda self: False),
         replace_attribute(attempts.Attempts, "withdraw", lambda self, session: None),
     )
 
