--- a/tests/gateway_parts.py
+++ b/tests/gateway_parts.py
@@ -25,7 +25,7 @@
         """Records the answer."""
         self.answers.append((session.id, answer.kind))
 
-    def has_left(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Always false: this client stays connected."""
         return False
 
