--- a/zincstile/cold_start/codec.py
+++ b/zincstile/cold_start/codec.py
@@ -71,7 +71,9 @@
 
 
 def _pack_digest(digest: ListDigest) -> bytes:
-    age = min(MAX_AGE, -(-max(0, digest.age_ns) // AGE_UNIT_NS))  # rounded up: must not appear newer
+    age = min(
+        MAX_AGE, -(-max(0, digest.age_ns) // AGE_UNIT_NS)
+    )  # rounded up, so that it does not appear newer
     flags = digest.provenance + (OPEN_BIT if digest.admission_open else 0)
     return DIGEST.pack(digest.version % 2**64, digest.entry_count, age, flags, *digest.checksums)
 
--- a/zincstile/cold_start/feature.py
+++ b/zincstile/cold_start/feature.py
@@ -95,9 +95,9 @@
         ramp = self.ramp
         if ramp is None:
             return
-        limited = self.parts.limit.limit < math.inf
-        if limited or ramp.is_over(now):
-            self._open_admission(now, ramp, "concurrency limit found" if limited else "end of the ramp")
+        limit_known = self.parts.limit.limit < math.inf
+        if limit_known or ramp.is_over(now):
+            self._open_admission(now, ramp, "concurrency limit found" if limit_known else "end of the ramp")
 
     def on_fleet_is_serving(self, now: int, _: FleetIsServing) -> None:
         """Ends the ramp, as the other gateways serve with open admission."""
--- a/zincstile/cold_start/list_search.py
+++ b/zincstile/cold_start/list_search.py
@@ -21,7 +21,7 @@
 from .settings import ColdStartSettings
 
 LINES_PER_PART: Final = 3.0  # about this many typical lines fit into a part
-INTAKE_RATIO: Final = 0.8  # ratio of the messages that this gateway can receive which lists may use
+INTAKE_RATIO: Final = 0.8  # share of the messages that this gateway can receive, for the list exchange
 MIN_INTAKE_PER_S: Final = 4.0  # with less, not even one part would fit into a burst
 MAX_QUERY_DOUBLINGS: Final = 3  # limits the span between two rounds of queries
 WAIT_ANSWERS: Final = 3  # timeout of a request, as a multiple of recent response times
@@ -278,12 +278,12 @@
         target = self._target
         if target is None or len(self._complete) < BUCKETS:
             return
-        found = self.result
-        if found is not None and found.version >= target.version and found.trust is ListTrust.PEERS_AGREE:
+        result = self.result
+        if result is not None and result.version >= target.version and result.trust is ListTrust.PEERS_AGREE:
             return
         peers_agree = len(self._holders()) >= min(self.settings.min_agreeing_peers, len(self.peers))
         trust = ListTrust.PEERS_AGREE if peers_agree else ListTrust.ONE_PEER
-        if found is not None and (found.version, found.trust) == (target.version, trust):
+        if result is not None and (result.version, result.trust) == (target.version, trust):
             return
         lines = [line for bucket in range(BUCKETS) for line in self._complete[bucket].values()]
         entries = [entry for entry in map(decode_entry, lines) if entry is not None]
--- a/zincstile/cold_start/peer_lists.py
+++ b/zincstile/cold_start/peer_lists.py
@@ -59,11 +59,11 @@
         self, now: int, version: int, entries: list[dict[str, Any]], *, complete: bool
     ) -> None:
         """Applies discovery's list or its changes, and stops the search."""
-        found = self.search.result
-        peers_agree = found is not None and found.trust is ListTrust.PEERS_AGREE
+        result = self.search.result
+        peers_agree = result is not None and result.trust is ListTrust.PEERS_AGREE
         if peers_agree and not complete and not self.copy.count:
             # discovery sent the changes since the list that peers agree on, which confirms that list
-            self.copy.replace(now, found.version, Provenance.DISCOVERY, found.entries)
+            self.copy.replace(now, result.version, Provenance.DISCOVERY, result.entries)
         self.search.stop()
         if complete:
             self.copy.replace(now, version, Provenance.DISCOVERY, entries)
--- a/zincstile/cold_start/settings.py
+++ b/zincstile/cold_start/settings.py
@@ -18,7 +18,8 @@
     `net/features` maps the keys of the operators' file to these fields, and the fields in errors to the keys.
     """
 
-    # Whether endpoint lists are fetched from peers. Endpoint addresses must be the same at all gateways then.
+    # Enables the fetching of endpoint lists from peers. Requires that endpoint addresses are the same for all
+    # gateways.
     use_peer_lists: bool = False
     # How long a starting gateway waits for peers before it polls the list service.
     peer_wait_ns: int = 80 * MS
--- a/zincstile/subsetting/fleet.py
+++ b/zincstile/subsetting/fleet.py
@@ -32,7 +32,7 @@
         self.gateway_count = gateway_count
         self.zones = zones
         own_zone = self.zone_name(zone)
-        self.tiers = [tuple(map(self._zone_number, tier)) for tier in settings.tiers(own_zone, zones)]
+        self.tiers = [tuple(map(self._zone_index, tier)) for tier in settings.tiers(own_zone, zones)]
         if len(zones) not in self.tiers[-1]:  # all gateways reach the endpoints of unnamed zones
             self.tiers[-1] += (len(zones),)
         self.position_in_fleet = FleetPosition(gateway_index, gateway_count)
@@ -54,7 +54,7 @@
         """
         return self._positions.get(zone, self.position_in_fleet)
 
-    def _zone_number(self, name: str) -> int:
+    def _zone_index(self, name: str) -> int:
         return self.zones.index(name) if name in self.zones else len(self.zones)
 
     def _position(self, zone: int) -> FleetPosition:
--- a/zincstile/subsetting/selection.py
+++ b/zincstile/subsetting/selection.py
@@ -61,8 +61,8 @@
                 ring_id = self.members.get(endpoint_id)
                 if ring_id is not None and ring_id.service == service:
                     del self.members[endpoint_id]
-            for zone, chosen in after.items():
-                self.members.update(dict.fromkeys(chosen.members, RingId(service, zone)))
+            for zone, zone_slice in after.items():
+                self.members.update(dict.fromkeys(zone_slice.members, RingId(service, zone)))
         return changed
 
     def review(self, now: int, suspects: Iterable[int], health: Callable[[int], Health]) -> set[int]:
@@ -121,8 +121,8 @@
         offset = stable_hash(ring_id.service, self.fleet.zone_name(ring_id.zone)) % position.count
         first = first_rank(position.index, position.count, total, offset)
         keys = ring.take(first, size + extra_count)
-        numbers = tuple(map(endpoint_id_of, keys))
-        return Slice(numbers[:size], numbers[size:], self._partners(ring_id, keys), max_extra)
+        endpoint_ids = tuple(map(endpoint_id_of, keys))
+        return Slice(endpoint_ids[:size], endpoint_ids[size:], self._partners(ring_id, keys), max_extra)
 
     def _partners(self, ring_id: RingId, keys: list[int]) -> tuple[int, ...]:
         """Returns a second endpoint for each cell that has only one in the slice, if the ring has any."""
@@ -139,19 +139,19 @@
     # ---- health
 
     def _review_slice(self, now: int, ring_id: RingId, health: Callable[[int], Health]) -> bool:
-        chosen = self.slices.get(ring_id.service, {}).get(ring_id.zone)
+        zone_slice = self.slices.get(ring_id.service, {}).get(ring_id.zone)
         ring = self.endpoint_rings.rings.get(ring_id)
         widening = self.widenings.get(ring_id)
-        if chosen is None or ring is None:
+        if zone_slice is None or ring is None:
             return self.widenings.pop(ring_id, None) is not None and widening.active
         if widening is None:
             widening = Widening(self.settings.recovery_ns)
         changed = widening.review(
             now,
-            [health(endpoint_id) for endpoint_id in chosen.regular],
-            [health(endpoint_id) for endpoint_id in chosen.extra],
+            [health(endpoint_id) for endpoint_id in zone_slice.regular],
+            [health(endpoint_id) for endpoint_id in zone_slice.extra],
             required=min(self.settings.min_usable, len(ring)),
-            max_extra=chosen.max_extra,
+            max_extra=zone_slice.max_extra,
         )
         max_recovery_ns = MAX_RECOVERY_FACTOR * self.settings.recovery_ns
         widening.recovery_ns = min(widening.recovery_ns, max_recovery_ns)
@@ -163,4 +163,4 @@
 
 
 def _members(slices: dict[int, Slice]) -> set[int]:
-    return {endpoint_id for chosen in slices.values() for endpoint_id in chosen.members}
+    return {endpoint_id for zone_slice in slices.values() for endpoint_id in zone_slice.members}
--- a/zincstile/zone_failover/codec.py
+++ b/zincstile/zone_failover/codec.py
@@ -72,7 +72,9 @@
 
 def _pack_table(table: RoutingTable) -> bytes:
     generation = table.generation
-    age = min(U16_MAX, -(-max(0, table.age_ns) // AGE_UNIT_NS))  # rounded up: must not appear newer
+    age = min(
+        U16_MAX, -(-max(0, table.age_ns) // AGE_UNIT_NS)
+    )  # rounded up, so that it does not appear newer
     head = TABLE.pack(
         generation.term,
         generation.number,
