--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -62,32 +62,36 @@
     def run(self, until_ns, step_ns=20 * MS):
         while self.now < until_ns:
             self.now += step_ns
-            for one in self.gateways:
-                one.search.update(self.now)
+            for gateway in self.gateways:
+                gateway.search.update(self.now)
             for _ in range(3):
                 for sender, gateway in enumerate(self.gateways):
                     for receiver, message in gateway.take_messages():
                         data = self.corrupt(sender, codec.pack(message))
-                        if self.rng.random() >= self.loss and (found := codec.unpack(data)) is not None:
-                            self.received_parts[receiver] += isinstance(found, BucketPart)
-                            self.gateways[receiver].receive(self.now, sender, found)
+                        if self.rng.random() >= self.loss and (decoded := codec.unpack(data)) is not None:
+                            self.received_parts[receiver] += isinstance(decoded, BucketPart)
+                            self.gateways[receiver].receive(self.now, sender, decoded)
 
 
 @pytest.mark.parametrize(("count", "loss"), [(3, 0.0), (12, 0.3), (40, 0.073)])
 def test_starting_gateways_get_the_list_from_peers_within_their_message_rate(count, loss):
-    fleet, listed = Fleet(count, loss), entries(200)
-    for one in fleet.gateways[: max(2, count // 3)]:
-        one.receive_discovery_list(0, 41, listed, complete=True)
+    fleet, list_entries = Fleet(count, loss), entries(200)
+    for gateway in fleet.gateways[: max(2, count // 3)]:
+        gateway.receive_discovery_list(0, 41, list_entries, complete=True)
     searching = fleet.gateways[max(2, count // 3) :]
-    for one in searching:
-        one.search.start(0)
+    for gateway in searching:
+        gateway.search.start(0)
     fleet.run(12 * SECOND)
-    for one in searching:
-        found = one.take_result()
-        assert found.trust is ListTrust.PEERS_AGREE and found.version == 41 and one.take_result() is None
-        assert sorted(e["name"] for e in found.entries) == sorted(e["name"] for e in listed)
-        assert {e["name"]: e["since_ms"] for e in found.entries} == {e["name"]: e["since_ms"] for e in listed}
-        assert one.copy.digest(fleet.now) is None  # a list from peers is not passed on
+    for gateway in searching:
+        result = gateway.take_result()
+        assert (
+            result.trust is ListTrust.PEERS_AGREE and result.version == 41 and gateway.take_result() is None
+        )
+        assert sorted(e["name"] for e in result.entries) == sorted(e["name"] for e in list_entries)
+        assert {e["name"]: e["since_ms"] for e in result.entries} == {
+            e["name"]: e["since_ms"] for e in list_entries
+        }
+        assert gateway.copy.digest(fleet.now) is None  # a list from peers is not passed on
     assert max(fleet.received_parts) <= 60 * 12
 
 
@@ -105,8 +109,8 @@
     )
     fleet.gateways[4].search.start(0)
     fleet.run(6 * SECOND)
-    found = fleet.gateways[4].take_result()
-    assert found.version == 41 and all(e["address"].startswith("10.1.1.") for e in found.entries)
+    result = fleet.gateways[4].take_result()
+    assert result.version == 41 and all(e["address"].startswith("10.1.1.") for e in result.entries)
     # discovery sends the changes since this list, which confirms it, so that it may be passed on
     fleet.gateways[4].receive_discovery_list(fleet.now, 42, entries(61, version=1)[60:], complete=False)
     assert fleet.gateways[4].copy.digest(fleet.now).version == 42 and fleet.gateways[4].copy.count == 61
@@ -183,37 +187,37 @@
     fleet = [
         AdmissionRamp(SETTINGS, gateways, 6.0, random.Random(f"{gateways} {k}")) for k in range(gateways)
     ]
-    for one in fleet:
-        one.start(0)
+    for ramp in fleet:
+        ramp.start(0)
     pending_answers, step = [], 10 * MS
     for now in range(0, 5 * SETTINGS.ramp_time_constant_ns, step):
         while pending_answers and pending_answers[0][0] <= now:
-            _, one, units = pending_answers.pop(0)
-            one.record_answer(units, in_time=True)
-        for one in fleet:
+            _, ramp, units = pending_answers.pop(0)
+            ramp.record_answer(units, in_time=True)
+        for ramp in fleet:
             for _ in range(3):
                 units = rng.choice((1.0, 2.0, 6.0))
-                if one.admits(now, endpoints):
-                    one.record_sent(units)
+                if ramp.admits(now, endpoints):
+                    ramp.record_sent(units)
                     sent += units
-                    pending_answers.append((now + 50 * MS, one, units))
+                    pending_answers.append((now + 50 * MS, ramp, units))
         assert sent <= max_sent_units(SETTINGS, endpoints, now + step) + 3 * 6.0 * math.sqrt(gateways) / 2
-    assert sent > 0 and not any(one.is_over(now) for one in fleet)
-    assert all(one.is_over(SETTINGS.max_ramp_ns) for one in fleet)
+    assert sent > 0 and not any(ramp.is_over(now) for ramp in fleet)
+    assert all(ramp.is_over(SETTINGS.max_ramp_ns) for ramp in fleet)
 
 
 def test_late_answers_do_not_raise_the_pace_but_the_rate_of_the_previous_process_does():
-    one = AdmissionRamp(SETTINGS, 200, 6.0, random.Random(3))
-    one.start(0)
-    before = one.pace(10.0)
-    one.record_answer(6.0, in_time=False)
-    assert one.pace(10.0) == before
-    one.inherit(50.0)
-    assert one.pace(10.0) == before + 50.0 and one.is_over(2 * SECOND)
+    ramp = AdmissionRamp(SETTINGS, 200, 6.0, random.Random(3))
+    ramp.start(0)
+    initial_pace = ramp.pace(10.0)
+    ramp.record_answer(6.0, in_time=False)
+    assert ramp.pace(10.0) == initial_pace
+    ramp.inherit(50.0)
+    assert ramp.pace(10.0) == initial_pace + 50.0 and ramp.is_over(2 * SECOND)
 
 
 def test_readiness_depends_on_the_most_trusted_list():
-    for trust, confirmed, at in (
+    for trust, confirmed, ready_after_ns in (
         (ListTrust.DISCOVERY, False, 0),
         (ListTrust.PEERS_AGREE, False, 0),
         (ListTrust.ONE_PEER, False, SETTINGS.single_peer_wait_ns),
@@ -221,11 +225,11 @@
         (ListTrust.CACHED, True, 0),
         (ListTrust.NONE, True, None),
     ):
-        one = Readiness(SETTINGS, 5 * SECOND)
-        one.record_list(trust, cache_confirmed=confirmed)
-        one.record_list(ListTrust.NONE)
-        assert one.ready_ns() == (None if at is None else 5 * SECOND + at)
-        assert one.is_ready(5 * SECOND) is (at == 0)
+        readiness = Readiness(SETTINGS, 5 * SECOND)
+        readiness.record_list(trust, cache_confirmed=confirmed)
+        readiness.record_list(ListTrust.NONE)
+        assert readiness.ready_ns() == (None if ready_after_ns is None else 5 * SECOND + ready_after_ns)
+        assert readiness.is_ready(5 * SECOND) is (ready_after_ns == 0)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_list_polling.py
+++ b/tests/test_list_polling.py
@@ -30,9 +30,9 @@
 def test_the_rate_of_failed_calls_of_a_fleet_is_bounded_for_any_size(gateways):
     calls = []
     for number in range(gateways):
-        one, now = polling(number, gateways), 0
+        gateway_polling, now = polling(number, gateways), 0
         while now < 20 * SECOND:
-            now += one.record_failure()
+            now += gateway_polling.record_failure()
             calls.append(now)
     calls.sort()
     calls_in_first_second = sum(at < SECOND for at in calls)
@@ -47,18 +47,18 @@
 
 
 def test_the_timeout_follows_the_response_time_and_retry_after_is_respected():
-    one = polling(1, 200)
+    fleet_polling = polling(1, 200)
     assert (
-        one.timeout_ns() == 50 * SECOND
-        and one.keeps_waiting(49 * SECOND)
-        and not one.keeps_waiting(50 * SECOND)
+        fleet_polling.timeout_ns() == 50 * SECOND
+        and fleet_polling.keeps_waiting(49 * SECOND)
+        and not fleet_polling.keeps_waiting(50 * SECOND)
     )
-    assert one.timeout_ns() == 100 * SECOND
-    one.record_answer(20 * SECOND)
-    assert one.timeout_ns() == 80 * SECOND and one.failures == one.timeouts == 0
-    assert all(one.record_failure(2 * SECOND) >= 2 * SECOND for _ in range(50))
-    single = polling(1, 1)
-    assert single.timeout_ns() == 2600 * MS and single.record_failure() <= 50 * MS
+    assert fleet_polling.timeout_ns() == 100 * SECOND
+    fleet_polling.record_answer(20 * SECOND)
+    assert fleet_polling.timeout_ns() == 80 * SECOND and fleet_polling.failures == fleet_polling.timeouts == 0
+    assert all(fleet_polling.record_failure(2 * SECOND) >= 2 * SECOND for _ in range(50))
+    single_polling = polling(1, 1)
+    assert single_polling.timeout_ns() == 2600 * MS and single_polling.record_failure() <= 50 * MS
 
 
 def test_retry_after_is_parsed_if_it_is_in_seconds_and_in_range():
--- a/tests/test_zone_failover.py
+++ b/tests/test_zone_failover.py
@@ -47,7 +47,7 @@
     assert lost[0] == [0, pytest.approx(15), pytest.approx(25)]
     full = route([zone(120, 100), zone(100, 100), zone(20, 100)], DISTANCE, 0.1)
     assert full[0] == [100, 0, pytest.approx(20)] and full[1] == [0, 100, 0]
-    alone = route(
+    separated = route(
         [
             zone(50, 100, reachable_from=(True, False, False)),
             zone(10, 100, reachable_from=(False, True, True)),
@@ -56,13 +56,13 @@
         DISTANCE,
         0.1,
     )
-    assert alone[0] == [50, 0, 0]  # cut off from the other zones, but serves its own traffic
-    free = route(
+    assert separated[0] == [50, 0, 0]  # cut off from the other zones, but serves its own traffic
+    unbounded = route(
         [zone(50, 0, good=0.0), zone(10, math.inf, good=3.0), zone(10, math.inf, good=9.0)],
         [[0, 1, 1], [1, 0, 1], [1, 1, 0]],
         0.1,
     )
-    assert free[0] == [0, pytest.approx(12.5), pytest.approx(37.5)]
+    assert unbounded[0] == [0, pytest.approx(12.5), pytest.approx(37.5)]
 
 
 @given(
@@ -118,13 +118,13 @@
 def test_no_message_order_gives_two_leaders_or_different_tables_of_one_generation(case):
     """`sim place-search` searches to a greater depth."""
     for opening in place_search.OPENINGS:
-        found = place_search.search(case, 2, opening, settle=20)
-        assert not found.broken and found.states > 10, found
+        result = place_search.search(case, 2, opening, settle=20)
+        assert not result.broken and result.states > 10, result
 
 
 def test_checkers_report_each_deliberate_fault_and_nothing_without_one():
-    found = mutants_place.try_all(tuple(mutants_place.MUTANTS), 8)
-    assert not [name for name, error in found if not error]
+    results = mutants_place.try_all(tuple(mutants_place.MUTANTS), 8)
+    assert not [name for name, error in results if not error]
     assert not [error for check in mutants_place.CHECKERS[1:] if (error := check())]
 
 
@@ -152,13 +152,13 @@
 
 def test_reports_of_a_replaced_process_and_invalid_reports_are_ignored():
     view = ZoneView(ZoneFailoverSettings(), 3, 1)
-    seen = (ZoneObservation(1, 1.0, 0.0, math.inf),)
-    assert view.record(0, ZoneReport(1, 5, 9, 0, 1.0, seen))
-    assert not view.record(0, ZoneReport(1, 5, 8, 0, 2.0, seen))
-    assert view.record(1, ZoneReport(1, 6, 1, 0, 3.0, seen))
-    assert not view.record(2, ZoneReport(1, 5, 99, 0, 4.0, seen))
-    assert not view.record(2, ZoneReport(7, 1, 1, 0, 1.0, seen))
-    assert not view.record(2, ZoneReport(2, 1, 1, 4, 1.0, seen))
+    observations = (ZoneObservation(1, 1.0, 0.0, math.inf),)
+    assert view.record(0, ZoneReport(1, 5, 9, 0, 1.0, observations))
+    assert not view.record(0, ZoneReport(1, 5, 8, 0, 2.0, observations))
+    assert view.record(1, ZoneReport(1, 6, 1, 0, 3.0, observations))
+    assert not view.record(2, ZoneReport(1, 5, 99, 0, 4.0, observations))
+    assert not view.record(2, ZoneReport(7, 1, 1, 0, 1.0, observations))
+    assert not view.record(2, ZoneReport(2, 1, 1, 4, 1.0, observations))
     assert view.reports[1].report.demand == 3.0
 
 
@@ -225,20 +225,20 @@
     record_attempt = run.checker.attempt_started
 
     def record(gateway, box, request, first_ns):
-        at = (run.scheduler.now_ns - run.began_ns) / 1e9
-        attempts.append((at, run.checker.locations[box][0], int(gateway[1:]) % 3))
+        seconds = (run.scheduler.now_ns - run.began_ns) / 1e9
+        attempts.append((seconds, run.checker.locations[box][0], int(gateway[1:]) % 3))
         return record_attempt(gateway, box, request, first_ns)
 
     run.checker.attempt_started = record
     result = run.play()
     assert result.breach is None, result.breach
-    before_loss = [z != home for at, z, home in attempts if at < 2.4]
+    before_loss = [zone != own_zone for seconds, zone, own_zone in attempts if seconds < 2.4]
     assert sum(before_loss) <= 0.02 * len(before_loss) + 1
-    during_loss = [z == 1 for at, z, _ in attempts if 3.9 < at < 6.5]
+    during_loss = [zone == 1 for seconds, zone, _ in attempts if 3.9 < seconds < 6.5]
     assert sum(during_loss) <= 0.08 * len(during_loss)
-    after_return = [z == 1 for at, z, home in attempts if at > 14.5 and home == 1]
+    after_return = [zone == 1 for seconds, zone, own_zone in attempts if seconds > 14.5 and own_zone == 1]
     assert sum(after_return) >= 0.8 * len(after_return)
-    tables = {agreement(s).table(run.scheduler.now_ns).weights for s in run.nodes}
+    tables = {agreement(node).table(run.scheduler.now_ns).weights for node in run.nodes}
     assert len(tables) == 1
 
 
@@ -256,16 +256,16 @@
         return record_attempt(gateway, box, request, first_ns)
 
     run.checker.attempt_started = record
-    for at, drained in ((3, True), (8, False)):
+    for seconds, drained in ((3, True), (8, False)):
         run.scheduler.call_at(
-            run.began_ns + at * 10**9,
+            run.began_ns + seconds * 10**9,
             lambda drained=drained: run.nodes[0].gateway.dispatcher.post(ZoneOverridden(1, drained=drained)),
         )
     assert run.play().breach is None
 
     def share_of_zone_1(begin, end):
-        chosen = [zone == 1 for at, zone in attempts if begin <= at < end]
+        chosen = [zone == 1 for seconds, zone in attempts if begin <= seconds < end]
         return sum(chosen) / len(chosen)
 
     assert share_of_zone_1(0, 3) > 0.2 and share_of_zone_1(4.5, 8) == 0.0 and share_of_zone_1(12, 15) > 0.2
-    assert {agreement(s).trackers[1].state.name for s in run.nodes} == {"WELL"}
+    assert {agreement(node).trackers[1].state.name for node in run.nodes} == {"WELL"}
