--- a/zincstile/cold_start/peer_lists.py
+++ b/zincstile/cold_start/peer_lists.py
@@ -47,7 +47,7 @@
         self.peers = [gateway for gateway in range(gateway_count) if gateway != gateway_index]
         self.copy = ListCopy()
         self.search = ListSearch(settings, self.peers, intake_per_s, self.copy, rng, self._send)
-        self.admission_open = False  # whether this gateway's is; sent with each digest
+        self.admission_open = False  # whether this gateway's admission is open; sent with each digest
         self._open_peers: dict[int, bool] = {}  # by peer: whether its admission was open in its first answer
         self._sending = MessageRateLimit(settings.max_sent_per_s)
         self._waiting_peers: dict[int, None] = {}  # peers that queried while there was no list
@@ -93,7 +93,7 @@
         elif isinstance(message, BucketRequest):
             self._answer_request(now, sender, message)
         elif isinstance(message, ListDigest):
-            # the first digest counts: later the peer's ramp may have ended after this gateway's start
+            # only the first digest counts, as a peer that started at the same time may open its admission later
             self._open_peers.setdefault(sender, message.admission_open)
             self.search.receive_digest(now, sender, message)
         elif isinstance(message, BucketPart):
