--- a/zincstile/cold_start/peer_lists.py
+++ b/zincstile/cold_start/peer_lists.py
@@ -93,7 +93,7 @@
         elif isinstance(message, BucketRequest):
             self._answer_request(now, sender, message)
         elif isinstance(message, ListDigest):
-            # only the first digest counts, as a peer that started at the same time may open its admission later
+            # only the first digest counts: a peer that started at the same time may open its admission later
             self._open_peers.setdefault(sender, message.admission_open)
             self.search.receive_digest(now, sender, message)
         elif isinstance(message, BucketPart):
