--- a/tests/test_subsetting.py
+++ b/tests/test_subsetting.py
@@ -89,19 +89,17 @@
 
 
 @given(st.integers(1, 300), st.integers(1, 400), st.integers(1, 30), st.integers(1, 8), st.integers(0, 10**6))
-def test_each_endpoint_is_used_by_an_even_share_of_the_gateways(
-    gateways, total, min_endpoints, min_gateways, offset
-):
+def test_the_gateways_use_all_endpoints_evenly(gateways, total, min_endpoints, min_gateways, offset):
     size = slice_size(total, min_endpoints, min_gateways, gateways)
     assert size >= min(min_endpoints, total)
     uses = Counter()
     for index in range(gateways):
         first = first_rank(index, gateways, total, offset)
         uses.update((first + k) % total for k in range(size))
-    mean_uses = gateways * size / total
-    assert {uses[k] for k in range(total)} <= {math.floor(mean_uses), math.ceil(mean_uses)}
+    mean = gateways * size / total
+    assert {uses[k] for k in range(total)} <= {math.floor(mean), math.ceil(mean)}
     if min_gateways >= 4:
-        assert max(uses.values()) <= 1.25 * mean_uses and min(uses.values()) >= 0.75 * mean_uses
+        assert max(uses.values()) <= 1.25 * mean and min(uses.values()) >= 0.75 * mean
 
 
 @given(st.integers(1, 60), st.integers(1, 200), st.integers(1, 20), st.data())
@@ -129,18 +127,15 @@
             uses = Counter()
             for index in chosen:
                 uses.update((first_rank(index, gateways, total, 5) + k) % total for k in range(size))
-            mean_uses = len(chosen) * size / total
-            assert (
-                max(uses.values()) <= 1.6 * mean_uses
-                and min(uses[k] for k in range(total)) >= 0.4 * mean_uses
-            )
+            mean = len(chosen) * size / total
+            assert max(uses.values()) <= 1.6 * mean and min(uses[k] for k in range(total)) >= 0.4 * mean
 
 
 # ---- rings and subset compared with a simple model
 
 ENTRY = st.builds(
-    lambda number, zone, kind, cell, state, started: EndpointEntry(
-        number, zone, kind, cell, state, 1.0, started
+    lambda number, zone, machine_type, cell, state, started: EndpointEntry(
+        number, zone, machine_type, cell, state, 1.0, started
     ),
     st.integers(1, 40),
     st.integers(0, 3),
@@ -158,7 +153,7 @@
     for b in table.values():
         if b.state is READY:
             rings[b.machine_type, b.zone].append(b.id)
-    found = set()
+    members = set()
     for service in {s for s, _ in rings}:
         tier = next(t for t in tiers if any((service, z) in rings for z in t))
         zones_with_endpoints = [z for z in tier if (service, z) in rings]
@@ -172,22 +167,16 @@
             size = min(len(ring), max(min_endpoints, math.ceil(4 * len(ring) / position.count)))
             offset = stable_hash(service, fleet.zone_name(zone)) % position.count
             first = first_rank(index, position.count, len(ring), offset)
-            found |= {ring[(first + k) % len(ring)] for k in range(min(len(ring), math.ceil(size * scale)))}
-    return found
+            members |= {ring[(first + k) % len(ring)] for k in range(min(len(ring), math.ceil(size * scale)))}
+    return members
 
 
 @settings(max_examples=200, deadline=None)
 @given(LISTS, st.integers(1, 9), st.sampled_from([Reach.ALL, Reach.ZONE]), st.data())
-def test_subset_and_rings_equal_those_of_a_simple_model_for_any_lists(lists, gateways, reach, data):
-    index = data.draw(st.integers(0, gateways - 1))
+def test_subset_and_rings_equal_those_of_a_simple_model_for_any_lists(lists, count, reach, data):
+    index = data.draw(st.integers(0, count - 1))
     policy = gateway(
-        index,
-        gateways,
-        index % 3,
-        service_by=ServiceBy.TYPE,
-        reach=reach,
-        min_endpoints=2,
-        layout=INTERLEAVED,
+        index, count, index % 3, service_by=ServiceBy.TYPE, reach=reach, min_endpoints=2, layout=INTERLEAVED
     )
     tiers = [(index % 3,), (0, 1, 2, 3)] if reach is Reach.ZONE else [(0, 1, 2, 3)]
     table = {}
@@ -199,10 +188,10 @@
         table = {n: b for n, b in table.items() if b.state is not REMOVED}
         assert policy.features[0].rings.endpoints == table
         assert {
-            place: [k & (2**64 - 1) for k in ring.keys]
-            for place, ring in policy.features[0].rings.rings.items()
+            ring_id: [k & (2**64 - 1) for k in ring.keys]
+            for ring_id, ring in policy.features[0].rings.rings.items()
         } == model_rings(table)
-        assert ready_ids(policy) == model_members(table, index, gateways, tiers, 2, 3)
+        assert ready_ids(policy) == model_members(table, index, count, tiers, 2, 3)
         assert all(s.entry == table[n] for n, s in policy.parts.endpoints.by_id.items())
 
 
@@ -219,14 +208,10 @@
 
 @settings(max_examples=40, deadline=None)
 @given(st.integers(2, 24), st.integers(4, 60), st.integers(2, 10), st.integers(0, 59), st.floats(1, 1000))
-def test_all_gateways_together_send_a_cold_endpoint_at_most_its_share_of_a_warm_one(
-    gateways, total, min_endpoints, cold, rate
-):
-    """Checks the sum over whole fleets against the rate of the busiest warm endpoint.
-
-    Before any rate was observed, it is checked against the initial rate of all gateways together.
-    """
-    now, cold, seen, first, warm = 10 * SECOND, 1 + cold % total, 0.0, 0.0, Counter()
+def test_all_gateways_together_limit_a_cold_endpoint_to_its_share(gateways, total, min_endpoints, cold, rate):
+    """The sum over a fleet is bounded by the rate of the busiest warm endpoint, and before any rate was
+    observed, by one initial rate for all gateways together."""
+    now, cold, observed, initial, warm_rates = 10 * SECOND, 1 + cold % total, 0.0, 0.0, Counter()
     for index in range(gateways):
         own = gateway_settings(
             gateway_index=index,
@@ -239,36 +224,33 @@
         policy.handle(now, Started())
         apply_list(policy, [backend(n, started=now if n == cold else 0) for n in range(1, total + 1)])
         policy.parts.budget.groups[0].arrivals = rate / gateways
-        sending = sum(x.arrivals * x.rate for x in policy.parts.budget.groups)
+        sent_per_s = sum(x.arrivals * x.rate for x in policy.parts.budget.groups)
         policy.parts.capacity.classify(now)
-        first += (
-            policy.parts.slow_start.shares[0] * policy.parts.slow_start.max_multiple * sending
+        initial += (
+            policy.parts.slow_start.shares[0] * policy.parts.slow_start.max_multiple * sent_per_s
             if policy.parts.slow_start.shares
             else 0.0
         )
         policy.parts.limit.completed_per_s = rate / gateways
         policy.parts.capacity.classify(now)
-        seen += (
-            policy.parts.slow_start.shares[0] * policy.parts.slow_start.max_multiple * sending
+        observed += (
+            policy.parts.slow_start.shares[0] * policy.parts.slow_start.max_multiple * sent_per_s
             if policy.parts.slow_start.shares
             else 0.0
         )
-        warm.update(
+        warm_rates.update(
             {
                 s.entry.id: policy.parts.limit.completed_per_s / policy.parts.capacity.healthy
                 for s in policy.parts.endpoints.warm
             }
         )
     multiple = 0.2 * OVERLOAD_SHARE * 2.0
-    assert first <= multiple * 4.0 / FIRST_RATE_DIVISOR * 1.000001
-    assert seen <= multiple * max(1.25 * max(warm.values()), 4.0 / FIRST_RATE_DIVISOR) * 1.000001
+    assert initial <= multiple * 4.0 / FIRST_RATE_DIVISOR * 1.000001
+    assert observed <= multiple * max(1.25 * max(warm_rates.values()), 4.0 / FIRST_RATE_DIVISOR) * 1.000001
 
 
 def test_the_observed_rate_of_an_endpoint_stays_when_all_others_drain():
-    """The rate of all endpoints must not be ascribed to a single cold one when all others drain.
-
-    Happened with seed 4174; prevented by `Capacity.working`.
-    """
+    """Without `Capacity.working`, the last, cold endpoint is credited with the work of all (seed 4174)."""
     policy = gateway(gateways=3, zones=[])
     apply_list(policy, backends(12, zone=0))
     tick(policy, 10 * SECOND)
@@ -327,17 +309,17 @@
 
 def test_subsets_from_lists_of_different_age_differ_only_by_the_changes():
     """Slices depend only on endpoint ids, and each change exchanges at most one other endpoint."""
-    late, early = Counter(), Counter()
+    old_uses, mixed_uses = Counter(), Counter()
     for index in range(40):
         policy = gateway(index, 40, min_endpoints=5, zones=[])
         apply_list(policy, backends(100, zone=0))
         old = ready_ids(policy)
-        late.update(old)
+        old_uses.update(old)
         apply_list(policy, [backend(101), backend(102), backend(7, mode=DRAINING)])
-        early.update(ready_ids(policy) if index % 2 else old)
+        mixed_uses.update(ready_ids(policy) if index % 2 else old)
         assert len(ready_ids(policy) ^ old) <= 2 * 3
-    assert set(late) == set(range(1, 101)) and set(late.values()) == {4}
-    assert all(early[n] >= 2 for n in range(1, 101) if n != 7)
+    assert set(old_uses) == set(range(1, 101)) and set(old_uses.values()) == {4}
+    assert all(mixed_uses[n] >= 2 for n in range(1, 101) if n != 7)
 
 
 def test_a_returning_endpoint_keeps_its_slice_and_keeps_its_scores_unless_restarted():
@@ -362,8 +344,8 @@
     actions = policy.handle(10 * SECOND, Request(1, 0, 0, 7, 14 * SECOND, 1.0, 1, 0))
     chosen_id = next(a for a in actions if isinstance(a, ForwardRequest)).endpoint
     others = [b for b in backends(60, zone=0) if b.id in ready_ids(policy) - {chosen_id}]
-    for more in range(61, 300):  # until the endpoint leaves the slice
-        apply_list(policy, [backend(more)])
+    for added in range(61, 300):  # until the endpoint leaves the slice
+        apply_list(policy, [backend(added)])
         if chosen_id not in ready_ids(policy):
             break
     assert chosen_id not in policy.parts.endpoints.by_id and not [
@@ -371,7 +353,7 @@
     ]
     policy.handle(10 * SECOND + MS, AttemptOutcome(1, 0, chosen_id, AttemptResult.ERROR, MS, True))
     assert not policy.parts.attempts.in_flight
-    apply_list(policy, [backend(n, mode=REMOVED) for n in range(61, more + 1)])
+    apply_list(policy, [backend(n, mode=REMOVED) for n in range(61, added + 1)])
     assert (
         chosen_id in ready_ids(policy)
         and policy.parts.endpoints.by_id[chosen_id].error_scores
@@ -416,7 +398,7 @@
 
 
 def test_replacing_a_whole_service_keeps_its_slice_size_and_no_other_service_changes():
-    """Rings contain only ready endpoints, and a change only selects the slices of its service again."""
+    """Rings contain only ready endpoints, and a change recomputes only the slices of its own service."""
     policy = gateway(gateways=30, min_endpoints=4, service_by=ServiceBy.TYPE, zones=[])
     apply_list(policy, [EndpointEntry(n, 0, n % 2, 0, READY, 1.0, 0) for n in range(1, 121)])
     other = {n for n in ready_ids(policy) if n % 2 == 0}
@@ -465,7 +447,7 @@
 
 @pytest.mark.parametrize("group", [DeduplicationScope.ZONE, DeduplicationScope.CELL])
 def test_a_deduplication_scope_has_a_second_endpoint_in_the_slice(group):
-    """By `Ring.partner` for cells, and by at least two endpoints in each zone."""
+    """Retries stay in the scope: `Ring.partner` adds a second endpoint of a cell; a zone has at least two."""
     put = RequestClass(
         "put",
         SECOND,
@@ -481,43 +463,36 @@
         apply_list(policy, list(entries_by_id.values()))
         assert len(ready_ids(policy)) < 60
         actions = policy.handle(10 * SECOND, Request(1, 0, 0, 7, 14 * SECOND, 1.0, 1, 0))
-        first = next(a for a in actions if isinstance(a, ForwardRequest)).endpoint
-        retry_actions = policy.handle(
-            10 * SECOND + MS, AttemptOutcome(1, 0, first, AttemptResult.ERROR, MS, False)
-        )
-        second = next(a for a in retry_actions if isinstance(a, ForwardRequest)).endpoint
-        first_entry, second_entry = entries_by_id[first], entries_by_id[second]
-        assert first != second
-        assert (
-            first_entry.zone == second_entry.zone
-            if group is DeduplicationScope.ZONE
-            else first_entry.cell == second_entry.cell
-        )
+        failed = next(a for a in actions if isinstance(a, ForwardRequest)).endpoint
+        retry = policy.handle(10 * SECOND + MS, AttemptOutcome(1, 0, failed, AttemptResult.ERROR, MS, False))
+        retried = next(a for a in retry if isinstance(a, ForwardRequest)).endpoint
+        first, second = entries_by_id[failed], entries_by_id[retried]
+        assert failed != retried
+        assert first.zone == second.zone if group is DeduplicationScope.ZONE else first.cell == second.cell
 
 
 def test_a_change_that_the_next_one_reverts_leaves_subset_and_scores_unchanged():
     """Endpoints that the first change removed from the slice return with their scores."""
     policy = gateway(gateways=60, min_endpoints=4, zones=[])
     apply_list(policy, backends(60, zone=0))
-    regular = ready_ids(policy)
-    for n in regular:
+    old = ready_ids(policy)
+    for n in old:
         policy.parts.endpoints.touch(policy.parts.endpoints.by_id[n]).latency_ratio = 2.0
     apply_list(
         policy,
-        [backend(n, mode=DRAINING) for n in range(1, 61) if n not in regular]
-        + [backend(n) for n in (61, 62)],
+        [backend(n, mode=DRAINING) for n in range(1, 61) if n not in old] + [backend(n) for n in (61, 62)],
     )
     apply_list(policy, backends(60, zone=0) + [backend(n, mode=REMOVED) for n in (61, 62)])
-    assert ready_ids(policy) == regular == set(policy.parts.endpoints.by_id)
-    assert {policy.parts.endpoints.by_id[n].latency_ratio for n in regular} == {2.0}
+    assert ready_ids(policy) == old == set(policy.parts.endpoints.by_id)
+    assert {policy.parts.endpoints.by_id[n].latency_ratio for n in old} == {2.0}
 
 
 def test_a_full_list_without_half_of_the_endpoints_is_applied_and_scores_are_kept():
     """`EndpointRings.replace` removes endpoints that are not listed from the rings."""
     policy = gateway(gateways=60, min_endpoints=4, zones=[])
     apply_list(policy, backends(60, zone=0), FULL)
-    regular = ready_ids(policy)
-    for n in regular:
+    old = ready_ids(policy)
+    for n in old:
         policy.parts.endpoints.touch(policy.parts.endpoints.by_id[n]).latency_ratio = 2.0
     apply_list(policy, backends(30, first=31, zone=0), FULL)
     assert (
@@ -526,9 +501,7 @@
         and policy.features[0].rings.ready_count == 30
     )
     apply_list(policy, backends(60, zone=0), FULL)
-    assert ready_ids(policy) == regular and {
-        policy.parts.endpoints.by_id[n].latency_ratio for n in regular
-    } == {2.0}
+    assert ready_ids(policy) == old and {policy.parts.endpoints.by_id[n].latency_ratio for n in old} == {2.0}
 
 
 def test_budgets_are_divided_among_the_gateways_that_use_an_endpoint():
@@ -545,19 +518,15 @@
         {"name": f"s{n}", "address": "h:1", "zone": "a", "type": t, "status": "Ready"}
         for n, t in enumerate("xyzx")
     ]
-    services_by_gateway = []
+    services = []
     for configured_types in (["x"], []):
         _, _, entries = EndpointReader(["a"], configured_types, HOST).read(
             {"index": 1, "snapshot": True, "endpoints": raw_entries}
         )
-        services = [endpoint_id(name) for name in configured_types]
-        feature = SubsettingFeature(gateway_settings(), SubsetSettings(ServiceBy.TYPE), ["a"], services)
-        services_by_gateway.append([feature.service_of(b) for b, _ in entries])
-    assert (
-        services_by_gateway[0] == services_by_gateway[1]
-        and len(set(services_by_gateway[0])) == 3
-        and services_by_gateway[0][0] == services_by_gateway[0][3]
-    )
+        type_ids = [endpoint_id(name) for name in configured_types]
+        feature = SubsettingFeature(gateway_settings(), SubsetSettings(ServiceBy.TYPE), ["a"], type_ids)
+        services.append([feature.service_of(b) for b, _ in entries])
+    assert services[0] == services[1] and len(set(services[0])) == 3 and services[0][0] == services[0][3]
 
 
 # ---- configuration files and whole gateways
