--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet on virtual time: the rules, and what its gateways do together."""
+"""A simulated fleet in virtual time: the rules, and message counts of all gateways together."""
 
 import pytest
 
@@ -7,19 +7,19 @@
 
 
 @pytest.mark.parametrize(("gateways", "seed"), [(4, 1), (10, 2), (40, 3)])
-def test_a_fleet_keeps_the_rules_through_a_mass_kill_and_its_counts_stay_in_bounds(gateways, seed):
+def test_a_fleet_keeps_all_rules_and_its_message_counts_stay_bounded_in_a_mass_failure(gateways, seed):
     run = Run(fleet.draw(seed, gateways))
     result = run.play()
     assert result.breach is None, f"{result.line()}: {result.breach.text}"
-    found = fleet.counts(run)
-    assert found["faults"] == found["messages_bad"] == 0 and found["replaced"] == gateways * 3 // 2 // 2
-    assert result.tally["served"] > 0 and found["attempts"] > 0
-    assert found["watches"] <= 2 * gateways  # nobody asks again and again
-    assert found["messages_in"] <= 12 * result.requests  # not gateways times requests
-    assert found["busiest"] <= 60 * result.seconds  # what one of them takes in
+    counts = fleet.counts(run)
+    assert counts["faults"] == counts["messages_bad"] == 0 and counts["replaced"] == gateways * 3 // 2 // 2
+    assert result.tally["served"] > 0 and counts["attempts"] > 0
+    assert counts["watches"] <= 2 * gateways  # no gateway opens watches over and over
+    assert counts["messages_in"] <= 12 * result.requests  # does not grow as gateways times requests
+    assert counts["busiest"] <= 60 * result.seconds  # messages to the gateway that receives the most
 
 
-def test_the_plan_of_a_fleet_holds_what_it_says_at_every_size():
+def test_the_plan_kills_seven_of_ten_gateways_and_is_reproducible_at_every_size():
     for gateways in (3, 20, 60):
         plan = fleet.draw(5, gateways)
         killed = {g for f in plan.faults if f.kind == "crash" for g in f.who}
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -1,4 +1,4 @@
-"""What may be retried, by the effect of its class and the outcome before: in decisions, and on sockets."""
+"""Retries by the idempotency of the class and the last outcome: in `Policy`, and on sockets."""
 
 from __future__ import annotations
 
@@ -15,48 +15,53 @@
 from zincstile.net.backends.connection import BackendConnection
 from zincstile.net.limits import Limits
 
-SAFE, UNSAFE, KEYED = 0, 1, 2  # safe, unsafe to repeat, keyed: conftest's settings
+SAFE, UNSAFE, KEYED = 0, 1, 2  # indexes of the classes in conftest's settings
 NEVER_RAN = {AttemptResult.REJECTED, AttemptResult.CONNECT_FAILED, AttemptResult.NOT_SENT}
 FAILED_RESULTS = [r for r in AttemptResult if r not in (AttemptResult.OK, AttemptResult.CANCELLED)]
 
 
 @pytest.mark.parametrize("result", FAILED_RESULTS, ids=lambda r: r.name)
-@pytest.mark.parametrize("cls", [SAFE, UNSAFE, KEYED])
-def test_what_is_retried_by_class_and_result(policy_harness, cls, result):
-    """Safe: always. Keyed: inside its window. Unsafe: only what surely never ran. What goes out no more is
-    refused where nothing has run, or nothing that matters, and fails else."""
+@pytest.mark.parametrize("class_index", [SAFE, UNSAFE, KEYED])
+def test_a_failed_attempt_is_retried_or_fails_the_request_by_class_and_result(
+    policy_harness, class_index, result
+):
+    """A safe request is always retried, a keyed one within its window, an unsafe one only if it never ran.
+
+    A request that is not retried fails.
+    """
     harness = policy_harness()
-    number, actions = harness.submit(cls)
+    number, actions = harness.submit(class_index)
     first = actions_of_type(actions, ForwardRequest)[0].endpoint
     actions = harness.finish_attempt(number, 0, first, result)
     sent, failed = actions_of_type(actions, ForwardRequest), actions_of_type(actions, FailRequest)
-    assert len(sent) == (cls in (SAFE, KEYED) or result in NEVER_RAN)
+    assert len(sent) == (class_index in (SAFE, KEYED) or result in NEVER_RAN)
     assert [s.endpoint for s in sent if s.endpoint == first] == []
     assert len(failed) == (not sent) and not actions_of_type(actions, RejectRequest)
-    if sent and cls == KEYED and result not in NEVER_RAN:
-        assert (
-            sent[0].write_deadline_ns == harness.now - 10 * MS + 500 * MS
-        )  # its window, from when the first was sent
+    if sent and class_index == KEYED and result not in NEVER_RAN:
+        # its deduplication window begins when the first attempt is sent
+        assert sent[0].write_deadline_ns == harness.now - 10 * MS + 500 * MS
 
 
 @pytest.mark.parametrize("result", FAILED_RESULTS, ids=lambda r: r.name)
-@pytest.mark.parametrize(("cls", "age"), [(KEYED, 499 * MS), (KEYED, 500 * MS), (SAFE, 500 * MS)])
-def test_a_keyed_request_is_retried_inside_its_window_only(policy_harness, cls, age, result):
+@pytest.mark.parametrize(("class_index", "age"), [(KEYED, 499 * MS), (KEYED, 500 * MS), (SAFE, 500 * MS)])
+def test_a_keyed_request_is_retried_only_within_its_deduplication_window(
+    policy_harness, class_index, age, result
+):
     harness = policy_harness({"plans": [CustomerPlan("only", rate=1000.0, burst=2000.0)]})
-    number, actions = harness.submit(cls, timeout_ns=3 * SECOND)
+    number, actions = harness.submit(class_index, timeout_ns=3 * SECOND)
     actions = harness.finish_attempt(
         number, 0, actions_of_type(actions, ForwardRequest)[0].endpoint, result, after=age
     )
-    again = cls == SAFE or result in NEVER_RAN or age < 500 * MS
+    retried = class_index == SAFE or result in NEVER_RAN or age < 500 * MS
     assert (len(actions_of_type(actions, ForwardRequest)), len(actions_of_type(actions, FailRequest))) == (
-        again,
-        not again,
+        retried,
+        not retried,
     )
 
 
 @pytest.mark.parametrize("result", FAILED_RESULTS, ids=lambda r: r.name)
-def test_a_keyed_retry_stays_where_duplicates_are_dropped(policy_harness, result):
-    """Its group is its zone; where none of that is left, it goes nowhere once it may have run."""
+def test_a_keyed_request_that_may_have_run_is_retried_only_in_its_zone(policy_harness, result):
+    """Duplicates are dropped within a zone only; the other endpoint is in another zone."""
     harness = policy_harness(backends=0)
     harness.update_endpoints([backend(1, zone=0), backend(2, zone=1)])
     number, actions = harness.submit(KEYED)
@@ -64,9 +69,9 @@
     assert bool(actions_of_type(actions, ForwardRequest)) == (result in NEVER_RAN)
 
 
-@pytest.mark.parametrize(("cls", "copies"), [(SAFE, 1), (UNSAFE, 0), (KEYED, 1)])
-def test_a_hedged_request_goes_out_only_where_the_class_allows_a_retry(policy_harness, cls, copies):
-    """The first stays silent: a second copy goes beside it, never of what is unsafe to repeat."""
+@pytest.mark.parametrize(("class_index", "hedge_count"), [(SAFE, 1), (UNSAFE, 0), (KEYED, 1)])
+def test_a_hedged_request_is_sent_only_if_the_class_allows_a_retry(policy_harness, class_index, hedge_count):
+    """The first attempt stays unanswered; an unsafe request is never hedged."""
     harness = policy_harness(
         {
             "classes": [
@@ -83,14 +88,14 @@
             ]
         }
     )
-    number, _ = harness.submit(cls)
+    number, _ = harness.submit(class_index)
     sent = [s for _ in range(30) for s in actions_of_type(harness.tick(), ForwardRequest)]
-    assert len(sent) == copies and all(s.request == number for s in sent)
+    assert len(sent) == hedge_count and all(s.request == number for s in sent)
 
 
 # ---- on sockets
 
-NEVER_RAN_ON_SOCKET, MAY_HAVE_RUN = True, False  # whether it surely never ran
+NEVER_RAN_ON_SOCKET, MAY_HAVE_RUN = True, False  # whether the attempt never ran
 FAILURES = {
     "busy": ("send a1 -BUSY", NEVER_RAN_ON_SOCKET),
     "error": ("send a1 -ERR failed", MAY_HAVE_RUN),
@@ -104,51 +109,53 @@
 
 
 @pytest.mark.parametrize("failure", FAILURES)
-@pytest.mark.parametrize("effect", ["look", "put", "book"])
-def test_what_is_retried_on_sockets(tmp_path, effect, failure):
+@pytest.mark.parametrize("class_name", ["look", "put", "book"])
+def test_a_failed_attempt_on_sockets_is_retried_or_fails_the_request(tmp_path, class_name, failure):
     script, never_ran = FAILURES[failure]
     harness = GatewayHarness(tmp_path, {"limits": {"answer_ns": 100 * MS}})
     try:
         harness.run(
             READY
             + f"""
-            send c1 {effect} 1
-            expect a1 {effect} 1
+            send c1 {class_name} 1
+            expect a1 {class_name} 1
             send d1 change b=Ready
             wait gw tables=2
             {script}"""
         )
-        if effect != "book" or never_ran:
-            harness.run(f"expect b1 {effect} 1\nsend b1 ok second\nexpect c1 ok second\nwait gw attempts=2")
+        if class_name != "book" or never_ran:
+            harness.run(
+                f"expect b1 {class_name} 1\nsend b1 ok second\nexpect c1 ok second\nwait gw attempts=2"
+            )
         else:
             harness.run("expect c1 -ERR failed\nwait gw attempts=1\nwait gw connects=1")
     finally:
         harness.tear_down()
 
 
-@pytest.mark.parametrize("effect", ["look", "put", "book"])
-def test_a_refused_connection_is_retried_elsewhere(tmp_path, effect):
-    """Refused, then a server that is there: whatever the class, it never ran."""
+@pytest.mark.parametrize("class_name", ["look", "put", "book"])
+def test_a_request_of_any_class_is_sent_to_another_endpoint_after_a_refused_connection(tmp_path, class_name):
+    """A request that was not sent never ran, whatever its class."""
     harness = GatewayHarness(tmp_path)
     try:
         harness.run(f"""
             refuse a
             send d1 full a=Ready
             expect gw ready*from discovery
-            send c1 {effect} 1
+            send c1 {class_name} 1
             expect c1 -BUSY*
             send d1 change b=Ready
             wait gw tables=2
-            send c1 {effect} 2
-            expect b1 {effect} 2
+            send c1 {class_name} 2
+            expect b1 {class_name} 2
             send b1 ok hello
             expect c1 ok hello""")
     finally:
         harness.tear_down()
 
 
-def test_no_retry_after_a_short_window(tmp_path):
-    """The first may have run, and is noticed to have ended only after its window: it is not sent again."""
+def test_a_keyed_request_is_not_retried_after_its_deduplication_window(tmp_path):
+    """The first attempt may have run, and its connection is seen to break only after the window."""
     classes = [c | {"window_ns": 1} for c in settings()["classes"]]
     harness = GatewayHarness(tmp_path, {"settings": {"classes": classes}})
     try:
@@ -167,11 +174,11 @@
         harness.tear_down()
 
 
-# ---- what has run, by what was written
+# ---- whether an attempt may have run, by what was written
 
 
 class Owner:
-    """Keeps the outcomes of the attempts on its one connection."""
+    """Records the outcomes of the attempts on one connection."""
 
     def __init__(self):
         self.dispatcher = SimpleNamespace(limits=Limits(), now_ns=lambda: 0)
@@ -198,8 +205,8 @@
         (["half"], True, AttemptResult.RESET),
     ],
 )
-def test_an_attempt_that_breaks_before_its_last_byte_is_written_never_ran(events, reused, result):
-    """And a connection used before that breaks before a byte of its answer was closed beneath it."""
+def test_an_attempt_whose_connection_breaks_before_it_is_written_never_ran(events, reused, result):
+    """A reused connection that breaks before the first byte of an answer counts as stale."""
     owner = Owner()
     connection = BackendConnection(owner, Backend(1, ("", 0), 0, True), None)
     connection.connection_made(
