--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -217,13 +217,13 @@
         now = [0]
         dispatcher = make_dispatcher(Stumbling(), Limits(held_up_ns=10))
         dispatcher.now_ns = lambda: now[0]
-        dispatcher._alarm_ns, now[0] = 100, 100 + late_ns
-        dispatcher._on_alarm()
+        dispatcher._loop_timer_ns, now[0] = 100, 100 + late_ns
+        dispatcher._on_loop_timer()
         return dispatcher.counters.held_up
 
     assert asyncio.run(play(10)) == 0
     assert asyncio.run(play(11)) == 1
-    assert "late held up for 0 ms" in capsys.readouterr().err
+    assert "late event loop delayed by 0 ms" in capsys.readouterr().err
 
 
 def test_periodic_work_goes_on_behind_a_round_that_fails(capsys):
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -446,7 +446,7 @@
         for wire in wires:
             client = ClientConnection(listener)
             client.connection_made(wire)
-            client.commands = 1
+            client.command_count = 1
         listener.shut_down()
         return wires
 
--- a/zincstile/net/acceptor.py
+++ b/zincstile/net/acceptor.py
@@ -1,4 +1,4 @@
-"""Accepts connections from a listening socket's queue and hands each to its protocol."""
+"""Accepts connections from a listening socket and connects each to a protocol."""
 
 from __future__ import annotations
 
@@ -12,28 +12,28 @@
 
 
 class AcceptResult(Enum):
-    """What came of one look into the queue."""
+    """The result of one call of accept(2)."""
 
     ACCEPTED = "a connection was accepted"
-    QUEUE_EMPTY = "no connection waits"
-    FAILED = "this one could not be accepted; others may wait behind it"  # accept(2): try again
-    EXHAUSTED = "the machine has no descriptor or memory for it: it stays in the queue"
+    QUEUE_EMPTY = "no connection is queued"
+    FAILED = "this connection could not be accepted; others may be queued after it"  # accept(2): try again
+    EXHAUSTED = "no descriptor or memory is available; the connection stays in the queue"
 
 
 class Acceptor:
     """Accepts the connections of one listening socket."""
 
-    def __init__(self, dispatcher: Dispatcher, protocol: Callable[[], asyncio.BaseProtocol]) -> None:
-        """`protocol` makes the protocol of each connection."""
+    def __init__(self, dispatcher: Dispatcher, make_protocol: Callable[[], asyncio.BaseProtocol]) -> None:
+        """`make_protocol` is called for each connection."""
         self._dispatcher = dispatcher
-        self._protocol = protocol
+        self._make_protocol = make_protocol
         self._tasks: set[asyncio.Task] = set()
-        self.pending = 0  # accepted and not at their protocol yet: they hold descriptors too
+        self.pending = 0  # accepted but not connected to a protocol yet; each has a descriptor
 
-    def accept(self, listening: socket.socket) -> AcceptResult:
-        """Accepts one connection, if one waits."""
+    def accept(self, listening_socket: socket.socket) -> AcceptResult:
+        """Accepts one connection if one is queued."""
         try:
-            connection, _ = listening.accept()
+            connection, _ = listening_socket.accept()
         except BlockingIOError:
             return AcceptResult.QUEUE_EMPTY
         except InterruptedError:
@@ -43,14 +43,14 @@
             return AcceptResult.EXHAUSTED if is_exhaustion(err) else AcceptResult.FAILED
         connection.setblocking(False)
         self.pending += 1
-        task = self._dispatcher.loop.create_task(self._connect(connection))
+        task = self._dispatcher.loop.create_task(self._connect_transport(connection))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         return AcceptResult.ACCEPTED
 
-    async def _connect(self, connection: socket.socket) -> None:
+    async def _connect_transport(self, connection: socket.socket) -> None:
         try:
-            await self._dispatcher.loop.connect_accepted_socket(self._protocol, connection)
+            await self._dispatcher.loop.connect_accepted_socket(self._make_protocol, connection)
         except OSError:
             connection.close()
         finally:
--- a/zincstile/net/clients/answer_queue.py
+++ b/zincstile/net/clients/answer_queue.py
@@ -1,4 +1,4 @@
-"""The answers that one client connection owes, in the order of the commands."""
+"""The pending answers of one client connection, in the order of its commands."""
 
 from __future__ import annotations
 
@@ -9,39 +9,39 @@
 
 
 class AnswerQueue:
-    """Holds each answer back until all before it are written."""
+    """Keeps each answer until all earlier ones are written."""
 
     __slots__ = ("pending", "truncated", "_ready")
 
     def __init__(self) -> None:
-        """Nothing is owed yet."""
-        # In the order of the commands: sessions, and answers that needed no session
+        """Starts empty."""
+        # Sessions, and answers that need no session, in the order of the commands
         self.pending: deque[Session | bytes] = deque()
-        self.truncated = False  # the stream at the head can't be completed: nothing can follow it
-        self._ready: list[bytes] = []  # to be written before all that is pending
+        self.truncated = False  # the stream at the head was cut off, so that nothing can follow it
+        self._ready: list[bytes] = []  # to be written before anything pending
 
     def add(self, data: bytes) -> None:
-        """Adds an answer that needs no session, behind all that is owed."""
+        """Adds an answer that needs no session, after all pending answers."""
         if self.pending:
             self.pending.append(data)
         else:
             self._ready.append(data)
 
-    def take_ready(self, *, streams: bool) -> list[bytes]:
-        """Removes what can be written by now and returns it, in order.
+    def take_ready(self, *, include_streams: bool) -> list[bytes]:
+        """Removes and returns all output that can be written now, in order.
 
-        A stream is taken as far as it has come, and not at all without `streams`: its client reads too
-        slowly. `truncated` is set where it ends early.
+        Of a stream, the chunks received so far are taken; none without `include_streams`, for a client that
+        reads too slowly. Sets `truncated` if the stream was cut off.
         """
         pending, ready = self.pending, self._ready
         while pending:
-            first = pending[0]
-            reply = first if type(first) is bytes else first.reply
+            head = pending[0]
+            reply = head if type(head) is bytes else head.reply
             if reply is None:
                 break
             if type(reply) is not ValueStream:
                 ready.append(reply)
-            elif not streams:
+            elif not include_streams:
                 break
             else:
                 ready += reply.take()
@@ -57,20 +57,20 @@
 
     @property
     def is_empty(self) -> bool:
-        """Nothing is owed, and all is written."""
+        """Whether no answer is pending or waits to be written."""
         return not self.pending and not self._ready
 
     @property
     def starts_with_stream(self) -> bool:
-        """The next answer is a value that is passed on as it comes."""
-        first = self.pending[0] if self.pending else None
-        return isinstance(first, Session) and type(first.reply) is ValueStream
+        """Whether the next answer is a streamed value."""
+        head = self.pending[0] if self.pending else None
+        return isinstance(head, Session) and type(head.reply) is ValueStream
 
-    def count_owed(self) -> int:
-        """Requests that were read and have no final answer."""
+    def count_unanswered(self) -> int:
+        """Returns the number of requests without a final answer."""
         return sum(isinstance(entry, Session) and not entry.ended for entry in self.pending)
 
     def take_sessions(self) -> list[Session]:
-        """Empties the queue, as the connection is lost; returns the sessions that were in it."""
+        """Empties the queue after the connection is lost and returns its sessions."""
         pending, self.pending = self.pending, deque()
         return [entry for entry in pending if isinstance(entry, Session)]
--- a/zincstile/net/clients/call_reader.py
+++ b/zincstile/net/clients/call_reader.py
@@ -1,4 +1,4 @@
-"""Checks a client's command and makes of it a request for the policy and a call to be forwarded."""
+"""Validates a client's command and converts it to a request for the policy and a call to forward."""
 
 from __future__ import annotations
 
@@ -8,105 +8,125 @@
 from ...decisions.settings import Idempotency, Settings
 from ..session import Call
 
-READ: Final = b"CALL.GET"  # of classes that may always run again
-WRITE: Final = b"CALL.POST"
-ARGUMENTS_WITHOUT_BODY: Final = 4  # verb, customer, id, fields
-LONGEST_WAIT_MS: Final = 3_600_000  # an hour: more can only be a mistake
-CUSTOMER_DIGITS: Final = 16  # hexadecimal
-CUSTOMERS: Final = 2**33  # ids of customers are below
+CALL_GET: Final = b"CALL.GET"  # for classes that may always be retried
+CALL_POST: Final = b"CALL.POST"
+ARGUMENT_COUNT_WITHOUT_BODY: Final = 4  # command, customer, request id, fields
+MAX_TIMEOUT_MS: Final = 3_600_000  # an hour; a longer timeout is taken for a mistake
+CUSTOMER_ID_DIGITS: Final = 16  # hexadecimal
+CUSTOMER_ID_LIMIT: Final = 2**33  # all customer ids are below this
 
 
 class CallError(ValueError):
-    """A command that is no call; the text is for the client."""
+    """A command is not a valid call; the text is sent to the client."""
 
 
 class CallReader:
-    """Reads commands by the names and bounds of the settings."""
+    """Reads commands by the names and limits in the settings."""
 
     __slots__ = (
         "request_classes",
         "_class_by_name",
         "_plan_by_name",
-        "_margin_ns",
-        "_gateways",
-        "_largest_units",
-        "_id_bytes",
+        "_network_margin_ns",
+        "_gateway_count",
+        "_max_units",
+        "_max_id_bytes",
     )
 
-    def __init__(self, settings: Settings, margin_ns: int, id_bytes: int) -> None:
-        """`margin_ns`: taken off a client's wait for the way here; `id_bytes`: the longest id."""
+    def __init__(self, settings: Settings, network_margin_ns: int, max_id_bytes: int) -> None:
+        """`network_margin_ns` is subtracted from a client's timeout; `max_id_bytes` limits the request id."""
         self.request_classes = settings.classes
-        self._class_by_name = {c.name.encode(): (number, c) for number, c in enumerate(settings.classes)}
-        self._plan_by_name = {p.name.encode(): number for number, p in enumerate(settings.plans)}
-        self._gateways = settings.gateway_count
-        self._largest_units = settings.max_request_units
-        self._margin_ns = margin_ns
-        self._id_bytes = id_bytes
+        self._class_by_name = {c.name.encode(): (index, c) for index, c in enumerate(settings.classes)}
+        self._plan_by_name = {p.name.encode(): index for index, p in enumerate(settings.plans)}
+        self._gateway_count = settings.gateway_count
+        self._max_units = settings.max_request_units
+        self._network_margin_ns = network_margin_ns
+        self._max_id_bytes = max_id_bytes
 
     def read(self, arguments: list[bytes], request_id: int, now: int) -> tuple[Call, Request]:
-        """The call and the request of one command; `now`: when it came, in ns. Raises CallError.
+        """Returns the call and the request of one command received at `now`, in ns. Raises CallError.
 
-        `arguments`: verb, customer, id, a list of name=value, and for CALL.POST a body.
+        `arguments`: command, customer, request id, a list of name=value, and a body for CALL.POST.
         """
         verb = arguments[0].upper()
-        if verb != READ and verb != WRITE:
+        if verb != CALL_GET and verb != CALL_POST:
             raise CallError("unknown command")
-        if not ARGUMENTS_WITHOUT_BODY <= len(arguments) <= ARGUMENTS_WITHOUT_BODY + (verb != READ):
-            raise CallError("wrong number of words")
+        if (
+            not ARGUMENT_COUNT_WITHOUT_BODY
+            <= len(arguments)
+            <= ARGUMENT_COUNT_WITHOUT_BODY + (verb != CALL_GET)
+        ):
+            raise CallError("wrong number of arguments")
         fields = arguments[3].split(b",")
         values = _parse_fields(fields)
         try:
-            class_number, request_class = self._class_by_name[values[b"c"]]
+            class_index, request_class = self._class_by_name[values[b"c"]]
             plan = self._plan_by_name[values[b"t"]]
-            wait, spread_digits, first_digits = values[b"d"], values[b"spread"], values[b"first"]
-            # int() alone would take signs, blanks and underlines too
-            if not (wait.isdigit() and spread_digits.isdigit() and first_digits.isdigit()):
+            timeout_digits, set_size_digits, first_gateway_digits = (
+                values[b"d"],
+                values[b"spread"],
+                values[b"first"],
+            )
+            # int() would also accept signs, spaces and underscores
+            if not (
+                timeout_digits.isdigit() and set_size_digits.isdigit() and first_gateway_digits.isdigit()
+            ):
                 raise ValueError
-            wait_ms = int(wait)
-            spread = int(spread_digits)
-            first = int(first_digits)
+            timeout_ms = int(timeout_digits)
+            gateway_set_size = int(set_size_digits)
+            first_gateway = int(first_gateway_digits)
             units = float(values[b"units"])
             customer = int(arguments[1], 16)
         except KeyError as err:
-            raise CallError(f"missing or unknown: {err.args[0]!r}") from None
+            raise CallError(f"missing field, or unknown class or plan: {err.args[0]!r}") from None
         except ValueError:
-            raise CallError("a value that is no number") from None
+            raise CallError("a field or the customer is not a number") from None
         if (
-            len(arguments[1]) != CUSTOMER_DIGITS
+            len(arguments[1]) != CUSTOMER_ID_DIGITS
             or not arguments[1].isalnum()
-            or customer >= CUSTOMERS
-            or not 0 < len(arguments[2]) <= self._id_bytes
+            or customer >= CUSTOMER_ID_LIMIT
+            or not 0 < len(arguments[2]) <= self._max_id_bytes
         ):
-            raise CallError("no such customer or id")
-        # Bounded, as the customer's quota would remember what anybody says in its name
+            raise CallError("invalid customer or request id")
+        # Limited, as any client can send these values for any customer, and the customer's quota keeps them
         if not (
-            0 < wait_ms <= LONGEST_WAIT_MS
-            and 0 < units <= self._largest_units
-            and 0 < spread <= self._gateways
-            and first < self._gateways
+            0 < timeout_ms <= MAX_TIMEOUT_MS
+            and 0 < units <= self._max_units
+            and 0 < gateway_set_size <= self._gateway_count
+            and first_gateway < self._gateway_count
         ):
-            raise CallError("a value out of range")
-        if (request_class.idempotency is Idempotency.ALWAYS) != (verb == READ):
-            raise CallError("the wrong command for this class")
+            raise CallError("d, units, spread or first is out of range")
+        if (request_class.idempotency is Idempotency.ALWAYS) != (verb == CALL_GET):
+            raise CallError("the class must be called by the other command")
         if request_class.idempotency is Idempotency.BY_KEY and not values.get(b"k"):
-            raise CallError("no key")
-        wait_ns = wait_ms * 1_000_000
-        deadline_ns = now + wait_ns - min(self._margin_ns, wait_ns // 2)
-        deadline_field_index = fields.index(b"d=" + wait)
-        body = arguments[ARGUMENTS_WITHOUT_BODY] if len(arguments) > ARGUMENTS_WITHOUT_BODY else None
-        call = Call(verb == READ, arguments[1], arguments[2], fields, deadline_field_index, body)
+            raise CallError("idempotency key (field k) is missing")
+        timeout_ns = timeout_ms * 1_000_000
+        deadline_ns = now + timeout_ns - min(self._network_margin_ns, timeout_ns // 2)
+        deadline_field_index = fields.index(b"d=" + timeout_digits)
+        body = (
+            arguments[ARGUMENT_COUNT_WITHOUT_BODY] if len(arguments) > ARGUMENT_COUNT_WITHOUT_BODY else None
+        )
+        call = Call(verb == CALL_GET, arguments[1], arguments[2], fields, deadline_field_index, body)
         is_retry = values.get(b"r") == b"1"
         return call, Request(
-            request_id, class_number, plan, customer, deadline_ns, units, spread, first, is_retry
+            request_id,
+            class_index,
+            plan,
+            customer,
+            deadline_ns,
+            units,
+            gateway_set_size,
+            first_gateway,
+            is_retry,
         )
 
 
 def _parse_fields(fields: list[bytes]) -> dict[bytes, bytes]:
-    """Values by name, of a list of name=value."""
+    """Returns the values by name of a list of name=value."""
     values: dict[bytes, bytes] = {}
     for field in fields:
         name, equals, value = field.partition(b"=")
         if not equals or name in values:
-            raise CallError("malformed list of names and values")
+            raise CallError("fields must be name=value with unique names")
         values[name] = value
     return values
--- a/zincstile/net/clients/connection.py
+++ b/zincstile/net/clients/connection.py
@@ -1,4 +1,4 @@
-"""One client connection: reads its commands and writes the answers in their order."""
+"""One client connection: reads commands and writes the answers in the same order."""
 
 from __future__ import annotations
 
@@ -22,51 +22,51 @@
 
 
 class Listener(Protocol):
-    """What a connection needs of the listener that accepted it."""
+    """The part of the listener that its connections use."""
 
     dispatcher: Dispatcher
     counters: Counters
     host: Host
-    buffer: memoryview  # every connection's reads go into it and are copied out at once
+    read_buffer: memoryview  # shared by all connections; input is copied out of it at once
     reader: CallReader
-    open_requests: dict[bytes, Session]  # without a final answer, by the id that the client gave
+    open_requests: dict[bytes, Session]  # without a final answer, by the client's request id
     closing: bool
     standby: bool
     last_request_ns: int
 
     def ping_answer(self) -> bytes:
-        """The answer to PING, as it is written."""
+        """Returns the encoded answer to PING."""
         ...
 
     def rejection_reason(self) -> GatewayRejection | None:
-        """Why no request is taken for now."""
+        """Returns why requests are rejected at present; None if they are accepted."""
         ...
 
     def on_request_ended(self, session: Session) -> None:
-        """A request was answered or abandoned."""
+        """Called when a request was answered or abandoned."""
         ...
 
     def on_connected(self, client: ClientConnection) -> None:
-        """The connection has its transport."""
+        """Called when the connection has its transport."""
         ...
 
     def on_disconnected(self, client: ClientConnection) -> None:
-        """The connection is closed."""
+        """Called when the connection is closed."""
         ...
 
 
 class ConnectionState(Enum):
-    """What a connection is doing; the values are the names in the log."""
+    """The state of a connection; the values are the names in the log."""
 
-    BUSY = "busy"  # an answer is owed
-    IDLE = "idle"  # between two commands
-    SILENT = "silent"  # no command has come yet
-    INCOMPLETE = "incomplete"  # a command has come in part
+    BUSY = "busy"  # a request is unanswered
+    IDLE = "idle"  # between commands
+    SILENT = "silent"  # no command received yet
+    INCOMPLETE = "incomplete"  # a command is partly received
     CLOSING = "closing"
 
 
 class ClientConnection(asyncio.BufferedProtocol):
-    """The protocol of one client. It is read no further while too many of its commands are unanswered."""
+    """The protocol of one client connection; pauses reading while too many commands are unanswered."""
 
     __slots__ = (
         "listener",
@@ -74,8 +74,8 @@
         "counters",
         "transport",
         "idle_since_ns",
-        "commands",
-        "may_have_waited",
+        "command_count",
+        "input_may_have_waited",
         "from_inherited_queue",
         "_parser",
         "_answers",
@@ -85,35 +85,35 @@
         "_reading_paused",
         "_command_began_ns",
         "_last_read_ns",
-        "_waited_ns",
+        "_input_age_ns",
     )
 
     def __init__(self, listener: Listener) -> None:
-        """`listener`: the one that accepted it."""
+        """`listener` accepted the connection."""
         self.listener = listener
         self.dispatcher = listener.dispatcher
         self.counters = listener.counters
         self.transport: asyncio.Transport | None = None
         self.idle_since_ns = 0
-        self.commands = 0  # complete ones that were well formed
-        self.may_have_waited = False  # what is read next, in the socket, as nobody read there
-        # Accepted from a queue that no process served. Of what is read first the machine says when the last
-        # bytes came: a command before the last is rejected, as nobody knows its age.
+        self.command_count = 0  # complete, valid commands received
+        self.input_may_have_waited = False  # whether the next input may have waited in the socket unread
+        # Accepted from a queue that no process served for a time. For the first input the system reports only
+        # when its last bytes were received, so commands before the last are rejected for their unknown age.
         self.from_inherited_queue = False
         self._parser = resp.CommandParser(self.dispatcher.limits)
         self._answers = AnswerQueue()
-        self._closer: ConnectionCloser | None = None  # from `connection_made` on
+        self._closer: ConnectionCloser | None = None  # set by `connection_made`
         self._flush_scheduled = False
         self._writing_paused = False  # the client does not read its answers
         self._reading_paused = False
-        self._command_began_ns = 0  # when the command that is incomplete began; 0: there is none
+        self._command_began_ns = 0  # when the incomplete command began; 0: there is none
         self._last_read_ns = 0
-        self._waited_ns = 0  # how long what is being read waited in the socket
+        self._input_age_ns = 0  # how long the input being processed waited in the socket
 
     # ---- asyncio
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The loop has connected the transport."""
+        """Called by the event loop with the connected transport."""
         dispatcher = self.dispatcher
         self.transport = transport  # type: ignore[assignment]
         self.transport.set_write_buffer_limits(high=dispatcher.limits.written_bytes)
@@ -123,39 +123,39 @@
         self.listener.on_connected(self)
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        """Where the loop reads to."""
-        return self.listener.buffer
+        """Returns the buffer for the next input."""
+        return self.listener.read_buffer
 
     def buffer_updated(self, size: int) -> None:
-        """The loop has read so many bytes."""
+        """Called by the event loop after `size` bytes were read."""
         if self._closer.reading_ended:
             self._closer.discard(size)
             return
-        if self.may_have_waited:
-            self.may_have_waited = False
-            self._waited_ns = self.listener.host.unread_ns(self.transport)
-            self.from_inherited_queue &= self._waited_ns > self.dispatcher.limits.held_up_ns
-        self._read(bytes(self.listener.buffer[:size]))
-        self._waited_ns = 0
+        if self.input_may_have_waited:
+            self.input_may_have_waited = False
+            self._input_age_ns = self.listener.host.unread_ns(self.transport)
+            self.from_inherited_queue &= self._input_age_ns > self.dispatcher.limits.held_up_ns
+        self._process_input(bytes(self.listener.read_buffer[:size]))
+        self._input_age_ns = 0
 
     def pause_writing(self) -> None:
-        """The client does not read its answers: no more commands are read, which bounds the memory."""
+        """The client does not read its answers: pauses reading commands, which bounds the memory."""
         self._writing_paused = True
         self._update_reading()
 
     def resume_writing(self) -> None:
-        """The client has read its answers."""
+        """The client has read its answers: resumes reading and pending writes."""
         self._writing_paused = False
         self._update_reading()
         if self._closer.draining or self._answers.starts_with_stream:
             self._schedule_flush()
 
     def eof_received(self) -> None:
-        """The client has left; None has the transport close itself."""
+        """The client has disconnected; None lets the transport close itself."""
         return None
 
     def connection_lost(self, err: Exception | None) -> None:
-        """The connection is closed; what it still owed is abandoned."""
+        """The connection is closed: abandons its unanswered requests."""
         self._closer.reading_ended = True
         reason = self._closer.reason or CloseReason.CLOSED_BY_CLIENT
         self.counters.count_close(reason)
@@ -167,12 +167,12 @@
             self.listener.on_request_ended(session)
             self.dispatcher.abandon(session)
 
-    # ---- commands in
+    # ---- commands
 
-    def _read(self, data: bytes) -> None:
+    def _process_input(self, data: bytes) -> None:
         commands = self._parser.feed(data)
         if self.from_inherited_queue:
-            self._read_inherited(commands)
+            self._process_inherited(commands)
         else:
             for arguments in commands:
                 self._on_command(arguments)
@@ -181,39 +181,39 @@
             self._command_began_ns = 0
         else:
             self._command_began_ns = self._command_began_ns or self._last_read_ns
-        if self._parser.error:  # nothing after it can be understood
+        if self._parser.error:  # the rest of the input can't be parsed
             self.counters.malformed += 1
             self.dispatcher.log.often("malformed", f"command: {self._parser.error}")
-            self._fail("Protocol error: " + self._parser.error, CloseReason.MALFORMED)
+            self._close_with_error("Protocol error: " + self._parser.error, CloseReason.MALFORMED)
         self._update_reading()
 
-    def _read_inherited(self, commands: list[list[bytes]]) -> None:
-        """Commands of which only the last has an age that is known."""
-        last = len(commands) - 1
-        for number, arguments in enumerate(commands):
-            self._on_command(arguments, of_unknown_age=number < last)
+    def _process_inherited(self, commands: list[list[bytes]]) -> None:
+        """Handles the first input from an inherited queue: only the age of its last command is known."""
+        last_index = len(commands) - 1
+        for index, arguments in enumerate(commands):
+            self._on_command(arguments, is_age_unknown=index < last_index)
         self.from_inherited_queue = False
 
-    def _on_command(self, arguments: list[bytes], *, of_unknown_age: bool = False) -> None:
+    def _on_command(self, arguments: list[bytes], *, is_age_unknown: bool = False) -> None:
         if not arguments:
             return
         if len(arguments) == 1 and arguments[0].upper() == b"PING":
             self.counters.pings += 1
-            self.commands += 1
+            self.command_count += 1
             self._reply(self.listener.ping_answer())
             return
         dispatcher, listener = self.dispatcher, self.listener
         request_id, now = dispatcher.next_request_id(), dispatcher.now_ns()
         try:
-            call, request = listener.reader.read(arguments, request_id, now - self._waited_ns)
-            if call.id in listener.open_requests:  # backend servers would take it for a repeat of that one
-                raise CallError("the id of an open request")
+            call, request = listener.reader.read(arguments, request_id, now - self._input_age_ns)
+            if call.id in listener.open_requests:  # backends would take it for a retry of that request
+                raise CallError("request id is in use by an open request")
         except CallError as err:
             self.counters.malformed += 1
             self._reply(resp.encode_error(str(err)))
             return
-        self.commands += 1
-        reason = GatewayRejection.UNKNOWN_AGE if of_unknown_age else listener.rejection_reason()
+        self.command_count += 1
+        reason = GatewayRejection.UNKNOWN_AGE if is_age_unknown else listener.rejection_reason()
         if reason is not None:
             self.counters.rejected += 1
             self.counters.count_rejection(reason)
@@ -226,17 +226,17 @@
         listener.open_requests[call.id] = session
         dispatcher.submit(session, request)
 
-    def _fail(self, problem: str, reason: CloseReason) -> None:
-        """Gives the last answer; all that comes after it is discarded, so that it is not lost by a reset."""
+    def _close_with_error(self, problem: str, reason: CloseReason) -> None:
+        """Sends a last error and discards further input, so that no reset drops the error."""
         self._closer.reading_ended = True
         self._closer.set_reason(reason)
         self._reply(resp.encode_error(problem))
-        if self._answers.pending:  # these come first; till then it is read no further
+        if self._answers.pending:  # earlier requests are answered first; reading pauses until then
             self._reading_paused = True
             self.transport.pause_reading()
 
     def _update_reading(self) -> None:
-        """Pauses or resumes reading, by what is unanswered and unread on the client's side."""
+        """Pauses or resumes reading, depending on unanswered commands and unread answers."""
         pause = self._writing_paused or len(self._answers.pending) > self.dispatcher.limits.pipelined
         if pause == self._reading_paused or self._closer.reading_ended or self.transport.is_closing():
             return
@@ -244,13 +244,13 @@
         if pause:
             self.transport.pause_reading()
         else:
-            self.may_have_waited = True
+            self.input_may_have_waited = True
             self.transport.resume_reading()
 
-    # ---- answers out
+    # ---- answers
 
     def _reply(self, data: bytes) -> None:
-        """Gives an answer that needs no session."""
+        """Queues an answer that needs no session."""
         self._answers.add(data)
         self._schedule_flush()
 
@@ -260,7 +260,7 @@
             self.dispatcher.schedule_flush(self)
 
     def answer(self, session: Session, answer: Answer) -> None:
-        """Takes the final answer of one of its sessions."""
+        """Accepts the final answer of one of its sessions."""
         self.listener.on_request_ended(session)
         if answer.stream is not None:
             session.reply = answer.stream
@@ -268,30 +268,29 @@
         elif answer.kind is SERVED:
             session.reply = resp.encode_bulk_string(answer.value)
         elif answer.kind is REJECTED:
-            session.reply = resp.encode_busy(answer.retry_ms)
+            session.reply = resp.encode_busy(answer.retry_after_ms)
         else:
             session.reply = resp.encode_error("failed")
         self._schedule_flush()
 
     def on_stream_progress(self) -> None:
-        """A value that is passed on has more, or its end."""
+        """A streamed value has more bytes, or has ended."""
         self._schedule_flush()
 
     def has_disconnected(self) -> bool:
-        """The client has left; its end may have come with the request, or behind what is not read yet."""
+        """Whether the client has disconnected, even if its FIN follows input that is not read yet."""
         if not self.transport.is_closing() and self.dispatcher.closed_by_peer(self.transport):
             self._closer.abort(CloseReason.CLOSED_BY_CLIENT)
         return self.transport.is_closing()
 
     def flush(self) -> None:
-        """Writes, in one go, what can be answered by now.
+        """Writes all available output at once.
 
-        Where a value that is passed on can't be completed the connection is closed, so that the client can
-        tell.
+        If a streamed value is truncated, the connection is aborted so that the client notices it.
         """
         self._flush_scheduled = False
         answers = self._answers
-        ready = answers.take_ready(streams=not self._writing_paused)
+        ready = answers.take_ready(include_streams=not self._writing_paused)
         if ready and not self.transport.is_closing():
             self.transport.write(ready[0] if len(ready) == 1 else b"".join(ready))
         if answers.truncated:
@@ -302,45 +301,45 @@
             self.idle_since_ns = self.dispatcher.now_ns()
             closer, listener = self._closer, self.listener
             if closer.reading_ended or listener.closing or listener.standby or closer.draining:
-                self._end_when_written(CloseReason.SHUTDOWN if listener.closing else CloseReason.STANDBY)
+                self._close_when_written(CloseReason.SHUTDOWN if listener.closing else CloseReason.STANDBY)
                 return
         if self._reading_paused:
             self._update_reading()
 
-    # ---- the end
+    # ---- closing
 
-    def _end_when_written(self, reason: CloseReason) -> None:
-        """Ends the connection, but not while an answer is still on its way out of the process.
+    def _close_when_written(self, reason: CloseReason) -> None:
+        """Closes the connection once the write buffer is empty.
 
-        Until then it is read on, and what the client has asked meanwhile is answered first.
+        Until then commands are still read, and they are answered first.
         """
         closer = self._closer
         closer.set_reason(reason)
         if closer.reading_ended:
-            self._end()
+            self._half_close()
         elif self.transport.get_write_buffer_size():
             closer.start_draining()
         elif closer.draining and self.dispatcher.readable(self.transport):
             closer.stop_draining()
         else:
-            self._end()
+            self._half_close()
 
-    def _end(self) -> None:
-        """Sends the end, and reads on until the client closes its side: what comes is discarded.
+    def _half_close(self) -> None:
+        """Sends the FIN and discards input until the client closes its side.
 
-        A command that comes behind the end is the client's to send elsewhere.
+        A client that sent a command after the FIN has to send it on another connection.
         """
-        if self._closer.send_end():
+        if self._closer.send_eof():
             if self._reading_paused:
                 self._reading_paused = False
                 self.transport.resume_reading()
             self._closer.abort_if_stalled(None)
 
     def check_timeouts(self, now: int) -> None:
-        """Ends the connection where it has taken too long; the listener calls it now and then.
+        """Closes the connection if a timeout has expired; called periodically by the listener.
 
-        That bounds what clients cost that send nothing, begin a command and never complete it, or ask once
-        and stay; and what backend servers do for one that left while it was not read.
+        This bounds the cost of clients that send nothing, never complete a command, or stay idle, and the
+        work of backends for a client that disconnected while reading was paused.
         """
         if self._reading_paused and self.has_disconnected():
             return
@@ -350,65 +349,65 @@
             self._check_incomplete_command(now)
             return
         standby = self.listener.standby
-        if now - self.idle_since_ns > self._most_idle_ns(standby=standby):
-            reason = CloseReason.IDLE if self.commands else CloseReason.SILENT
+        if now - self.idle_since_ns > self._max_idle_ns(standby=standby):
+            reason = CloseReason.IDLE if self.command_count else CloseReason.SILENT
             closed = self.close_if_idle(CloseReason.STANDBY if standby else reason)
             self.counters.standby_closed += closed and standby
 
     def _check_incomplete_command(self, now: int) -> None:
         limits = self.dispatcher.limits
         stalled = now - self._last_read_ns > limits.command_stall_ns
-        silent = not self.commands and now - self.idle_since_ns > limits.silent_ns
+        silent = not self.command_count and now - self.idle_since_ns > limits.silent_ns
         if stalled or silent or now - self._command_began_ns > limits.command_ns:
-            self._fail("a command that does not end", CloseReason.INCOMPLETE)
+            self._close_with_error("command not completed in time", CloseReason.INCOMPLETE)
 
-    def _most_idle_ns(self, *, standby: bool) -> int:
-        """How long it may be idle."""
+    def _max_idle_ns(self, *, standby: bool) -> int:
+        """Returns the idle timeout."""
         limits = self.dispatcher.limits
         if standby:
             return limits.standby_rest_ns
-        return limits.rest_ns if self.commands else limits.silent_ns
+        return limits.rest_ns if self.command_count else limits.silent_ns
 
     def close_if_idle(self, reason: CloseReason) -> bool:
-        """Ends the connection, unless something is owed on it or has come; True: its end is sent."""
+        """Closes the connection if it is idle and has no unread input; returns True if the FIN is sent."""
         if not self.is_idle or self._closer.draining or self.transport.is_closing():
             return False
-        if self.dispatcher.readable(self.transport):  # a request has come that is not read yet
+        if self.dispatcher.readable(self.transport):  # a command was received that is not read yet
             return False
-        self._end_when_written(reason)
+        self._close_when_written(reason)
         return self._closer.reading_ended
 
-    def may_be_dropped(self, now_ns: int, least_ns: int) -> bool:
-        """Its end was sent longer ago than `least_ns`, and nothing is left to do on it."""
+    def has_lingered(self, now_ns: int, min_ns: int) -> bool:
+        """Whether its FIN was sent more than `min_ns` ago and all output is sent."""
         closer = self._closer
         return (
-            closer.is_lingering and now_ns - closer.end_sent_ns > least_ns and not self.transport.is_closing()
+            closer.is_lingering and now_ns - closer.eof_sent_ns > min_ns and not self.transport.is_closing()
         )
 
     def evict(self) -> bool:
-        """Closes it at once, as its descriptor is needed; False where it may not be closed.
+        """Closes it at once to free its descriptor; returns False if it may not be closed.
 
-        It has been idle for a while, or its end was sent a while ago: what was written to it has arrived.
+        It has been idle, or its FIN was sent, for some time, so that all its output has arrived.
         """
         if not self._closer.is_lingering and not self.close_if_idle(CloseReason.EVICTED):
             return False
         self.transport.close()
         return True
 
-    # ---- what it is doing
+    # ---- state
 
     @property
     def state(self) -> ConnectionState:
-        """What it is doing, for the log."""
+        """The state of the connection, for the log."""
         if self._closer.reading_ended or self._closer.draining:
             return ConnectionState.CLOSING
         if self._answers.pending:
             return ConnectionState.BUSY
         if not self._parser.idle:
             return ConnectionState.INCOMPLETE
-        return ConnectionState.IDLE if self.commands else ConnectionState.SILENT
+        return ConnectionState.IDLE if self.command_count else ConnectionState.SILENT
 
     @property
     def is_idle(self) -> bool:
-        """Nothing is owed, to be written, or half read."""
+        """Whether nothing is unanswered, unwritten or partly read."""
         return self._answers.is_empty and self._parser.idle and not self._closer.reading_ended
--- a/zincstile/net/clients/eviction.py
+++ b/zincstile/net/clients/eviction.py
@@ -1,4 +1,4 @@
-"""Chooses the client connection that is closed where a new one needs its descriptor."""
+"""Chooses which client connection to close when a new one needs a descriptor."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 
 
 def evict_one(clients: Collection[ClientConnection], now_ns: int, limits: Limits) -> bool:
-    """Closes the connection that is missed least; False where none may be closed.
+    """Closes the least useful connection; returns False if none may be closed.
 
-    First come those whose end was sent, then those that never had a command, then those with a single one,
-    which crowds of clients leave behind, and at last, after a longer time, those used again and again; of
-    each, the one that has been idle longest. Each is spared for a while: its next command may be on its way,
-    or its last answer.
+    The order is: connections whose FIN was sent, then those without a command, then those with one command,
+    of which clients that connect in masses leave many, and last, after a longer idle time, those with more
+    commands; within each group, the one that has been idle longest. Each is kept for a minimum time, as its
+    next command or its last answer may be in transit.
     """
     for client in clients:
-        if client.may_be_dropped(now_ns, limits.newcomer_ns):
+        if client.has_lingered(now_ns, limits.newcomer_ns):
             return client.evict()
-    least_idle_ns = (limits.newcomer_ns, limits.newcomer_ns, limits.spare_ns)  # by commands so far
+    min_idle_ns = (limits.newcomer_ns, limits.newcomer_ns, limits.spare_ns)  # by number of commands
     idle = [
-        (min(client.commands, 2), client.idle_since_ns, order, client)
+        (min(client.command_count, 2), client.idle_since_ns, order, client)
         for order, client in enumerate(clients)
-        if now_ns - client.idle_since_ns > least_idle_ns[min(client.commands, 2)] and client.is_idle
+        if now_ns - client.idle_since_ns > min_idle_ns[min(client.command_count, 2)] and client.is_idle
     ]
     return any(client.evict() for *_, client in sorted(idle))
--- a/zincstile/net/clients/listener.py
+++ b/zincstile/net/clients/listener.py
@@ -1,4 +1,4 @@
-"""The listening socket of the clients, and the connections that it has accepted."""
+"""The listening socket for clients and its accepted connections."""
 
 from __future__ import annotations
 
@@ -18,46 +18,50 @@
 from .connection import ClientConnection, ConnectionState
 from .eviction import evict_one
 
-STANDBY_ANSWER: Final = resp.encode_error("standby")  # to PING: the front sends new connections elsewhere
+STANDBY_ANSWER: Final = resp.encode_error(
+    "standby"
+)  # to PING: the front balancer then sends new connections elsewhere
 NOT_READY_ANSWER: Final = resp.encode_error("not ready")
 
 
 class ClientListener:
-    """Accepts clients while there is room, and closes their connections when they are idle or it stops."""
+    """Accepts clients while descriptors are free; closes connections when idle or at shutdown."""
 
-    def __init__(self, dispatcher: Dispatcher, settings: Settings, buffer: memoryview, host: Host) -> None:
-        """`buffer`: all connections read into it, one at a time."""
+    def __init__(
+        self, dispatcher: Dispatcher, settings: Settings, read_buffer: memoryview, host: Host
+    ) -> None:
+        """`read_buffer` is shared by all connections, which read one at a time."""
         self.dispatcher = dispatcher
-        self.buffer = buffer
+        self.read_buffer = read_buffer
         self.host = host
         self.counters = dispatcher.counters
         self.reader = CallReader(settings, dispatcher.limits.margin_ns, dispatcher.limits.id_bytes)
-        self.open_requests: dict[bytes, Session] = {}  # by the id that the client gave
+        self.open_requests: dict[bytes, Session] = {}  # without a final answer, by the client's request id
         self.clients: dict[ClientConnection, None] = {}  # in the order in which they connected
         self.last_request_ns = 0
-        self.ready = False  # requests are taken
-        self.closing = False  # each connection is closed as soon as nothing is owed on it
-        self.rejects_all = False  # too late before the end of the process for any request
-        self.standby = False  # by an operator: no new clients, connections closed as for `closing`
-        self.inherited = False  # the socket is the platform's, and an old process may share it
+        self.ready = False  # requests are accepted
+        self.closing = False  # each connection is closed once it has no unanswered request
+        self.rejects_all = False  # the process ends too soon to serve any request
+        self.standby = False  # set by an operator: PING is refused, connections are closed as for `closing`
+        self.inherited = False  # the platform passed the socket; an old process may share it
         self._socket: socket.socket | None = None
         self._accepting = False
-        self._resumed_ns = 0  # when accepting began, or began again
+        self._resumed_ns = 0  # when accepting was last started
         self._acceptor = Acceptor(dispatcher, lambda: ClientConnection(self))
 
     # ---- the socket
 
     def listen(self, address: tuple[str, int], inherited: int | None = None) -> None:
-        """Listens on the address, or on the socket with that descriptor, which an old process may share.
+        """Listens on the address, or on the inherited socket with that descriptor. Raises OSError.
 
-        A shared queue is left to the old process until this one serves: see `start_serving`. Raises OSError.
+        An old process may share an inherited socket: it accepts alone until `start_serving` is called here.
         """
         self.inherited = inherited is not None
         if inherited is not None:
             self._socket = self.host.inherit(inherited)
         else:
             self._socket = self.host.listen(address, self.dispatcher.limits.backlog)
-        self._resume()
+        self._resume_accepting()
         run_every(self.dispatcher, self.dispatcher.limits.tend_ns, self._check_timeouts)
 
     @property
@@ -67,55 +71,57 @@
 
     @property
     def has_listened(self) -> bool:
-        """It listens, or has."""
+        """Whether the socket is or was open."""
         return self._socket is not None or self.closing
 
     @property
     def is_empty(self) -> bool:
-        """No connection is open, on its way, or waits to be accepted."""
+        """Whether no connection is open, being set up, or queued."""
         return not self.clients and not self._acceptor.pending and self._socket is None
 
     def start_serving(self) -> None:
-        """The gateway is ready: requests are taken, also from a queue that an old process shares."""
+        """Accepts requests, as the gateway is ready; also accepts from an inherited socket."""
         self.ready = True
-        self._resume()
+        self._resume_accepting()
 
-    def _resume(self, _: object = None) -> None:
-        may = self._socket is not None and not self.closing and (self.ready or not self.inherited)
-        if may and not self._accepting:
+    def _resume_accepting(self, _: object = None) -> None:
+        can_accept = self._socket is not None and not self.closing and (self.ready or not self.inherited)
+        if can_accept and not self._accepting:
             self._accepting = True
             self._resumed_ns = self.dispatcher.now_ns()
             self.dispatcher.loop.add_reader(self._socket.fileno(), self._accept_queued)
 
-    def _pause(self) -> None:
+    def _pause_accepting(self) -> None:
         if self._socket is not None and self._accepting:
             self._accepting = False
             self.dispatcher.loop.remove_reader(self._socket.fileno())
 
     def _accept_queued(self) -> bool:
-        """Accepts what waits in the queue, as much as one batch may; True: the queue was found empty."""
+        """Accepts queued connections up to the limit per batch; returns True if the queue was emptied."""
         limits = self.dispatcher.limits
         for _ in range(limits.accepts):
-            held = len(self.clients) + self._acceptor.pending
-            if held >= limits.frontend_connections and not self._evict_one():
-                # The rest waits in the backlog until a descriptor is free.
-                self.dispatcher.log.often("full", f"{self._describe_clients()}: accepting no more for now")
-                self._resume_after(limits.newcomer_ns)
+            connection_count = len(self.clients) + self._acceptor.pending
+            if connection_count >= limits.frontend_connections and not self._evict_one():
+                # Further connections stay in the backlog until a descriptor is free.
+                self.dispatcher.log.often(
+                    "full", f"{self._describe_clients()}: accepting paused until a descriptor is free"
+                )
+                self._pause_accepting_for(limits.newcomer_ns)
                 return False
             result = self._acceptor.accept(self._socket)
             if result is AcceptResult.QUEUE_EMPTY:
                 return True
             if result is AcceptResult.EXHAUSTED:
                 self._evict_one()
-                self._resume_after(limits.backoff_ns)
+                self._pause_accepting_for(limits.backoff_ns)
                 return False
         return False
 
-    def _resume_after(self, wait_ns: int) -> None:
-        """Pauses: the queue would say at every look that something waits, and cost the processor."""
-        self._pause()
+    def _pause_accepting_for(self, wait_ns: int) -> None:
+        """Pauses accepting: the event loop would report the socket readable in each iteration and use CPU."""
+        self._pause_accepting()
         if not self.closing:
-            self.dispatcher.deadlines.add(self.dispatcher.now_ns() + wait_ns, self._resume)
+            self.dispatcher.deadlines.add(self.dispatcher.now_ns() + wait_ns, self._resume_accepting)
             self.dispatcher.wake()
 
     def _describe_clients(self) -> str:
@@ -123,16 +129,16 @@
         states = ", ".join(f"{counts[state]} {state.value}" for state in ConnectionState)
         return f"{len(self.clients)} client connections ({states})"
 
-    # ---- what the connections ask
+    # ---- called by the connections
 
     def ping_answer(self) -> bytes:
-        """The answer to PING, as it is written."""
+        """Returns the encoded answer to PING."""
         if self.standby:
             return STANDBY_ANSWER
         return resp.PONG if self.ready and not self.rejects_all else NOT_READY_ANSWER
 
     def rejection_reason(self) -> GatewayRejection | None:
-        """Why no request is taken for now."""
+        """Returns why requests are rejected at present; None if they are accepted."""
         if not self.ready:
             return GatewayRejection.NOT_READY
         if self.rejects_all:
@@ -141,23 +147,24 @@
         return GatewayRejection.SESSION_LIMIT if full else None
 
     def on_request_ended(self, session: Session) -> None:
-        """A request was answered or abandoned: its id may be used again."""
+        """Removes the request, as it was answered or abandoned; its id may be used again."""
         if self.open_requests.get(session.call.id) is session:
             del self.open_requests[session.call.id]
 
     def on_connected(self, client: ClientConnection) -> None:
-        """A connection has its transport."""
+        """Adds a connection that has its transport."""
         self.clients[client] = None
-        # It may have come, and asked, while none were accepted: before this process, on an inherited queue
-        since_ns = self.dispatcher.now_ns() - self._resumed_ns
-        client.may_have_waited = since_ns < self.dispatcher.limits.newcomer_ns
-        client.from_inherited_queue = client.may_have_waited and self.inherited
+        # It may have connected and sent a request while accepting was paused, on an inherited socket even
+        # before this process started
+        elapsed_ns = self.dispatcher.now_ns() - self._resumed_ns
+        client.input_may_have_waited = elapsed_ns < self.dispatcher.limits.newcomer_ns
+        client.from_inherited_queue = client.input_may_have_waited and self.inherited
 
     def on_disconnected(self, client: ClientConnection) -> None:
-        """A connection is closed: there is room for another."""
+        """Removes a closed connection; accepting may resume."""
         self.clients.pop(client, None)
         if not self.closing:
-            self._resume()
+            self._resume_accepting()
 
     # ---- closing connections
 
@@ -170,62 +177,62 @@
         return evict_one(self.clients, self.dispatcher.now_ns(), self.dispatcher.limits)
 
     def shrink_to_limits(self) -> None:
-        """The limits have become narrower: idle connections are closed as where new ones need room."""
+        """Closes idle connections in the order of eviction until their number is within lower limits."""
         while len(self.clients) > self.dispatcher.limits.frontend_connections and self._evict_one():
             pass
 
     def set_standby(self, *, standby: bool) -> None:
-        """Takes the gateway out of the front's rotation, or back.
+        """Takes the gateway out of the front balancer's rotation, or puts it back.
 
-        The front asks PING every 0.1 s and stops sending new connections soon after a no, but clients keep
-        what they have. So each connection is closed once nothing is owed on it, and an idle one after
-        `standby_rest_ns`, so that none is idle when the front counts. Requests that still come are served.
+        The balancer sends PING every 0.1 s and no new connections soon after an error, but clients keep their
+        open ones. So each connection is closed once its requests are answered, and an idle one after
+        `standby_rest_ns`, so that none is idle when the balancer counts them. New requests are still served.
         """
         self.standby = standby
         if standby:
             self.counters.standby_closed += self.close_idle(CloseReason.STANDBY)
 
     def close_idle(self, reason: CloseReason = CloseReason.SHUTDOWN) -> int:
-        """Closes all idle connections; returns how many.
+        """Closes all idle connections and returns their number.
 
-        Those that came last and have not asked are spared for a moment: what they came for is on its way.
+        New connections without a command are kept for a moment, as their first command may be in transit.
         """
-        now, least_ns = self.dispatcher.now_ns(), self.dispatcher.limits.newcomer_ns
+        now, min_idle_ns = self.dispatcher.now_ns(), self.dispatcher.limits.newcomer_ns
         closed = 0
         for client in list(self.clients):
-            if client.commands or now - client.idle_since_ns > least_ns:
+            if client.command_count or now - client.idle_since_ns > min_idle_ns:
                 closed += client.close_if_idle(reason)
         return closed
 
     def shut_down(self, *, accept_queued: bool = True) -> None:
-        """Accepts no more connections, and closes each one when nothing is owed on it.
+        """Stops accepting, and closes each connection once its requests are answered.
 
-        `accept_queued`: what waits in the queue is accepted first; not where another process shares the
-        socket and accepts it.
+        With `accept_queued`, queued connections are accepted first. Not to be set if another process shares
+        the socket and accepts them.
         """
         self.closing = True
         if accept_queued:
-            self._drain_queue(None)
+            self._accept_all_queued(None)
         else:
             self._close_socket()
         self.close_idle()
 
-    def _drain_queue(self, _: object) -> None:
-        """Accepts all that waits, then closes the socket: what is left in the queue would be reset with it.
+    def _accept_all_queued(self, _: object) -> None:
+        """Accepts all queued connections, then closes the socket, which would reset any left in the queue.
 
-        Where the machine lacks descriptors it is tried again, until the end of the process.
+        If descriptors are exhausted, it is tried again until the process ends.
         """
         while self._socket is not None:
             if self._accept_queued():
                 self._close_socket()
             elif not self._accepting:
                 at_ns = self.dispatcher.now_ns() + self.dispatcher.limits.backoff_ns
-                self.dispatcher.deadlines.add(at_ns, self._drain_queue)
+                self.dispatcher.deadlines.add(at_ns, self._accept_all_queued)
                 self.dispatcher.wake()
                 return
 
     def _close_socket(self) -> None:
         if self._socket is not None:
-            self._pause()
+            self._pause_accepting()
             self._socket.close()
             self._socket = None
--- a/zincstile/net/deadlines.py
+++ b/zincstile/net/deadlines.py
@@ -1,4 +1,4 @@
-"""All deadlines of the process in one sorted list."""
+"""The deadlines of the process, in one sorted list."""
 
 from __future__ import annotations
 
@@ -6,44 +6,44 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-DeadlineKey = tuple[int, int]  # time in ns and number of a deadline: what cancels it
-DueDeadline = tuple[int, int, Callable[[Any], None], Any]  # its key, what to call, and with what
+DeadlineKey = tuple[int, int]  # time in ns and number of a deadline, used to cancel it
+DueDeadline = tuple[int, int, Callable[[Any], None], Any]  # time in ns, number, callback, argument
 
 
 class Deadlines:
-    """Calls that are due at a time of the monotonic clock; whoever owns the clock pops and makes them."""
+    """Callbacks by the monotonic time at which they are due; the dispatcher calls them."""
 
-    __slots__ = ("_items", "_number")
+    __slots__ = ("_items", "_last_number")
 
     def __init__(self) -> None:
-        """There are none."""
+        """Starts without deadlines."""
         self._items: list[DueDeadline] = []
-        self._number = 0
+        self._last_number = 0
 
     def __len__(self) -> int:
-        """How many are not due yet."""
+        """Returns the number of pending deadlines."""
         return len(self._items)
 
     def add(self, at_ns: int, callback: Callable[[Any], None], argument: Any = None) -> DeadlineKey:
-        """Calls `callback(argument)` at that time or soon after; the key that is returned cancels it."""
-        self._number += 1
-        insort(self._items, (at_ns, self._number, callback, argument))
-        return at_ns, self._number
+        """Schedules `callback(argument)` and returns the key that cancels it."""
+        self._last_number += 1
+        insort(self._items, (at_ns, self._last_number, callback, argument))
+        return at_ns, self._last_number
 
     def cancel(self, key: DeadlineKey | None) -> None:
-        """Cancels a deadline; nothing happens where it has passed, or where there is none."""
+        """Cancels a deadline; does nothing if it has passed or `key` is None."""
         if key is not None:
-            at = bisect_left(self._items, key)
-            if at < len(self._items) and self._items[at][:2] == key:
-                del self._items[at]
+            index = bisect_left(self._items, key)
+            if index < len(self._items) and self._items[index][:2] == key:
+                del self._items[index]
 
     @property
     def next_ns(self) -> int | None:
-        """Time of the earliest deadline."""
+        """The time of the earliest deadline; None without deadlines."""
         return self._items[0][0] if self._items else None
 
     def pop_due(self, now: int) -> list[DueDeadline]:
-        """Removes all that are due and returns them in their order, for the caller to call."""
+        """Removes the deadlines that are due and returns them in order; the caller calls them."""
         items = self._items
         if not items or items[0][0] > now:
             return []
@@ -54,23 +54,23 @@
 
 
 class Scheduler(Protocol):
-    """Who makes the calls that are due: `dispatcher.Dispatcher`."""
+    """Calls the deadlines that are due: `dispatcher.Dispatcher`."""
 
     deadlines: Deadlines
 
     def now_ns(self) -> int:
-        """The monotonic clock."""
+        """Returns the monotonic time."""
         ...
 
     def wake(self) -> None:
-        """Looks at the deadlines soon: one was added."""
+        """Schedules a check of the deadlines, as one was added."""
         ...
 
 
 def run_every(scheduler: Scheduler, period_ns: int, action: Callable[[], None]) -> None:
-    """Calls `action()` soon and then once in each period, for as long as the process lives.
+    """Calls `action()` at once and then once per period until the process ends.
 
-    The next time is set before the call, so that a round that fails does not end the series.
+    The next call is scheduled before the action runs, so that an exception does not end the series.
     """
 
     def run_round(_: object) -> None:
--- a/zincstile/net/dispatcher.py
+++ b/zincstile/net/dispatcher.py
@@ -1,4 +1,4 @@
-"""Gathers events into batches, hands each batch to the policy, and has the policy's actions carried out."""
+"""Collects events into batches, passes each batch to the policy, and runs the policy's actions."""
 
 from __future__ import annotations
 
@@ -31,23 +31,23 @@
 
 POLICY_REJECTIONS: Final = {reason: GatewayRejection[reason.name] for reason in RejectionReason}
 
-ActionHandler = Callable[[int, Any], None]  # is given the time of the batch, in ns, and the action
+ActionHandler = Callable[[int, Any], None]  # arguments: the time of the batch in ns, and the action
 
 
 class Writer(Protocol):
-    """A connection that has something to write at the end of the batch."""
+    """A connection that writes its output at the end of a batch."""
 
     def flush(self) -> None:
-        """Writes it."""
+        """Writes the pending output."""
         ...
 
 
 class Dispatcher:
-    """Owns the sessions, the events of the next batch, and the one alarm for the deadlines.
+    """Owns the sessions, the events of the next batch, and the event loop's timer for the deadlines.
 
-    A batch runs once in an iteration of the loop, and only where something has happened: deadlines that are
-    due are called, events go to the policy in their order, its actions are carried out, and each connection
-    that has something to write does so once.
+    At most one batch runs per iteration of the event loop, and none while nothing happens. A batch calls the
+    deadlines that are due, passes the events to the policy in order, runs the policy's actions, and lets
+    each connection write its output once.
     """
 
     def __init__(
@@ -59,13 +59,13 @@
         log: Log,
         host: Host = HOST,
     ) -> None:
-        """`host`: the clocks, and what the connections ask of the machine."""
+        """`host` provides the clocks and the state of sockets."""
         self.loop = loop
         self.policy = policy
         self.limits = limits
         self.counters = counters
         self.log = log
-        # What the connections ask of the machine, without a call in between
+        # Methods of the host, without an indirect call on the path of a request
         self.now_ns = host.monotonic_ns
         self.readable = host.readable
         self.closed_by_peer = host.ended
@@ -79,18 +79,18 @@
             FailRequest: self._fail_request,
             LogMessage: self._log_message,
         }
-        # Those that ended since the last batch's end: the policy may not know it yet
+        # Sessions that ended since the end of the last batch; the policy may not know it yet
         self.ended_sessions: dict[int, Session] = {}
-        # Called for each of them at the end of the batch: takes back what is not sent yet
+        # Called for each of them at the end of the batch; withdraws attempts that are not sent yet
         self.withdraw_unsent: Callable[[Session], None] = lambda session: None
         self._events: list[Event] = []
         self._writers: list[Writer] = []
         self._scheduled = False
-        self._alarm: asyncio.TimerHandle | None = None
-        self._alarm_ns = 0
+        self._loop_timer: asyncio.TimerHandle | None = None
+        self._loop_timer_ns = 0
         self._last_request_id = 0
 
-    # ---- what the connections use
+    # ---- called by the connections
 
     def post(self, event: Event) -> None:
         """Adds an event to the next batch."""
@@ -99,31 +99,31 @@
             self.wake()
 
     def schedule_flush(self, writer: Writer) -> None:
-        """Has the connection write at the end of the next batch."""
+        """Schedules a write of the connection at the end of the next batch."""
         self._writers.append(writer)
         if not self._scheduled:
             self.wake()
 
     def wake(self) -> None:
-        """Has a batch run soon."""
+        """Schedules a batch unless one is scheduled."""
         if not self._scheduled:
             self._scheduled = True
             self.loop.call_soon(self.run_batch)
 
     def next_request_id(self) -> int:
-        """A number that no other request of this process has."""
+        """Returns a request id that is unique in this process."""
         self._last_request_id += 1
         return self._last_request_id
 
     def submit(self, session: Session, request: Request) -> None:
-        """Takes a request over; the policy decides on it in the next batch."""
+        """Adds a request; the policy decides on it in the next batch."""
         self.counters.requests += 1
         self.trace.record(self.now_ns(), Step.RECEIVED, session.call.id)
         self.sessions[session.id] = session
         self.post(request)
 
     def finish(self, session: Session, answer: Answer) -> bool:
-        """Gives a session its one final answer; False where it has had one, or its client has left."""
+        """Gives a session its final answer; returns False if it was answered or abandoned before."""
         if session.ended:
             return False
         session.ended = True
@@ -141,7 +141,7 @@
         return True
 
     def abandon(self, session: Session) -> None:
-        """Ends a session whose client has left: no answer is owed any more."""
+        """Ends a session without an answer, as its client has disconnected."""
         if not session.ended:
             session.ended = True
             self.sessions.pop(session.id, None)
@@ -153,7 +153,7 @@
     # ---- the batch
 
     def run_batch(self) -> None:
-        """Runs one batch; the loop calls it after `wake`."""
+        """Runs one batch; the event loop calls it after `wake`."""
         now = self.now_ns()
         self.counters.batches += 1
         for _, _, callback, argument in self.deadlines.pop_due(now):
@@ -182,7 +182,7 @@
                 self._contain_fault(err, writer)
         if self._events or self._writers:
             self.wake()
-        self._set_alarm()
+        self._arm_loop_timer()
 
     def _decide(self, now: int, events: list[Event]) -> list[Action]:
         actions: list[Action] = []
@@ -191,15 +191,17 @@
                 actions += self.policy.handle(now, event)
             except Exception as err:
                 self._contain_fault(err, event)
-                if isinstance(event, TimerFired):  # else a chain of timers would end here for good
+                if isinstance(event, TimerFired):  # otherwise a periodic timer would stop for good
                     self.deadlines.add(now + self.limits.backoff_ns, self._fire_timer, event.token)
         return actions
 
     def _contain_fault(self, err: Exception, subject: object) -> None:
-        """Keeps a fault in the handling of one session from the process: that session fails, no other."""
+        """Logs an exception and fails the session concerned; other sessions go on."""
         self.counters.faults += 1
-        kind = type(subject).__name__
-        self.log.often("fault", f"{type(err).__name__}: {err} at {_place(err)} in {kind}")
+        subject_type = type(subject).__name__
+        self.log.often(
+            "fault", f"{type(err).__name__}: {err} at {_raise_location(err)} while handling {subject_type}"
+        )
         session = self._session_of(subject)
         for line in self.trace.describe(self.now_ns(), session.call.id if session else None):
             self.log.line(f"trace {line}")
@@ -207,7 +209,7 @@
             self.post(RequestAbandoned(session.id))
 
     def _session_of(self, subject: object) -> Session | None:
-        """The open session that an event, an action or a deadline was about."""
+        """Returns the open session of an event, an action or the argument of a deadline."""
         if isinstance(subject, Request):
             return self.sessions.get(subject.id)
         session = subject if isinstance(subject, Session) else getattr(subject, "session", None)
@@ -216,21 +218,21 @@
         request_id = getattr(subject, "request", None)
         return self.sessions.get(request_id) if isinstance(request_id, int) else None
 
-    def _set_alarm(self) -> None:
+    def _arm_loop_timer(self) -> None:
         at_ns = self.deadlines.next_ns
-        if at_ns is None or (self._alarm is not None and self._alarm_ns <= at_ns):
+        if at_ns is None or (self._loop_timer is not None and self._loop_timer_ns <= at_ns):
             return
-        if self._alarm is not None:
-            self._alarm.cancel()
-        self._alarm = self.loop.call_at(at_ns / 1e9, self._on_alarm)
-        self._alarm_ns = at_ns
-
-    def _on_alarm(self) -> None:
-        self._alarm = None
-        late_ns = self.now_ns() - self._alarm_ns
+        if self._loop_timer is not None:
+            self._loop_timer.cancel()
+        self._loop_timer = self.loop.call_at(at_ns / 1e9, self._on_loop_timer)
+        self._loop_timer_ns = at_ns
+
+    def _on_loop_timer(self) -> None:
+        self._loop_timer = None
+        late_ns = self.now_ns() - self._loop_timer_ns
         if late_ns > self.limits.held_up_ns:
             self.counters.held_up += 1
-            self.log.often("late", f"held up for {late_ns // 1_000_000} ms")
+            self.log.often("late", f"event loop delayed by {late_ns // 1_000_000} ms")
         self.wake()
 
     # ---- actions that need no connection
@@ -247,8 +249,10 @@
             reason = POLICY_REJECTIONS[action.reason]
             self.counters.count_rejection(reason)
             self.trace.record(self.now_ns(), Step.REJECTED, session.call.id, reason)
-            retry_ms = -(-action.retry_after_ns // 1_000_000)
-            answer = Answer(AnswerKind.REJECTED, retry_ms=retry_ms) if retry_ms else REJECTED
+            retry_after_ms = -(-action.retry_after_ns // 1_000_000)
+            answer = (
+                Answer(AnswerKind.REJECTED, retry_after_ms=retry_after_ms) if retry_after_ms else REJECTED
+            )
             self.finish(session, answer)
 
     def _fail_request(self, _: int, action: FailRequest) -> None:
@@ -260,9 +264,13 @@
         self.log.often("module", action.text)
 
 
-def _place(err: Exception) -> str:
-    """File and line at which an exception was raised."""
-    at = err.__traceback__
-    while at is not None and at.tb_next is not None:
-        at = at.tb_next
-    return f"{at.tb_frame.f_code.co_filename.rpartition('/')[2]}:{at.tb_lineno}" if at else "?"
+def _raise_location(err: Exception) -> str:
+    """Returns the file and line at which an exception was raised."""
+    traceback = err.__traceback__
+    while traceback is not None and traceback.tb_next is not None:
+        traceback = traceback.tb_next
+    return (
+        f"{traceback.tb_frame.f_code.co_filename.rpartition('/')[2]}:{traceback.tb_lineno}"
+        if traceback
+        else "?"
+    )
--- a/zincstile/net/session.py
+++ b/zincstile/net/session.py
@@ -1,6 +1,6 @@
-"""What the clients' side and the backends' side share: a call, the session that owes its answer, the answer.
+"""Types shared by the client and backend connections: a call, its session, and its answer.
 
-Nothing here knows a protocol: a second one needs a client connection of its own that makes sessions.
+They do not depend on the clients' protocol: another protocol needs only its own client connection.
 """
 
 from __future__ import annotations
@@ -16,13 +16,13 @@
 
 @dataclass(slots=True)
 class Call:
-    """What a client asked for, as it is forwarded to a backend server."""
+    """A client's call, as it is forwarded to a backend."""
 
-    idempotent: bool  # of a class that may always run again
+    idempotent: bool  # its class may always be retried
     customer: bytes
     id: bytes
     fields: list[bytes]  # name=value
-    deadline_field_index: int  # index in `fields` of the one that says how long the client waits
+    deadline_field_index: int  # index in `fields` of the client's timeout
     body: bytes | None
 
 
@@ -40,8 +40,8 @@
 
     kind: AnswerKind
     value: bytes = b""
-    retry_ms: int = 0  # of a rejection: when the client may retry; 0: nothing is said
-    stream: ValueStream | None = None  # a large value, passed on as it comes; `value` is then empty
+    retry_after_ms: int = 0  # of a rejection: when the client may retry; 0: no hint
+    stream: ValueStream | None = None  # a large value that is streamed; `value` is then empty
 
 
 FAILED: Final = Answer(AnswerKind.FAILED)
@@ -49,19 +49,19 @@
 
 
 class Client(Protocol):
-    """A client's connection, of whatever protocol."""
+    """A client connection of any protocol."""
 
     def answer(self, session: Session, answer: Answer) -> None:
-        """Takes the final answer of one of its sessions."""
+        """Accepts the final answer of one of its sessions."""
         ...
 
     def has_disconnected(self) -> bool:
-        """The client has left, though its end may not be read yet; then its sessions are abandoned too."""
+        """Whether the client has disconnected, even if this is not read yet; if so, abandons its sessions."""
         ...
 
 
 class AttemptTarget(Protocol):
-    """The backend server of an attempt, as far as the invariants look at it."""
+    """The part of an attempt's backend that the invariant checks use."""
 
     address: tuple[str, int]
     ready: bool  # requests may be sent to it
@@ -69,17 +69,17 @@
 
 
 class SentAttempt(Protocol):
-    """An attempt, as far as its session has to know it: `backends.attempt.Attempt`."""
+    """The part of `backends.attempt.Attempt` that its session and the invariant checks use."""
 
     session: Session | None
     backend: AttemptTarget
     sent_ns: int
-    until_ns: int  # the deadline that the server is given
+    until_ns: int  # the deadline given to the backend
     may_have_run: bool
 
 
 class Session:
-    """A request that was taken: it gets exactly one final answer, or its client has left."""
+    """An accepted request; it gets exactly one final answer unless its client disconnects."""
 
     __slots__ = (
         "id",
@@ -102,14 +102,14 @@
         deadline_ns: int,
         request_class: RequestClass | None = None,
     ) -> None:
-        """`request_class`: none stands for a class that may always run again."""
+        """`request_class` None stands for a class that may always be retried."""
         self.id = request_id
         self.call = call
         self.client = client
         self.deadline_ns = deadline_ns  # monotonic: when the client gives up
         self.request_class = request_class
-        self.attempts = 0  # made so far
-        self.sent_attempts: list[SentAttempt] = []  # those of which the first byte may have left
+        self.attempts = 0  # attempts made so far
+        self.sent_attempts: list[SentAttempt] = []  # attempts of which a byte may have been sent
         self.last_result: AttemptResult | None = None  # of the attempt that ended last
         self.ended = False  # answered, or abandoned by its client
-        self.reply: bytes | ValueStream | None = None  # as it is written; none: not answered
+        self.reply: bytes | ValueStream | None = None  # encoded for the client; None: not answered
--- a/zincstile/net/transient.py
+++ b/zincstile/net/transient.py
@@ -1,7 +1,7 @@
-"""System calls that fail for a moment and are made again.
+"""Retries of system calls that fail while the machine is out of a resource.
 
-A machine may lack descriptors, memory or buffers for a moment (ENFILE and its like): that is no reason for a
-process to end or for a message to be lost. An error that stays, such as an address in use, is raised at once.
+Descriptors, memory or buffers may be exhausted for a moment (such as ENFILE). That must not end the process
+or lose a message. Other errors, such as an address in use, are raised at once.
 """
 
 from __future__ import annotations
@@ -12,32 +12,32 @@
 from typing import Any, Final
 
 EXHAUSTION_ERRNOS: Final = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
-TRANSIENT_FILE_ERRNOS: Final = (*EXHAUSTION_ERRNOS, errno.EIO)  # of reading a file that exists
-RETRY_INTERVAL_S: Final = 0.02  # short against the 10 s in which a process has to be ready
-MAX_ATTEMPTS: Final = 400  # 8 s in all: a process is ready within 10 s, or ends with the error
+TRANSIENT_FILE_ERRNOS: Final = (*EXHAUSTION_ERRNOS, errno.EIO)  # when reading a file that exists
+RETRY_INTERVAL_S: Final = 0.02  # short compared with the 10 s within which a process has to be ready
+MAX_ATTEMPTS: Final = 400  # 8 s in total: a process has to be ready within 10 s
 
 
 def is_exhaustion(err: BaseException | None) -> bool:
-    """Whether the machine, or this process, has no descriptor, buffer or memory left for now."""
+    """Whether the machine or this process is out of descriptors, buffers or memory."""
     return isinstance(err, OSError) and err.errno in EXHAUSTION_ERRNOS
 
 
 def is_transient_file_error(err: BaseException | None) -> bool:
-    """Whether a file that exists can't be read for now."""
+    """Whether an existing file can't be read for the moment."""
     return isinstance(err, OSError) and err.errno in TRANSIENT_FILE_ERRNOS
 
 
-async def retry_while_exhausted(make: Callable[[], Any]) -> Any:
-    """Calls `make()` until the machine has what it needs, and awaits the result where it is awaitable.
+async def retry_while_exhausted(operation: Callable[[], Any]) -> Any:
+    """Calls `operation()` until no resource is exhausted, and awaits its result if it is awaitable.
 
-    Raises the OSError of `make` where it is of another kind, or the machine lacks resources for 8 s.
+    Raises the OSError of `operation` at once if it has another cause, or after 8 s of exhaustion.
     """
     for _ in range(MAX_ATTEMPTS):
         try:
-            made = make()
-            return await made if isinstance(made, Awaitable) else made
+            result = operation()
+            return await result if isinstance(result, Awaitable) else result
         except OSError as err:
             if not is_exhaustion(err):
                 raise
         await asyncio.sleep(RETRY_INTERVAL_S)
-    return make()
+    return operation()
--- a/zincstile/net/value_stream.py
+++ b/zincstile/net/value_stream.py
@@ -1,6 +1,6 @@
-"""A large value on its way from one backend connection to one client connection.
+"""Streams a large value from one backend connection to one client connection.
 
-Its first bytes go out at once, and no more of it is in memory than the client has not read yet.
+Its first bytes are forwarded at once, and only bytes that the client has not read yet are kept in memory.
 """
 
 from __future__ import annotations
@@ -9,65 +9,65 @@
 
 
 class StreamSource(Protocol):
-    """The backend connection that the value is read from."""
+    """The backend connection from which the value is read."""
 
     def on_taken(self) -> None:
-        """The client's side has taken what was pushed: more may be read."""
+        """The sink has taken all pushed chunks: more may be read."""
         ...
 
     def abandon(self) -> None:
-        """The client has left: the rest of the value is of no use."""
+        """The client has disconnected: the remaining value is not needed."""
         ...
 
 
 class StreamSink(Protocol):
-    """The client connection that the value is written to."""
+    """The client connection to which the value is written."""
 
     def on_stream_progress(self) -> None:
-        """The stream has more to write, or has come to its end."""
+        """The stream has more bytes to write, or has ended."""
         ...
 
 
 class ValueStream:
-    """The pieces of one value between a source, which pushes them, and a sink, which takes them.
+    """The chunks of one value between a source, which pushes them, and a sink, which takes them.
 
-    The source marks the end: the value is then `complete`, or `truncated` where its rest can't be had.
+    The source ends the stream: the value is then `complete`, or `truncated` if part of it is missing.
     """
 
-    __slots__ = ("_pieces", "pending_bytes", "complete", "truncated", "_source", "sink")
+    __slots__ = ("_chunks", "pending_bytes", "complete", "truncated", "_source", "sink")
 
     def __init__(self, source: StreamSource) -> None:
-        """`source`: where the pieces come from."""
-        self._pieces: list[bytes] = []
+        """`source` pushes the chunks."""
+        self._chunks: list[bytes] = []
         self.pending_bytes = 0  # pushed and not yet taken
         self.complete = False
         self.truncated = False
         self._source = source
-        self.sink: StreamSink | None = None  # none until the client connection is known
+        self.sink: StreamSink | None = None  # None until the answer is given to the client connection
 
     def push(self, data: bytes) -> None:
-        """Adds a piece behind the ones before it."""
-        self._pieces.append(data)
+        """Appends a chunk."""
+        self._chunks.append(data)
         self.pending_bytes += len(data)
         self._notify_sink()
 
     def end(self, *, truncated: bool) -> None:
-        """Marks the end; the first mark stands."""
+        """Ends the stream; later calls change nothing."""
         if not self.complete and not self.truncated:
             self.complete = not truncated
             self.truncated = truncated
             self._notify_sink()
 
     def take(self) -> list[bytes]:
-        """Gives the pieces pushed since the last call, for the caller to write."""
-        pieces = self._pieces
-        self._pieces = []
+        """Removes and returns the chunks pushed since the last call; the caller writes them."""
+        chunks = self._chunks
+        self._chunks = []
         self.pending_bytes = 0
         self._source.on_taken()
-        return pieces
+        return chunks
 
     def abandon(self) -> None:
-        """The client has left: notifies the source, unless the value had ended."""
+        """The client has disconnected: notifies the source unless the stream has ended."""
         if not self.complete and not self.truncated:
             self.truncated = True
             self._source.abandon()
--- a/zincstile/simulation/mutants_network.py
+++ b/zincstile/simulation/mutants_network.py
@@ -80,7 +80,7 @@
         if not answers.pending:
             self.idle_since_ns = self.dispatcher.now_ns()
             if self._closer.reading_ended:
-                self._end()
+                self._half_close()
             elif self.listener.closing:
                 self.transport.close()
 
@@ -155,8 +155,8 @@
 
     def add(self, at_ns, then, about=None):
         if any(item[0] == at_ns for item in self._items):
-            self._number += 1
-            return at_ns, self._number
+            self._last_number += 1
+            return at_ns, self._last_number
         return old(self, at_ns, then, about)
 
     return replace_attribute(deadlines.Deadlines, "add", add)
@@ -213,13 +213,13 @@
 
 def input_before_end_dropped() -> Undo:
     """Input between the decision to end a connection and its end is dropped."""
-    old = connection.ClientConnection.__dict__["_end"]
+    old = connection.ClientConnection.__dict__["_half_close"]
 
     def end(self):
         self._closer.reading_ended = True
         self.dispatcher.loop.call_later(LATE_END_S, old, self)
 
-    return replace_attribute(connection.ClientConnection, "_end", end)
+    return replace_attribute(connection.ClientConnection, "_half_close", end)
 
 
 def input_after_end_forwarded() -> Undo:
@@ -227,10 +227,10 @@
     old = connection.ClientConnection.__dict__["flush"]
 
     def buffer_updated(self, size):
-        self._read(bytes(self.listener.buffer[:size]))
+        self._process_input(bytes(self.listener.read_buffer[:size]))
 
     def flush(self):
-        if not self._closer.end_sent_ns:  # nothing can be written any more
+        if not self._closer.eof_sent_ns:  # nothing can be written any more
             old(self)
 
     return undo_all(
@@ -342,7 +342,7 @@
 
     def close_if_idle(self, reason):
         if self.listener.closing:
-            self._end()
+            self._half_close()
         return True
 
     def shut_at_once(self, _):
