--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -1,4 +1,4 @@
-"""Client connections over sockets: idle ones, slow ones, and more of them than descriptors."""
+"""Client connections over sockets: idle timeouts, slow commands, and more clients than descriptors."""
 
 from __future__ import annotations
 
@@ -6,30 +6,32 @@
 from scenario import ANSWERED_CALL, PING, READY, GatewayHarness, call_command, encode_command, run_scenario
 
 
-@pytest.mark.parametrize(("asks", "gone"), [("raw", "c30"), (PING, "c10")], ids=["silent", "asked once"])
-def test_resting_clients_make_room_for_new_ones(tmp_path, asks, gone):
-    """26 of 60 descriptors are for clients; c1 to c8 asked twice, c10 to c18 once, then comes a crowd."""
+@pytest.mark.parametrize(
+    ("client_input", "evicted_client"), [("raw", "c30"), (PING, "c10")], ids=["silent", "one command"]
+)
+def test_idle_clients_are_evicted_for_new_ones(tmp_path, client_input, evicted_client):
+    """26 of 60 descriptors are for clients; c1 to c8 send two commands, c10 to c18 one, then 50 connect."""
 
-    def ask(numbers, what=PING):
-        pong = "expect c{} +PONG\n" if what == PING else ""
-        return "".join(f"send c{k} {what}\n" + pong.format(k) for k in numbers)
+    def send(numbers, command=PING):
+        pong = "expect c{} +PONG\n" if command == PING else ""
+        return "".join(f"send c{k} {command}\n" + pong.format(k) for k in numbers)
 
-    often = ask(range(1, 9))
+    two_command_clients = send(range(1, 9))
     limits = {"sockets": 60, "spare_ns": 10**12, "newcomer_ns": 1, "silent_ns": 10**12, "rest_ns": 10**12}
     run_scenario(
         tmp_path,
         READY
-        + often * 2
-        + ask(range(10, 19))
-        + ask(range(30, 80), asks)
-        + f"expect {gone} end\n"
+        + two_command_clients * 2
+        + send(range(10, 19))
+        + send(range(30, 80), client_input)
+        + f"expect {evicted_client} end\n"
         + ANSWERED_CALL
-        + often,
+        + two_command_clients,
         limits=limits,
     )
 
 
-def test_a_command_that_is_begun_and_never_ended_is_dropped(tmp_path):
+def test_an_incomplete_command_is_answered_with_an_error_and_closed(tmp_path):
     run_scenario(
         tmp_path,
         READY + "send c1 raw *4\\r\\n\nexpect c1 -ERR*\nexpect c1 end\n" + ANSWERED_CALL,
@@ -38,16 +40,18 @@
 
 
 @pytest.mark.parametrize(
-    ("asked", "limit"), [("send c1 raw", "silent_ns"), (f"send c1 {PING}\nexpect c1 +PONG", "rest_ns")]
+    ("client_input", "limit"), [("send c1 raw", "silent_ns"), (f"send c1 {PING}\nexpect c1 +PONG", "rest_ns")]
 )
-def test_a_client_that_says_nothing_or_no_more_is_closed(tmp_path, asked, limit):
+def test_a_silent_or_idle_client_is_closed_after_its_timeout(tmp_path, client_input, limit):
     run_scenario(
-        tmp_path, READY + asked + "\nexpect c1 end\n" + ANSWERED_CALL, limits={limit: 10**8, "tend_ns": 10**8}
+        tmp_path,
+        READY + client_input + "\nexpect c1 end\n" + ANSWERED_CALL,
+        limits={limit: 10**8, "tend_ns": 10**8},
     )
 
 
-def test_a_client_that_has_asked_may_take_longer_for_a_command(tmp_path):
-    """Its connection outlives the time by which a new one has to ask; the silent c2 tells when that is."""
+def test_after_a_first_command_the_next_may_take_longer_than_the_timeout_for_silence(tmp_path):
+    """c1 stays open past the timeout for connections without a command; the close of c2 shows its end."""
     begun = f"send c1 {PING}\nexpect c1 +PONG\nsend c1 raw *1\\r\\n\n"
     limits = {"silent_ns": 10**8, "command_ns": 10**12, "tend_ns": 10**8}
     run_scenario(
@@ -62,7 +66,7 @@
     )
 
 
-def test_a_client_with_much_unanswered_is_read_no_further(tmp_path):
+def test_reading_pauses_for_a_client_with_many_unanswered_requests(tmp_path):
     with GatewayHarness(tmp_path, {"limits": {"pipelined": 2, "read_bytes": 512}}) as harness:
         calls = "".join(encode_command(call_command("look", k)).decode() for k in range(1, 41))
         harness.run(READY)
@@ -73,11 +77,11 @@
         assert harness.counters()["requests"] <= 6
 
 
-def test_more_clients_than_descriptors_wait_their_turn(tmp_path):
-    """26 of 60 descriptors are for clients: with a command begun on each, the others have to wait."""
-    asks = "".join(f"send c{k} raw *4\\r\\n\n" for k in range(10, 40))
+def test_clients_beyond_the_descriptors_wait_until_others_close(tmp_path):
+    """26 of 60 descriptors are for clients; none is evicted, as each has sent part of a command."""
+    client_input = "".join(f"send c{k} raw *4\\r\\n\n" for k in range(10, 40))
     run_scenario(
         tmp_path,
-        READY + asks + "wait gw clients=26\nclose c10\nclose c11\nwait gw clients=28\n",
+        READY + client_input + "wait gw clients=26\nclose c10\nclose c11\nwait gw clients=28\n",
         limits={"sockets": 60, "command_ns": 10**12},
     )
--- a/tests/test_crowds.py
+++ b/tests/test_crowds.py
@@ -1,7 +1,7 @@
-"""Idle clients fill the descriptors while discovery is down: a term of the standing test, on real sockets.
+"""Idle clients use up the descriptors while discovery is down; on real sockets.
 
-The system itself grants no more descriptors than the configuration names, so that what a part takes beyond
-its own is missing elsewhere.
+RLIMIT_NOFILE is set to the configured number of descriptors, so that a part of the gateway that uses more
+than its share leaves too few for the others.
 """
 
 from __future__ import annotations
@@ -15,45 +15,47 @@
 
 from zincstile.net.limits import SECOND, Limits, Machine
 
-DESCRIPTORS = 60  # of a process: clients, backend servers and the rest have a part each
-ASKED = "send c1 look 1\nexpect a1 look 1\nsend a1 ok hello\nexpect c1 ok hello\n"
-DOWN = "refuse d\nclose d1\nexpect gw watch lost*\n"
+DESCRIPTORS = 60  # of the process; clients, backends and all others have a share each
+ANSWERED_FIRST_CALL = "send c1 look 1\nexpect a1 look 1\nsend a1 ok hello\nexpect c1 ok hello\n"
+DISCOVERY_LOST = "refuse d\nclose d1\nexpect gw watch lost*\n"
 
 
 class Crowd:
-    """Clients that connect and say this much, whether or not they are taken."""
+    """Clients that connect and send some input, whether or not they are accepted."""
 
-    def __init__(self, harness: GatewayHarness, count: int, said: bytes) -> None:
+    def __init__(self, harness: GatewayHarness, count: int, client_input: bytes) -> None:
         self.sockets = [socket.create_connection(harness.address, TIMEOUT_S) for _ in range(count)]
         for sock in self.sockets:
-            sock.sendall(said)
+            sock.sendall(client_input)
 
     def close(self) -> None:
         for sock in self.sockets:
             sock.close()
 
 
-def narrow(tmp_path, **limits: int) -> GatewayHarness:
-    """Its process can hold no descriptor beyond those that it is told of."""
+def start_with_few_descriptors(tmp_path, **limits: int) -> GatewayHarness:
+    """Starts a gateway whose process can open only the configured number of descriptors."""
     harness = GatewayHarness(tmp_path, {"limits": {"sockets": DESCRIPTORS} | limits})
     resource.prlimit(harness.program.pid, resource.RLIMIT_NOFILE, (DESCRIPTORS, DESCRIPTORS))
     return harness
 
 
-def held(harness: GatewayHarness) -> int:
+def count_descriptors(harness: GatewayHarness) -> int:
     return len(os.listdir(f"/proc/{harness.program.pid}/fd"))
 
 
-def test_the_watch_comes_back_while_clients_and_backend_servers_hold_every_place(tmp_path):
-    """Idle clients that never go, with more that wait, and attempts that are not answered. What the new watch
-    tells holds for who asks next, on a connection that it has."""
-    parts = Limits.for_gateway(Machine(DESCRIPTORS, 192, 20000, 1, 1, 30 * SECOND), {})
-    harness = narrow(tmp_path, newcomer_ns=FOREVER_NS, silent_ns=FOREVER_NS)
-    crowd, out = None, range(1, parts.backend_connections + 1)
+def test_the_watch_is_reopened_while_clients_and_backends_use_all_their_descriptors(tmp_path):
+    """Idle clients stay connected, more are queued, and no attempt is answered. The next request, on an open
+    connection, goes to a backend of the new watch's list."""
+    limits = Limits.for_gateway(Machine(DESCRIPTORS, 192, 20000, 1, 1, 30 * SECOND), {})
+    harness = start_with_few_descriptors(tmp_path, newcomer_ns=FOREVER_NS, silent_ns=FOREVER_NS)
+    crowd, request_ids = None, range(1, limits.backend_connections + 1)
     try:
-        harness.run("send d1 full a=Ready b=Ready c=Ready\nexpect gw ready*from discovery\n" + DOWN)
-        harness.run("".join(f"send c1 book {k}\n" for k in out) + f"wait gw attempts={len(out)}")
-        crowd = Crowd(harness, 2 * parts.frontend_connections, b"")
+        harness.run("send d1 full a=Ready b=Ready c=Ready\nexpect gw ready*from discovery\n" + DISCOVERY_LOST)
+        harness.run(
+            "".join(f"send c1 book {k}\n" for k in request_ids) + f"wait gw attempts={len(request_ids)}"
+        )
+        crowd = Crowd(harness, 2 * limits.frontend_connections, b"")
         harness.run("""
             expect gw full * client connections*
             listen d
@@ -65,7 +67,7 @@
             send c1 book 99
             expect e1 book 99
             wait gw faults=0""")
-        assert held(harness) <= DESCRIPTORS
+        assert count_descriptors(harness) <= DESCRIPTORS
     finally:
         if crowd:
             crowd.close()
@@ -73,24 +75,26 @@
 
 
 @pytest.mark.parametrize(
-    ("said", "count", "limits"),
+    ("client_input", "count", "limits"),
     [
         ("", 200, {"silent_ns": FOREVER_NS}),
         (r"*1\r\n$4\r\nPING\r\n", 200, {"rest_ns": FOREVER_NS}),
-        (r"*4\r\n", 30, {}),  # it may be a request: its place is its own for 2.2 s
+        (r"*4\r\n", 30, {}),  # may become a request: its descriptor is not taken for 2.2 s
     ],
-    ids=["silent", "asked once", "half a command"],
+    ids=["silent", "one command", "part of a command"],
 )
-def test_who_asks_is_admitted_behind_a_crowd_while_discovery_is_down_and_after(tmp_path, said, count, limits):
-    """Behind each crowd comes one that asks, on a connection of its own; the second crowd is there when
-    discovery returns. No time alone makes room where a crowd has begun nothing."""
-    harness, crowds = narrow(tmp_path, **limits), []
-    said = said.encode().decode("unicode_escape").encode()
+def test_a_new_client_is_served_after_many_idle_ones_while_discovery_is_down_and_later(
+    tmp_path, client_input, count, limits
+):
+    """A new client sends a request after each crowd of idle clients; the second crowd is connected when
+    discovery returns. No timeout frees descriptors of a crowd, except that of partial commands."""
+    harness, crowds = start_with_few_descriptors(tmp_path, **limits), []
+    client_input = client_input.encode().decode("unicode_escape").encode()
     try:
-        harness.run(READY + ASKED + DOWN)
-        crowds.append(Crowd(harness, count, said))
+        harness.run(READY + ANSWERED_FIRST_CALL + DISCOVERY_LOST)
+        crowds.append(Crowd(harness, count, client_input))
         harness.run("expect gw full*\nsend c2 look 2\nexpect a1 look 2\nsend a1 ok x\nexpect c2 ok x")
-        crowds.append(Crowd(harness, count, said))
+        crowds.append(Crowd(harness, count, client_input))
         harness.run("""
             listen d
             send d2 change a=Terminating b=Ready
@@ -100,7 +104,7 @@
             send b1 ok x
             expect c3 ok x
             wait gw faults=0""")
-        assert held(harness) <= DESCRIPTORS
+        assert count_descriptors(harness) <= DESCRIPTORS
     finally:
         for crowd in crowds:
             crowd.close()
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""The dispatcher by itself: what a fault in one session does to the others, and how attempts are reported."""
+"""The dispatcher alone: a fault affects only its own session, and each attempt gets an outcome."""
 
 import asyncio
 
@@ -27,8 +27,8 @@
 from zincstile.net.session import AnswerKind
 
 
-class Failing:
-    """A policy that can't bear request 1 nor the end of it, and fails every other request."""
+class FailingPolicy:
+    """A policy that raises for request 1 and its end, and fails all other requests."""
 
     def handle(self, now, event):
         if isinstance(event, RequestAbandoned | Request) and getattr(event, "id", 0) == 1:
@@ -37,24 +37,24 @@
 
 
 def test_a_fault_in_one_session_fails_that_session_alone(capsys):
-    async def play():
+    async def run():
         client = RecordingClient()
-        dispatcher = make_dispatcher(Failing())
+        dispatcher = make_dispatcher(FailingPolicy())
         for number in (1, 2):
             submit_request(dispatcher, client, number)
         while len(client.answers) < 2:
             await asyncio.sleep(0)
         return client.answers, dispatcher
 
-    answers, dispatcher = asyncio.run(asyncio.wait_for(play(), 20))
+    answers, dispatcher = asyncio.run(asyncio.wait_for(run(), 20))
     assert answers == [(1, AnswerKind.FAILED), (2, AnswerKind.FAILED)]
     assert dispatcher.counters.faults == 1 and not dispatcher.sessions
     assert "fault KeyError" in capsys.readouterr().err
 
 
-def test_a_deadline_that_fails_does_not_stop_the_next(capsys):
-    async def play():
-        dispatcher = make_dispatcher(Failing())
+def test_an_exception_in_a_deadline_does_not_stop_the_next(capsys):
+    async def run():
+        dispatcher = make_dispatcher(FailingPolicy())
         done = []
         dispatcher.deadlines.add(0, lambda _: 1 // 0)
         dispatcher.deadlines.add(1, done.append, "next")
@@ -63,13 +63,13 @@
             await asyncio.sleep(0)
         return dispatcher
 
-    dispatcher = asyncio.run(asyncio.wait_for(play(), 20))
+    dispatcher = asyncio.run(asyncio.wait_for(run(), 20))
     assert dispatcher.counters.faults == 1 and len(dispatcher.deadlines) == 0
     assert "ZeroDivisionError" in capsys.readouterr().err
 
 
-class Stumbling:
-    """A policy that can't bear its timer the first time."""
+class FailingTimerPolicy:
+    """A policy that raises when its timer fires first."""
 
     def __init__(self):
         self.fired = []
@@ -82,21 +82,21 @@
         return [SetTimer(now, 7)] if isinstance(event, Started) else []
 
 
-def test_a_timer_that_the_policy_fails_at_fires_again(capsys):
-    async def play():
-        policy = Stumbling()
+def test_a_timer_fires_again_after_the_policy_raised(capsys):
+    async def run():
+        policy = FailingTimerPolicy()
         dispatcher = make_dispatcher(policy, Limits(backoff_ns=1))
         dispatcher.post(Started())
         while len(policy.fired) < 2:
             await asyncio.sleep(0)
         return policy.fired
 
-    assert asyncio.run(asyncio.wait_for(play(), 20)) == [7, 7]
+    assert asyncio.run(asyncio.wait_for(run(), 20)) == [7, 7]
     assert "fault KeyError" in capsys.readouterr().err
 
 
-class Checking:
-    """A policy that checks server 5 at the start and keeps what came of it."""
+class HealthCheckPolicy:
+    """A policy that checks the health of backend 5 at the start and records the result."""
 
     def __init__(self):
         self.results = []
@@ -108,13 +108,13 @@
 
 
 def check_health(answer):
-    """What a health check of a backend server that answers so brings; None: nobody listens."""
+    """Returns the bytes and the results of a health check; `answer` None: connections are refused."""
 
-    async def play():
-        asked, policy = [], Checking()
+    async def run():
+        received, policy = [], HealthCheckPolicy()
 
         async def serve(reader, writer):
-            asked.append(await reader.readexactly(len(b"*2\r\n$4\r\nINFO\r\n$4\r\nload\r\n")))
+            received.append(await reader.readexactly(len(b"*2\r\n$4\r\nINFO\r\n$4\r\nload\r\n")))
             writer.write(answer)
             await reader.read()
             writer.close()
@@ -126,8 +126,8 @@
             await server.wait_closed()
         dispatcher = make_dispatcher(policy)
         pool = ConnectionPool(dispatcher)
-        figures = settings(load_report_fields=["inflight", "queue"])
-        Attempts(dispatcher, figures, pool, memoryview(bytearray(65536)))
+        report_settings = settings(load_report_fields=["inflight", "queue"])
+        Attempts(dispatcher, report_settings, pool, memoryview(bytearray(65536)))
         pool.update([ListedEndpoint(backend(5), address)], complete=True)
         dispatcher.post(Started())
         while not policy.results:
@@ -135,17 +135,19 @@
         while pool.close_oldest_idle():
             pass
         server.close()
-        return asked, policy.results
+        return received, policy.results
 
-    return asyncio.run(asyncio.wait_for(play(), 20))
+    return asyncio.run(asyncio.wait_for(run(), 20))
 
 
 @pytest.mark.parametrize("report", [b"inflight=7,queue=2", b"rif=7,q=2", b"q=2,rif=7,lat_ms=3"])
-def test_a_health_check_asks_for_the_load_and_its_report_comes_back(report):
-    """Also by the names that the settings use on the wire: those are what backend servers send."""
-    asked, results = check_health(b"$%d\r\n%b\r\n" % (len(report), report))
-    assert asked == [b"*2\r\n$4\r\nINFO\r\n$4\r\nload\r\n"]
-    assert [(p.endpoint, p.result, p.load_report) for p in results] == [(5, AttemptResult.OK, [7.0, 2.0])]
+def test_a_health_check_requests_and_reports_the_load(report):
+    """Backends send either the names of the settings or the names on the wire."""
+    received, results = check_health(b"$%d\r\n%b\r\n" % (len(report), report))
+    assert received == [b"*2\r\n$4\r\nINFO\r\n$4\r\nload\r\n"]
+    assert [(one.endpoint, one.result, one.load_report) for one in results] == [
+        (5, AttemptResult.OK, [7.0, 2.0])
+    ]
 
 
 @pytest.mark.parametrize(
@@ -159,18 +161,18 @@
         b"\xff",
     ],
 )
-def test_an_impossible_load_report_is_none(report):
+def test_an_invalid_load_report_is_ignored(report):
     _, results = check_health(b"$%d\r\n%b\r\n" % (len(report), report))
-    assert [(p.result, p.load_report) for p in results] == [(AttemptResult.OK, [])]
+    assert [(one.result, one.load_report) for one in results] == [(AttemptResult.OK, [])]
 
 
-def test_a_health_check_of_a_closed_port_fails_to_connect():
-    asked, results = check_health(None)
-    assert not asked and [p.result for p in results] == [AttemptResult.CONNECT_FAILED]
+def test_a_health_check_of_a_closed_port_reports_connect_failed():
+    received, results = check_health(None)
+    assert not received and [one.result for one in results] == [AttemptResult.CONNECT_FAILED]
 
 
-class Leaving:
-    """A policy that retries what was rejected, and keeps the outcomes."""
+class RetryingPolicy:
+    """A policy that retries rejected requests and records the outcomes."""
 
     def __init__(self):
         self.sent, self.outcomes = 0, []
@@ -186,12 +188,12 @@
         return []
 
 
-def test_an_attempt_of_a_client_that_left_in_the_same_batch_is_reported_as_not_sent():
-    """Else the policy would count it in flight for good: a client left in the very batch that begins the next
-    attempt."""
+def test_an_attempt_begun_in_the_batch_of_the_clients_disconnect_is_reported_as_not_sent():
+    """Guards against an attempt that the policy counts as in flight forever: the client disconnects in the
+    batch that begins the next attempt."""
 
-    async def play():
-        policy = Leaving()
+    async def run():
+        policy = RetryingPolicy()
         dispatcher = make_dispatcher(policy)
         pool = ConnectionPool(dispatcher)
         attempts = Attempts(dispatcher, settings(), pool, memoryview(bytearray(65536)))
@@ -206,42 +208,42 @@
         assert not attempts.in_flight and not dispatcher.ended_sessions
         return policy
 
-    policy = asyncio.run(asyncio.wait_for(play(), 20))
+    policy = asyncio.run(asyncio.wait_for(run(), 20))
     assert policy.sent == 1 and policy.outcomes == [(0, AttemptResult.REJECTED), (1, AttemptResult.NOT_SENT)]
 
 
-def test_a_process_that_was_held_up_logs_it(capsys):
-    """Its alarm rings late by more than it is made for; one that rings in time is not logged."""
+def test_a_late_loop_timer_is_counted_and_logged(capsys):
+    """Only a delay above the limit is counted."""
 
-    async def play(late_ns):
+    async def run(late_ns):
         now = [0]
-        dispatcher = make_dispatcher(Stumbling(), Limits(held_up_ns=10))
+        dispatcher = make_dispatcher(FailingTimerPolicy(), Limits(held_up_ns=10))
         dispatcher.now_ns = lambda: now[0]
         dispatcher._loop_timer_ns, now[0] = 100, 100 + late_ns
         dispatcher._on_loop_timer()
         return dispatcher.counters.held_up
 
-    assert asyncio.run(play(10)) == 0
-    assert asyncio.run(play(11)) == 1
+    assert asyncio.run(run(10)) == 0
+    assert asyncio.run(run(11)) == 1
     assert "late event loop delayed by 0 ms" in capsys.readouterr().err
 
 
-def test_periodic_work_goes_on_behind_a_round_that_fails(capsys):
-    """The next round is set before the act."""
+def test_periodic_work_continues_after_an_exception(capsys):
+    """The next call is scheduled before the action runs."""
 
-    async def play():
-        dispatcher = make_dispatcher(Stumbling())
+    async def run():
+        dispatcher = make_dispatcher(FailingTimerPolicy())
         rounds = []
 
-        def act():
+        def action():
             rounds.append(len(rounds))
             if len(rounds) == 2:
                 raise KeyError("round")
 
-        run_every(dispatcher, 1, act)
+        run_every(dispatcher, 1, action)
         while len(rounds) < 4:
             await asyncio.sleep(0)
         return dispatcher.counters.faults
 
-    assert asyncio.run(asyncio.wait_for(play(), 20)) == 1
+    assert asyncio.run(asyncio.wait_for(run(), 20)) == 1
     assert "fault KeyError" in capsys.readouterr().err
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -1,4 +1,4 @@
-"""How connections of clients end, against what still comes on them; docs/crossings.md tells the rows."""
+"""How client connections are closed while input still arrives; docs/crossings.md lists the cases."""
 
 from __future__ import annotations
 
@@ -38,11 +38,11 @@
 from zincstile.net.host import HOST
 from zincstile.net.limits import MS, SECOND, Limits, Machine
 
-SHUT_AT_ONCE = {"drain_quiet_ns": 1}
+NO_QUIET_PERIOD = {"drain_quiet_ns": 1}
 
 
-def test_a_client_that_left_while_it_was_not_read_is_noticed(tmp_path):
-    """One request lies unread behind two that wait: its client's end lies behind it."""
+def test_a_disconnect_is_noticed_while_reading_is_paused(tmp_path):
+    """The third request is unread while two are unanswered; the client's FIN follows it."""
     run_scenario(
         tmp_path,
         READY
@@ -64,8 +64,8 @@
 # ---- shutdown
 
 
-def test_an_answer_is_not_overtaken_by_a_reset_where_more_was_asked_behind_it(tmp_path):
-    """The third command lies unread while the gateway, on its way out, writes the answers and ends."""
+def test_unread_input_at_shutdown_causes_no_reset_that_drops_answers(tmp_path):
+    """The third command is unread when the gateway writes the last answers and closes the connection."""
     run_scenario(
         tmp_path,
         READY
@@ -87,12 +87,12 @@
         close c1
         expect gw counters*"requests": 2*
         expect gw exit 0""",
-        limits=SHUT_AT_ONCE | {"pipelined": 1},
+        limits=NO_QUIET_PERIOD | {"pipelined": 1},
     )
 
 
-def test_a_request_that_crosses_the_end_of_a_resting_connection_meets_no_reset(tmp_path):
-    """Its client reads the end, and sends it elsewhere; it is not read as a request here."""
+def test_a_request_sent_while_an_idle_connection_is_closed_is_not_reset(tmp_path):
+    """The client reads the FIN and sends the request elsewhere; the gateway does not count it."""
     run_scenario(
         tmp_path,
         READY
@@ -110,20 +110,20 @@
     )
 
 
-def test_what_a_stop_finds_half_written_is_read_to_its_end_and_answered(tmp_path):
-    whole = encode_command(call_command("look", 1)).decode()
-    with GatewayHarness(tmp_path, {"limits": SHUT_AT_ONCE}) as harness:
+def test_a_command_half_received_at_shutdown_is_completed_and_answered(tmp_path):
+    command = encode_command(call_command("look", 1)).decode()
+    with GatewayHarness(tmp_path, {"limits": NO_QUIET_PERIOD}) as harness:
         harness.run(READY)
         harness.sent_calls["1"] = call_command("look", 1)
-        harness.send("c1", "raw", PING[4:] + whole[:30])
+        harness.send("c1", "raw", PING[4:] + command[:30])
         harness.run("expect c1 +PONG\nsend gw TERM\nexpect gw not_listening")
-        harness.send("c1", "raw", whole[30:])
+        harness.send("c1", "raw", command[30:])
         harness.run("""
             serve c1 look 1 a1 hello
             finish c1""")
 
 
-def test_who_connected_last_before_the_listener_closes_may_still_ask(tmp_path):
+def test_a_connection_accepted_just_before_the_listener_closes_may_send_a_request(tmp_path):
     run_scenario(
         tmp_path,
         READY
@@ -135,11 +135,11 @@
         send c1 look 1
         serve c1 look 1 a1 hello
         finish c1""",
-        limits=SHUT_AT_ONCE | {"newcomer_ns": FOREVER_NS},
+        limits=NO_QUIET_PERIOD | {"newcomer_ns": FOREVER_NS},
     )
 
 
-def test_a_second_term_and_a_reload_meanwhile_change_nothing(tmp_path):
+def test_a_second_sigterm_and_a_reload_during_shutdown_have_no_effect(tmp_path):
     run_scenario(
         tmp_path,
         READY
@@ -155,12 +155,12 @@
         send a1 ok hello
         expect c1 ok hello
         finish c1""",
-        limits=SHUT_AT_ONCE,
+        limits=NO_QUIET_PERIOD,
     )
 
 
-def test_a_crowd_in_the_queue_is_accepted_before_the_listener_closes(tmp_path):
-    """More than one batch accepts: all of them connected, and asked, before the signal was handled."""
+def test_all_queued_connections_are_accepted_before_the_listener_closes(tmp_path):
+    """More connections than one batch accepts; all sent a request before the signal was handled."""
     numbers = range(1, 401)
     run_scenario(
         tmp_path,
@@ -170,24 +170,24 @@
         + "send gw TERM\nthaw gw\n"
         + "".join(f"expect c{k} -ERR*\nexpect c{k} eof\nclose c{k}\n" for k in numbers)
         + "expect gw exit 0",
-        limits=SHUT_AT_ONCE,
+        limits=NO_QUIET_PERIOD,
     )
 
 
-def test_a_request_that_is_whole_only_after_the_last_answers_is_refused_at_once(tmp_path):
-    """Between the answers that a stop owes and the end there is time for no other: it is not sent on."""
-    whole = encode_command(call_command("look", 1)).decode()
-    limits = SHUT_AT_ONCE | {"drain_most_ns": FOREVER_NS, "drain_margin_ns": FOREVER_NS - 1}
+def test_a_request_completed_after_the_last_answers_of_a_shutdown_is_rejected(tmp_path):
+    """After the last answers, too little time is left before the process ends to forward a request."""
+    command = encode_command(call_command("look", 1)).decode()
+    limits = NO_QUIET_PERIOD | {"drain_most_ns": FOREVER_NS, "drain_margin_ns": FOREVER_NS - 1}
     with GatewayHarness(tmp_path, {"limits": limits}) as harness:
         harness.run(READY)
-        harness.send("c1", "raw", PING[4:] + whole[:30])
+        harness.send("c1", "raw", PING[4:] + command[:30])
         harness.run("""
             expect c1 +PONG
             send c2 look 2
             expect a1 look 2
             send gw TERM
             expect c2 -ERR failed""")
-        harness.send("c1", "raw", whole[30:])
+        harness.send("c1", "raw", command[30:])
         harness.run("""
             expect c1 -BUSY*
             expect c1 eof
@@ -197,31 +197,31 @@
             expect gw exit 0""")
 
 
-@pytest.mark.parametrize("taken", ["while it comes", "after it has come"])
-def test_a_value_half_passed_on_at_a_stop_comes_whole(tmp_path, taken):
-    """400 KB, of which the client reads nothing before the listener closes, or reads as it comes."""
+@pytest.mark.parametrize("client_reads", ["during the stream", "after the stream"])
+def test_a_value_half_streamed_at_shutdown_is_completed(tmp_path, client_reads):
+    """400 KB, which the client reads after the whole value has arrived, or during the stream."""
     size = 400_000
-    with GatewayHarness(tmp_path, {"limits": SHUT_AT_ONCE | {"drain_most_ns": FOREVER_NS}}) as harness:
+    with GatewayHarness(tmp_path, {"limits": NO_QUIET_PERIOD | {"drain_most_ns": FOREVER_NS}}) as harness:
         harness.run(READY + "send c1 look 1\nexpect a1 look 1")
         data = harness._payload("ok", [str(size)])
         harness.connection("a1").sock.sendall(data[:200_000])
         harness.run("wait gw streamed=1\nsend gw TERM\nexpect gw not_listening")
-        if taken == "while it comes":
+        if client_reads == "during the stream":
             assert len(harness.connection("c1").file.read(100_000)) == 100_000
         harness.connection("a1").sock.sendall(data[200_000:])
-        left = len(b"$%d\r\n" % size) + size + 2 - 100_000 * (taken == "while it comes")
-        assert len(harness.connection("c1").file.read(left)) == left
+        remaining_bytes = len(b"$%d\r\n" % size) + size + 2 - 100_000 * (client_reads == "during the stream")
+        assert len(harness.connection("c1").file.read(remaining_bytes)) == remaining_bytes
         harness.run("finish c1")
 
 
 @contextlib.contextmanager
-def stopped_under_an_answer(tmp_path, **limits):
-    """A program that is told to end, and writes an answer that no system holds whole to a client that reads
-    nothing; with the answer's length."""
+def shutdown_with_unread_answer(tmp_path, **limits):
+    """A gateway that shuts down while its client does not read an answer larger than the system's buffers;
+    yields the harness and the length of the answer."""
     size = 24_000_000
     large = {"stream_bytes": 2 * size, "answer_bytes": 2 * size, "written_bytes": 2 * size}
     with GatewayHarness(
-        tmp_path, {"limits": SHUT_AT_ONCE | large | {"drain_most_ns": FOREVER_NS} | limits}
+        tmp_path, {"limits": NO_QUIET_PERIOD | large | {"drain_most_ns": FOREVER_NS} | limits}
     ) as harness:
         harness.run(READY + "send c1 look 1\nexpect a1 look 1\nsend gw TERM\nexpect gw not_listening")
         harness.send("a1", "ok", str(size))
@@ -229,8 +229,8 @@
         yield harness, len(b"$%d\r\n" % size) + size + 2
 
 
-def test_what_is_asked_while_the_last_answer_is_still_being_written_is_answered(tmp_path):
-    with stopped_under_an_answer(tmp_path, silent_ns=FOREVER_NS, answer_ns=FOREVER_NS) as (harness, size):
+def test_a_request_received_while_the_last_answer_is_written_is_answered(tmp_path):
+    with shutdown_with_unread_answer(tmp_path, silent_ns=FOREVER_NS, answer_ns=FOREVER_NS) as (harness, size):
         harness.run("send c1 look 2")
         assert len(harness.connection("c1").file.read(size)) == size
         harness.run("""
@@ -238,12 +238,12 @@
             finish c1""")
 
 
-def test_who_takes_nothing_of_its_last_answer_does_not_keep_a_stop_waiting(tmp_path):
-    with stopped_under_an_answer(tmp_path, silent_ns=200 * MS) as (harness, _):
+def test_a_client_that_does_not_read_its_last_answer_does_not_delay_shutdown(tmp_path):
+    with shutdown_with_unread_answer(tmp_path, silent_ns=200 * MS) as (harness, _):
         harness.run("expect gw exit 0")
 
 
-def test_an_attempt_that_waits_for_its_connection_at_a_stop_is_still_made(tmp_path):
+def test_an_attempt_that_waits_for_a_connection_at_shutdown_is_still_sent(tmp_path):
     run_scenario(
         tmp_path,
         READY
@@ -256,13 +256,13 @@
         clear_backlog a
         serve c1 look 1 a1 hello
         finish c1""",
-        limits=SHUT_AT_ONCE,
+        limits=NO_QUIET_PERIOD,
         settings={"limits": NO_CONNECT_TIMEOUT},
     )
 
 
-def test_a_repeat_that_becomes_due_at_a_stop_is_still_made(tmp_path):
-    """The first attempt breaks in the batch in which the stop is heard."""
+def test_a_retry_due_at_shutdown_is_still_sent(tmp_path):
+    """The first attempt is reset in the batch that handles SIGTERM."""
     run_scenario(
         tmp_path,
         READY
@@ -277,17 +277,17 @@
         thaw gw
         serve c1 look 1 b1 hello
         finish c1""",
-        limits=SHUT_AT_ONCE,
+        limits=NO_QUIET_PERIOD,
     )
 
 
-@pytest.mark.parametrize("number", ["HUP", "USR1"])
-def test_a_signal_that_comes_before_the_program_listens_does_not_end_it(tmp_path, number):
-    """The configuration is a pipe that nobody has written yet: the start waits there, as in its imports."""
-    path, later = tmp_path / "pipe", tmp_path / "later"
+@pytest.mark.parametrize("signal_name", ["HUP", "USR1"])
+def test_a_signal_received_before_the_program_listens_does_not_end_it(tmp_path, signal_name):
+    """The configuration is a pipe without data yet, so that the start blocks there, as it may in imports."""
+    path, new_config = tmp_path / "pipe", tmp_path / "later"
     os.mkfifo(path)
     harness = GatewayHarness(tmp_path)
-    later.write_text(json.dumps(harness.config))
+    new_config.write_text(json.dumps(harness.config))
     env = {k: v for k, v in os.environ.items() if not k.startswith("RELAY_")}
     program = subprocess.Popen(
         [sys.executable, "-m", "zincstile"],
@@ -296,23 +296,25 @@
         text=True,
         env=env | {"RELAY_CONFIG": str(path)},
     )
-    guard = threading.Timer(TIMEOUT_S, program.kill)
-    guard.start()
+    kill_timer = threading.Timer(TIMEOUT_S, program.kill)
+    kill_timer.start()
     try:
-        with open(path, "w") as pipe:  # comes back once the program has opened it
-            program.send_signal(getattr(signal, f"SIG{number}"))
-            os.replace(later, path)  # what a reload finds is newer than what the start reads
+        with open(path, "w") as pipe:  # returns once the program has opened it
+            program.send_signal(getattr(signal, f"SIG{signal_name}"))
+            os.replace(new_config, path)  # a reload reads a newer file than the start
             pipe.write(json.dumps(harness.config | {"discovery": address_of(harness.listeners["e"])}))
-        said = []
-        while not any("start listening" in line for line in said):
-            said.append(program.stderr.readline())
-            assert said[-1], said
-        where_to = harness.config["discovery"]
-        assert any(f"reload discovery at {where_to}" in line for line in said) == (number == "HUP"), said
+        log_lines = []
+        while not any("start listening" in line for line in log_lines):
+            log_lines.append(program.stderr.readline())
+            assert log_lines[-1], log_lines
+        address = harness.config["discovery"]
+        assert any(f"reload discovery at {address}" in line for line in log_lines) == (
+            signal_name == "HUP"
+        ), log_lines
         program.terminate()
         assert program.wait(TIMEOUT_S) == 0
     finally:
-        guard.cancel()
+        kill_timer.cancel()
         program.kill()
         program.wait()
         program.stderr.close()
@@ -320,8 +322,8 @@
 
 
 @pytest.mark.parametrize("number", [signal.SIGHUP, signal.SIGUSR1])
-def test_no_signal_ends_the_program_before_its_first_line(number):
-    """The line `run` itself has the two passed over until the program hears them."""
+def test_no_signal_ends_the_program_before_its_first_statement(number):
+    """The command line `run` ignores both signals until the program handles them."""
     with open(os.path.join(ROOT, "deploy", "balancer.toml"), "rb") as text:
         run = tomllib.load(text)["run"]
     program = f"{sys.executable} -c 'import signal; print(signal.getsignal({int(number)}) is signal.SIG_IGN)'"
@@ -330,26 +332,26 @@
     assert subprocess.run(["/bin/sh", "-c", line], capture_output=True, text=True).stdout == "True\n"
 
 
-def test_standby_spares_who_has_just_come(tmp_path):
-    """As a stop does: what it came for is on its way. It is answered, and then its connection is ended."""
-    port = socket.create_server(("127.0.0.1", 0))
-    operators = address_of(port)
-    port.close()
+def test_standby_keeps_new_connections_for_a_first_request(tmp_path):
+    """Its first request may be in transit, as at shutdown. It is answered; then the connection is closed."""
+    reserved_socket = socket.create_server(("127.0.0.1", 0))
+    admin_address = address_of(reserved_socket)
+    reserved_socket.close()
     limits = {"newcomer_ns": FOREVER_NS, "standby_rest_ns": FOREVER_NS}
-    with GatewayHarness(tmp_path, {"control": operators, "limits": limits}) as harness:
+    with GatewayHarness(tmp_path, {"control": admin_address, "limits": limits}) as harness:
         harness.run(READY + "open c1\nwait gw clients=1")
-        host, _, number = operators.rpartition(":")
-        with socket.create_connection((host, int(number)), TIMEOUT_S) as operator:
-            operator.sendall(b"POST /standby HTTP/1.1\r\nContent-Length: 0\r\n\r\n")
-            assert operator.recv(4096).startswith(b"HTTP/1.1 200")
+        host, _, port_number = admin_address.rpartition(":")
+        with socket.create_connection((host, int(port_number)), TIMEOUT_S) as admin_socket:
+            admin_socket.sendall(b"POST /standby HTTP/1.1\r\nContent-Length: 0\r\n\r\n")
+            assert admin_socket.recv(4096).startswith(b"HTTP/1.1 200")
         harness.run("""
             send c1 look 1
             serve c1 look 1 a1 hello
             expect c1 eof""")
 
 
-def test_connections_that_were_ended_make_room_before_others(tmp_path):
-    """Their clients don't end them: what is left of their time is nobody's loss, where a client waits."""
+def test_half_closed_connections_are_evicted_first(tmp_path):
+    """The client does not close its side; the connection is evicted early when another client waits."""
     run_scenario(
         tmp_path,
         READY
@@ -375,51 +377,51 @@
     )
 
 
-@pytest.mark.parametrize("longest_ms", [50, 150, 300, 500, 900, 1500, 3000, 6000, 60000])
-def test_after_a_stop_clients_may_come_for_as_long_as_the_front_sends_them(longest_ms):
-    """Up to 0.4 s, however short the deadlines; and what comes last has its time before the end, or 0.6 s."""
-    limits = Limits.for_gateway(Machine(512, 88, 100, 250 * MS, 30 * SECOND, longest_ms * MS), {})
-    longest = min(longest_ms, 3000) * MS
+@pytest.mark.parametrize("longest_request_ms", [50, 150, 300, 500, 900, 1500, 3000, 6000, 60000])
+def test_shutdown_accepts_clients_while_the_front_balancer_sends_them(longest_request_ms):
+    """For 0.4 s even with short deadlines; the last request has its deadline or 0.6 s before the end."""
+    limits = Limits.for_gateway(Machine(512, 88, 100, 250 * MS, 30 * SECOND, longest_request_ms * MS), {})
+    longest_request_ns = min(longest_request_ms, 3000) * MS
     assert 400 * MS < limits.drain_ns < limits.drain_most_ns - limits.drain_margin_ns + 1
-    assert limits.drain_most_ns <= longest + 700 * MS - 100 * MS
-    assert limits.drain_most_ns - limits.drain_ns >= min(600 * MS, longest)
+    assert limits.drain_most_ns <= longest_request_ns + 700 * MS - 100 * MS
+    assert limits.drain_most_ns - limits.drain_ns >= min(600 * MS, longest_request_ns)
 
 
-def test_accepted_connections_hold_no_small_answer_back():
-    """On a socket of our own, and on one that the platform hands down, however that was made."""
+def test_accepted_connections_have_tcp_nodelay():
+    """On a listening socket of the gateway, and on an inherited one without that option."""
 
-    async def play(listening):
-        made = []
+    async def run(listening):
+        nodelay_values = []
         dispatcher = SimpleNamespace(loop=asyncio.get_running_loop())
 
-        class Welcomed(asyncio.Protocol):
+        class RecordingProtocol(asyncio.Protocol):
             def connection_made(self, transport):
-                made.append(
+                nodelay_values.append(
                     transport.get_extra_info("socket").getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
                 )
 
-        acceptor = Acceptor(dispatcher, Welcomed)
+        acceptor = Acceptor(dispatcher, RecordingProtocol)
         with socket.create_connection(listening.getsockname(), TIMEOUT_S):
             while acceptor.accept(listening) is not AcceptResult.ACCEPTED:
                 await asyncio.sleep(0)
-            while not made:
+            while not nodelay_values:
                 await asyncio.sleep(0)
-        return made
+        return nodelay_values
 
-    own = HOST.listen(("127.0.0.1", 0), 8)
-    platform = socket.create_server(("127.0.0.1", 0))
-    inherited = HOST.inherit(platform.detach())
-    for listening in (own, inherited):
-        assert asyncio.run(asyncio.wait_for(play(listening), TIMEOUT_S)) != [0]
+    listening_socket = HOST.listen(("127.0.0.1", 0), 8)
+    platform_socket = socket.create_server(("127.0.0.1", 0))
+    inherited_socket = HOST.inherit(platform_socket.detach())
+    for listening in (listening_socket, inherited_socket):
+        assert asyncio.run(asyncio.wait_for(run(listening), TIMEOUT_S)) != [0]
         listening.close()
 
 
-def test_a_client_that_resets_between_the_look_and_the_end_stops_no_other_ending(tmp_path):
-    """shutdown(2) then fails with ENOTCONN: that one is gone, and the others are ended all the same."""
+def test_a_reset_before_the_fin_does_not_stop_other_connections_from_closing(tmp_path):
+    """shutdown(2) fails with ENOTCONN: that connection is aborted, and the others get their FIN."""
 
-    class Wire:
-        def __init__(self, gone):
-            self.gone, self.ended, self.aborted = gone, False, False
+    class FakeTransport:
+        def __init__(self, is_reset):
+            self.is_reset, self.eof_sent, self.aborted = is_reset, False, False
 
         def is_closing(self):
             return self.aborted
@@ -431,24 +433,24 @@
             pass
 
         def write_eof(self):
-            if self.gone:
+            if self.is_reset:
                 raise OSError(errno.ENOTCONN, os.strerror(errno.ENOTCONN))
-            self.ended = True
+            self.eof_sent = True
 
         def abort(self):
             self.aborted = True
 
-    async def play():
+    async def run():
         dispatcher = make_dispatcher(None)
         dispatcher.readable = dispatcher.closed_by_peer = lambda transport: False
         listener = ClientListener(dispatcher, module_settings(), memoryview(bytearray(64)), HOST)
-        wires = [Wire(gone=k == 0) for k in range(3)]
-        for wire in wires:
+        transports = [FakeTransport(is_reset=k == 0) for k in range(3)]
+        for transport in transports:
             client = ClientConnection(listener)
-            client.connection_made(wire)
+            client.connection_made(transport)
             client.command_count = 1
         listener.shut_down()
-        return wires
+        return transports
 
-    wires = asyncio.run(play())
-    assert wires[0].aborted and [w.ended for w in wires[1:]] == [True, True]
+    transports = asyncio.run(run())
+    assert transports[0].aborted and [one.eof_sent for one in transports[1:]] == [True, True]
--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -1,5 +1,4 @@
-"""Large values through the real program: passed on as they come, in small pieces from a slow backend server,
-with the time of the first bytes and the memory held measured; cut where the backend server cuts."""
+"""Large values are streamed through the real program: delay of the first byte, memory use, and truncation."""
 
 from __future__ import annotations
 
@@ -15,88 +14,89 @@
 MIB = 1 << 20
 
 
-def head(size: int) -> bytes:
+def encode_head(size: int) -> bytes:
     return b"*3\r\n$%d\r\n" % size
 
 
-def read_bulk(line, size: int, first: list[float]) -> bytes:
-    """The client's side: the time its first byte came, then the whole value."""
-    start = line.file.read(1)
-    first.append(time.monotonic())
-    rest = line.file.readline()
-    assert start + rest == b"$%d\r\n" % size
-    value = line.file.read(size + 2)
+def read_bulk(connection, size: int, first_byte_times: list[float]) -> bytes:
+    """Reads a bulk string as the client; appends the time of its first byte."""
+    start = connection.file.read(1)
+    first_byte_times.append(time.monotonic())
+    remainder = connection.file.readline()
+    assert start + remainder == b"$%d\r\n" % size
+    value = connection.file.read(size + 2)
     return value[:-2]
 
 
-def slowly(sock, data: bytes, piece: int, pause_s: float) -> float:
-    """A slow backend server: the value in small pieces. The time of its first byte."""
-    began = time.monotonic()
-    for at in range(0, len(data), piece):
-        sock.sendall(data[at : at + piece])
+def send_slowly(sock, data: bytes, chunk_bytes: int, pause_s: float) -> float:
+    """Sends data in small chunks, as a slow backend; returns the time of the first byte."""
+    start_s = time.monotonic()
+    for at in range(0, len(data), chunk_bytes):
+        sock.sendall(data[at : at + chunk_bytes])
         time.sleep(pause_s)
-    return began
+    return start_s
 
 
-def test_a_4_mib_value_in_small_pieces_goes_on_at_once_and_is_not_held_whole(tmp_path):
+def test_a_4_mib_value_in_small_chunks_is_streamed_at_once_and_not_buffered_whole(tmp_path):
     with GatewayHarness(tmp_path, {"limits": {"memory_mb": 96}}) as harness:
         harness.run(READY + "send c1 look 1\nexpect a1 look 1")
         before = harness.counters()["memory_kb"]
         size = 4 * MIB
         value = bytes(range(256)) * (size // 256)
-        got, first = [], []
-        reader = threading.Thread(target=lambda: got.append(read_bulk(harness.connection("c1"), size, first)))
+        result, first_byte_times = [], []
+        reader = threading.Thread(
+            target=lambda: result.append(read_bulk(harness.connection("c1"), size, first_byte_times))
+        )
         reader.start()
         backend = harness.connection("a1").sock
-        began = slowly(backend, head(size) + value[:4096], 4096, 0.0)
+        start_s = send_slowly(backend, encode_head(size) + value[:4096], 4096, 0.0)
         time.sleep(0.2)
-        slowly(backend, value[4096:] + b"\r\n$-1\r\n$-1\r\n", 16384, 0.0005)
+        send_slowly(backend, value[4096:] + b"\r\n$-1\r\n$-1\r\n", 16384, 0.0005)
         reader.join(30)
-        assert got == [value]
-        lag = first[0] - began
-        assert lag < 0.15, f"first bytes {lag:.3f} s after the backend server's"
+        assert result == [value]
+        delay_s = first_byte_times[0] - start_s
+        assert delay_s < 0.15, f"first bytes {delay_s:.3f} s after the backend's"
         counters = harness.counters()
         assert counters["streamed"] == 1 and counters["streams_truncated"] == 0
-        held_kb = counters["memory_kb"] - before
-        print(f"first bytes after {1000 * lag:.1f} ms; most memory grew by {held_kb} KB for a 4096 KB value")
-        assert held_kb < 3 * 1024  # not held whole: at most what the client has not read, and the pieces
-        # kept, in order
+        growth_kb = counters["memory_kb"] - before
+        print(f"first bytes after {1000 * delay_s:.1f} ms; peak memory grew by {growth_kb} KB for 4096 KB")
+        assert growth_kb < 3 * 1024  # not buffered whole: only unread chunks are kept
         harness.run("send c1 look 2\nexpect a1 look 2\nsend a1 ok after\nexpect c1 ok after")
 
 
 @contextlib.contextmanager
-def half_sent(tmp_path):
-    """A world in which a 1 MiB value is begun: its head has reached the client, 100,000 bytes of it sent."""
+def partly_streamed_value(tmp_path):
+    """A gateway in the middle of a 1 MiB value: the client has its length, 100,000 bytes are sent."""
     with GatewayHarness(tmp_path) as harness:
         harness.run(READY + "send c1 look 1\nexpect a1 look 1")
-        harness.connection("a1").sock.sendall(head(MIB) + b"v" * 100_000)
+        harness.connection("a1").sock.sendall(encode_head(MIB) + b"v" * 100_000)
         assert harness.connection("c1").file.readline() == b"$%d\r\n" % MIB
         yield harness
 
 
-def test_a_value_cut_by_its_backend_server_ends_the_clients_connection(tmp_path):
-    with half_sent(tmp_path) as harness:
+def test_a_value_truncated_by_its_backend_closes_the_client_connection(tmp_path):
+    with partly_streamed_value(tmp_path) as harness:
         harness.close("a1")
         data = b""
         with contextlib.suppress(ConnectionError):
             data = harness.connection("c1").file.read()
-        assert len(data) < MIB  # the client can tell that it is not whole
+        assert len(data) < MIB  # the client can detect the truncation
         harness.wait("gw", "streams_truncated=1")
 
 
-def test_a_client_that_leaves_in_the_middle_frees_the_backend_connection(tmp_path):
-    with half_sent(tmp_path) as harness:
+def test_a_client_that_disconnects_during_a_stream_closes_the_backend_connection(tmp_path):
+    with partly_streamed_value(tmp_path) as harness:
         harness.close("c1")
         harness.run("expect a1 end")
 
 
-def test_the_head_of_a_large_value_is_found_in_any_piece():
+def test_the_head_of_a_large_value_is_detected_in_a_prefix_of_any_length():
     whole = b"*3\r\n$70000\r\n" + b"v" * 10
     for cut in range(len(whole)):
-        got = parse_stream_head(whole[:cut], 65536)
-        assert got in ((0, 0), (70000, 4)), (cut, got)
+        result = parse_stream_head(whole[:cut], 65536)
+        assert result in ((0, 0), (70000, 4)), (cut, result)
     assert parse_stream_head(whole, 65536) == (70000, 4)
-    assert parse_stream_head(b"*3\r\n$65536\r\n", 65536) is None  # not larger: read whole as before
+    assert parse_stream_head(b"*3\r\n$65536\r\n", 65536) is None  # not larger: read whole, not streamed
     for other in (
         b"-BUSY\r\n",
         b"*2\r\n$9\r\n",
@@ -108,25 +108,25 @@
         assert parse_stream_head(other, 65536) is None, other
 
 
-def test_a_stream_tells_each_side_and_is_cut_once():
-    told = []
+def test_a_stream_notifies_source_and_sink_and_is_truncated_once():
+    calls = []
 
-    class Side:
+    class RecordingSide:
         def on_taken(self):
-            told.append("more")
+            calls.append("taken")
 
         def abandon(self):
-            told.append("abandon")
+            calls.append("abandon")
 
         def on_stream_progress(self):
-            told.append("poke")
-
-    s = ValueStream(Side())
-    s.sink = Side()
-    s.push(b"ab")
-    s.push(b"cd")
-    assert s.pending_bytes == 4 and s.take() == [b"ab", b"cd"] and s.pending_bytes == 0
-    s.abandon()
-    s.abandon()
-    s.end(truncated=False)  # too late: it was cut
-    assert told == ["poke", "poke", "more", "abandon"] and s.truncated and not s.complete
+            calls.append("progress")
+
+    stream = ValueStream(RecordingSide())
+    stream.sink = RecordingSide()
+    stream.push(b"ab")
+    stream.push(b"cd")
+    assert stream.pending_bytes == 4 and stream.take() == [b"ab", b"cd"] and stream.pending_bytes == 0
+    stream.abandon()
+    stream.abandon()
+    stream.end(truncated=False)  # no effect: it is truncated already
+    assert calls == ["progress", "progress", "taken", "abandon"] and stream.truncated and not stream.complete
--- a/zincstile/net/transient.py
+++ b/zincstile/net/transient.py
@@ -14,7 +14,7 @@
 EXHAUSTION_ERRNOS: Final = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 TRANSIENT_FILE_ERRNOS: Final = (*EXHAUSTION_ERRNOS, errno.EIO)  # when reading a file that exists
 RETRY_INTERVAL_S: Final = 0.02  # short compared with the 10 s within which a process has to be ready
-MAX_ATTEMPTS: Final = 400  # 8 s in total: a process has to be ready within 10 s
+MAX_ATTEMPTS: Final = 400  # 8 s in total, as a process has to be ready within 10 s or end with the error
 
 
 def is_exhaustion(err: BaseException | None) -> bool:
