--- a/tests/test_emulators.py
+++ b/tests/test_emulators.py
@@ -31,7 +31,7 @@
             "protocol_violated",
             "gateway_notified",
             "request_answered",
-            "request_voided",
+            "request_ended_unanswered",
             "request_dropped",
             "request_unread",
         ):
@@ -218,7 +218,7 @@
             return answers
 
         assert await ask(b"a?add=1&ttl_ms=50") == [(503, b"")]  # the run has not begun
-        service.open = True
+        service.accepts_calls = True
         assert await ask(b"a?add=1&ttl_ms=50", b"a?add=-2.5&ttl_ms=9", b"b?add=3&ttl_ms=9000") == [
             (200, b"1"),
             (200, b"-1.5"),
@@ -270,7 +270,7 @@
             loop, random.Random(1), observer, {"g0": server.sockets[0].getsockname()[:2]}
         )
         balancer.watch_gateways()
-        while not balancer.admitted["g0"]:
+        while not balancer.healthy["g0"]:
             await asyncio.sleep(0.01)
         balancer.send(
             PlannedRequest(
@@ -285,7 +285,7 @@
                 True,
                 retries=1,
                 retry_delay_s=0.0,
-                heeds_retry_after=True,
+                respects_retry_after=True,
             )
         )
         while balancer.in_flight or balancer.retries_waiting:
@@ -324,7 +324,7 @@
             loop, random.Random(1), observer, {"g0": server.sockets[0].getsockname()[:2]}
         )
         balancer.watch_gateways()
-        while not balancer.admitted["g0"]:
+        while not balancer.healthy["g0"]:
             await asyncio.sleep(0.01)
         planned = PlannedRequest(0.0, "look", "p", 7, 1.0, 1, 0, 900, True)
         for count in (2, 1):
--- a/tests/test_quota_service_client.py
+++ b/tests/test_quota_service_client.py
@@ -51,7 +51,7 @@
 
     def start_service(self, process, **behaviour):
         service = QuotaService(process.loop, **({"call_latency_s": 0.001} | behaviour))
-        service.open = True
+        service.accepts_calls = True
         process.loop.create_task(service.start(process.host, 80))
         return service
 
@@ -91,7 +91,7 @@
 
 
 def test_a_call_that_the_service_rejects_ends_at_once(environment):
-    environment.service.open = False
+    environment.service.accepts_calls = False
     environment.call()
     environment.run(20)
     assert environment.answers == [None] and environment.service.total("a") == 0
@@ -101,11 +101,11 @@
     environment.call()
     environment.run(60)
     first = list(environment.client.connections)
-    environment.service.is_corrupt = lambda: True
+    environment.service.corrupts_next_answer = lambda: True
     environment.call()
     environment.run(60)
     assert environment.answers == [1.0, None] and first[0] not in environment.client.connections
-    environment.service.is_corrupt = lambda: False
+    environment.service.corrupts_next_answer = lambda: False
     environment.call()
     environment.run(60)
     # the amount of the call with the malformed answer was added
--- a/tests/test_testbed.py
+++ b/tests/test_testbed.py
@@ -151,16 +151,16 @@
     remove_second = faults.inject(
         paths_between(["a"], ["b"]), PathFault(loss_ratio=0.5, delay_s=0.2, datagrams_per_s=2.0)
     )
-    both = faults.path("a", "b")
+    both = faults.fault_on("a", "b")
     assert both.loss_ratio == 0.75 and both.delay_s == pytest.approx(0.3)
-    assert faults.path("b", "a").loss_ratio == 0.5
+    assert faults.fault_on("b", "a").loss_ratio == 0.5
     remove_first()
     remove_first()
-    assert faults.path("a", "b").loss_ratio == 0.5 and faults.path("a", "c") is NO_FAULT
-    passed = sum(bool(faults.outcome("a", "b", 1.0)) for _ in range(200))
+    assert faults.fault_on("a", "b").loss_ratio == 0.5 and faults.fault_on("a", "c") is NO_FAULT
+    passed = sum(bool(faults.copy_delays_s("a", "b", 1.0)) for _ in range(200))
     assert passed <= 2  # a rate of two a second
     remove_second()
-    assert faults.outcome("a", "b", 1.0) == [0.0] and len(changed) == 4
+    assert faults.copy_delays_s("a", "b", 1.0) == [0.0] and len(changed) == 4
     with pytest.raises(ValueError, match="duplicate_ratio must be from 0 to 1"):
         PathFault(loss_ratio=1.5)
 
--- a/tests/test_virtual.py
+++ b/tests/test_virtual.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from zincstile.virtual.base_process import OWN_DESCRIPTORS
-from zincstile.virtual.clock import MS_NS, SECOND_NS, Scheduler, StuckError
+from zincstile.virtual.base_process import INITIAL_DESCRIPTORS
+from zincstile.virtual.clock import MS_NS, SECOND_NS, LivelockError, Scheduler
 from zincstile.virtual.network import Network, NetworkSettings
 from zincstile.virtual.process import Process
 
@@ -108,7 +108,7 @@
         net.a.loop.call_soon(again)
 
     again()
-    with pytest.raises(StuckError):
+    with pytest.raises(LivelockError):
         net.run()
 
 
@@ -165,18 +165,18 @@
     client, server = connected(net)
     client.transport.write(b"before")
     net.run(10)
-    assert server.transport.had_read_before_end(6) and not server.transport.had_read_before_end(7)
+    assert server.transport.had_read_before_fin(6) and not server.transport.had_read_before_fin(7)
     client.transport.pause_reading()
     server.transport.write(b"x" * 150)
     server.transport.write_eof()  # decided on, but sent only behind the rest of what was written
     client.transport.write(b"meanwhile")
     net.run(10)
-    assert server.got == b"beforemeanwhile" and server.transport.had_read_before_end(15)
+    assert server.got == b"beforemeanwhile" and server.transport.had_read_before_fin(15)
     client.transport.resume_reading()  # the rest and the end are on their way
     client.transport.write(b"after")
     net.run(10)
     assert client.got == b"x" * 150 and client.log[-1] == "lost clean"
-    assert server.got == b"beforemeanwhileafter" and not server.transport.had_read_before_end(16)
+    assert server.got == b"beforemeanwhileafter" and not server.transport.had_read_before_fin(16)
 
 
 def test_closing_with_bytes_unread_resets_the_other_side():
@@ -217,16 +217,16 @@
     assert connect(net) == "up"
     net.network.extra_delay_ns[net.b.host] = 400 * MS_NS
     assert connect(net) == "TimeoutError"
-    assert net.a.open_descriptors == OWN_DESCRIPTORS + 1  # what was given up holds nothing
+    assert net.a.open_descriptors == INITIAL_DESCRIPTORS + 1  # what was given up holds nothing
 
 
 def test_no_descriptor_left_is_an_error_and_nothing_leaks():
     net = Net()
     net.b.loop.create_task(net.b.loop.create_server(Side, net.b.host, 80))
-    net.a.max_descriptors = OWN_DESCRIPTORS + 1
+    net.a.max_descriptors = INITIAL_DESCRIPTORS + 1
     net.run()
     assert connect(net) == "up" and connect(net) == "OSError"
-    assert net.a.peak_descriptors == OWN_DESCRIPTORS + 1
+    assert net.a.peak_descriptors == INITIAL_DESCRIPTORS + 1
 
 
 def test_a_cut_holds_bytes_back_until_it_is_reconnected():
--- a/zincstile/checkers/checker.py
+++ b/zincstile/checkers/checker.py
@@ -150,7 +150,7 @@
         """Report that a living gateway closed the connection after it had read the request."""
         history = self.histories[request_id]
         if history.gateway in self.ended_gateways:
-            self.request_voided(request_id)
+            self.request_ended_unanswered(request_id)
             return
         self._record(history, "its connection ended")
         if history.state is RequestState.OPEN:
@@ -168,9 +168,9 @@
             self.request_dropped(request_id)
             return
         history.unread_at_close = history.gateway not in self.ended_gateways
-        self.request_voided(request_id)
+        self.request_ended_unanswered(request_id)
 
-    def request_voided(self, request_id: bytes) -> None:
+    def request_ended_unanswered(self, request_id: bytes) -> None:
         """No answer is owed any more."""
         history = self.histories[request_id]
         if history.state is RequestState.OPEN:
@@ -182,7 +182,7 @@
         history = self.histories[request_id]
         if history.state is RequestState.OPEN:
             _, history.disconnected_ns = self._clock()
-        self.request_voided(request_id)
+        self.request_ended_unanswered(request_id)
 
     def excuse_gateway(self, gateway: str) -> None:
         """The gateway's machine took connections while no process of it ran.
@@ -373,7 +373,7 @@
         """Check, after every step, what is due by now. True where a rule is broken."""
         for history in self._deadlines.overdue(now_ns, self.histories):
             if history.gateway in self.ended_gateways:
-                self.request_voided(history.id)
+                self.request_ended_unanswered(history.id)
             else:
                 history.state = RequestState.LATE
                 self.report_violation(Rule.ANSWER, "no answer in its time", history)
--- a/zincstile/cli/demo.py
+++ b/zincstile/cli/demo.py
@@ -133,9 +133,9 @@
         )
         front.watch_gateways()
         until = time.monotonic() + READY_S
-        while not all(front.admitted.values()):
+        while not all(front.healthy.values()):
             if time.monotonic() > until or any(p.poll() is not None for p in self.programs):
-                down = [n for n, up in front.admitted.items() if not up]
+                down = [n for n, up in front.healthy.items() if not up]
                 print(f"zincstile: demo: not ready: {', '.join(down)}; their logs say:", file=sys.stderr)
                 for path in sorted(self.folder.glob("*.log")):
                     sys.stderr.write(path.read_text()[-2000:])
--- a/zincstile/emulators/backend.py
+++ b/zincstile/emulators/backend.py
@@ -62,10 +62,10 @@
     cold_share: float = 1.0  # of its capacity at the start
     warm_up_s: float = 0.0  # from the start until it is warm
     drops_on_disconnect: bool = True  # what waits is dropped when its connection ends
-    slowdown: float = 1.0  # calls take so many times as long
+    slowdown_factor: float = 1.0  # calls take so many times as long
     corrupt_ratio: float = 0.0  # of the answers that arrive corrupt
     error_ratio: float = 0.0  # of calls answered with an error
-    extra_ratio: float = 0.0  # of good answers with a second copy or noise behind them
+    extra_reply_ratio: float = 0.0  # of good answers with a second copy or noise behind them
     hangs: bool = False  # begins nothing and answers nothing
 
 
@@ -215,7 +215,7 @@
             if call.over:
                 continue
             self._busy_cores += 1
-            service_time_s = call.work_ns / 1e9 * model.slowdown / (model.speed * self.warmth())
+            service_time_s = call.work_ns / 1e9 * model.slowdown_factor / (model.speed * self.warmth())
             self.loop.call_later(service_time_s, self._finish, call, service_time_s)
 
     def resume(self) -> None:
@@ -259,7 +259,7 @@
         self.counts.served += 1
         report = self.load_report()
         data = b"*3\r\n$%d\r\n%b\r\n$-1\r\n$%d\r\n%b\r\n" % (len(value), value, len(report), report)
-        if model.extra_ratio and rng.random() < model.extra_ratio:
+        if model.extra_reply_ratio and rng.random() < model.extra_reply_ratio:
             data += data if rng.random() < COPY_RATIO else CORRUPT_ANSWERS["noise"]
         call.connection.write(call, data)
 
--- a/zincstile/emulators/client_connection.py
+++ b/zincstile/emulators/client_connection.py
@@ -68,7 +68,7 @@
 
     @property
     def usable(self) -> bool:
-        """Whether the connection is up, as far as its client knows, and its gateway admitted."""
+        """Whether the connection is up, as far as its client knows, and its gateway has answered PING."""
         return not self.closed and self._pong is None and not self.transport.is_closing()
 
     def ping(self, pong: asyncio.Future) -> None:
@@ -83,12 +83,12 @@
     def send(self, request: Request) -> None:
         """Send a request with the time that its client has left."""
         planned, sent = request.planned, request.sent
-        waited_ms = int(1000 * (self.owner.loop.time() - request.began_s))
+        waited_ms = int(1000 * (self.owner.loop.time() - request.started_s))
         sent.timeout_ms = max(1, planned.timeout_ms - waited_ms)
         sent.connection = self.number
         self.pending.append(request)
         self._write(_encode_call(request))
-        request.end = self._bytes_written
+        request.end_position = self._bytes_written
         self.owner.observer.request_sent(sent)
         if planned.disconnect_after_s:
             self.owner.loop.call_later(planned.disconnect_after_s, self._disconnect, request)
--- a/zincstile/emulators/client_requests.py
+++ b/zincstile/emulators/client_requests.py
@@ -37,15 +37,15 @@
     retry_delay_s: float = 0.05
     disconnect_after_s: float = 0.0  # closes its connection after so long; 0: stays
     pipelined: bool = False  # goes out behind others on a busy connection, where there is one
-    heeds_retry_after: bool = False  # waits as long as a rejection says
+    respects_retry_after: bool = False  # waits as long as a rejection says
 
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """One request in flight. `end`: the position of its last byte on its connection."""
+    """One request in flight. `end_position`: the position of its last byte on its connection."""
 
     planned: PlannedRequest
     sent: ClientRequest
-    began_s: float
-    end: int = 0
+    started_s: float
+    end_position: int = 0
     resent: bool = False  # sent once more, as its connection was closed before it was read
--- a/zincstile/emulators/clients.py
+++ b/zincstile/emulators/clients.py
@@ -51,8 +51,8 @@
         self.failure_detection_s = failure_detection_s
         self.weigh_gateways: Callable[[PlannedRequest, list[str]], list[float]] = _weigh_evenly
         self.was_read: Callable[[asyncio.BaseTransport, Request], bool] = lambda transport, request: False
-        self.admitted = dict.fromkeys(gateways, False)
-        self.first_admitted_s: dict[str, float] = {}  # on the loop's clock
+        self.healthy = dict.fromkeys(gateways, False)
+        self.first_healthy_s: dict[str, float] = {}  # on the loop's clock
         self.connections: dict[str, dict[ClientConnection, None]] = {name: {} for name in gateways}
         self.idle_connections: dict[str, list[ClientConnection]] = {name: [] for name in gateways}
         self.requests_sent = 0
@@ -89,8 +89,8 @@
         """Send PING until the gateway answers +PONG."""
         while not await self._answers_ping(name):
             await self._sleep(PING_INTERVAL_S)
-        self.admitted[name] = True
-        self.first_admitted_s.setdefault(name, self.loop.time())
+        self.healthy[name] = True
+        self.first_healthy_s.setdefault(name, self.loop.time())
 
     async def _answers_ping(self, name: str) -> bool:
         try:
@@ -116,13 +116,13 @@
     def _suspect(self, name: str) -> None:
         """Note a refused connection. Only after some seconds is it known that the gateway is down; until
         then, requests go on coming to it."""
-        if self.admitted[name] and name not in self._suspected:
+        if self.healthy[name] and name not in self._suspected:
             self._suspected[name] = None
             self.loop.call_later(self.rng.uniform(*self.failure_detection_s), self._mark_down, name)
 
     def _mark_down(self, name: str) -> None:
         self._suspected.pop(name, None)
-        self.admitted[name] = False
+        self.healthy[name] = False
         self._spawn(self._admit(name))
 
     # ---- requests
@@ -133,12 +133,12 @@
             self.names[(planned.first_gateway + offset) % len(self.names)]
             for offset in range(planned.gateway_count)
         ]
-        candidates = [name for name in names if self.admitted[name]] or names
+        candidates = [name for name in names if self.healthy[name]] or names
         weights = self.weigh_gateways(planned, candidates)
         chosen = self.rng.choices(candidates, weights)[0] if sum(weights) > 0 else candidates[0]
         self._dispatch(self._make_request(planned, chosen))
 
-    def send_on(self, connection: ClientConnection, planned: PlannedRequest) -> None:
+    def send_on_connection(self, connection: ClientConnection, planned: PlannedRequest) -> None:
         """Send a request on this very connection, whatever becomes of it."""
         if connection.usable:
             idle = self.idle_connections[connection.gateway]
@@ -194,9 +194,9 @@
         self.in_flight -= 1
         self.outcomes[planned.plan, outcome] = self.outcomes.get((planned.plan, outcome), 0) + 1
         if outcome is Outcome.SERVED:
-            self.latencies_s.append(self.loop.time() - request.began_s)
+            self.latencies_s.append(self.loop.time() - request.started_s)
         elif planned.retries > 0 and outcome is not Outcome.DISCONNECTED:
-            heeds = retry_after_ms and planned.heeds_retry_after
+            heeds = retry_after_ms and planned.respects_retry_after
             wait_s = retry_after_ms / 1000 if heeds else planned.retry_delay_s
             retry = replace(planned, retries=planned.retries - 1, disconnect_after_s=0.0)
             self.retries_waiting += 1
--- a/zincstile/emulators/discovery.py
+++ b/zincstile/emulators/discovery.py
@@ -66,7 +66,7 @@
     """What one gateway's machine has received of the list.
 
     `delay_s` holds changes back; `on_request` is called with the connection once a request on it is complete;
-    `view` gives an entry as this gateway sees it.
+    `transform_entry` gives an entry as this gateway sees it.
     """
 
     def __init__(
@@ -78,7 +78,7 @@
         self.observer = observer
         self.delay_s = 0.0
         self.on_request: Callable[[DiscoveryConnection], object] = lambda connection: connection.send_news()
-        self.view: Callable[[EndpointEntry], EndpointEntry] = lambda entry: entry
+        self.transform_entry: Callable[[EndpointEntry], EndpointEntry] = lambda entry: entry
         self.silent = False
         self.index = endpoints.index
         self.entries = dict(endpoints.entries)
@@ -106,7 +106,7 @@
         return {
             "index": self.index,
             "snapshot": True,
-            "endpoints": [asdict(self.view(e)) for e in self.entries.values()],
+            "endpoints": [asdict(self.transform_entry(e)) for e in self.entries.values()],
         }
 
     def receive(self, index: int, entry: EndpointEntry) -> None:
@@ -136,10 +136,10 @@
             if not connection.queued:
                 connection.send_news()
 
-    def abandon_connections(self) -> None:
+    def stall_connections(self) -> None:
         """Keep what is open open and send nothing more on it, as a path does that forgot it."""
         for connection in list(self.connections):
-            connection.abandoned = True
+            connection.stalled = True
 
     def next_connection_number(self) -> int:
         """A number that no connection has had, from 1 on."""
@@ -163,7 +163,7 @@
         self.transport: asyncio.Transport | None = None
         self.watching = False
         self.index = NOTHING_SENT  # of the list that was sent here last
-        self.abandoned = False  # nothing more is sent here
+        self.stalled = False  # nothing more is sent here
         self.served = False  # its request has had its turn
         self.queued = False  # its request waits in a service's queue
         self._requested_index: str | None = None  # None: no request is open
@@ -224,7 +224,7 @@
     def send_half(self) -> int:
         """Send half of a snapshot, and nothing after it."""
         body = self._make_snapshot()
-        self.abandoned = True
+        self.stalled = True
         self.transport.write(CHUNKED_HEAD + b"%x\r\n%b" % (len(body) + 1, body[: len(body) // 2]))
         return len(body) // 2
 
@@ -241,12 +241,7 @@
 
     def send_news(self) -> int:
         """Send all that the agent has and this connection was not sent; nothing while the agent is silent."""
-        if (
-            self.agent.silent
-            or self.abandoned
-            or self._requested_index is None
-            or self.transport.is_closing()
-        ):
+        if self.agent.silent or self.stalled or self._requested_index is None or self.transport.is_closing():
             return 0
         self.served = True
         if not self.watching:
@@ -285,7 +280,7 @@
             {
                 "index": agent.index,
                 "snapshot": False,
-                "endpoints": [asdict(agent.view(entry)) for entry in latest.values()],
+                "endpoints": [asdict(agent.transform_entry(entry)) for entry in latest.values()],
             }
         ).encode()
         self._write_chunk(body)
@@ -315,6 +310,6 @@
         self._heartbeat_timer = self.agent.loop.call_later(HEARTBEAT_S, self._send_heartbeat)
 
     def _send_heartbeat(self) -> None:
-        if not self.agent.silent and not self.abandoned and not self.transport.is_closing():
+        if not self.agent.silent and not self.stalled and not self.transport.is_closing():
             self._write_chunk(b"")
         self._restart_heartbeat()
--- a/zincstile/emulators/list_service.py
+++ b/zincstile/emulators/list_service.py
@@ -39,7 +39,7 @@
     calls: int = 0
     snapshots: int = 0
     changes: int = 0
-    for_disconnected: int = 0  # work for callers that had left
+    served_after_disconnect: int = 0  # work for callers that had left
     rejected: int = 0
     reset: int = 0
     bytes: int = 0
@@ -100,7 +100,7 @@
         connection.queued = False
         is_snapshot = connection.cost() >= 1
         if connection.transport is None or connection.transport.is_closing():
-            self.counts.for_disconnected += 1
+            self.counts.served_after_disconnect += 1
         elif is_snapshot:
             self.counts.snapshots += 1
             self.counts.bytes += self._send_snapshot(connection)
--- a/zincstile/emulators/observer.py
+++ b/zincstile/emulators/observer.py
@@ -46,9 +46,9 @@
 
     def client_disconnected(self, request_id: bytes) -> None:
         """The client closed the connection that it asked on, and waits no more."""
-        self.request_voided(request_id)
+        self.request_ended_unanswered(request_id)
 
-    def request_voided(self, request_id: bytes) -> None:
+    def request_ended_unanswered(self, request_id: bytes) -> None:
         """No answer is owed: the client left, the gateway died or the request was never read."""
 
     # ---- backends
--- a/zincstile/emulators/quota_service.py
+++ b/zincstile/emulators/quota_service.py
@@ -66,8 +66,8 @@
         self.queue_capacity = queue_capacity
         self.max_connections = max_connections
         self.idle_timeout_s = idle_timeout_s
-        self.open = False  # the run has begun
-        self.is_corrupt: Callable[[], bool] = lambda: False  # the next answer brings no number
+        self.accepts_calls = False  # the run has begun
+        self.corrupts_next_answer: Callable[[], bool] = lambda: False  # the next answer brings no number
         self.connections: dict[QuotaConnection, None] = {}
         self.counts = QuotaServiceCounts()
         self._totals: dict[str, Total] = {}
@@ -102,7 +102,7 @@
 
     def receive_call(self, connection: QuotaConnection, addition: Addition) -> bool:
         """Queue a call; False where it is rejected and nothing is added."""
-        if not self.open or len(self._queue) >= self.queue_capacity:
+        if not self.accepts_calls or len(self._queue) >= self.queue_capacity:
             self.counts.rejected += 1
             return False
         self._queue.append((connection, addition))
@@ -114,7 +114,7 @@
     def _serve(self) -> None:
         connection, addition = self._queue.popleft()
         total = self.add(addition)
-        if self.is_corrupt():
+        if self.corrupts_next_answer():
             self.counts.corrupt += 1
             connection.answer(200, b"?")
         else:
--- a/zincstile/simulation/faults.py
+++ b/zincstile/simulation/faults.py
@@ -292,7 +292,7 @@
 def _watch_lost(run: Environment, fault: Fault) -> None:
     """The watches that are open stay open and say nothing more; new ones are served."""
     for node in _nodes(run, fault):
-        node.agent.abandon_connections()
+        node.agent.stall_connections()
 
 
 def _discovery_moved(run: Environment, fault: Fault) -> None:
@@ -402,7 +402,7 @@
     "deploy": _deploy,
     "drain": _drain,
     "box_crash": _box_crash,
-    "slow": _with_models("slowdown", 1.0),
+    "slow": _with_models("slowdown_factor", 1.0),
     "spoil": _with_models("corrupt_ratio", 0.0),
     "err": _with_models("error_ratio", 0.0),
     "hang": _hang,
@@ -420,7 +420,7 @@
     "surge": _in_traffic,
     "leave": _in_traffic,
     "lag": _lag,
-    "extra": _with_models("extra_ratio", 0.0),
+    "extra": _with_models("extra_reply_ratio", 0.0),
     "watch_lost": _watch_lost,
     "keeper_gone": _quota_service_gone,
     "keeper_swapped": _quota_service_swapped,
--- a/zincstile/simulation/observation.py
+++ b/zincstile/simulation/observation.py
@@ -75,12 +75,12 @@
         client = peer.protocol if peer is not None and peer.process is self._clients else None
         if isinstance(client, ClientConnection) and self._rng.random() < self._ratio:
             request = self._rng.choice(self._requests)
-            self._clients.loop.call_soon(self._load_balancer.send_on, client, request)
+            self._clients.loop.call_soon(self._load_balancer.send_on_connection, client, request)
 
 
 def was_read(transport: Any, request: Request) -> bool:
     """True if the gateway had read the request before it ended the connection."""
-    return transport.peer is None or transport.peer.had_read_before_end(request.end)
+    return transport.peer is None or transport.peer.had_read_before_fin(request.end_position)
 
 
 def peer_process_name(transport: Any) -> str:
--- a/zincstile/simulation/run.py
+++ b/zincstile/simulation/run.py
@@ -17,7 +17,7 @@
 from ..emulators.clients import ClientLoadBalancer
 from ..emulators.discovery import DiscoveryAgent
 from ..emulators.list_service import ListService
-from ..virtual.clock import MS_NS, StuckError
+from ..virtual.clock import MS_NS, LivelockError
 from ..virtual.process import Process
 from ..virtual.tcp import TcpTransport
 from . import faults, traffic
@@ -69,7 +69,7 @@
         try:
             if not self._play_until_quiet():
                 self._check_end()
-        except StuckError as err:
+        except LivelockError as err:
             self.checker.report_violation(Rule.PROGRESS, str(err))
         finally:
             if collects:
@@ -127,7 +127,7 @@
         plan = self.plan
         if plan.crossing and requests:
             crossings = ConnectionEndCrossings(plan, self.clients, self.load_balancer, requests)
-            self.network.on_end = crossings.connection_ended
+            self.network.on_fin_sent = crossings.connection_ended
         for request in requests:
             self.clients.loop.call_at(request.at_s, self.load_balancer.send, request)
         for fault in plan.faults:
--- a/zincstile/simulation/traffic.py
+++ b/zincstile/simulation/traffic.py
@@ -248,7 +248,7 @@
         retry_delay_s=rng.choice((0.0, 0.05, 0.2)),
         disconnect_after_s=leaves,
         pipelined=rng.random() < 0.1,
-        heeds_retry_after=rng.random() < 0.5,
+        respects_retry_after=rng.random() < 0.5,
     )
 
 
--- a/zincstile/simulation/virtual_backends.py
+++ b/zincstile/simulation/virtual_backends.py
@@ -101,7 +101,7 @@
     def reset_backend(self, backend: Backend) -> None:
         """Its connections break; it goes on."""
         for endpoint in list(backend.process.connections):
-            endpoint.break_path()
+            endpoint.reset_both_sides()
 
     def set_backend_unreachable(self, backend: Backend, silent: bool) -> None:
         """No gateway reaches it any more, or all do again."""
@@ -132,7 +132,7 @@
         """Starts a quota service that knows nothing yet, at the address of the one before it."""
         process = Process(self.network, f"counter{number}", quota_service_host(number), 0)
         service = QuotaService(process.loop)
-        service.open = True
+        service.accepts_calls = True
         self.spawn(process, service.start(process.host, QUOTA_SERVICE_PORT))
         self.quota_services[number] = process, service
 
--- a/zincstile/testbed/datagrams.py
+++ b/zincstile/testbed/datagrams.py
@@ -77,7 +77,7 @@
                 continue
             self.sent[source] += 1
             self.bytes[source] += len(data)
-            for delay_s in self.links.outcome(self.names[source], self.names[target], self.loop.time()):
+            for delay_s in self.links.copy_delays_s(self.names[source], self.names[target], self.loop.time()):
                 if delay_s:
                     self.loop.call_later(delay_s, self._forward, data, source, target)
                 else:
--- a/zincstile/testbed/emulated.py
+++ b/zincstile/testbed/emulated.py
@@ -140,7 +140,7 @@
         if number in self.quota_services:
             proxy.port = self.quota_services[number][1].port
         counter = QuotaService(proxy)  # type: ignore[arg-type]
-        counter.open = True
+        counter.accepts_calls = True
         self.quota_services[number] = counter, proxy
         self.spawn(counter.start(""))
 
--- a/zincstile/testbed/fault_proxy.py
+++ b/zincstile/testbed/fault_proxy.py
@@ -42,7 +42,7 @@
 
     def push(self, then: Callable[..., None], *args: Any) -> None:
         """then(*args) once what went before has passed."""
-        path = self.links.path(*self.pair)
+        path = self.links.fault_on(*self.pair)
         if not self._waiting and not path.cut and not path.delay_s:
             then(*args)
             return
@@ -55,7 +55,7 @@
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
-        while self._waiting and not self.links.path(*self.pair).cut:
+        while self._waiting and not self.links.fault_on(*self.pair).cut:
             due_s, then, args = self._waiting[0]
             if due_s > self.loop.time() + TIMER_SLACK_S:
                 self._timer = self.loop.call_at(due_s, self.pass_due)
@@ -88,7 +88,7 @@
         self.inwards = Direction(proxy.loop, proxy.links, (self.gateway, place))
         self.outwards = Direction(proxy.loop, proxy.links, (place, self.gateway))
         proxy.connections[self] = None
-        if proxy.links.path(*self.inwards.pair).reset:
+        if proxy.links.fault_on(*self.inwards.pair).reset:
             self.abort()
             return
         self.announced = True
@@ -121,7 +121,7 @@
 
     def changed(self) -> None:
         """The faults on the paths of this connection have changed."""
-        if self.proxy.links.path(*self.inwards.pair).reset:
+        if self.proxy.links.fault_on(*self.inwards.pair).reset:
             self.abort()
         self.inwards.pass_due()
         self.outwards.pass_due()
@@ -230,7 +230,7 @@
         """New connections of that gateway never come up while the path there or back is cut."""
         if gateway not in self.gateways or not self.port:
             return
-        cut = self.links.path(gateway, self.place).cut or self.links.path(self.place, gateway).cut
+        cut = self.links.fault_on(gateway, self.place).cut or self.links.fault_on(self.place, gateway).cut
         if cut and gateway not in self._black_holes:
             host = places.seen(self.kind, self.gateways.index(gateway), self.number)
             self._black_holes[gateway] = places.BlackHole(host, self.port)
--- a/zincstile/testbed/probe.py
+++ b/zincstile/testbed/probe.py
@@ -132,7 +132,7 @@
     def request_dropped(self, request_id: bytes) -> None:
         """Its connection was ended after it was read, without an answer."""
         if self.died_as_planned(self.checker.histories[request_id].gateway):
-            self.checker.request_voided(request_id)
+            self.checker.request_ended_unanswered(request_id)
             return
         self.checker.request_dropped(request_id)
 
@@ -144,15 +144,15 @@
 
     def request_unread(self, request_id: bytes) -> None:
         """Its connection was ended before it was read."""
-        self.checker.request_voided(request_id)
+        self.checker.request_ended_unanswered(request_id)
 
     def client_disconnected(self, request_id: bytes) -> None:
         """The client closed the connection that it asked on, and waits no more."""
         self.checker.client_disconnected(request_id)
 
-    def request_voided(self, request_id: bytes) -> None:
+    def request_ended_unanswered(self, request_id: bytes) -> None:
         """No answer is owed: the client left, the gateway died or the request was never read."""
-        self.checker.request_voided(request_id)
+        self.checker.request_ended_unanswered(request_id)
 
     def attempt_received(
         self, backend: str, request_id: bytes, key: bytes, gateway: str, work_ns: int
--- a/zincstile/testbed/run.py
+++ b/zincstile/testbed/run.py
@@ -98,7 +98,7 @@
         """A gateway's place: its discovery, its folder and, for upgrades, its listening socket."""
         proxy = FaultProxy(self.loop, self.links, "discovery", places.DISCOVERY, 0, self.names)
         agent = DiscoveryAgent(proxy, self.endpoint_list, name, self.probe)  # type: ignore[arg-type]
-        agent.view = lambda entry: self.entry_for(entry, number)
+        agent.transform_entry = lambda entry: self.entry_for(entry, number)
         await agent.start("")
         folder = self.folder / name
         (folder / "tmp").mkdir(parents=True, exist_ok=True)
@@ -134,17 +134,17 @@
         """Until every gateway answers PING; NotReadyError where one does not in time."""
         self.load_balancer.watch_gateways()
         await self.wait_for(
-            lambda: all(self.load_balancer.admitted.values()) or not all(s.program.alive for s in self.nodes),
+            lambda: all(self.load_balancer.healthy.values()) or not all(s.program.alive for s in self.nodes),
             READY_S,
         )
-        down = [n for n, up in self.load_balancer.admitted.items() if not up]
+        down = [n for n, up in self.load_balancer.healthy.items() if not up]
         if down:
             tail = [f"{n}: {(self.folder / n / 'log').read_text()[-400:].strip()}" for n in down[:3]]
             raise NotReadyError(
                 f"{len(down)} of {len(self.names)} gateways did not start; " + " | ".join(tail)
             )
         for node in self.nodes:
-            node.ready_s = self.load_balancer.first_admitted_s[node.name] - self.first_start_s
+            node.ready_s = self.load_balancer.first_healthy_s[node.name] - self.first_start_s
         await asyncio.sleep(SETTLE_S)  # the first heartbeats pass
 
     async def _play_load(self) -> None:
@@ -218,7 +218,7 @@
 
     def _not_ready(self) -> list[str]:
         running = [s for s in self.nodes if self.is_running(s) and not s.stopping]
-        return [s.name for s in running if not self.load_balancer.admitted[s.name]]
+        return [s.name for s in running if not self.load_balancer.healthy[s.name]]
 
     def _check_end(self, node: Node, program: Program) -> None:
         """The process ended in time and in order, and counted no fault."""
--- a/zincstile/testbed/start.py
+++ b/zincstile/testbed/start.py
@@ -232,7 +232,7 @@
                 round(service.counts.calls / count, 3),
                 max(service.calls_by_gateway.values(), default=0),
                 service.max_calls_within(COUNTED_SPAN_S),
-                service.counts.for_disconnected,
+                service.counts.served_after_disconnect,
                 round(service.counts.bytes / 1e6, 2),
                 round(sorted(memory)[count // 2], 1),
                 round(sorted(m.cpu_ms for m in starts)[count // 2]),
--- a/zincstile/virtual/base_process.py
+++ b/zincstile/virtual/base_process.py
@@ -10,7 +10,7 @@
 
 from .network import Network
 
-OWN_DESCRIPTORS: Final = 8  # that a Python process with a loop holds before it opens anything
+INITIAL_DESCRIPTORS: Final = 8  # that a Python process with a loop holds before it opens anything
 DEFAULT_MAX_DESCRIPTORS: Final = 1 << 20  # none that a run would reach
 
 
@@ -40,8 +40,8 @@
         self.quantum_ns = quantum_ns
         self.alive = True
         self.paused_until_ns = 0  # nothing happens in it before then
-        self.open_descriptors = OWN_DESCRIPTORS
-        self.peak_descriptors = OWN_DESCRIPTORS
+        self.open_descriptors = INITIAL_DESCRIPTORS
+        self.peak_descriptors = INITIAL_DESCRIPTORS
         self.connections: dict[Any, None] = {}  # `tcp.TcpTransport`
         self.listeners: dict[Any, None] = {}  # `tcp_listen.Listener`
         self.datagram_sockets: dict[Any, None] = {}  # `udp.DatagramSocket`
--- a/zincstile/virtual/clock.py
+++ b/zincstile/virtual/clock.py
@@ -20,7 +20,7 @@
 MAX_STEPS_AT_ONE_INSTANT: Final = 20_000  # code that schedules itself again and again, whatever the plan
 
 
-class StuckError(RuntimeError):
+class LivelockError(RuntimeError):
     """Time stands still: something asks to be called at once, for ever."""
 
 
@@ -138,7 +138,7 @@
     def run(self, until_ns: int, watch: Callable[[int], bool] | None = None) -> bool:
         """Step up to that time; True where `watch`, given the time after each step, ended the run before.
 
-        Raises StuckError where so many calls happen at one instant that time will not go on.
+        Raises LivelockError where so many calls happen at one instant that time will not go on.
         """
         steps_before = self.steps
         instant_ns = self.now_ns
@@ -150,7 +150,7 @@
                     steps_before = self.steps
                     instant_ns = self.now_ns
                 elif self.steps - steps_before > MAX_STEPS_AT_ONE_INSTANT:
-                    raise StuckError(f"{MAX_STEPS_AT_ONE_INSTANT} steps at one instant")
+                    raise LivelockError(f"{MAX_STEPS_AT_ONE_INSTANT} steps at one instant")
         finally:
             self._running_loop = None
             _set_running_loop(None)
--- a/zincstile/virtual/host.py
+++ b/zincstile/virtual/host.py
@@ -12,14 +12,14 @@
 
 
 class VirtualHost:
-    """The host of one process. Its Unix clock may be wrong; what it logs is kept in `lines`."""
+    """The host of one process. Its Unix clock may be wrong; what it logs is kept in `log_lines`."""
 
     def __init__(self, process: Process, config: Callable[[], Config], unix_offset_ns: int = 0) -> None:
         """`config` gives the configuration at present; the Unix time is the virtual one and the offset."""
         self._process = process
         self._config = config
         self.unix_offset_ns = unix_offset_ns
-        self.lines: list[str] = []
+        self.log_lines: list[str] = []
 
     def monotonic_ns(self) -> int:
         """Virtual time."""
@@ -51,7 +51,7 @@
 
     def log(self, line: str) -> None:
         """Keep the line."""
-        self.lines.append(line)
+        self.log_lines.append(line)
 
     def usage(self) -> dict[str, int]:
         """CPU and memory, which are not measured here: the same in every run."""
--- a/zincstile/virtual/network.py
+++ b/zincstile/virtual/network.py
@@ -57,7 +57,7 @@
     """What lies between the processes, and a record of what crosses it, whose digest is the run's.
 
     `on_connected` is called with both sides of a new TCP connection, who opened it and who accepted it;
-    `on_end` with the side whose sending ends.
+    `on_fin_sent` with the side whose sending ends.
     """
 
     def __init__(
@@ -74,7 +74,7 @@
         self.extra_delay_ns: dict[str, int] = {}  # by host: paths to and from it take so much longer
         self.faults: NetworkFaults | None = None  # of datagrams between processes, by their names
         self.on_connected: Callable[[Any, Any], None] | None = None
-        self.on_end: Callable[[Any], None] | None = None
+        self.on_fin_sent: Callable[[Any], None] | None = None
         self.trace: list[str] | None = None  # lines of the record, where it is kept
         self._isolated_hosts: dict[str, None] = {}
         self._disconnected_hosts: dict[tuple[str, str], None] = {}  # pairs, both ways round
--- a/zincstile/virtual/network_faults.py
+++ b/zincstile/virtual/network_faults.py
@@ -119,13 +119,13 @@
         for notify in self.on_change:
             notify(paths)
 
-    def path(self, source: str, target: str) -> PathFault:
+    def fault_on(self, source: str, target: str) -> PathFault:
         """What is wrong on this path now."""
         return self._combined.get((source, target), NO_FAULT) if self._combined else NO_FAULT
 
-    def outcome(self, source: str, target: str, now_s: float) -> list[float]:
+    def copy_delays_s(self, source: str, target: str, now_s: float) -> list[float]:
         """What becomes of one datagram: after how many seconds each copy arrives; none where it is lost."""
-        fault = self.path(source, target)
+        fault = self.fault_on(source, target)
         if fault is NO_FAULT:
             self.counts.passed += 1
             return [0.0]
--- a/zincstile/virtual/tcp.py
+++ b/zincstile/virtual/tcp.py
@@ -28,7 +28,7 @@
     """What a segment carries; the values are those of the network's record."""
 
     DATA = "data"
-    END = "end"
+    FIN = "end"
     RESET = "reset"
 
 
@@ -57,7 +57,7 @@
         self.unsent = bytearray()  # written by the protocol, and not yet sent
         self.in_flight_bytes = 0  # on their way to the other side
         self.bytes_read = 0
-        self.bytes_read_at_end: int | None = None  # when the process ended its own sending; None: not yet
+        self.bytes_read_at_fin: int | None = None  # when the process ended its own sending; None: not yet
         self.released = False  # nothing is sent or read any more
         self._held_segments: deque[Segment] = deque()  # kept back by a network that is cut
         self._last_arrival_ns = 0  # when the segment that was sent last arrives
@@ -90,12 +90,12 @@
             self._reading = True
             self._schedule_read()
 
-    def had_read_before_end(self, position: int) -> bool:
+    def had_read_before_fin(self, position: int) -> bool:
         """Whether the process had read all bytes up to a position before it ended its own sending.
 
         What it reads after that can't be answered any more.
         """
-        bytes_read = self.bytes_read if self.bytes_read_at_end is None else self.bytes_read_at_end
+        bytes_read = self.bytes_read if self.bytes_read_at_fin is None else self.bytes_read_at_fin
         return bytes_read >= position
 
     def get_extra_info(self, name: str, default: Any = None) -> Any:
@@ -227,7 +227,7 @@
         if self.peer is not None and not self._reset_received:
             self.send_reset()
 
-    def break_path(self) -> None:
+    def reset_both_sides(self) -> None:
         """Reset both sides from beneath, as a path does that forgets the connection."""
         if self.peer is not None:
             other = self.peer
@@ -279,10 +279,10 @@
     def _send_end(self) -> None:
         if not self._end_sent:
             self._end_sent = True
-            self.bytes_read_at_end = self.bytes_read
-            self._send(Segment(SegmentKind.END))
-            if self.network.on_end is not None:
-                self.network.on_end(self)
+            self.bytes_read_at_fin = self.bytes_read
+            self._send(Segment(SegmentKind.FIN))
+            if self.network.on_fin_sent is not None:
+                self.network.on_fin_sent(self)
 
     def _send(self, segment: Segment) -> None:
         network, peer = self.network, self.peer
@@ -319,7 +319,7 @@
             return
         if segment.kind is SegmentKind.DATA:
             self.unread += segment.data
-        elif segment.kind is SegmentKind.END:
+        elif segment.kind is SegmentKind.FIN:
             self._end_received = True
         else:
             self._reset_received = True
--- a/zincstile/virtual/udp.py
+++ b/zincstile/virtual/udp.py
@@ -80,7 +80,7 @@
         if faults is None or target is None:
             return (0.0,)
         now_s = self.network.scheduler.now_ns / SECOND_NS
-        return faults.outcome(self.process.name, target.process.name, now_s)
+        return faults.copy_delays_s(self.process.name, target.process.name, now_s)
 
     def receive(self, data: bytes, sender: Address) -> None:
         """Take a datagram in, unless it took too many in the last second."""
