--- a/tests/test_crowds.py
+++ b/tests/test_crowds.py
@@ -20,7 +20,7 @@
 DISCOVERY_LOST = "refuse d\nclose d1\nexpect gw watch lost*\n"
 
 
-class Crowd:
+class ClientGroup:
     """Clients that connect and send some input, whether or not they are accepted."""
 
     def __init__(self, harness: GatewayHarness, count: int, client_input: bytes) -> None:
@@ -49,13 +49,13 @@
     connection, goes to a backend of the new watch's list."""
     limits = Limits.for_gateway(Machine(DESCRIPTORS, 192, 20000, 1, 1, 30 * SECOND), {})
     harness = start_with_few_descriptors(tmp_path, newcomer_ns=FOREVER_NS, silent_ns=FOREVER_NS)
-    crowd, request_ids = None, range(1, limits.backend_connections + 1)
+    group, request_ids = None, range(1, limits.backend_connections + 1)
     try:
         harness.run("send d1 full a=Ready b=Ready c=Ready\nexpect gw ready*from discovery\n" + DISCOVERY_LOST)
         harness.run(
             "".join(f"send c1 book {k}\n" for k in request_ids) + f"wait gw attempts={len(request_ids)}"
         )
-        crowd = Crowd(harness, 2 * limits.frontend_connections, b"")
+        group = ClientGroup(harness, 2 * limits.frontend_connections, b"")
         harness.run("""
             expect gw full * client connections*
             listen d
@@ -69,8 +69,8 @@
             wait gw faults=0""")
         assert count_descriptors(harness) <= DESCRIPTORS
     finally:
-        if crowd:
-            crowd.close()
+        if group:
+            group.close()
         harness.tear_down()
 
 
@@ -86,15 +86,15 @@
 def test_a_new_client_is_served_after_many_idle_ones_while_discovery_is_down_and_later(
     tmp_path, client_input, count, limits
 ):
-    """A new client sends a request after each crowd of idle clients; the second crowd is connected when
-    discovery returns. No timeout frees descriptors of a crowd, except that of partial commands."""
-    harness, crowds = start_with_few_descriptors(tmp_path, **limits), []
+    """A new client sends a request after each group of idle clients; the second group is connected when
+    discovery returns. No timeout frees descriptors of a group, except that of partial commands."""
+    harness, groups = start_with_few_descriptors(tmp_path, **limits), []
     client_input = client_input.encode().decode("unicode_escape").encode()
     try:
         harness.run(READY + ANSWERED_FIRST_CALL + DISCOVERY_LOST)
-        crowds.append(Crowd(harness, count, client_input))
+        groups.append(ClientGroup(harness, count, client_input))
         harness.run("expect gw full*\nsend c2 look 2\nexpect a1 look 2\nsend a1 ok x\nexpect c2 ok x")
-        crowds.append(Crowd(harness, count, client_input))
+        groups.append(ClientGroup(harness, count, client_input))
         harness.run("""
             listen d
             send d2 change a=Terminating b=Ready
@@ -106,6 +106,6 @@
             wait gw faults=0""")
         assert count_descriptors(harness) <= DESCRIPTORS
     finally:
-        for crowd in crowds:
-            crowd.close()
+        for group in groups:
+            group.close()
         harness.tear_down()
--- a/zincstile/net/clients/call_reader.py
+++ b/zincstile/net/clients/call_reader.py
@@ -97,7 +97,7 @@
         ):
             raise CallError("d, units, spread or first is out of range")
         if (request_class.idempotency is Idempotency.ALWAYS) != (verb == CALL_GET):
-            raise CallError("the class must be called by the other command")
+            raise CallError("the class requires the other command (CALL.GET or CALL.POST)")
         if request_class.idempotency is Idempotency.BY_KEY and not values.get(b"k"):
             raise CallError("idempotency key (field k) is missing")
         timeout_ns = timeout_ms * 1_000_000
--- a/zincstile/net/clients/connection.py
+++ b/zincstile/net/clients/connection.py
@@ -278,7 +278,7 @@
         self._schedule_flush()
 
     def has_disconnected(self) -> bool:
-        """Whether the client has disconnected, even if its FIN follows input that is not read yet."""
+        """Whether the client has disconnected, even if its FIN follows unread input; if so, aborts."""
         if not self.transport.is_closing() and self.dispatcher.closed_by_peer(self.transport):
             self._closer.abort(CloseReason.CLOSED_BY_CLIENT)
         return self.transport.is_closing()
--- a/zincstile/net/clients/listener.py
+++ b/zincstile/net/clients/listener.py
@@ -18,9 +18,8 @@
 from .connection import ClientConnection, ConnectionState
 from .eviction import evict_one
 
-STANDBY_ANSWER: Final = resp.encode_error(
-    "standby"
-)  # to PING: the front balancer then sends new connections elsewhere
+# Answers to PING; after an error the front balancer sends new connections elsewhere.
+STANDBY_ANSWER: Final = resp.encode_error("standby")
 NOT_READY_ANSWER: Final = resp.encode_error("not ready")
 
 
@@ -42,7 +41,9 @@
         self.ready = False  # requests are accepted
         self.closing = False  # each connection is closed once it has no unanswered request
         self.rejects_all = False  # the process ends too soon to serve any request
-        self.standby = False  # set by an operator: PING is refused, connections are closed as for `closing`
+        self.standby = (
+            False  # set by an operator: PING gets an error, connections are closed as for `closing`
+        )
         self.inherited = False  # the platform passed the socket; an old process may share it
         self._socket: socket.socket | None = None
         self._accepting = False
@@ -71,7 +72,7 @@
 
     @property
     def has_listened(self) -> bool:
-        """Whether the socket is or was open."""
+        """Whether the gateway listens or has listened."""
         return self._socket is not None or self.closing
 
     @property
@@ -80,7 +81,7 @@
         return not self.clients and not self._acceptor.pending and self._socket is None
 
     def start_serving(self) -> None:
-        """Accepts requests, as the gateway is ready; also accepts from an inherited socket."""
+        """The gateway is ready: starts to accept requests, and connections of an inherited socket."""
         self.ready = True
         self._resume_accepting()
 
@@ -177,7 +178,7 @@
         return evict_one(self.clients, self.dispatcher.now_ns(), self.dispatcher.limits)
 
     def shrink_to_limits(self) -> None:
-        """Closes idle connections in the order of eviction until their number is within lower limits."""
+        """Evicts connections until their number is within the limits, which were lowered."""
         while len(self.clients) > self.dispatcher.limits.frontend_connections and self._evict_one():
             pass
 
@@ -218,7 +219,7 @@
         self.close_idle()
 
     def _accept_all_queued(self, _: object) -> None:
-        """Accepts all queued connections, then closes the socket, which would reset any left in the queue.
+        """Accepts all queued connections, then closes the socket; closing resets those left in the queue.
 
         If descriptors are exhausted, it is tried again until the process ends.
         """
