--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -394,7 +394,7 @@
 
     async def play(listening):
         dispatcher, attempts, _ = await dialled(listening, lambda _: time.sleep(0.2))
-        loop, plain = asyncio.get_running_loop(), attempts.connector.connected
+        loop, plain = asyncio.get_running_loop(), attempts.connector.on_connected
 
         def connected(connection):  # given up in the moment before
             attempts.finish(connection.attempt, AttemptResult.CANCELLED)
@@ -402,7 +402,7 @@
             if attempts.pool.backends[1].idle:  # taken again in the same step
                 submit_request(dispatcher, RecordingClient(), 2)
 
-        attempts.connector.connected = connected
+        attempts.connector.on_connected = connected
         taken, _ = await loop.sock_accept(listening)
         with taken:
             got = await loop.sock_recv(taken, 4096)
--- a/tests/test_incremental.py
+++ b/tests/test_incremental.py
@@ -30,7 +30,7 @@
 from zincstile.net.discovery.messages import ListedEndpoint, endpoint_id
 from zincstile.net.discovery.reader import EndpointReader
 from zincstile.net.discovery.table import EndpointTable
-from zincstile.net.json_objects import JsonObjects
+from zincstile.net.json_objects import JsonObjectParser
 from zincstile.net.lifecycle import begin_list
 from zincstile.simulation import traffic
 from zincstile.simulation.plan import Plan
@@ -237,7 +237,7 @@
             assert expected
             assert (found.address, found.started_ns) == (expected.address, expected.entry.started_ns)
         for connection in [c for c in opened if c.transport.closed]:
-            pool.lost(connection)
+            pool.on_connection_lost(connection)
         opened = [c for c in opened if not c.transport.closed]
         assert list(pool.idle) == opened and pool.connections == set(opened)
         # No record of what is not connected.
@@ -264,7 +264,7 @@
 
 
 def receive(table, endpoints_, kind=EndpointListKind.DELTA):
-    table.take(delta(1, *endpoints_), kind)
+    table.apply_message(delta(1, *endpoints_), kind)
 
 
 def test_a_year_of_replaced_backends_leaves_no_trace_and_one_just_gone_may_still_get_maintenance():
@@ -273,7 +273,8 @@
         receive(table, endpoints([f"s-{k}"]) + endpoints([f"s-{k - 10}"], "Gone"))
     receive(table, endpoints(["s-4999"]), EndpointListKind.FULL)  # leaves out the rest
     assert list(table.endpoints) == [endpoint_id("s-4999")] and len(table.removed) == 1024
-    assert table.maintain("s-4990", enter=True) and not table.maintain("s-17", enter=True)  # long gone
+    # s-17 was removed long ago.
+    assert table.set_maintenance("s-4990", enter=True) and not table.set_maintenance("s-17", enter=True)
     receive(table, endpoints(["s-4990"]))
     listed = table.endpoints[endpoint_id("s-4990")]
     assert table.maintenance.apply(listed).entry.state is EndpointState.DRAINING
@@ -287,15 +288,15 @@
     odd = {"note": {"name": "s-z", "status": "no such"}}
     whole = full_list(7, *endpoints(["s-a", "s-c"]))
     whole["endpoints"][0] |= odd
-    objects = JsonObjects(1 << 20, table.read_early)
+    objects = JsonObjectParser(1 << 20, table.read_early)
     (read,) = objects.feed(json.dumps(whole).encode())
     assert read["endpoints"][0] is kept[endpoint_id("s-a")]
-    table.take(read, EndpointListKind.FULL)
+    table.apply_message(read, EndpointListKind.FULL)
     assert table.endpoints.keys() == {endpoint_id("s-a"), endpoint_id("s-c")}
     assert table.endpoints[endpoint_id("s-c")] == table.reader.read_endpoint(whole["endpoints"][1])
     (read,) = objects.feed(json.dumps(delta(8, odd["note"])).encode())
     with pytest.raises(KeyError):
-        table.take(read, EndpointListKind.DELTA)
+        table.apply_message(read, EndpointListKind.DELTA)
     assert table.endpoints.keys() == {endpoint_id("s-a"), endpoint_id("s-c")}
 
 
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -25,9 +25,9 @@
 
 def out_and_back(made, clock):
     made.begin(full_list(1, endpoint("s-a")))
-    made.table.maintain("s-a", enter=True)
+    made.table.set_maintenance("s-a", enter=True)
     clock[0] += SECOND
-    made.table.maintain("s-a", enter=False)
+    made.table.set_maintenance("s-a", enter=False)
 
 
 def last_entry(posted, name):
@@ -39,18 +39,18 @@
 def test_a_ban_is_a_drain_whatever_discovery_lists_and_one_call_back_ends_it():
     made, clock, posted, pools = world()
     made.begin(full_list(1, endpoint("s-a"), endpoint("s-b")))
-    assert made.table.maintain("s-a", enter=True)
+    assert made.table.set_maintenance("s-a", enter=True)
     assert last_entry(posted, "s-a").state is EndpointState.DRAINING and pools[-1] == [
         (endpoint_id("s-a"), EndpointState.DRAINING)
     ]
-    made.table.take(full_list(2, endpoint("s-a"), endpoint("s-b")), EndpointListKind.FULL)
+    made.table.apply_message(full_list(2, endpoint("s-a"), endpoint("s-b")), EndpointListKind.FULL)
     assert (
         last_entry(posted, "s-a").state is EndpointState.DRAINING
         and last_entry(posted, "s-b").state is EndpointState.READY
     )
-    made.table.maintain("s-a", enter=True)  # again: harmless
+    made.table.set_maintenance("s-a", enter=True)  # again: harmless
     clock[0] += 3 * SECOND
-    made.table.maintain("s-a", enter=False)
+    made.table.set_maintenance("s-a", enter=False)
     back = last_entry(posted, "s-a")
     assert back.state is EndpointState.READY and back.started_ns == clock[0]  # cold: restarted while out
 
@@ -59,20 +59,21 @@
     made, clock, posted, _ = world()
     out_and_back(made, clock)
     reborn = last_entry(posted, "s-a").started_ns
-    made.table.take(delta(2, endpoint("s-a")), EndpointListKind.DELTA)
+    made.table.apply_message(delta(2, endpoint("s-a")), EndpointListKind.DELTA)
     assert (
         last_entry(posted, "s-a").started_ns == reborn
     )  # the old start that discovery still lists is not trusted
     clock[0] = 201 * SECOND
-    made.table.take(delta(3, endpoint("s-a", since_ms=200_000)), EndpointListKind.DELTA)
+    made.table.apply_message(delta(3, endpoint("s-a", since_ms=200_000)), EndpointListKind.DELTA)
     assert last_entry(posted, "s-a").started_ns == 200_000 * 1_000_000 + made.table.reader.clock.offset_ns
 
 
 def test_a_name_never_listed_is_no_and_a_ban_before_listing_holds_once_listed():
     made, _, posted, _ = world()
     made.begin(full_list(1, endpoint("s-a")))
-    assert not made.table.maintain("s-z", enter=True)  # as another process of this gateway may have said
-    made.table.take(delta(2, endpoint("s-z")), EndpointListKind.DELTA)
+    # Another process of this gateway may know the name.
+    assert not made.table.set_maintenance("s-z", enter=True)
+    made.table.apply_message(delta(2, endpoint("s-z")), EndpointListKind.DELTA)
     assert last_entry(posted, "s-z").state is EndpointState.DRAINING
 
 
@@ -90,7 +91,7 @@
 def test_a_ban_holds_when_discovery_moves():
     made, _, posted, _ = world()
     made.begin(full_list(1, endpoint("s-a")))
-    made.table.maintain("s-a", enter=True)
+    made.table.set_maintenance("s-a", enter=True)
     made.move(("10.2.0.9", 8500))
-    made.table.take(full_list(1, endpoint("s-a")), EndpointListKind.FULL)
+    made.table.apply_message(full_list(1, endpoint("s-a")), EndpointListKind.FULL)
     assert last_entry(posted, "s-a").state is EndpointState.DRAINING
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -176,14 +176,14 @@
     def __init__(self):
         self.dispatcher = SimpleNamespace(limits=Limits(), now_ns=lambda: 0)
         self.buffer = memoryview(bytearray(64))
-        self.connector = SimpleNamespace(connected=lambda connection: None)
-        self.pool = SimpleNamespace(lost=lambda connection: None)
+        self.connector = SimpleNamespace(on_connected=lambda connection: None)
+        self.pool = SimpleNamespace(on_connection_lost=lambda connection: None)
         self.results = []
 
     def finish(self, attempt, result):
         self.results.append(result)
 
-    written = answer_begun = lambda self, attempt: None
+    on_request_written = on_answer_started = lambda self, attempt: None
 
 
 @pytest.mark.parametrize(
@@ -205,7 +205,7 @@
     connection.connection_made(
         SimpleNamespace(set_write_buffer_limits=lambda high: None, write=lambda data: None)
     )
-    connection.carry(
+    connection.send(
         Attempt(None, 0, connection.backend, 0, SECOND, SECOND), b"*1\r\n$4\r\nPING\r\n", reused=reused
     )
     for event in events:
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -170,7 +170,7 @@
         first, _ = await loop.sock_accept(listening)
         ready = {"name": "s-a", "address": "127.0.0.1:1", "status": "Ready"}
         await send_list(first, [ready], 1)
-        while not watcher.has_received:
+        while not watcher.has_discovery_list:
             await asyncio.sleep(0)
         clock.at += limits.table_silence_ns
         dispatcher.wake()
--- a/tests/test_watch_backoff.py
+++ b/tests/test_watch_backoff.py
@@ -34,7 +34,7 @@
     """How long it waits before each retry, where so many attempts fail."""
     waited = []
     for _ in range(attempts):
-        watcher.lost(watcher.address, WatchFailure("rejected"))
+        watcher.on_lost(watcher.address, WatchFailure("rejected"))
         ((at_ns, *_),) = watcher.dispatcher.deadlines.pop_due(1 << 62)
         waited.append(at_ns)
     return waited
@@ -67,7 +67,7 @@
     watch.connection_made(SimpleNamespace(write=asked.append, abort=lambda: None))
     assert watcher.current is watch
     watcher.move(("10.2.0.9", 8500))
-    watcher.received(watch, delta(44))  # it stands until the other is answered
+    watcher.on_message(watch, delta(44))  # it stands until the other is answered
     other = Watch(watcher, watcher.address)
     other.connection_made(SimpleNamespace(write=asked.append, abort=lambda: None))
     assert b"index=41 " in asked[0] and b"index=0 " in asked[1]
--- a/zincstile/net/administration.py
+++ b/zincstile/net/administration.py
@@ -82,7 +82,7 @@
             {name: age_ns + elapsed_ns for name, age_ns in found.returned_age_ns.items()}
         )
         if found.discovery_offset_ns is not None:
-            self._table.reader.clock.offer(found.discovery_offset_ns)
+            self._table.reader.clock.add_candidate_offset(found.discovery_offset_ns)
         # Until the memory is here, the old process is the one that receives what peers send.
         log.line(f"memory: {await self.state_files.inherit()}")
 
@@ -125,7 +125,7 @@
         self._listener.set_standby(standby=standby)
 
     def _set_maintenance(self, name: str, *, enter: bool) -> None:
-        self._table.maintain(name, enter=enter)
+        self._table.set_maintenance(name, enter=enter)
         self._dispatcher.log.line(f"maintenance {'enter' if enter else 'exit'} {name}")
         self.handover.save()
 
@@ -141,9 +141,9 @@
     def _adopt_maintenance(self, change: MaintenanceChange) -> None:
         """Carries out what another process of this gateway was asked for."""
         for name in change.entered:
-            self._table.maintain(name, enter=True)
+            self._table.set_maintenance(name, enter=True)
         for name in change.exited:
-            self._table.maintain(name, enter=False)
+            self._table.set_maintenance(name, enter=False)
         entered, exited = sorted(change.entered), sorted(change.exited)
         text = f"handover: maintenance enter {entered} exit {exited} by another process"
         self._dispatcher.log.line(text)
--- a/zincstile/net/backends/attempt.py
+++ b/zincstile/net/backends/attempt.py
@@ -40,10 +40,10 @@
         "backend",
         "sent_ns",
         "until_ns",
-        "by_ns",
+        "write_deadline_ns",
         "deadline",
         "connection",
-        "begun",
+        "write_started",
         "may_have_run",
     )
 
@@ -54,7 +54,7 @@
         backend: Backend,
         sent_ns: int,
         until_ns: int,
-        by_ns: int,
+        write_deadline_ns: int,
     ) -> None:
         """An attempt that is not sent yet."""
         self.session = session
@@ -62,10 +62,10 @@
         self.backend = backend
         self.sent_ns = sent_ns
         self.until_ns = until_ns  # it is given up then
-        self.by_ns = by_ns  # its last byte is written by then, or never
+        self.write_deadline_ns = write_deadline_ns  # its last byte is written by then, or never
         self.deadline: DeadlineKey | None = None
         self.connection: Connection | None = None
-        self.begun = False  # its first byte may have left
+        self.write_started = False  # its first byte may have left
         self.may_have_run = False  # its last byte is written, and it was not rejected
 
 
--- a/zincstile/net/backends/attempts.py
+++ b/zincstile/net/backends/attempts.py
@@ -22,7 +22,7 @@
 from .attempt import Attempt
 from .connecting import Connector
 from .connection import BackendConnection
-from .outcomes import RESULT_COUNTERS, RETRY_REASONS, load_figures
+from .outcomes import RESULT_COUNTERS, RETRY_REASONS, parse_load_report
 from .pool import ConnectionPool
 from .requests import HEALTH_CHECK, call_command
 from .streaming import AnswerStreams
@@ -75,8 +75,16 @@
         if number:
             self.dispatcher.counters.count_retry(self._retry_reason(session))
         until_ns = min(action.give_up_ns, session.deadline_ns)
-        by_ns = min(until_ns, action.write_deadline_ns or until_ns)
-        self._launch(now_ns, session, number, action.endpoint, until_ns, by_ns, fresh=action.new_connection)
+        write_deadline_ns = min(until_ns, action.write_deadline_ns or until_ns)
+        self._launch(
+            now_ns,
+            session,
+            number,
+            action.endpoint,
+            until_ns,
+            write_deadline_ns,
+            new_connection=action.new_connection,
+        )
 
     def _retry_reason(self, session: Session) -> RetryReason:
         """Why a session has its latest attempt, which is counted in it already."""
@@ -122,22 +130,22 @@
         number: int,
         backend_id: int,
         until_ns: int,
-        by_ns: int,
+        write_deadline_ns: int,
         *,
-        fresh: bool = False,
+        new_connection: bool = False,
     ) -> None:
-        """Begins an attempt on an idle connection, or on a new one (`fresh`: on a new one always)."""
-        backend = self.pool.ready_backend(backend_id) if by_ns > now_ns else None
+        """Starts an attempt on an idle connection; on a new one if none is idle or with `new_connection`."""
+        backend = self.pool.ready_backend(backend_id) if write_deadline_ns > now_ns else None
         if backend is None:
             self.report(session, number, backend_id, AttemptResult.NOT_SENT, 0)
             return
-        attempt = Attempt(session, number, backend, now_ns, until_ns, by_ns)
+        attempt = Attempt(session, number, backend, now_ns, until_ns, write_deadline_ns)
         if session is not None:
             self.in_flight[session.id, number] = attempt
-        if not fresh:
+        if not new_connection:
             connection = self.pool.take_reusable(backend, now_ns)
             if connection is not None:
-                self.carry(connection, attempt, reused=True)
+                self.send(connection, attempt, reused=True)
                 return
         elif backend.idle:  # the new one replaces the one idle for longest, so that they don't add up
             self.pool.close_idle(backend.idle[0])
@@ -146,12 +154,12 @@
             # Descriptors are scarce. It was never sent, and the backend is not to blame.
             self.dispatcher.log.often("full", f"{count} backend connections: no more for now")
             self.finish(attempt, AttemptResult.NOT_SENT)
-            self.pool.release(backend)
+            self.pool.forget_if_unused(backend)
             return
-        self.set_deadline(attempt, min(by_ns, now_ns + self.dispatcher.limits.connect_ns))
+        self.set_deadline(attempt, min(write_deadline_ns, now_ns + self.dispatcher.limits.connect_ns))
         self.connector.connect(attempt)
 
-    def carry(self, connection: BackendConnection, attempt: Attempt, *, reused: bool = False) -> None:
+    def send(self, connection: BackendConnection, attempt: Attempt, *, reused: bool = False) -> None:
         """Writes an attempt's request: the one place at which its first byte leaves."""
         dispatcher, session = self.dispatcher, attempt.session
         now_ns = dispatcher.now_ns()
@@ -166,8 +174,10 @@
             dispatcher.trace.note(now_ns, Step.SENT, session.call.id, attempt.backend.address)
             dispatcher.counters.attempts += 1
             request = call_command(session.call, attempt.until_ns - now_ns)
-        connection.carry(attempt, request, reused=reused)
-        self.set_deadline(attempt, attempt.until_ns if connection.request_written else attempt.by_ns)
+        connection.send(attempt, request, reused=reused)
+        self.set_deadline(
+            attempt, attempt.until_ns if connection.request_written else attempt.write_deadline_ns
+        )
 
     # ---- deadlines
 
@@ -180,16 +190,16 @@
         """Where its request is not completely written by now it never ran: the rest is never written."""
         attempt.deadline = None
         connection = attempt.connection
-        written = attempt.begun and connection is not None and connection.request_written
+        written = attempt.write_started and connection is not None and connection.request_written
         self.finish(attempt, AttemptResult.TIMEOUT if written else AttemptResult.CONNECT_FAILED)
 
-    def written(self, attempt: Attempt) -> None:
+    def on_request_written(self, attempt: Attempt) -> None:
         """The last byte of its request has left, later than the first."""
-        if attempt.by_ns < attempt.until_ns:
+        if attempt.write_deadline_ns < attempt.until_ns:
             self.set_deadline(attempt, attempt.until_ns)
             self.dispatcher.wake()
 
-    def answer_begun(self, attempt: Attempt) -> None:
+    def on_answer_started(self, attempt: Attempt) -> None:
         """Part of its answer has come: the rest has to follow within `answer_ns`."""
         # A length that is more than what comes would else hold the client for all of its time.
         at_ns = attempt.connection.last_received_ns + self.dispatcher.limits.answer_ns
@@ -203,16 +213,16 @@
         answer_ns = self.dispatcher.limits.answer_ns
         if attempt.connection.last_received_ns + answer_ns > self.dispatcher.now_ns():
             self.set_deadline(attempt, attempt.until_ns)
-            self.answer_begun(attempt)  # more has come since
+            self.on_answer_started(attempt)  # more has come since
         else:
-            self.malformed(attempt, "it does not go on")
+            self.on_malformed_answer(attempt, "it does not go on")
 
     # ---- answers and outcomes
 
-    def answered(
-        self, connection: BackendConnection, attempt: Attempt, reply: resp.Reply, *, alone: bool
+    def on_reply(
+        self, connection: BackendConnection, attempt: Attempt, reply: resp.Reply, *, no_trailing_data: bool
     ) -> None:
-        """A complete reply has come; `alone`: nothing came behind it."""
+        """A complete reply has come; `no_trailing_data`: nothing was received after it."""
         is_error = isinstance(reply, resp.ErrorLine)
         if is_error:
             result = None
@@ -220,7 +230,7 @@
         else:
             result = resp.answer(reply)
             reusable = result is not None or attempt.session is None
-        if reusable and alone and connection.request_written:
+        if reusable and no_trailing_data and connection.request_written:
             self.pool.add_idle(connection)
         else:  # what is left to write, or came behind the answer, would confuse the next
             connection.transport.abort()
@@ -232,7 +242,7 @@
         elif result is not None:
             self.finish(attempt, AttemptResult.OK, *result)
         else:
-            self.malformed(attempt, f"not of the form agreed on: {str(reply)[:80]}")
+            self.on_malformed_answer(attempt, f"not of the form agreed on: {str(reply)[:80]}")
 
     def _fail(self, attempt: Attempt, error: bytes) -> None:
         """An error line: `BUSY` or `ERR failed`, with the load report behind it."""
@@ -242,9 +252,9 @@
             self.dispatcher.log.often("backend", f"{attempt.backend.address} says {bytes(error[:80])!r}")
         self.finish(attempt, result, load_report=details.rpartition(b" ")[2])
 
-    def malformed(self, attempt: Attempt, why: str) -> None:
+    def on_malformed_answer(self, attempt: Attempt, reason: str) -> None:
         """Its answer can't be read. It ran; the connection is of no further use."""
-        self.dispatcher.log.often("answer", f"of {attempt.backend.address} malformed: {why}")
+        self.dispatcher.log.often("answer", f"of {attempt.backend.address} malformed: {reason}")
         self.finish(attempt, AttemptResult.MALFORMED)
 
     def finish(
@@ -282,7 +292,7 @@
         load_report: bytes = b"",
     ) -> None:
         """Reports an outcome to the decisions; without a session it is that of a health check."""
-        figures = load_figures(load_report, self.settings.load_report_fields) if load_report else []
+        figures = parse_load_report(load_report, self.settings.load_report_fields) if load_report else []
         if session is None:
             self.dispatcher.post(HealthCheckResult(backend_id, result, latency_ns, figures))
             return
--- a/zincstile/net/backends/connecting.py
+++ b/zincstile/net/backends/connecting.py
@@ -16,10 +16,10 @@
 NS_PER_S: Final = 1e9
 
 
-class AttemptCarrier(ConnectionOwner, Protocol):
+class AttemptSender(ConnectionOwner, Protocol):
     """Who sends an attempt on a connection that is up: `attempts.Attempts`."""
 
-    def carry(self, connection: BackendConnection, attempt: Attempt, *, reused: bool = False) -> None:
+    def send(self, connection: BackendConnection, attempt: Attempt, *, reused: bool = False) -> None:
         """Writes the attempt's request."""
         ...
 
@@ -27,18 +27,18 @@
 class Connector:
     """Opens connections. One task a new connection, none a request."""
 
-    def __init__(self, dispatcher: Dispatcher, pool: ConnectionPool, carrier: AttemptCarrier) -> None:
-        """`carrier` gets each connection that is up, and the attempts whose connection failed."""
+    def __init__(self, dispatcher: Dispatcher, pool: ConnectionPool, sender: AttemptSender) -> None:
+        """`sender` gets each connection that is up, and the attempts whose connection failed."""
         self.dispatcher = dispatcher
         self.pool = pool
-        self.carrier = carrier
+        self.sender = sender
         self._tasks: set[asyncio.Task] = set()  # the loop alone would hold them weakly
 
     def connect(self, attempt: Attempt) -> None:
         """Opens a connection to the attempt's backend; the attempt is queued until it is up."""
         self.dispatcher.counters.connects += 1
         attempt.backend.queued[attempt] = None
-        connection = BackendConnection(self.carrier, attempt.backend, attempt)
+        connection = BackendConnection(self.sender, attempt.backend, attempt)
         self.pool.add(connection)
         task = self.dispatcher.loop.create_task(self._open(attempt, connection))
         self._tasks.add(task)
@@ -54,7 +54,7 @@
                 connection.attempt = None
                 never_asked = self._is_local_shortage(err)
                 result = AttemptResult.NOT_SENT if never_asked else AttemptResult.CONNECT_FAILED
-                self.carrier.finish(attempt, result)
+                self.sender.finish(attempt, result)
                 self.pool.remove(connection)
 
     def _is_local_shortage(self, err: Exception) -> bool:
@@ -64,14 +64,14 @@
             self.dispatcher.log.often("full", f"no connection to backend servers for now: {err}")
         return local
 
-    def connected(self, connection: BackendConnection) -> None:
+    def on_connected(self, connection: BackendConnection) -> None:
         """A connection is up: it carries its attempt, or becomes idle where that has ended meanwhile."""
         attempt = connection.attempt
         connection.attempt = None
         queued = connection.backend.queued
         if connection.connect_timeout.expired():  # just now: the task closes it next, whatever it carries
             if attempt in queued:
-                self.carrier.finish(attempt, AttemptResult.CONNECT_FAILED)
+                self.sender.finish(attempt, AttemptResult.CONNECT_FAILED)
             return
         connection.connect_timeout.reschedule(None)  # else it may be closed beneath whatever is written to it
         if attempt not in queued:  # given up meanwhile; the connection serves another
@@ -79,10 +79,10 @@
             return
         session = attempt.session
         ended = session is not None and (session.ended or session.client.has_left())  # since the last batch
-        if ended or self.dispatcher.now_ns() >= attempt.by_ns:
+        if ended or self.dispatcher.now_ns() >= attempt.write_deadline_ns:
             result = AttemptResult.CANCELLED if ended else AttemptResult.CONNECT_FAILED
-            self.carrier.finish(attempt, result)
+            self.sender.finish(attempt, result)
             self.pool.add_idle(connection, unused=True)
             return
         del queued[attempt]
-        self.carrier.carry(connection, attempt)
+        self.sender.send(connection, attempt)
--- a/zincstile/net/backends/connection.py
+++ b/zincstile/net/backends/connection.py
@@ -17,7 +17,7 @@
 class ConnectorEvents(Protocol):
     """Who waits for a connection to come up: `connecting.Connector`."""
 
-    def connected(self, connection: BackendConnection) -> None:
+    def on_connected(self, connection: BackendConnection) -> None:
         """The connection is up."""
         ...
 
@@ -25,7 +25,7 @@
 class PoolEvents(Protocol):
     """Who counts connections: `pool.ConnectionPool`."""
 
-    def lost(self, connection: BackendConnection) -> None:
+    def on_connection_lost(self, connection: BackendConnection) -> None:
         """The connection has ended."""
         ...
 
@@ -55,21 +55,21 @@
     pool: PoolEvents
     streams: StreamEvents
 
-    def written(self, attempt: Attempt) -> None:
+    def on_request_written(self, attempt: Attempt) -> None:
         """The last byte of a request has left, later than the first."""
         ...
 
-    def answer_begun(self, attempt: Attempt) -> None:
+    def on_answer_started(self, attempt: Attempt) -> None:
         """The first part of an answer has come."""
         ...
 
-    def answered(
-        self, connection: BackendConnection, attempt: Attempt, reply: resp.Reply, *, alone: bool
+    def on_reply(
+        self, connection: BackendConnection, attempt: Attempt, reply: resp.Reply, *, no_trailing_data: bool
     ) -> None:
-        """A complete reply has come; `alone`: nothing came behind it."""
+        """A complete reply has come; `no_trailing_data`: nothing was received after it."""
         ...
 
-    def malformed(self, attempt: Attempt, why: str) -> None:
+    def on_malformed_answer(self, attempt: Attempt, reason: str) -> None:
         """What has come is no answer."""
         ...
 
@@ -95,13 +95,13 @@
         "last_two_bytes",
         "trailer_parser",
         "trailer",
-        "held",
-        "paced",
+        "waits_for_client",
+        "throttled",
         "_parser",
-        "_unwritten",
-        "_answer_begun",
+        "_write_pending",
+        "_answer_started",
         "_reused",
-        "_form_known",
+        "_streaming_decided",
     )
 
     def __init__(self, owner: ConnectionOwner, backend: Backend, attempt: Attempt | None) -> None:
@@ -119,13 +119,13 @@
         self.last_two_bytes = b""  # of it that came
         self.trailer_parser: resp.ReplyParser | None = None  # of what follows the value
         self.trailer: list[resp.Reply] = []  # the figures and the load report, as far as they came
-        self.held = False  # not read while the client has not taken what came
-        self.paced = False  # not read for a while, so that small pieces come together
+        self.waits_for_client = False  # not read while the client has not taken what came
+        self.throttled = False  # not read for a while, so that small pieces come together
         self._parser = resp.ReplyParser(owner.dispatcher.limits)
-        self._unwritten = False  # part of a request has not left this process
-        self._answer_begun = False  # part of an answer has come
+        self._write_pending = False  # part of a request has not left this process
+        self._answer_started = False  # part of an answer has come
         self._reused = False  # it has carried another attempt before
-        self._form_known = False  # whether the answer is passed on as it comes
+        self._streaming_decided = False  # whether the answer is passed on as it comes
 
     # ---- writing
 
@@ -134,25 +134,25 @@
         self.transport = transport  # type: ignore[assignment]
         # With no room in the transport's buffer, `resume_writing` tells when all of a request has left.
         self.transport.set_write_buffer_limits(high=0)
-        self.owner.connector.connected(self)
+        self.owner.connector.on_connected(self)
 
-    def carry(self, attempt: Attempt, request: bytes, *, reused: bool = False) -> None:
+    def send(self, attempt: Attempt, request: bytes, *, reused: bool = False) -> None:
         """Writes the request of an attempt; `reused`: the connection has carried another before."""
         self._reused = reused
         self.attempt = attempt
         attempt.connection = self
-        attempt.begun = True
-        self._answer_begun = self._form_known = False
+        attempt.write_started = True
+        self._answer_started = self._streaming_decided = False
         self.transport.write(request)
-        attempt.may_have_run = not self._unwritten
+        attempt.may_have_run = not self._write_pending
 
     @property
     def request_written(self) -> bool:
         """Whether the last byte of the request has left this process."""
-        return not self._unwritten
+        return not self._write_pending
 
     @property
-    def nothing_received(self) -> bool:
+    def has_no_unread_data(self) -> bool:
         """Whether nothing came since the connection became idle, not even its end.
 
         What comes late behind an answer must not be taken for the next one's, and a connection that the
@@ -162,14 +162,14 @@
 
     def pause_writing(self) -> None:
         """Part of a request has to wait. Called by asyncio."""
-        self._unwritten = True
+        self._write_pending = True
 
     def resume_writing(self) -> None:
         """The last byte of a request has left. Called by asyncio."""
-        self._unwritten = False
+        self._write_pending = False
         if self.attempt is not None:
             self.attempt.may_have_run = True
-            self.owner.written(self.attempt)
+            self.owner.on_request_written(self.attempt)
 
     # ---- reading
 
@@ -184,11 +184,11 @@
         if self.stream is not None:
             owner.streams.push(self, data)
             return
-        if not self._form_known and attempt is not None and attempt.session is not None:
+        if not self._streaming_decided and attempt is not None and attempt.session is not None:
             kept = parser.incomplete()
             limits = owner.dispatcher.limits
             head = resp.stream_head(kept[:HEAD_BYTES] + data[:HEAD_BYTES], limits.stream_bytes)
-            self._form_known = head is None
+            self._streaming_decided = head is None
             if head is not None and head[0]:
                 value_bytes, start = head
                 self._parser = resp.ReplyParser(limits)
@@ -200,15 +200,15 @@
             self.transport.abort()
         elif replies:  # the first is the answer, whatever came behind it
             self.attempt = None
-            alone = len(replies) == 1 and parser.idle and not parser.error
-            owner.answered(self, attempt, replies[0], alone=alone)
+            no_trailing_data = len(replies) == 1 and parser.idle and not parser.error
+            owner.on_reply(self, attempt, replies[0], no_trailing_data=no_trailing_data)
         elif parser.error:
-            owner.malformed(attempt, parser.error)
+            owner.on_malformed_answer(attempt, parser.error)
         else:
             self.last_received_ns = owner.dispatcher.now_ns()
-            if not self._answer_begun:
-                self._answer_begun = True
-                owner.answer_begun(attempt)
+            if not self._answer_started:
+                self._answer_started = True
+                owner.on_answer_started(attempt)
 
     # ---- a value that is passed on as it comes
 
@@ -219,41 +219,41 @@
         self.last_two_bytes = b""
         self.trailer_parser = None
         self.trailer = []
-        self.held = self.paced = False
+        self.waits_for_client = self.throttled = False
 
     def end_stream(self) -> None:
         """The value and what follows it are read, or never come."""
         self.attempt = None
         self.stream = None
-        self.held = False
+        self.waits_for_client = False
 
-    def hold(self) -> None:
+    def wait_for_client(self) -> None:
         """Reads no more until the client has taken what came."""
-        if not self.held:
-            self.held = True
-            if not self.paced:
+        if not self.waits_for_client:
+            self.waits_for_client = True
+            if not self.throttled:
                 self.transport.pause_reading()
 
     def on_taken(self) -> None:
         """The client took what came of the value."""
-        if self.held:
-            self.held = False
+        if self.waits_for_client:
+            self.waits_for_client = False
             self._resume()
 
-    def pace(self, until_ns: int) -> None:
+    def throttle(self, until_ns: int) -> None:
         """Reads no more until then, so that small pieces gather in the socket: each read costs a batch."""
-        if not self.paced:
-            self.paced = True
+        if not self.throttled:
+            self.throttled = True
             self.transport.pause_reading()
-            self.owner.dispatcher.deadlines.add(until_ns, self._end_pace)
+            self.owner.dispatcher.deadlines.add(until_ns, self._end_throttle)
 
-    def _end_pace(self, _: object) -> None:
-        if self.paced:
-            self.paced = False
+    def _end_throttle(self, _: object) -> None:
+        if self.throttled:
+            self.throttled = False
             self._resume()
 
     def _resume(self) -> None:
-        if not self.held and not self.paced and not self.transport.is_closing():
+        if not self.waits_for_client and not self.throttled and not self.transport.is_closing():
             self.transport.resume_reading()
 
     def abandon(self) -> None:
@@ -273,7 +273,7 @@
             self.owner.streams.connection_lost(self)
         attempt = self.attempt
         self.attempt = None
-        self.owner.pool.lost(self)
+        self.owner.pool.on_connection_lost(self)
         if attempt is not None:
             stale = self._reused and self._parser.idle
             broken = AttemptResult.STALE_CONNECTION if stale else AttemptResult.RESET
--- a/zincstile/net/backends/outcomes.py
+++ b/zincstile/net/backends/outcomes.py
@@ -34,7 +34,7 @@
 }
 
 
-def load_figures(report: bytes, fields: Sequence[str]) -> list[float]:
+def parse_load_report(report: bytes, fields: Sequence[str]) -> list[float]:
     """The figures of a load report, `name=value` with commas between, in the order of `fields`.
 
     Empty where a field is missing or a figure is negative, infinite or none. A report may carry the names
--- a/zincstile/net/backends/pool.py
+++ b/zincstile/net/backends/pool.py
@@ -91,7 +91,7 @@
             self.backends[backend_id] = backend
         return backend if backend.ready else None
 
-    def release(self, backend: Backend) -> None:
+    def forget_if_unused(self, backend: Backend) -> None:
         """Forgets the record of a backend without connections, for which no attempt waits either."""
         if not backend.connections and self.backends.get(backend.id) is backend:
             del self.backends[backend.id]
@@ -108,9 +108,9 @@
         if connection in self.connections:
             self.connections.remove(connection)
             connection.backend.connections -= 1
-            self.release(connection.backend)
+            self.forget_if_unused(connection.backend)
 
-    def lost(self, connection: BackendConnection) -> None:
+    def on_connection_lost(self, connection: BackendConnection) -> None:
         """A connection that was up has ended."""
         if connection in self.idle:
             self._remove_idle(connection)
@@ -122,7 +122,7 @@
             # A second answer may come some milliseconds late: it must not be taken for the next request's.
             if connection.reusable_from_ns <= now_ns:
                 self._remove_idle(connection)
-                if connection.nothing_received:
+                if connection.has_no_unread_data:
                     return connection
                 connection.transport.abort()
         return None
--- a/zincstile/net/backends/streaming.py
+++ b/zincstile/net/backends/streaming.py
@@ -85,9 +85,9 @@
                 stream.end(truncated=False)
                 connection.trailer_parser = resp.ReplyParser(limits)
             elif stream.pending_bytes > limits.written_bytes:
-                connection.hold()
+                connection.wait_for_client()
             elif len(piece) < limits.stream_piece_bytes:
-                connection.pace(connection.last_received_ns + limits.stream_pace_ns)
+                connection.throttle(connection.last_received_ns + limits.stream_pace_ns)
         if connection.bytes_left == 0 and data:
             self._read_trailer(connection, data)
 
@@ -115,7 +115,7 @@
             return
         now_ns, limits = self.dispatcher.now_ns(), self.dispatcher.limits
         stalled_ns = max(connection.last_received_ns + limits.stream_stall_ns, attempt.session.deadline_ns)
-        if stalled_ns > now_ns or connection.held:
+        if stalled_ns > now_ns or connection.waits_for_client:
             again_ns = max(stalled_ns, now_ns + 1)
             attempt.deadline = self.dispatcher.deadlines.add(again_ns, self._check_stalled, attempt)
             return
--- a/zincstile/net/cold_start.py
+++ b/zincstile/net/cold_start.py
@@ -65,7 +65,7 @@
         """Starts, with the list that was cached before the start, or without one."""
         now = self.dispatcher.now_ns()
         self.readiness = Readiness(self.settings, now)
-        self.watcher.begin(known, hold=True)
+        self.watcher.begin(known, defer_watch=True)
         cached = bool(known.get("endpoints"))
         if cached:
             self.lists.load_cached_list(now, int(known["index"]), list(known["endpoints"]))
@@ -97,7 +97,7 @@
         if at_once:
             self.watcher.open()
         else:
-            self.watcher.open_soon()
+            self.watcher.open_after_delay()
 
     def _receive(self, sender: int, data: bytes) -> object | None:
         message = codec.unpack(data)
@@ -107,27 +107,27 @@
         self.lists.receive(self.dispatcher.now_ns(), sender, message)
         if not self.lists.admission_open and self.lists.fleet_is_serving():
             self.dispatcher.post(FleetIsServing())
-        self._use_found()
+        self._apply_search_result()
         self._send()
         return HANDLED
 
-    def _use_found(self) -> None:
+    def _apply_search_result(self) -> None:
         """Uses a complete list from peers, if it is not older than the cached one."""
         found = self.lists.take_result()
-        if found is None or self.watcher.has_received:
+        if found is None or self.watcher.has_discovery_list:
             return
         copy = self.lists.copy
         if copy.provenance is Provenance.CACHED and found.version < copy.version:
             return
         agreed = found.trust is ListTrust.PEERS_AGREE
-        if self.watcher.take_peers_list(found.version, found.entries, agreed=agreed):
-            self._log_found(found)
+        if self.watcher.apply_peer_list(found.version, found.entries, agreed=agreed):
+            self._log_search_result(found)
             self.readiness.record_list(found.trust)
             if agreed:
                 self._poll(at_once=False)
             self._report_ready()
 
-    def _log_found(self, found: FoundList) -> None:
+    def _log_search_result(self, found: FoundList) -> None:
         self.dispatcher.log.line(
             f"list of {len(found.entries)} backend servers, version {found.version}, "
             f"{found.trust.value}, confirmed {found.age_ns // 1_000_000} ms ago"
@@ -139,7 +139,7 @@
         search.update(now)
         if search.cache_confirmed:
             self.readiness.record_list(ListTrust.CACHED, cache_confirmed=True)
-        self._use_found()
+        self._apply_search_result()
         if not self._polled and now >= self._poll_ns:
             self._poll(at_once=True)
         self._report_ready()
--- a/zincstile/net/discovery/clock.py
+++ b/zincstile/net/discovery/clock.py
@@ -25,29 +25,31 @@
     def __init__(self, offset_ns: int) -> None:
         """By this machine's clocks, as they are at the start of the process."""
         self.offset_ns = offset_ns
-        self.fixed = False  # the offset stays as it is
-        self._offered: list[int] = [offset_ns]
+        self.offset_chosen = False  # the offset stays as it is
+        self._candidate_offsets: list[int] = [offset_ns]
         self._overrides: dict[int, tuple[int, int]] = {}  # by backend: the start as sent in ms, and as held
 
-    def offer(self, offset_ns: int) -> None:
+    def add_candidate_offset(self, offset_ns: int) -> None:
         """What an older process of this gateway had; before the first list that has a start."""
-        if not self.fixed:
-            self._offered.append(offset_ns)
+        if not self.offset_chosen:
+            self._candidate_offsets.append(offset_ns)
 
-    def fix(self, starts_ms: Iterable[int], now_ns: int) -> None:
+    def choose_offset(self, starts_ms: Iterable[int], now_ns: int) -> None:
         """Chooses the offset by the first list that has any start.
 
         It is the same for good from then on, since a start has to stay the same number in every list.
         """
         latest_ms = max(starts_ms, default=0)
-        if self.fixed or latest_ms <= 0:
+        if self.offset_chosen or latest_ms <= 0:
             return
-        self.fixed = True
+        self.offset_chosen = True
         latest_allowed_ns = now_ns + FUTURE_TOLERANCE_NS
         possible = [
-            offset_ns for offset_ns in self._offered if latest_ms * NS_PER_MS + offset_ns <= latest_allowed_ns
+            offset_ns
+            for offset_ns in self._candidate_offsets
+            if latest_ms * NS_PER_MS + offset_ns <= latest_allowed_ns
         ]
-        self.offset_ns = max(possible) if possible else min(self._offered)
+        self.offset_ns = max(possible) if possible else min(self._candidate_offsets)
 
     def started_ns(self, backend_id: int, start_ms: int, now_ns: int) -> int:
         """A start in monotonic time, never later than when it is first received. 0: long ago."""
@@ -57,14 +59,14 @@
         if override is not None and override[0] == start_ms:
             return override[1]
         started_ns = start_ms * NS_PER_MS + self.offset_ns
-        return started_ns if started_ns <= now_ns else self.override(backend_id, start_ms, now_ns)
+        return started_ns if started_ns <= now_ns else self.override_start(backend_id, start_ms, now_ns)
 
-    def sent_ms(self, backend_id: int, started_ns: int) -> int:
+    def sent_start_ms(self, backend_id: int, started_ns: int) -> int:
         """The start as discovery sends it, of one that is held as `started_ns`."""
         override = self._overrides.get(backend_id)
         return override[0] if override is not None else (started_ns - self.offset_ns) // NS_PER_MS
 
-    def override(self, backend_id: int, start_ms: int, started_ns: int) -> int:
+    def override_start(self, backend_id: int, start_ms: int, started_ns: int) -> int:
         """Holds a start otherwise than it is sent, until discovery sends another one; returns it."""
         self._overrides.pop(backend_id, None)
         self._overrides[backend_id] = start_ms, started_ns
--- a/zincstile/net/discovery/table.py
+++ b/zincstile/net/discovery/table.py
@@ -51,7 +51,7 @@
 
     # ---- what discovery sends
 
-    def note_contact(self) -> None:
+    def record_contact(self) -> None:
         """Discovery has sent something, be it that nothing has changed."""
         self._last_contact_ns = self.dispatcher.now_ns()
 
@@ -70,21 +70,23 @@
         known = self.endpoints.get(listed.entry.id)
         return known if known == listed else listed
 
-    def take(self, message: dict[str, Any], kind: EndpointListKind, *, follows: bool = True) -> None:
+    def apply_message(
+        self, message: dict[str, Any], kind: EndpointListKind, *, record_version: bool = True
+    ) -> None:
         """Takes over a list or a change of it, as its JSON has it.
 
-        `follows`: the next watch asks for changes since its version. Raises as `EndpointReader.read` does,
-        and changes nothing then.
+        `record_version`: the next watch requests the changes since this version. If the message is malformed,
+        raises what `EndpointReader.read` raises and changes nothing.
         """
         version, _, endpoints = self.reader.read(message)
-        if follows:
+        if record_version:
             self.version = version
         self.dispatcher.counters.tables += 1
         self.dispatcher.trace.note(
             self.dispatcher.now_ns(), Step.STATE, "list", (kind, version, len(endpoints))
         )
         endpoints = self._correct_starts(kind, endpoints)
-        self._keep(kind, endpoints)
+        self._store(kind, endpoints)
         if self.maintenance.active:
             endpoints = [self.maintenance.apply(listed) for listed in endpoints]
         self._publish(kind, version, endpoints)
@@ -101,7 +103,7 @@
             return endpoints
         earliest_ns = self._last_contact_ns - self.dispatcher.limits.start_told_ns
         return [
-            self._started_now(listed)
+            self._with_start_now(listed)
             if listed.entry.started_ns < earliest_ns and self._has_new_start(listed.entry)
             else listed
             for listed in endpoints
@@ -112,17 +114,17 @@
         known_ns = known.entry.started_ns if known is not None else self.removed.get(entry.id)
         return entry.started_ns not in (0, known_ns) and entry.state is not EndpointState.REMOVED
 
-    def _started_now(self, listed: ListedEndpoint) -> ListedEndpoint:
+    def _with_start_now(self, listed: ListedEndpoint) -> ListedEndpoint:
         entry, address = listed
         clock, now_ns = self.reader.clock, self.dispatcher.now_ns()
         age_s = (now_ns - entry.started_ns) / NS_PER_S
         self.dispatcher.log.often(
             "clock", f"a backend listed just now had started {age_s:.0f} s ago: taken as cold"
         )
-        clock.override(entry.id, clock.sent_ms(entry.id, entry.started_ns), now_ns)
+        clock.override_start(entry.id, clock.sent_start_ms(entry.id, entry.started_ns), now_ns)
         return ListedEndpoint(replace(entry, started_ns=now_ns), address)
 
-    def _keep(self, kind: EndpointListKind, endpoints: list[ListedEndpoint]) -> None:
+    def _store(self, kind: EndpointListKind, endpoints: list[ListedEndpoint]) -> None:
         """Remembers what is listed, and of what is gone only that it was, and not for ever."""
         if kind is not EndpointListKind.DELTA:
             received = {entry.id for entry, _ in endpoints}
@@ -150,7 +152,7 @@
 
     # ---- what operators order
 
-    def maintain(self, name: str, *, enter: bool) -> bool:
+    def set_maintenance(self, name: str, *, enter: bool) -> bool:
         """Puts an endpoint under maintenance, or takes it back; False where it was never listed.
 
         Where it is listed, that is published as a change of the list, so that the decisions and the pool
--- a/zincstile/net/discovery/watch.py
+++ b/zincstile/net/discovery/watch.py
@@ -10,7 +10,7 @@
 from ..config import Address
 from ..deadlines import DeadlineKey
 from ..dispatcher import Dispatcher
-from ..json_objects import JsonObjects
+from ..json_objects import JsonObjectParser
 from .table import EndpointTable
 
 OK_STATUS: Final = 200
@@ -44,23 +44,23 @@
     table: EndpointTable
     listener: WatchListener | None
 
-    def opened(self, watch: Watch) -> None:
+    def on_connected(self, watch: Watch) -> None:
         """The connection is up."""
         ...
 
-    def received(self, watch: Watch, message: dict[str, Any]) -> None:
+    def on_message(self, watch: Watch, message: dict[str, Any]) -> None:
         """A message has come."""
         ...
 
-    def is_awaited(self, watch: Watch) -> bool:
+    def check_pending_call(self, watch: Watch) -> bool:
         """Whether a call without an answer may still be answered; it is looked after then."""
         ...
 
-    def fell_silent(self, watch: Watch) -> None:
+    def on_silent(self, watch: Watch) -> None:
         """Nothing has come for too long."""
         ...
 
-    def lost(self, address: Address, failure: WatchFailure, watch: Watch | None = None) -> None:
+    def on_lost(self, address: Address, failure: WatchFailure, watch: Watch | None = None) -> None:
         """The watch has ended."""
         ...
 
@@ -72,10 +72,10 @@
         "owner",
         "address",
         "transport",
-        "called_ns",
+        "requested_ns",
         "_buffer",
         "_lines",
-        "_objects",
+        "_parser",
         "_failure",
         "_deadline",
         "_last_received_ns",
@@ -93,11 +93,11 @@
         self._lines = http.LineReader(limits)
         # A listener gets endpoints as their JSON has them.
         read_endpoint = owner.table.read_early if owner.listener is None else None
-        self._objects = JsonObjects(limits.table_bytes, read_endpoint)
+        self._parser = JsonObjectParser(limits.table_bytes, read_endpoint)
         self._failure = WatchFailure("it ended")
         self._deadline: DeadlineKey | None = None
-        self.called_ns = owner.dispatcher.now_ns()
-        self._last_received_ns = self.called_ns
+        self.requested_ns = owner.dispatcher.now_ns()
+        self._last_received_ns = self.requested_ns
         self._answered = False  # something has come
         self._answered_ns = 0  # when that was
 
@@ -105,7 +105,7 @@
         """The connection is up. Called by asyncio."""
         self.transport = transport  # type: ignore[assignment]
         self.owner.dispatcher.counters.watches += 1
-        self.owner.opened(self)
+        self.owner.on_connected(self)
         host, port = self.address
         # What was missed since: every line costs discovery work, for each gateway of the fleet. Where that is
         # too old to be sent as changes, the complete list comes.
@@ -124,13 +124,13 @@
         limits = dispatcher.limits
         silence_ns = limits.table_silence_ns if self._answered else limits.table_answer_ns
         if self.silent_ns() >= silence_ns:
-            if self._answered or not self.owner.is_awaited(self):
-                self.owner.fell_silent(self)
+            if self._answered or not self.owner.check_pending_call(self):
+                self.owner.on_silent(self)
             return
         self._deadline = dispatcher.deadlines.add(self._last_received_ns + silence_ns, self._check_silence)
         dispatcher.wake()
 
-    def wait_on(self) -> None:
+    def extend_wait(self) -> None:
         """The service is there, and its answer may still come: silence counts anew."""
         if not self._answered and not self.transport.is_closing():
             self._last_received_ns = self.owner.dispatcher.now_ns()
@@ -140,19 +140,19 @@
         """How long nothing has come."""
         return self.owner.dispatcher.now_ns() - self._last_received_ns
 
-    def give_up(self, reason: str, silent_ns: int = 0) -> None:
+    def abort(self, reason: str, silent_ns: int = 0) -> None:
         """Ends the watch."""
         self._failure = self._failure._replace(reason=reason, silent_ns=silent_ns)
         self.transport.abort()
 
-    def give_up_unanswered(self, reason: str, silent_ns: int = 0) -> None:
+    def abort_if_unanswered(self, reason: str, silent_ns: int = 0) -> None:
         """Ends the watch, unless something has come meanwhile."""
         if not self._answered:
-            self.give_up(reason, silent_ns)
+            self.abort(reason, silent_ns)
 
     def response_time_ns(self) -> int:
         """From the call to the first of its answer."""
-        return self._answered_ns - self.called_ns
+        return self._answered_ns - self.requested_ns
 
     # ---- reading
 
@@ -172,15 +172,15 @@
             owner.dispatcher.deadlines.cancel(self._deadline)
             self._check_silence(None)
         self._read(self._lines.feed, bytes(self._buffer[:size]))
-        owner.table.note_contact()
+        owner.table.record_contact()
 
     def _read(self, lines: Callable[..., list[bytes]], *data: bytes) -> None:
         try:
             for line in lines(*data):
                 if self._lines.status != OK_STATUS:
                     raise http.HttpError(f"status {self._lines.status}")
-                for message in self._objects.feed(line):
-                    self.owner.received(self, message)
+                for message in self._parser.feed(line):
+                    self.owner.on_message(self, message)
             if self._lines.done:
                 if self._lines.status != OK_STATUS:  # rejected, with or without a Retry-After
                     self._failure = self._failure._replace(
@@ -194,9 +194,9 @@
 
     def eof_received(self) -> None:
         """Discovery has ended its side. Called by asyncio; a reset does not come here."""
-        self._read(self._lines.end)  # an answer without a length ends so
+        self._read(self._lines.feed_eof)  # an answer without a length ends so
 
     def connection_lost(self, err: Exception | None) -> None:
         """The connection has ended. Called by asyncio."""
         self.owner.dispatcher.deadlines.cancel(self._deadline)
-        self.owner.lost(self.address, self._failure, self)
+        self.owner.on_lost(self.address, self._failure, self)
--- a/zincstile/net/discovery/watcher.py
+++ b/zincstile/net/discovery/watcher.py
@@ -35,7 +35,7 @@
         self.address = address
         self.on_first_list = on_first_list
         self.rng = rng
-        self.has_received = False  # discovery has sent a list since the start
+        self.has_discovery_list = False  # discovery has sent a list since the start
         self.listener: WatchListener | None = None
         self.current: Watch | None = None  # the last that was opened
         limits = dispatcher.limits
@@ -55,35 +55,34 @@
 
     # ---- the list of before discovery's own
 
-    def begin(self, known: dict[str, Any], *, hold: bool = False) -> None:
+    def begin(self, known: dict[str, Any], *, defer_watch: bool = False) -> None:
         """Starts with the list that the settings know, which may be empty.
 
-        `hold`: somebody else opens the watch, when it is time. Raises ConfigError where the list can't be
-        read.
+        With `defer_watch` the caller opens the watch later. Raises ConfigError if the list is malformed.
         """
         if known.get("endpoints"):
             try:
-                self.table.take(known, EndpointListKind.CACHED)
+                self.table.apply_message(known, EndpointListKind.CACHED)
             except READ_ERRORS as err:
                 raise ConfigError(f"known: {type(err).__name__} {err}") from None
-            if not hold:
-                self.open_soon()
+            if not defer_watch:
+                self.open_after_delay()
         else:
             self.dispatcher.post(EndpointList(EndpointListKind.CACHED, 0, []))
-            if not hold:
+            if not defer_watch:
                 self.open()
 
-    def take_peers_list(self, version: int, endpoints: list[dict[str, Any]], *, agreed: bool) -> bool:
+    def apply_peer_list(self, version: int, endpoints: list[dict[str, Any]], *, agreed: bool) -> bool:
         """Takes over a list that peers have sent.
 
         Not `agreed`: discovery is asked for the complete list all the same. False where discovery's own is
         here already, or the list can't be read.
         """
-        if self.has_received:
+        if self.has_discovery_list:
             return False
         message = {"index": version, "snapshot": True, "endpoints": endpoints}
         try:
-            self.table.take(message, EndpointListKind.CACHED, follows=True)
+            self.table.apply_message(message, EndpointListKind.CACHED, record_version=True)
         except READ_ERRORS as err:
             self.dispatcher.log.often("start", f"a peer's list can't be read: {type(err).__name__} {err}")
             return False
@@ -93,7 +92,7 @@
 
     # ---- opening
 
-    def open_soon(self) -> None:
+    def open_after_delay(self) -> None:
         """Opens a watch at a drawn moment: a list is here, and a fleet that asks in step is rejected."""
         wait_ns = self.rng.randint(1, self.dispatcher.limits.table_first_ask_ns)
         self.dispatcher.deadlines.add(self.dispatcher.now_ns() + wait_ns, self.open, None)
@@ -121,9 +120,9 @@
             async with asyncio.timeout(timeout_s):
                 await loop.create_connection(lambda: Watch(self, address), *address)
         except (OSError, TimeoutError) as err:
-            self.lost(address, WatchFailure(f"can't connect: {err or type(err).__name__}"))
+            self.on_lost(address, WatchFailure(f"can't connect: {err or type(err).__name__}"))
 
-    def opened(self, watch: Watch) -> None:
+    def on_connected(self, watch: Watch) -> None:
         """A watch is connected; the one before stands until this one is answered."""
         if watch.address != self.address:  # moved on while it came up
             watch.transport.abort()
@@ -137,7 +136,7 @@
 
     # ---- silence
 
-    def fell_silent(self, watch: Watch) -> None:
+    def on_silent(self, watch: Watch) -> None:
         """Opens another watch beside a silent one, which stands until that has come up.
 
         What discovery has when it returns counts as received at once: a call has to be out then. Where
@@ -145,12 +144,12 @@
         """
         patient = self.dispatcher.limits.table_patience_ns
         if patient or watch is not self.current or watch.address != self.address:
-            watch.give_up("silent", watch.silent_ns())
+            watch.abort("silent", watch.silent_ns())
             return
         self.dispatcher.log.often("watch", "silent: another is opened beside it; the last list stands")
         self.open()
 
-    def is_awaited(self, watch: Watch) -> bool:
+    def check_pending_call(self, watch: Watch) -> bool:
         """Whether a call without an answer is left out.
 
         Where discovery is one service for the whole fleet, the call's turn may still come: given up and made
@@ -171,17 +170,17 @@
                 transport, _ = await loop.create_connection(asyncio.Protocol, *watch.address)
             transport.abort()
         except (OSError, TimeoutError):
-            watch.give_up_unanswered("silent, and it takes no connection")
+            watch.abort_if_unanswered("silent, and it takes no connection")
             return
-        if self._polling.keeps_waiting(self.dispatcher.now_ns() - watch.called_ns):
-            watch.wait_on()
+        if self._polling.keeps_waiting(self.dispatcher.now_ns() - watch.requested_ns):
+            watch.extend_wait()
         else:
-            waited_ns = self.dispatcher.now_ns() - watch.called_ns
-            watch.give_up_unanswered("silent for all of the patience", waited_ns)
+            waited_ns = self.dispatcher.now_ns() - watch.requested_ns
+            watch.abort_if_unanswered("silent for all of the patience", waited_ns)
 
     # ---- the end of a watch, and its messages
 
-    def lost(self, address: Address, failure: WatchFailure, watch: Watch | None = None) -> None:
+    def on_lost(self, address: Address, failure: WatchFailure, watch: Watch | None = None) -> None:
         """A watch has ended, or (without one) a call for one could not connect: tries again.
 
         Each time later, at a moment drawn from all of the wait. Gateways may lose their watches at once:
@@ -199,13 +198,13 @@
         self.dispatcher.deadlines.add(self.dispatcher.now_ns() + wait_ns, self.open, address)
         self.dispatcher.wake()
 
-    def received(self, watch: Watch, message: dict[str, Any]) -> None:
+    def on_message(self, watch: Watch, message: dict[str, Any]) -> None:
         """A message of a watch. One that was replaced is not read any more."""
         if watch is not self.current and watch is not self._previous:
             return
         kind = EndpointListKind.FULL if message["snapshot"] else EndpointListKind.DELTA
         # An old watch may still be answered after a move, and count in another way.
-        self.table.take(message, kind, follows=watch.address == self.address)
+        self.table.apply_message(message, kind, record_version=watch.address == self.address)
         if self.listener is not None:
             complete = bool(message["snapshot"])
             self.listener.list_received(self.table.version, message["endpoints"], complete=complete)
@@ -215,6 +214,6 @@
                 replaced = self._previous
                 self._previous = None
                 replaced.transport.abort()
-        if not self.has_received:
-            self.has_received = True
+        if not self.has_discovery_list:
+            self.has_discovery_list = True
             self.on_first_list()
--- a/zincstile/net/http.py
+++ b/zincstile/net/http.py
@@ -69,7 +69,7 @@
             pass
         return lines
 
-    def end(self) -> list[bytes]:
+    def feed_eof(self) -> list[bytes]:
         """The peer has ended its sending: the last line, where only that tells the body's end."""
         lines: list[bytes] = []
         if not self.done and self._state == self._read_plain and self._left_bytes < 0:
@@ -77,7 +77,7 @@
         return lines
 
     @property
-    def rest(self) -> bytes:
+    def remaining_data(self) -> bytes:
         """What came behind the response, once that is done."""
         return self._buffer
 
@@ -227,5 +227,5 @@
             if not self._reader.done:
                 break
             responses.append(Response(self._reader.status, b"\n".join(self._lines)))
-            data, self._reader, self._lines = self._reader.rest, LineReader(self._limits), []
+            data, self._reader, self._lines = self._reader.remaining_data, LineReader(self._limits), []
         return responses
--- a/zincstile/net/json_objects.py
+++ b/zincstile/net/json_objects.py
@@ -13,7 +13,7 @@
 CLOSING: Final = (b"}", b"]")
 
 
-class JsonObjects:
+class JsonObjectParser:
     """Collects lines until the brackets of an object are closed."""
 
     __slots__ = ("_max_bytes", "_object_hook", "_parts", "_size_bytes", "_depth")
--- a/zincstile/net/lifecycle.py
+++ b/zincstile/net/lifecycle.py
@@ -146,7 +146,7 @@
         parts.listener.start_serving()
         if parts.administration is not None:
             parts.administration.handover.announce_ready()
-        source = "from discovery" if parts.watcher.has_received else "cached"
+        source = "from discovery" if parts.watcher.has_discovery_list else "cached"
         if parts.starter is not None:
             source = parts.starter.readiness.trust.value
         self._log.line(f"ready with {len(parts.pool.listed)} backend servers, {source}")
@@ -156,7 +156,7 @@
         return self._dispatcher.guard.may_be_ready(
             self._dispatcher.now_ns(),
             len(self._parts.pool.listed),
-            list_received=self._parts.watcher.has_received or self._parts.starter is not None,
+            list_received=self._parts.watcher.has_discovery_list or self._parts.starter is not None,
         )
 
     # ---- while it serves
--- a/zincstile/net/quota_service.py
+++ b/zincstile/net/quota_service.py
@@ -37,21 +37,21 @@
 class PendingCall:
     """One call; `on_answer(now, total)` is called once, with None where there is no total."""
 
-    __slots__ = ("request", "on_answer", "made_ns", "deadline", "over")
+    __slots__ = ("request", "on_answer", "created_ns", "deadline", "ended")
 
-    def __init__(self, request: bytes, on_answer: OnAnswer, made_ns: int) -> None:
+    def __init__(self, request: bytes, on_answer: OnAnswer, created_ns: int) -> None:
         """Takes the request as it is written, and the time at which the call was made."""
         self.request = request
         self.on_answer = on_answer
-        self.made_ns = made_ns
+        self.created_ns = created_ns
         self.deadline: DeadlineKey | None = None
-        self.over = False
+        self.ended = False
 
 
 class QuotaServiceConnection(asyncio.BufferedProtocol):
     """One connection to the quota service, with the calls on it that have no answer yet."""
 
-    __slots__ = ("client", "address", "transport", "calls", "idle_since_ns", "_answers")
+    __slots__ = ("client", "address", "transport", "calls", "idle_since_ns", "_responses")
 
     def __init__(self, client: QuotaServiceClient, address: Address) -> None:
         """Takes the client whose calls it carries, and the address that it is made to."""
@@ -60,7 +60,7 @@
         self.transport: asyncio.Transport | None = None
         self.calls: deque[PendingCall] = deque()  # written and not answered, in their order
         self.idle_since_ns = 0
-        self._answers = http.PipelinedResponses(client.dispatcher.limits)
+        self._responses = http.PipelinedResponses(client.dispatcher.limits)
 
     @property
     def usable(self) -> bool:
@@ -71,7 +71,7 @@
         """Called by asyncio when the connection is up."""
         self.transport = transport  # type: ignore[assignment]
         self.idle_since_ns = self.client.dispatcher.now_ns()
-        self.client.connected(self)
+        self.client.on_connected(self)
 
     def get_buffer(self, sizehint: int) -> memoryview:
         """Called by asyncio: the buffer that all connections share."""
@@ -81,8 +81,8 @@
         """Called by asyncio: hands answers to their calls; a malformed one ends the connection."""
         dispatcher = self.client.dispatcher
         try:
-            for status, body in self._answers.feed(bytes(self.client.buffer[:size])):
-                self._take_answer(status, body)
+            for status, body in self._responses.feed(bytes(self.client.buffer[:size])):
+                self._handle_response(status, body)
         except http.HttpError as err:
             dispatcher.log.often("quota_service", f"answer of {self.address} malformed: {err}")
             self.transport.abort()
@@ -90,10 +90,10 @@
         self.idle_since_ns = dispatcher.now_ns()
         dispatcher.flush_later(self.client)
 
-    def _take_answer(self, status: int, body: bytes) -> None:
+    def _handle_response(self, status: int, body: bytes) -> None:
         if not self.calls:
             raise http.HttpError("an answer to nothing")
-        if not self.client.answered(self.calls.popleft(), status, body):
+        if not self.client.on_response(self.calls.popleft(), status, body):
             raise http.HttpError(f"no number: {body[:LOGGED_BODY_BYTES]!r}")
 
     def eof_received(self) -> None:
@@ -102,7 +102,7 @@
 
     def connection_lost(self, err: Exception | None) -> None:
         """Called by asyncio when the connection is closed."""
-        self.client.disconnected(self)
+        self.client.on_disconnected(self)
 
 
 class QuotaServiceClient:
@@ -138,7 +138,7 @@
             self._finish(call, None)
             return
         timeout_ns = now + dispatcher.limits.quota_service_call_ns
-        call.deadline = dispatcher.deadlines.add(timeout_ns, self._timed_out, call)
+        call.deadline = dispatcher.deadlines.add(timeout_ns, self._on_timeout, call)
         self.waiting.append(call)
         dispatcher.flush_later(self)
 
@@ -157,7 +157,7 @@
     def flush(self) -> None:
         """Writes waiting calls, spread over the connections; opens another where these are busy."""
         waiting = self.waiting
-        while waiting and waiting[0].over:
+        while waiting and waiting[0].ended:
             waiting.popleft()
         if not waiting:
             return
@@ -171,7 +171,7 @@
         for connection in sorted(connections, key=lambda c: len(c.calls)):
             while self.waiting and len(connection.calls) < self.dispatcher.limits.quota_service_pipelined:
                 call = self.waiting.popleft()
-                if not call.over:
+                if not call.ended:
                     connection.calls.append(call)
                     requests.setdefault(connection, []).append(call.request)
         for connection, written in requests.items():
@@ -206,12 +206,12 @@
 
     # ---- called by connections
 
-    def connected(self, connection: QuotaServiceConnection) -> None:
+    def on_connected(self, connection: QuotaServiceConnection) -> None:
         """A connection is up: waiting calls may be written to it."""
         self.connections[connection] = None
         self.dispatcher.flush_later(self)
 
-    def disconnected(self, connection: QuotaServiceConnection) -> None:
+    def on_disconnected(self, connection: QuotaServiceConnection) -> None:
         """A connection is closed: the amounts of its calls may have been added."""
         self.connections.pop(connection, None)
         calls, connection.calls = connection.calls, deque()
@@ -219,7 +219,7 @@
             self._finish(call, None)
         self.dispatcher.flush_later(self)
 
-    def answered(self, call: PendingCall, status: int, body: bytes) -> bool:
+    def on_response(self, call: PendingCall, status: int, body: bytes) -> bool:
         """Ends a call with its answer.
 
         Returns False where the answer brings neither a number nor a refusal: its connection is of no further
@@ -237,15 +237,15 @@
 
     # ---- ends of calls and connections
 
-    def _timed_out(self, call: PendingCall) -> None:
+    def _on_timeout(self, call: PendingCall) -> None:
         call.deadline = None
         self._finish(call, None)
 
     def _finish(self, call: PendingCall, total: float | None) -> None:
         """Tells the caller the total, once."""
-        if call.over:
+        if call.ended:
             return
-        call.over = True
+        call.ended = True
         self.dispatcher.deadlines.cancel(call.deadline)
         if total is None:
             self.dispatcher.counters.quota_service_unanswered += 1
@@ -256,7 +256,7 @@
         now, limits = self.dispatcher.now_ns(), self.dispatcher.limits
         for connection in list(self.connections):
             if connection.calls:
-                waited_ns = now - connection.calls[0].made_ns
+                waited_ns = now - connection.calls[0].created_ns
                 if waited_ns > limits.quota_service_call_ns + limits.quota_service_stuck_ns:
                     connection.transport.abort()
                 continue
--- a/zincstile/simulation/mutants_network.py
+++ b/zincstile/simulation/mutants_network.py
@@ -92,7 +92,7 @@
 
     def lost(self, err):
         attempt, self.attempt = self.attempt, None
-        self.owner.pool.lost(self)
+        self.owner.pool.on_connection_lost(self)
         if attempt is not None:
             self.owner.finish(attempt, AttemptResult.CONNECT_FAILED)
 
@@ -164,10 +164,10 @@
 
 def connection_reused_with_unread_bytes() -> Undo:
     """A connection is used again although bytes follow its answer, read or not."""
-    old = attempts.Attempts.__dict__["answered"]
+    old = attempts.Attempts.__dict__["on_reply"]
 
-    def answered(self, connection, attempt, reply, *, alone):
-        old(self, connection, attempt, reply, alone=True)
+    def on_reply(self, connection, attempt, reply, *, no_trailing_data):
+        old(self, connection, attempt, reply, no_trailing_data=True)
 
     def updated(self, size):
         if self.attempt is None:
@@ -175,13 +175,13 @@
         replies = self._parser.feed(bytes(self.owner.buffer[:size]))
         if replies:
             attempt, self.attempt = self.attempt, None
-            self.owner.answered(self, attempt, replies[0], alone=True)
+            self.owner.on_reply(self, attempt, replies[0], no_trailing_data=True)
 
-    nothing_received = property(lambda self: not self.transport.is_closing())
+    has_no_unread_data = property(lambda self: not self.transport.is_closing())
     return undo_all(
-        replace_attribute(attempts.Attempts, "answered", answered),
+        replace_attribute(attempts.Attempts, "on_reply", on_reply),
         replace_attribute(BackendConnection, "buffer_updated", updated),
-        replace_attribute(BackendConnection, "nothing_received", nothing_received),
+        replace_attribute(BackendConnection, "has_no_unread_data", has_no_unread_data),
     )
 
 
@@ -246,7 +246,7 @@
 
 def backend_connections_leak() -> Undo:
     """A backend connection that has ended is still counted."""
-    return replace_attribute(ConnectionPool, "lost", lambda self, connection: None)
+    return replace_attribute(ConnectionPool, "on_connection_lost", lambda self, connection: None)
 
 
 def cancelled_attempts_leak() -> Undo:
