--- a/tests/endpoint_lists.py
+++ b/tests/endpoint_lists.py
@@ -55,7 +55,7 @@
         now_ns=now_ns,
         wake=lambda: None,
         post=post,
-        log=SimpleNamespace(often=lambda kind, text: None),
+        log=SimpleNamespace(line_limited=lambda kind, text: None),
         counters=SimpleNamespace(tables=0, watches=0),
     )
 
--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -242,12 +242,12 @@
     path = tmp_path / "start.yaml"
     path.write_text(text)
     with pytest.raises(FileError, match=error):
-        features.start(str(path))
+        features.read_cold_start(str(path))
     path.write_text("start: {peers: true}")
     plan = Plan(seed=1)
     table = traffic.configuration(plan, 0, "127.0.0.1:1", "127.0.0.1:2", ["127.0.0.1:3"] * 3, 5, {})
     table["features"] = {"start": str(path)}
-    assert read(table, {}).start.use_peer_lists
+    assert read(table, {}).cold_start.use_peer_lists
     table["settings"]["limits"]["peers"] = False
     with pytest.raises(ConfigError, match="nobody could be asked"):
         read(table, {})
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -215,7 +215,7 @@
 
     async def play(late_ns):
         now = [0]
-        dispatcher = make_dispatcher(Stumbling(), Limits(held_up_ns=10))
+        dispatcher = make_dispatcher(Stumbling(), Limits(process_stall_ns=10))
         dispatcher.now_ns = lambda: now[0]
         dispatcher._alarm_ns, now[0] = 100, 100 + late_ns
         dispatcher._on_alarm()
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -380,9 +380,9 @@
     """Up to 0.4 s, however short the deadlines; and what comes last has its time before the end, or 0.6 s."""
     limits = Limits.for_gateway(Machine(512, 88, 100, 250 * MS, 30 * SECOND, longest_ms * MS), {})
     longest = min(longest_ms, 3000) * MS
-    assert 400 * MS < limits.drain_ns < limits.drain_most_ns - limits.drain_margin_ns + 1
-    assert limits.drain_most_ns <= longest + 700 * MS - 100 * MS
-    assert limits.drain_most_ns - limits.drain_ns >= min(600 * MS, longest)
+    assert 400 * MS < limits.drain_ns < limits.shutdown_ns - limits.drain_margin_ns + 1
+    assert limits.shutdown_ns <= longest + 700 * MS - 100 * MS
+    assert limits.shutdown_ns - limits.drain_ns >= min(600 * MS, longest)
 
 
 def test_accepted_connections_hold_no_small_answer_back():
@@ -408,7 +408,7 @@
 
     own = HOST.listen(("127.0.0.1", 0), 8)
     platform = socket.create_server(("127.0.0.1", 0))
-    inherited = HOST.inherit(platform.detach())
+    inherited = HOST.inherit_socket(platform.detach())
     for listening in (own, inherited):
         assert asyncio.run(asyncio.wait_for(play(listening), TIMEOUT_S)) != [0]
         listening.close()
--- a/tests/test_incremental.py
+++ b/tests/test_incremental.py
@@ -31,7 +31,7 @@
 from zincstile.net.discovery.reader import EndpointReader
 from zincstile.net.discovery.table import EndpointTable
 from zincstile.net.json_objects import JsonObjects
-from zincstile.net.lifecycle import begin_list
+from zincstile.net.lifecycle import apply_initial_list
 from zincstile.simulation import traffic
 from zincstile.simulation.plan import Plan
 
@@ -307,9 +307,9 @@
     path, told = tmp_path / "config.json", []
     path.write_text(json.dumps(table | {"known": {"index": 1, "endpoints": endpoints(["s-a", "s-b"])}}))
     started, reloaded = (read({"RELAY_CONFIG": str(path)}) for read in (config.load, config.reload))
-    assert reloaded.known == {"index": 1, "endpoints": [None, None]}
-    assert replace(reloaded, known=started.known) == started
-    assert begin_list(started, SimpleNamespace(begin=told.append)) and not started.known
+    assert reloaded.initial_list == {"index": 1, "endpoints": [None, None]}
+    assert replace(reloaded, initial_list=started.initial_list) == started
+    assert apply_initial_list(started, SimpleNamespace(begin=told.append)) and not started.initial_list
     assert [known["endpoints"] for known in told] == [endpoints(["s-a", "s-b"])]
 
 
--- a/tests/test_inherit.py
+++ b/tests/test_inherit.py
@@ -14,7 +14,7 @@
 def test_a_listening_socket_is_taken_and_accepts():
     listening = socket.create_server(("127.0.0.1", 0))
     fd = os.dup(listening.fileno())
-    taken = Host().inherit(fd)
+    taken = Host().inherit_socket(fd)
     try:
         client = socket.create_connection(listening.getsockname(), timeout=2)
         taken.setblocking(True)
@@ -37,7 +37,7 @@
     if kind == "closed":
         sock.close()
     with pytest.raises(ConfigError, match="RELAY_SOCKET_FD"):
-        Host().inherit(fd)
+        Host().inherit_socket(fd)
     if kind != "closed":
         assert sock.fileno() == fd  # not closed beneath its owner
         sock.close()
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -273,7 +273,7 @@
     table = traffic.configuration(Plan(seed=1), 0, "127.0.0.1:1", "127.0.0.1:2", ["127.0.0.1:3"] * 3, 1, {})
     table["features"] = {"shared": str(ROOT / "deploy" / "shared.yaml")}
     loaded = config.read(table, {})
-    assert loaded.leases == features.leases(str(ROOT / "deploy" / "shared.yaml"))[0]
+    assert loaded.leases == features.read_leases(str(ROOT / "deploy" / "shared.yaml"))[0]
     plans = [customer_plan.name for customer_plan in loaded.settings.plans]
     covered = dict(zip(plans, covered_plans(loaded.settings, loaded.leases), strict=True))
     assert covered == dict.fromkeys(plans, False) | {"plus": True}  # its quota alone enforces its ceiling
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -83,13 +83,16 @@
 
 def test_two_tries_of_a_silent_watch_fit_into_the_time_after_which_drains_count_as_told():
     limits = Limits()
-    assert limits.table_silence_ns > 2 * SECOND  # a watch that is well says something every 2 s
-    assert limits.table_silence_ns + limits.table_answer_ns + 2 * limits.backoff_most_ns < 6 * SECOND
+    assert limits.watch_silence_timeout_ns > 2 * SECOND  # a watch that is well says something every 2 s
+    assert (
+        limits.watch_silence_timeout_ns + limits.watch_answer_timeout_ns + 2 * limits.max_backoff_ns
+        < 6 * SECOND
+    )
 
 
 @pytest.mark.parametrize("sockets", [128, 192, 384, 1024])
 def test_two_processes_of_an_upgrade_have_together_what_one_has(sockets):
-    limits = Limits.for_gateway(Machine(sockets, 40, 100, 1, 1, SECOND, operators=True), {})
+    limits = Limits.for_gateway(Machine(sockets, 40, 100, 1, 1, SECOND, has_admin_endpoint=True), {})
     half = limits.shared()
     assert limits.frontend_connections + limits.backend_connections + limits.reserved <= sockets
     assert 2 * (half.frontend_connections + half.backend_connections + limits.reserved) <= sockets
@@ -99,7 +102,7 @@
 def test_a_stop_ends_before_the_platform_kills():
     for longest, kill in ((SECOND, 1.7), (3 * SECOND, 3.7), (9 * SECOND, 3.7)):
         limits = Limits.for_gateway(Machine(256, 32, 100, 1, 1, longest), {})
-        assert limits.drain_ns < limits.drain_most_ns < kill * SECOND
+        assert limits.drain_ns < limits.shutdown_ns < kill * SECOND
 
 
 @pytest.mark.parametrize("key", OPERATORS_KEYS.split())
--- a/tests/test_list_freshness.py
+++ b/tests/test_list_freshness.py
@@ -80,15 +80,15 @@
     """
     for poll_interval_ns in (0, 10 * SECOND):
         limits = limits_in_fleet(gateways, poll_interval_ns)
-        connect_ns, silence_ns = limits.backoff_most_ns, limits.table_silence_ns
+        connect_ns, silence_ns = limits.max_backoff_ns, limits.watch_silence_timeout_ns
         for answered_before in (False, True):
             for retry_after in (0, SECOND, 30 * SECOND):
                 polling = ListPolling(
                     SimpleNamespace(randint=lambda first, last: last),
-                    limits.table_again_ns,
-                    limits.table_again_most_ns,
-                    limits.table_patience_ns,
-                    limits.table_longest_ns,
+                    limits.watch_backoff_ns,
+                    limits.max_watch_backoff_ns,
+                    limits.list_call_timeout_ns,
+                    limits.max_watch_wait_ns,
                     answered_before=answered_before,
                 )
                 waits = [polling.record_failure(retry_after) for _ in range(20)]
@@ -99,4 +99,4 @@
                 )
                 # after the timeout of a long silent call
                 assert polling.record_failure(0, 50 * SECOND) + ANSWER_NS <= 2 * SECOND
-                assert retry_after > limits.table_longest_ns or min(waits) >= retry_after
+                assert retry_after > limits.max_watch_wait_ns or min(waits) >= retry_after
--- a/tests/test_list_polling.py
+++ b/tests/test_list_polling.py
@@ -19,10 +19,10 @@
     limits = limits_in_fleet(gateways, 10 * SECOND)
     return ListPolling(
         random.Random(number),
-        limits.table_again_ns,
-        limits.table_again_most_ns,
-        limits.table_patience_ns,
-        limits.table_longest_ns,
+        limits.watch_backoff_ns,
+        limits.max_watch_backoff_ns,
+        limits.list_call_timeout_ns,
+        limits.max_watch_wait_ns,
     )
 
 
@@ -38,7 +38,7 @@
     calls_in_first_second = sum(at < SECOND for at in calls)
     # Each gateway calls 2 / backoff times a second, and the backoff grows with the number of gateways.
     # But all of them have called by the end of the longest wait.
-    longest_wait_ns = Limits().table_longest_ns
+    longest_wait_ns = Limits().max_watch_wait_ns
     assert calls_in_first_second <= max(
         60 + gateways * 50 * MS / SECOND, 1.15 * gateways * SECOND / longest_wait_ns
     )
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -383,13 +383,13 @@
         {},
     ).limits
     longest = min(max(c["deadline_ns"] for c in table["classes"]), 3 * SECOND)
-    assert all(getattr(limits, name) > 0 or name == "table_patience_ns" for name in limits.__slots__)
+    assert all(getattr(limits, name) > 0 or name == "list_call_timeout_ns" for name in limits.__slots__)
     assert limits.frontend_connections + limits.backend_connections + limits.reserved <= machine[0]
-    assert 400 * MS < limits.drain_ns <= limits.drain_most_ns - limits.drain_margin_ns
-    assert limits.drain_most_ns < longest + 700 * MS
-    assert limits.idle_ns * 9 / 8 < table["limits"]["idle_close_ns"]
+    assert 400 * MS < limits.drain_ns <= limits.shutdown_ns - limits.drain_margin_ns
+    assert limits.shutdown_ns < longest + 700 * MS
+    assert limits.backend_idle_timeout_ns * 9 / 8 < table["limits"]["idle_close_ns"]
     if table["discovery"] == "pushed":
-        assert limits.table_silence_ns + limits.backoff_most_ns < 6 * SECOND
+        assert limits.watch_silence_timeout_ns + limits.max_backoff_ns < 6 * SECOND
 
 
 @pytest.mark.parametrize(
--- a/tests/test_subsetting.py
+++ b/tests/test_subsetting.py
@@ -586,7 +586,7 @@
     path.write_text(text)
     with pytest.raises(FileError, match=error) as caught:
         features.check_subset(
-            str(path), features.subset(str(path)), ZONES, gateway_settings(gateway_count=6, zone=1)
+            str(path), features.read_subset(str(path)), ZONES, gateway_settings(gateway_count=6, zone=1)
         )
     assert len(str(caught.value).splitlines()) == 1
 
--- a/tests/test_throng.py
+++ b/tests/test_throng.py
@@ -59,4 +59,6 @@
     drawn = Plan(seed=5, gateways=RESTARTED, boxes=24, requests=0)
     _, again = start.play(drawn, tmp_path, ListServiceBehaviour(1000.0), ["all", "all"], 2 * READY_S)
     assert again.ready == RESTARTED and 0 <= again.most_s <= READY_S  # 99 in 100
-    assert again.calls_each <= 1 + again.most_s * SECOND / Limits().table_answer_ns  # one is out at a time
+    assert (
+        again.calls_each <= 1 + again.most_s * SECOND / Limits().watch_answer_timeout_ns
+    )  # one is out at a time
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -141,7 +141,7 @@
 
     def __init__(self):
         self.at = HOST.monotonic_ns()
-        self.unix_ns, self.readable, self.ended = HOST.unix_ns, HOST.readable, HOST.ended
+        self.unix_ns, self.readable, self.peer_has_ended = HOST.unix_ns, HOST.readable, HOST.peer_has_ended
 
     def monotonic_ns(self):
         return self.at
@@ -172,7 +172,7 @@
         await send_list(first, [ready], 1)
         while not watcher.has_received:
             await asyncio.sleep(0)
-        clock.at += limits.table_silence_ns
+        clock.at += limits.watch_silence_timeout_ns
         dispatcher.wake()
         second, _ = await loop.sock_accept(listening)
         await loop.sock_recv(second, 4096)
@@ -183,7 +183,7 @@
             await asyncio.Event().wait()
 
         loop.create_connection = hangs
-        clock.at += limits.table_answer_ns
+        clock.at += limits.watch_answer_timeout_ns
         dispatcher.wake()
         while not dialled:
             await asyncio.sleep(0)
--- a/tests/test_watch_backoff.py
+++ b/tests/test_watch_backoff.py
@@ -55,7 +55,7 @@
 
 def test_where_discovery_is_pushed_by_an_agent_a_lost_watch_is_opened_again_soon():
     asked = [waited for number in range(40) for waited in backoffs_ns(watcher_of(number, limits(40, 0)), 12)]
-    assert max(asked) <= SECOND and limits(40, 0).table_answer_ns == 800 * MS
+    assert max(asked) <= SECOND and limits(40, 0).watch_answer_timeout_ns == 800 * MS
 
 
 def test_a_watch_asks_for_what_changed_since_the_table_it_has_but_elsewhere_for_all():
--- a/tests/test_zone_failover.py
+++ b/tests/test_zone_failover.py
@@ -185,7 +185,7 @@
     path = tmp_path / "place.yaml"
     path.write_text(text + "\nzones: [{name: a, demand: 1, room: 2}, {name: b, demand: 1, room: 2}]\n")
     with pytest.raises(FileError, match=error):
-        features.check_place(str(path), features.place(str(path)), ["a", "b"])
+        features.check_zone_failover(str(path), features.read_zone_failover(str(path)), ["a", "b"])
     assert main(["zones", "plan", str(path)]) == 2
     assert len(capsys.readouterr().err.strip().splitlines()) == 1
     assert parse_duration("40ms") == 40_000_000 and parse_duration("1.5 s") == 1_500_000_000
--- a/zincstile/cli/bound.py
+++ b/zincstile/cli/bound.py
@@ -45,8 +45,8 @@
     Exit 2 where a bound is over what the file allows."""
     console = Console()
     try:
-        if features.kind(file) == "shared":
-            settings, quotas = features.leases(file)
+        if features.feature_of_file(file) == "shared":
+            settings, quotas = features.read_leases(file)
             most_overshoot = settings.max_overshoot_ratio
             for quota in quotas:
                 more = (
@@ -69,7 +69,7 @@
             )
             features.check_leases(file, settings, quotas)
         else:
-            settings, quotas = features.quota_service(file)
+            settings, quotas = features.read_quota_service(file)
             most_overshoot = settings.max_overshoot_ratio
             for quota in quotas:
                 carry, lease = max_carry_units(quota, settings), max_lease_units(quota, settings)
--- a/zincstile/cli/zones.py
+++ b/zincstile/cli/zones.py
@@ -7,7 +7,7 @@
 from rich.table import Table
 
 from ..net import features
-from ..net.features import ZoneRow
+from ..net.features import ZoneLoadRow
 from ..serialization.errors import FileError
 from ..zone_failover.routing_weights import ZoneLoad, route
 from ..zone_failover.settings import ZoneFailoverSettings
@@ -27,11 +27,11 @@
     """A dry run by the file's own `zones`: where each zone's traffic would go. Exit 1 where some of it has no
     place."""
     try:
-        settings, rows = features.place(file), features.place_zones(file)
+        settings, rows = features.read_zone_failover(file), features.read_failover_zones(file)
         names = [r.name for r in rows]
         if not names:
             raise FileError(f"{file}: zones: none given; a dry run needs what each is asked for and bears")
-        features.check_place(file, settings, names)
+        features.check_zone_failover(file, settings, names)
     except FileError as err:
         raise BadInputError(str(err)) from None
     gone = _zones_of((*lost, *drained), settings, names)
@@ -67,12 +67,12 @@
     return found
 
 
-def _left(row: ZoneRow, sent: list[float]) -> float:
+def _left(row: ZoneLoadRow, sent: list[float]) -> float:
     """Units a second of a zone that have no place."""
     return max(0.0, row.demand - sum(sent))
 
 
-def _table(rows: list[ZoneRow], made: list[list[float]]) -> Table:
+def _table(rows: list[ZoneLoadRow], made: list[list[float]]) -> Table:
     """Where each zone's traffic goes, and how much of each zone is used."""
     table = Table(title="units a second from each zone (rows) to each (columns)")
     for head in ("zone", *(r.name for r in rows), "refused"):
--- a/zincstile/net/acceptor.py
+++ b/zincstile/net/acceptor.py
@@ -39,7 +39,7 @@
         except InterruptedError:
             return AcceptResult.FAILED
         except OSError as err:
-            self._dispatcher.log.often("accept", f"failed: {err.strerror}")
+            self._dispatcher.log.line_limited("accept", f"failed: {err.strerror}")
             return AcceptResult.EXHAUSTED if is_exhaustion(err) else AcceptResult.FAILED
         connection.setblocking(False)
         self.pending += 1
--- a/zincstile/net/admin_endpoint.py
+++ b/zincstile/net/admin_endpoint.py
@@ -69,7 +69,7 @@
 
     def _answer(self, request: Request) -> None:
         endpoint = self._endpoint
-        reply = endpoint.carry_out(request)
+        reply = endpoint.handle_request(request)
         if reply.change in LASTING_CHANGES and not endpoint.handover.saved:
             self.request_complete = True
             endpoint.wait_until_saved(self, reply)
@@ -144,7 +144,11 @@
         """
         self._socket = self._host.listen(address, self.dispatcher.limits.backlog)
         self._resume_accepting(None)
-        every(self.dispatcher, self.dispatcher.limits.control_call_ns // CHECKS_PER_TIMEOUT, self._close_late)
+        every(
+            self.dispatcher,
+            self.dispatcher.limits.admin_request_timeout_ns // CHECKS_PER_TIMEOUT,
+            self._close_late,
+        )
 
     def close(self) -> None:
         """Listens no more; the connections go on."""
@@ -161,7 +165,7 @@
         """
         if self._socket is None:
             return
-        for _ in range(self.dispatcher.limits.control_connections):
+        for _ in range(self.dispatcher.limits.admin_connections):
             taken = self._acceptor.accept(self._socket)
             if taken is AcceptResult.EXHAUSTED:
                 self._pause_accepting(self._socket)
@@ -184,7 +188,7 @@
     def add(self, connection: AdminConnection) -> None:
         """Takes a connection in; answers the oldest where there are too many."""
         self._connections[connection] = None
-        if len(self._connections) > self.dispatcher.limits.control_connections:
+        if len(self._connections) > self.dispatcher.limits.admin_connections:
             oldest = next(iter(self._connections))
             oldest.finish(Status.SERVICE_UNAVAILABLE, "too many callers at once")
 
@@ -197,13 +201,13 @@
         now_ns = self.dispatcher.now_ns()
         for connection in list(self._connections):
             age_ns = now_ns - connection.opened_ns
-            if age_ns >= self.dispatcher.limits.control_call_ns and not connection.request_complete:
+            if age_ns >= self.dispatcher.limits.admin_request_timeout_ns and not connection.request_complete:
                 self.dispatcher.counters.control_malformed += 1
                 connection.finish(Status.REQUEST_TIMEOUT, "no whole call in time")
 
     # ---- requests
 
-    def carry_out(self, request: Request) -> OperatorReply:
+    def handle_request(self, request: Request) -> OperatorReply:
         """Answers a request and applies what it changes; a fault fails this request alone, with 500."""
         try:
             self.handover.refresh()  # what another process was asked for goes before
@@ -211,7 +215,7 @@
             self._apply(reply)
         except Exception as err:
             self.dispatcher.counters.faults += 1
-            self.dispatcher.log.often("control", f"fault: {type(err).__name__}: {err}")
+            self.dispatcher.log.line_limited("control", f"fault: {type(err).__name__}: {err}")
             return OperatorReply(Status.INTERNAL_SERVER_ERROR, "fault")
         return reply
 
@@ -221,7 +225,7 @@
         What was asked for holds in this process from the request on, either way.
         """
         self._unsaved[connection] = reply
-        until_ns = self.dispatcher.now_ns() + self.dispatcher.limits.handover_kept_ns
+        until_ns = self.dispatcher.now_ns() + self.dispatcher.limits.handover_save_timeout_ns
         self.dispatcher.deadlines.add(until_ns, self._give_up, connection)
         self.dispatcher.wake()
 
--- a/zincstile/net/administration.py
+++ b/zincstile/net/administration.py
@@ -74,7 +74,7 @@
         log.line(f"handover: {await self.handover.load()}")
         for name in self.state.under_maintenance:
             self._table.maintenance.enter(name, self._dispatcher.now_ns())
-        found = self.handover.found
+        found = self.handover.loaded
         if found is None:
             return
         elapsed_ns = self._host.timestamp().elapsed_since_ns(found.written)
@@ -92,7 +92,7 @@
 
     def watch_files(self) -> None:
         """Polls the files from now on."""
-        every(self._dispatcher, self._dispatcher.limits.handover_poll_ns, self._poll_files)
+        every(self._dispatcher, self._dispatcher.limits.handover_poll_interval_ns, self._poll_files)
 
     def _poll_files(self) -> None:
         self.handover.poll()
--- a/zincstile/net/backends/attempts.py
+++ b/zincstile/net/backends/attempts.py
@@ -144,7 +144,7 @@
         count = len(self.pool.connections)
         if count >= self.dispatcher.limits.backend_connections and not self.pool.close_oldest_idle():
             # Descriptors are scarce. It was never sent, and the backend is not to blame.
-            self.dispatcher.log.often("full", f"{count} backend connections: no more for now")
+            self.dispatcher.log.line_limited("full", f"{count} backend connections: no more for now")
             self.finish(attempt, AttemptResult.NOT_SENT)
             self.pool.release(backend)
             return
@@ -190,9 +190,9 @@
             self.dispatcher.wake()
 
     def answer_begun(self, attempt: Attempt) -> None:
-        """Part of its answer has come: the rest has to follow within `answer_ns`."""
+        """Part of its answer has come: the rest has to follow within `answer_stall_ns`."""
         # A length that is more than what comes would else hold the client for all of its time.
-        at_ns = attempt.connection.last_received_ns + self.dispatcher.limits.answer_ns
+        at_ns = attempt.connection.last_received_ns + self.dispatcher.limits.answer_stall_ns
         if at_ns < attempt.until_ns:
             self.dispatcher.deadlines.cancel(attempt.deadline)
             attempt.deadline = self.dispatcher.deadlines.add(at_ns, self._check_answer, attempt)
@@ -200,7 +200,7 @@
 
     def _check_answer(self, attempt: Attempt) -> None:
         attempt.deadline = None
-        answer_ns = self.dispatcher.limits.answer_ns
+        answer_ns = self.dispatcher.limits.answer_stall_ns
         if attempt.connection.last_received_ns + answer_ns > self.dispatcher.now_ns():
             self.set_deadline(attempt, attempt.until_ns)
             self.answer_begun(attempt)  # more has come since
@@ -239,12 +239,14 @@
         code, _, details = error.partition(b" ")
         result = AttemptResult.REJECTED if code == BUSY else AttemptResult.ERROR
         if result is AttemptResult.ERROR and not details.startswith(b"failed"):
-            self.dispatcher.log.often("backend", f"{attempt.backend.address} says {bytes(error[:80])!r}")
+            self.dispatcher.log.line_limited(
+                "backend", f"{attempt.backend.address} says {bytes(error[:80])!r}"
+            )
         self.finish(attempt, result, load_report=details.rpartition(b" ")[2])
 
     def malformed(self, attempt: Attempt, why: str) -> None:
         """Its answer can't be read. It ran; the connection is of no further use."""
-        self.dispatcher.log.often("answer", f"of {attempt.backend.address} malformed: {why}")
+        self.dispatcher.log.line_limited("answer", f"of {attempt.backend.address} malformed: {why}")
         self.finish(attempt, AttemptResult.MALFORMED)
 
     def finish(
--- a/zincstile/net/backends/connecting.py
+++ b/zincstile/net/backends/connecting.py
@@ -61,7 +61,7 @@
         """Whether this machine lacks something: no backend may be suspected for it, here or at peers."""
         local = is_exhaustion(err) or (isinstance(err, OSError) and err.errno == errno.EADDRNOTAVAIL)
         if local:
-            self.dispatcher.log.often("full", f"no connection to backend servers for now: {err}")
+            self.dispatcher.log.line_limited("full", f"no connection to backend servers for now: {err}")
         return local
 
     def connected(self, connection: BackendConnection) -> None:
--- a/zincstile/net/backends/connection.py
+++ b/zincstile/net/backends/connection.py
@@ -196,7 +196,7 @@
                 return
         replies = parser.feed(data)
         if attempt is None:
-            owner.dispatcher.log.often("backend", f"{self.backend.address} sent what nobody asked for")
+            owner.dispatcher.log.line_limited("backend", f"{self.backend.address} sent what nobody asked for")
             self.transport.abort()
         elif replies:  # the first is the answer, whatever came behind it
             self.attempt = None
--- a/zincstile/net/backends/pool.py
+++ b/zincstile/net/backends/pool.py
@@ -33,7 +33,7 @@
         self.on_withdrawn: Callable[[Attempt], None] = (
             _ignore_withdrawal  # gets what must not be sent any more
         )
-        every(dispatcher, dispatcher.limits.idle_ns // 8, self.close_expired)
+        every(dispatcher, dispatcher.limits.backend_idle_timeout_ns // 8, self.close_expired)
 
     # ---- listed backends
 
@@ -138,7 +138,9 @@
             return
         now_ns = self.dispatcher.now_ns()
         connection.idle_since_ns = now_ns
-        connection.reusable_from_ns = now_ns if unused else now_ns + self.dispatcher.limits.settled_ns
+        connection.reusable_from_ns = (
+            now_ns if unused else now_ns + self.dispatcher.limits.surplus_answer_wait_ns
+        )
         backend.idle.append(connection)
         self.idle[connection] = None
 
@@ -167,6 +169,6 @@
     def close_expired(self) -> None:
         """Closes what has been idle for long, before the backend does it beneath a request."""
         now_ns = self.dispatcher.now_ns()
-        idle_ns = self.dispatcher.limits.idle_ns
+        idle_ns = self.dispatcher.limits.backend_idle_timeout_ns
         while (oldest := next(iter(self.idle), None)) and now_ns - oldest.idle_since_ns > idle_ns:
             self.close_idle(oldest)
--- a/zincstile/net/backends/streaming.py
+++ b/zincstile/net/backends/streaming.py
@@ -79,15 +79,15 @@
             if connection.bytes_left == 0:
                 if connection.last_two_bytes != resp.CRLF:  # the value's length was not its length
                     address = connection.backend.address
-                    self.dispatcher.log.often("cut", f"a value of {address} without its end")
+                    self.dispatcher.log.line_limited("cut", f"a value of {address} without its end")
                     connection.abandon()
                     return
                 stream.end(truncated=False)
                 connection.trailer_parser = resp.ReplyParser(limits)
-            elif stream.pending_bytes > limits.written_bytes:
+            elif stream.pending_bytes > limits.unread_answer_bytes:
                 connection.hold()
-            elif len(piece) < limits.stream_piece_bytes:
-                connection.pace(connection.last_received_ns + limits.stream_pace_ns)
+            elif len(piece) < limits.stream_small_piece_bytes:
+                connection.pace(connection.last_received_ns + limits.stream_read_interval_ns)
         if connection.bytes_left == 0 and data:
             self._read_trailer(connection, data)
 
@@ -120,7 +120,7 @@
             attempt.deadline = self.dispatcher.deadlines.add(again_ns, self._check_stalled, attempt)
             return
         address = connection.backend.address
-        self.dispatcher.log.often("cut", f"a value of {address} that does not go on")
+        self.dispatcher.log.line_limited("cut", f"a value of {address} that does not go on")
         connection.transport.abort()
 
     def connection_lost(self, connection: BackendConnection) -> None:
@@ -130,7 +130,7 @@
         if not complete:
             self.dispatcher.counters.streams_truncated += 1
             address, missing = connection.backend.address, connection.bytes_left
-            self.dispatcher.log.often("cut", f"a value of {address}: {missing} bytes short")
+            self.dispatcher.log.line_limited("cut", f"a value of {address}: {missing} bytes short")
             stream.end(truncated=True)
         self._finish(connection, AttemptResult.OK if complete else AttemptResult.RESET)
 
--- a/zincstile/net/clients/call_reader.py
+++ b/zincstile/net/clients/call_reader.py
@@ -34,7 +34,7 @@
     )
 
     def __init__(self, settings: Settings, margin_ns: int, id_bytes: int) -> None:
-        """`margin_ns`: taken off a client's wait for the way here; `id_bytes`: the longest id."""
+        """`request_transit_ns`: taken off a client's wait for the way here; `id_bytes`: the longest id."""
         self.request_classes = settings.classes
         self._class_by_name = {c.name.encode(): (number, c) for number, c in enumerate(settings.classes)}
         self._plan_by_name = {p.name.encode(): number for number, p in enumerate(settings.plans)}
--- a/zincstile/net/clients/closer.py
+++ b/zincstile/net/clients/closer.py
@@ -57,7 +57,7 @@
     def discard(self, size: int) -> None:
         """Counts bytes that came after reading ended; a flood of them ends the connection."""
         self._discarded_bytes += size
-        if self._discarded_bytes > self._dispatcher.limits.drained_bytes:
+        if self._discarded_bytes > self._dispatcher.limits.lingering_close_bytes:
             self.abort(CloseReason.FLOOD)
 
     def start_draining(self) -> None:
@@ -71,7 +71,7 @@
         self.draining = False
         self.reason = None
         self._dispatcher.deadlines.cancel(self._stall_deadline)
-        self._transport.set_write_buffer_limits(high=self._dispatcher.limits.written_bytes)
+        self._transport.set_write_buffer_limits(high=self._dispatcher.limits.unread_answer_bytes)
 
     def send_end(self) -> bool:
         """Ends this side's sending; False where the connection is closed already, or may not be closed."""
@@ -108,7 +108,7 @@
         if unsent_bytes is not None and size >= unsent_bytes and not self._answers.pending:
             self.abort(CloseReason.STALLED)
             return
-        wait_ns = limits.silent_ns if size else limits.drained_ns
+        wait_ns = limits.client_silence_timeout_ns if size else limits.lingering_close_ns
         deadlines = self._dispatcher.deadlines
         deadlines.cancel(self._stall_deadline)
         at_ns = self._dispatcher.now_ns() + wait_ns
--- a/zincstile/net/clients/connection.py
+++ b/zincstile/net/clients/connection.py
@@ -116,7 +116,7 @@
         """The loop has connected the transport."""
         dispatcher = self.dispatcher
         self.transport = transport  # type: ignore[assignment]
-        self.transport.set_write_buffer_limits(high=dispatcher.limits.written_bytes)
+        self.transport.set_write_buffer_limits(high=dispatcher.limits.unread_answer_bytes)
         self._closer = ConnectionCloser(dispatcher, self.transport, self._answers, f"connection {id(self)}")
         self.idle_since_ns = dispatcher.now_ns()
         self.counters.clients += 1
@@ -133,8 +133,8 @@
             return
         if self.may_have_waited:
             self.may_have_waited = False
-            self._waited_ns = self.listener.host.unread_ns(self.transport)
-            self.from_inherited_queue &= self._waited_ns > self.dispatcher.limits.held_up_ns
+            self._waited_ns = self.listener.host.last_received_age_ns(self.transport)
+            self.from_inherited_queue &= self._waited_ns > self.dispatcher.limits.process_stall_ns
         self._read(bytes(self.listener.buffer[:size]))
         self._waited_ns = 0
 
@@ -183,7 +183,7 @@
             self._command_began_ns = self._command_began_ns or self._last_read_ns
         if self._parser.error:  # nothing after it can be understood
             self.counters.malformed += 1
-            self.dispatcher.log.often("malformed", f"command: {self._parser.error}")
+            self.dispatcher.log.line_limited("malformed", f"command: {self._parser.error}")
             self._fail("Protocol error: " + self._parser.error, CloseReason.MALFORMED)
         self._update_reading()
 
@@ -237,7 +237,7 @@
 
     def _update_reading(self) -> None:
         """Pauses or resumes reading, by what is unanswered and unread on the client's side."""
-        pause = self._writing_paused or len(self._answers.pending) > self.dispatcher.limits.pipelined
+        pause = self._writing_paused or len(self._answers.pending) > self.dispatcher.limits.max_pipelined
         if pause == self._reading_paused or self._closer.reading_ended or self.transport.is_closing():
             return
         self._reading_paused = pause
@@ -358,7 +358,7 @@
     def _check_incomplete_command(self, now: int) -> None:
         limits = self.dispatcher.limits
         stalled = now - self._last_read_ns > limits.command_stall_ns
-        silent = not self.commands and now - self.idle_since_ns > limits.silent_ns
+        silent = not self.commands and now - self.idle_since_ns > limits.client_silence_timeout_ns
         if stalled or silent or now - self._command_began_ns > limits.command_ns:
             self._fail("a command that does not end", CloseReason.INCOMPLETE)
 
@@ -366,8 +366,8 @@
         """How long it may be idle."""
         limits = self.dispatcher.limits
         if standby:
-            return limits.standby_rest_ns
-        return limits.rest_ns if self.commands else limits.silent_ns
+            return limits.standby_idle_timeout_ns
+        return limits.client_idle_timeout_ns if self.commands else limits.client_silence_timeout_ns
 
     def close_if_idle(self, reason: CloseReason) -> bool:
         """Ends the connection, unless something is owed on it or has come; True: its end is sent."""
--- a/zincstile/net/clients/eviction.py
+++ b/zincstile/net/clients/eviction.py
@@ -17,9 +17,13 @@
     or its last answer.
     """
     for client in clients:
-        if client.may_be_dropped(now_ns, limits.newcomer_ns):
+        if client.may_be_dropped(now_ns, limits.new_client_grace_ns):
             return client.evict()
-    least_idle_ns = (limits.newcomer_ns, limits.newcomer_ns, limits.spare_ns)  # by commands so far
+    least_idle_ns = (
+        limits.new_client_grace_ns,
+        limits.new_client_grace_ns,
+        limits.evictable_idle_ns,
+    )  # by commands so far
     idle = [
         (min(client.commands, 2), client.idle_since_ns, order, client)
         for order, client in enumerate(clients)
--- a/zincstile/net/clients/listener.py
+++ b/zincstile/net/clients/listener.py
@@ -31,7 +31,7 @@
         self.buffer = buffer
         self.host = host
         self.counters = dispatcher.counters
-        self.reader = CallReader(settings, dispatcher.limits.margin_ns, dispatcher.limits.id_bytes)
+        self.reader = CallReader(settings, dispatcher.limits.request_transit_ns, dispatcher.limits.id_bytes)
         self.open_requests: dict[bytes, Session] = {}  # by the id that the client gave
         self.clients: dict[ClientConnection, None] = {}  # in the order in which they connected
         self.last_request_ns = 0
@@ -54,11 +54,11 @@
         """
         self.inherited = inherited is not None
         if inherited is not None:
-            self._socket = self.host.inherit(inherited)
+            self._socket = self.host.inherit_socket(inherited)
         else:
             self._socket = self.host.listen(address, self.dispatcher.limits.backlog)
         self._resume()
-        every(self.dispatcher, self.dispatcher.limits.tend_ns, self._check_timeouts)
+        every(self.dispatcher, self.dispatcher.limits.connection_check_interval_ns, self._check_timeouts)
 
     @property
     def address(self) -> str:
@@ -95,12 +95,14 @@
     def _accept_queued(self) -> bool:
         """Accepts what waits in the queue, as much as one batch may; True: the queue was found empty."""
         limits = self.dispatcher.limits
-        for _ in range(limits.accepts):
+        for _ in range(limits.accepts_per_iteration):
             held = len(self.clients) + self._acceptor.pending
             if held >= limits.frontend_connections and not self._evict_one():
                 # The rest waits in the backlog until a descriptor is free.
-                self.dispatcher.log.often("full", f"{self._describe_clients()}: accepting no more for now")
-                self._resume_after(limits.newcomer_ns)
+                self.dispatcher.log.line_limited(
+                    "full", f"{self._describe_clients()}: accepting no more for now"
+                )
+                self._resume_after(limits.new_client_grace_ns)
                 return False
             result = self._acceptor.accept(self._socket)
             if result is AcceptResult.QUEUE_EMPTY:
@@ -150,7 +152,7 @@
         self.clients[client] = None
         # It may have come, and asked, while none were accepted: before this process, on an inherited queue
         since_ns = self.dispatcher.now_ns() - self._resumed_ns
-        client.may_have_waited = since_ns < self.dispatcher.limits.newcomer_ns
+        client.may_have_waited = since_ns < self.dispatcher.limits.new_client_grace_ns
         client.from_inherited_queue = client.may_have_waited and self.inherited
 
     def on_disconnected(self, client: ClientConnection) -> None:
@@ -179,7 +181,8 @@
 
         The front asks PING every 0.1 s and stops sending new connections soon after a no, but clients keep
         what they have. So each connection is closed once nothing is owed on it, and an idle one after
-        `standby_rest_ns`, so that none is idle when the front counts. Requests that still come are served.
+        `standby_idle_timeout_ns`, so that none is idle when the front counts. Requests that still come are
+        served.
         """
         self.standby = standby
         if standby:
@@ -190,7 +193,7 @@
 
         Those that came last and have not asked are spared for a moment: what they came for is on its way.
         """
-        now, least_ns = self.dispatcher.now_ns(), self.dispatcher.limits.newcomer_ns
+        now, least_ns = self.dispatcher.now_ns(), self.dispatcher.limits.new_client_grace_ns
         closed = 0
         for client in list(self.clients):
             if client.commands or now - client.idle_since_ns > least_ns:
--- a/zincstile/net/cold_start.py
+++ b/zincstile/net/cold_start.py
@@ -52,7 +52,7 @@
         self.lists = PeerLists(settings, me, gateways, intake_per_s, self.rng)
         # without a patience there is no queue at the list service, as discovery is on this machine
         self.spread_ns = (
-            gateways * settings.poll_spread_per_gateway_ns if dispatcher.limits.table_patience_ns else 0
+            gateways * settings.poll_spread_per_gateway_ns if dispatcher.limits.list_call_timeout_ns else 0
         )
         self.readiness: Readiness | None = None  # from `begin` on
         self._ready: Callable[[], None] | None = ready
--- a/zincstile/net/config.py
+++ b/zincstile/net/config.py
@@ -44,19 +44,21 @@
     seed: int
     settings: Settings
     zones: list[str]
-    kinds: list[str]  # types of backend servers, by the numbers that the policy knows them by
+    backend_types: list[str]  # types of backend servers, by the numbers that the policy knows them by
     limits: Limits
-    known: dict[str, Any]  # the endpoint list of before the start, as in the file; taken out once it is used
+    initial_list: dict[
+        str, Any
+    ]  # the endpoint list of before the start, as in the file; taken out once it is used
     peer_listen: Address | None
     peers: list[Address]
     quota_service_address: Address | None = None
     quota_service: Any = None  # where quotas are held by a quota service
-    start: Any = None  # where gateways start beside each other
-    place: Any = None  # where zones are chosen in common
+    cold_start: Any = None  # where gateways start beside each other
+    zone_failover: Any = None  # where zones are chosen in common
     subset: Any = None  # where a gateway uses a part of the endpoints
     leases: Any = None  # where state is shared within stated bounds
     socket_fd: int | None = None  # the clients' listening socket, inherited ($RELAY_SOCKET_FD)
-    control: Address | None = None  # the admin endpoint ($RELAY_CONTROL)
+    admin_address: Address | None = None  # the admin endpoint ($RELAY_CONTROL)
 
 
 # ---- reading
@@ -128,7 +130,7 @@
         seed=int(str(table["seed"]), 16),
         settings=settings,
         zones=_zones(table),
-        kinds=[str(kind) for kind in settings_table.get("skus") or []],
+        backend_types=[str(kind) for kind in settings_table.get("skus") or []],
         limits=Limits.for_gateway(
             Machine(
                 sockets=int(own_limits.get("sockets", DEFAULT_SOCKETS)),
@@ -139,21 +141,21 @@
                 longest_request_ns=settings.max_deadline_ns,
                 gateways=settings.gateway_count,
                 poll_interval_ns=_poll_interval_ns(settings_table, settings),
-                operators=bool(env.get("RELAY_CONTROL") or table.get("control")),
+                has_admin_endpoint=bool(env.get("RELAY_CONTROL") or table.get("control")),
             ),
             given_limits,
         ),
-        known=table.get("known") or {},
+        initial_list=table.get("known") or {},
         peer_listen=parse_address(table["peer_listen"]) if table.get("peer_listen") else None,
         peers=peers,
         quota_service_address=_quota_service_address(table),
         quota_service=_quota_service(table, settings),
         leases=_leases(table, settings),
-        start=_start(table, settings),
-        place=_place(table, settings),
+        cold_start=_start(table, settings),
+        zone_failover=_place(table, settings),
         subset=_subset(table, settings),
         socket_fd=parse_descriptor(env.get("RELAY_SOCKET_FD")),
-        control=_control(table, env),
+        admin_address=_control(table, env),
     )
 
 
@@ -245,7 +247,7 @@
     from . import features
 
     with _config_errors():
-        found, _ = features.quota_service(path)
+        found, _ = features.read_quota_service(path)
         features.check_quota_service(path, found, _quotas(settings))
     return found
 
@@ -262,7 +264,7 @@
     from . import features
 
     with _config_errors():
-        found, _ = features.leases(path)
+        found, _ = features.read_leases(path)
         features.check_leases(path, found, _quotas(settings))
     return found
 
@@ -275,7 +277,7 @@
     from . import features
 
     with _config_errors():
-        found = features.start(path)
+        found = features.read_cold_start(path)
     if found.use_peer_lists and not settings.gossips:
         raise ConfigError(f"{path}: peers: settings.limits.peers is false: nobody could be asked")
     return found
@@ -289,8 +291,8 @@
     from . import features
 
     with _config_errors():
-        found = features.place(path)
-        features.check_place(path, found, _zones(table))
+        found = features.read_zone_failover(path)
+        features.check_zone_failover(path, found, _zones(table))
     if not settings.gossips:
         raise ConfigError(f"{path}: settings.limits.peers is false: nothing could be decided in common")
     return found
@@ -304,6 +306,6 @@
     from . import features
 
     with _config_errors():
-        found = features.subset(path)
+        found = features.read_subset(path)
         features.check_subset(path, found, _zones(table), settings)
     return found
--- a/zincstile/net/discovery/table.py
+++ b/zincstile/net/discovery/table.py
@@ -99,7 +99,7 @@
         """
         if self._last_contact_ns is None or kind is EndpointListKind.CACHED:
             return endpoints
-        earliest_ns = self._last_contact_ns - self.dispatcher.limits.start_told_ns
+        earliest_ns = self._last_contact_ns - self.dispatcher.limits.listing_delay_ns
         return [
             self._started_now(listed)
             if listed.entry.started_ns < earliest_ns and self._has_new_start(listed.entry)
@@ -116,7 +116,7 @@
         entry, address = listed
         clock, now_ns = self.reader.clock, self.dispatcher.now_ns()
         age_s = (now_ns - entry.started_ns) / NS_PER_S
-        self.dispatcher.log.often(
+        self.dispatcher.log.line_limited(
             "clock", f"a backend listed just now had started {age_s:.0f} s ago: taken as cold"
         )
         clock.override(entry.id, clock.sent_ms(entry.id, entry.started_ns), now_ns)
--- a/zincstile/net/discovery/watch.py
+++ b/zincstile/net/discovery/watch.py
@@ -122,7 +122,7 @@
         """
         dispatcher = self.owner.dispatcher
         limits = dispatcher.limits
-        silence_ns = limits.table_silence_ns if self._answered else limits.table_answer_ns
+        silence_ns = limits.watch_silence_timeout_ns if self._answered else limits.watch_answer_timeout_ns
         if self.silent_ns() >= silence_ns:
             if self._answered or not self.owner.is_awaited(self):
                 self.owner.fell_silent(self)
--- a/zincstile/net/discovery/watcher.py
+++ b/zincstile/net/discovery/watcher.py
@@ -41,10 +41,10 @@
         limits = dispatcher.limits
         self._polling = ListPolling(
             rng,
-            limits.table_again_ns,
-            limits.table_again_most_ns,
-            limits.table_patience_ns,
-            limits.table_longest_ns,
+            limits.watch_backoff_ns,
+            limits.max_watch_backoff_ns,
+            limits.list_call_timeout_ns,
+            limits.max_watch_wait_ns,
         )
         self._previous: Watch | None = None  # an older one: it stands until the current one is answered
         self._connecting: asyncio.Task | None = None  # the loop alone would hold it weakly
@@ -85,7 +85,9 @@
         try:
             self.table.take(message, EndpointListKind.CACHED, follows=True)
         except READ_ERRORS as err:
-            self.dispatcher.log.often("start", f"a peer's list can't be read: {type(err).__name__} {err}")
+            self.dispatcher.log.line_limited(
+                "start", f"a peer's list can't be read: {type(err).__name__} {err}"
+            )
             return False
         if not agreed:
             self.table.version = 0
@@ -95,7 +97,7 @@
 
     def open_soon(self) -> None:
         """Opens a watch at a drawn moment: a list is here, and a fleet that asks in step is rejected."""
-        wait_ns = self.rng.randint(1, self.dispatcher.limits.table_first_ask_ns)
+        wait_ns = self.rng.randint(1, self.dispatcher.limits.first_watch_delay_ns)
         self.dispatcher.deadlines.add(self.dispatcher.now_ns() + wait_ns, self.open, None)
         self.dispatcher.wake()
 
@@ -116,7 +118,7 @@
             self.open()
 
     async def _connect(self, address: Address) -> None:
-        loop, timeout_s = self.dispatcher.loop, self.dispatcher.limits.backoff_most_ns / NS_PER_S
+        loop, timeout_s = self.dispatcher.loop, self.dispatcher.limits.max_backoff_ns / NS_PER_S
         try:
             async with asyncio.timeout(timeout_s):
                 await loop.create_connection(lambda: Watch(self, address), *address)
@@ -143,11 +145,11 @@
         What discovery has when it returns counts as received at once: a call has to be out then. Where
         discovery is one service that each call costs work, the silent one is given up first.
         """
-        patient = self.dispatcher.limits.table_patience_ns
+        patient = self.dispatcher.limits.list_call_timeout_ns
         if patient or watch is not self.current or watch.address != self.address:
             watch.give_up("silent", watch.silent_ns())
             return
-        self.dispatcher.log.often("watch", "silent: another is opened beside it; the last list stands")
+        self.dispatcher.log.line_limited("watch", "silent: another is opened beside it; the last list stands")
         self.open()
 
     def is_awaited(self, watch: Watch) -> bool:
@@ -157,7 +159,7 @@
         again, it would cost the service twice, and all that wait behind it. So it is checked whether the
         service is there at all, by a connection that asks for nothing.
         """
-        if not self.dispatcher.limits.table_patience_ns or watch is not self.current:
+        if not self.dispatcher.limits.list_call_timeout_ns or watch is not self.current:
             return False
         task = self.dispatcher.loop.create_task(self._check_service(watch))
         self._checks[task] = None
@@ -165,7 +167,7 @@
         return True
 
     async def _check_service(self, watch: Watch) -> None:
-        loop, timeout_s = self.dispatcher.loop, self.dispatcher.limits.backoff_most_ns / NS_PER_S
+        loop, timeout_s = self.dispatcher.loop, self.dispatcher.limits.max_backoff_ns / NS_PER_S
         try:
             async with asyncio.timeout(timeout_s):
                 transport, _ = await loop.create_connection(asyncio.Protocol, *watch.address)
@@ -194,7 +196,7 @@
             return  # an old watch: another has been opened, or is being opened
         if watch is not None:  # else the one that stands is read on, though the next did not come up
             self.current = None
-        self.dispatcher.log.often("watch", f"lost: {failure.reason}; the last list stands")
+        self.dispatcher.log.line_limited("watch", f"lost: {failure.reason}; the last list stands")
         wait_ns = self._polling.record_failure(failure.retry_after_ns, failure.silent_ns)
         self.dispatcher.deadlines.add(self.dispatcher.now_ns() + wait_ns, self.open, address)
         self.dispatcher.wake()
--- a/zincstile/net/dispatcher.py
+++ b/zincstile/net/dispatcher.py
@@ -68,7 +68,7 @@
         # What the connections ask of the machine, without a call in between
         self.now_ns = host.monotonic_ns
         self.readable = host.readable
-        self.has_ended = host.ended
+        self.has_ended = host.peer_has_ended
         self.trace = Trace()
         self.guard = InvariantGuard(counters, log, self.trace)
         self.deadlines = Deadlines()
@@ -199,7 +199,7 @@
         """Keeps a fault in the handling of one session from the process: that session fails, no other."""
         self.counters.faults += 1
         kind = type(subject).__name__
-        self.log.often("fault", f"{type(err).__name__}: {err} at {_place(err)} in {kind}")
+        self.log.line_limited("fault", f"{type(err).__name__}: {err} at {_place(err)} in {kind}")
         session = self._session_of(subject)
         for line in self.trace.describe(self.now_ns(), session.call.id if session else None):
             self.log.line(f"trace {line}")
@@ -228,9 +228,9 @@
     def _on_alarm(self) -> None:
         self._alarm = None
         late_ns = self.now_ns() - self._alarm_ns
-        if late_ns > self.limits.held_up_ns:
+        if late_ns > self.limits.process_stall_ns:
             self.counters.held_up += 1
-            self.log.often("late", f"held up for {late_ns // 1_000_000} ms")
+            self.log.line_limited("late", f"held up for {late_ns // 1_000_000} ms")
         self.wake()
 
     # ---- actions that need no connection
@@ -257,7 +257,7 @@
             self.finish(session, FAILED)
 
     def _log_message(self, _: int, action: LogMessage) -> None:
-        self.log.often("module", action.text)
+        self.log.line_limited("module", action.text)
 
 
 def _place(err: Exception) -> str:
--- a/zincstile/net/features.py
+++ b/zincstile/net/features.py
@@ -77,7 +77,7 @@
     max_overshoot_ratio: float | None = msgspec.field(name="most_overshoot", default=None)
 
 
-class StartRow(msgspec.Struct, forbid_unknown_fields=True, omit_defaults=True):
+class ColdStartRow(msgspec.Struct, forbid_unknown_fields=True, omit_defaults=True):
     """`ColdStartSettings` in milliseconds, under the operators' keys; what is left out has its default."""
 
     use_peer_lists: bool | None = msgspec.field(name="peers", default=None)
@@ -95,7 +95,7 @@
     max_ramp_ms: int | None = msgspec.field(name="open_ms", default=None)
 
 
-class ZoneRow(msgspec.Struct, forbid_unknown_fields=True):
+class ZoneLoadRow(msgspec.Struct, forbid_unknown_fields=True):
     """What a zone is asked for and what it bears, in units a second."""
 
     name: str
@@ -103,10 +103,10 @@
     room: float
 
 
-class StartFile(msgspec.Struct, forbid_unknown_fields=True):
+class ColdStartFile(msgspec.Struct, forbid_unknown_fields=True):
     """deploy/start.yaml."""
 
-    start: StartRow
+    start: ColdStartRow
 
 
 class DistanceRow(msgspec.Struct, forbid_unknown_fields=True):
@@ -116,7 +116,7 @@
     is_: str = msgspec.field(name="is")
 
 
-class PlaceRow(msgspec.Struct, forbid_unknown_fields=True, omit_defaults=True):
+class ZoneFailoverRow(msgspec.Struct, forbid_unknown_fields=True, omit_defaults=True):
     """`ZoneFailoverSettings` in milliseconds, under the operators' keys; what is left out has its default."""
 
     regions: dict[str, list[str]] = {}
@@ -134,11 +134,11 @@
     max_electors: int | None = msgspec.field(name="electors", default=None)
 
 
-class PlaceFile(msgspec.Struct, forbid_unknown_fields=True):
+class ZoneFailoverFile(msgspec.Struct, forbid_unknown_fields=True):
     """deploy/place.yaml. `zones` are for `place plan`: a gateway takes its own settings'."""
 
-    place: PlaceRow
-    zones: list[ZoneRow] = []
+    place: ZoneFailoverRow
+    zones: list[ZoneLoadRow] = []
 
 
 class SubsetRow(msgspec.Struct, forbid_unknown_fields=True, omit_defaults=True):
@@ -203,13 +203,13 @@
         raise FileError(f"{path}: {err}") from None
 
 
-def kind(path: str) -> str:
+def feature_of_file(path: str) -> str:
     """Which feature a file is of: `keeper` or `shared`. FileError where it can't be read."""
     table = load(path, dict)
     return "shared" if "shared" in table else "keeper"
 
 
-def quota_service(path: str) -> tuple[QuotaServiceSettings, list[Quota]]:
+def read_quota_service(path: str) -> tuple[QuotaServiceSettings, list[Quota]]:
     """Reads deploy/keeper.yaml. FileError where the file can't be used."""
     from ..quota_service.settings import QuotaServiceSettings
 
@@ -217,7 +217,7 @@
     return _settings(path, table.quota_service, QuotaServiceSettings), _plans(path, table.plans)
 
 
-def leases(path: str) -> tuple[LeaseSettings, list[Quota]]:
+def read_leases(path: str) -> tuple[LeaseSettings, list[Quota]]:
     """FileError where the file can't be used."""
     from ..leases.settings import LeaseSettings
 
@@ -225,18 +225,18 @@
     return _settings(path, table.leases, LeaseSettings), _plans(path, table.plans)
 
 
-def start(path: str) -> ColdStartSettings:
+def read_cold_start(path: str) -> ColdStartSettings:
     """FileError where the file can't be used."""
     from ..cold_start.settings import ColdStartSettings
 
-    return _settings(path, load(path, StartFile).start, ColdStartSettings)
+    return _settings(path, load(path, ColdStartFile).start, ColdStartSettings)
 
 
-def place(path: str) -> ZoneFailoverSettings:
+def read_zone_failover(path: str) -> ZoneFailoverSettings:
     """FileError where the file can't be used."""
     from ..zone_failover.settings import ZoneFailoverSettings, parse_duration
 
-    row = load(path, PlaceFile).place
+    row = load(path, ZoneFailoverFile).place
     try:
         regions = {name: tuple(zones) for name, zones in row.regions.items()}
         distances = {d.between: parse_duration(d.is_) for d in row.distances}
@@ -258,12 +258,12 @@
         raise FileError(f"{path}: {_by_keys(row, str(err))}") from None
 
 
-def place_zones(path: str) -> list[ZoneRow]:
+def read_failover_zones(path: str) -> list[ZoneLoadRow]:
     """The zones that a dry run is made of."""
-    return load(path, PlaceFile).zones
+    return load(path, ZoneFailoverFile).zones
 
 
-def check_place(path: str, settings: ZoneFailoverSettings, zones: list[str]) -> None:
+def check_zone_failover(path: str, settings: ZoneFailoverSettings, zones: list[str]) -> None:
     """FileError where the file doesn't fit the zones that the gateways are told of."""
     from ..zone_failover.settings import MAX_ZONES
 
@@ -277,7 +277,7 @@
                 )
 
 
-def subset(path: str) -> SubsetSettings:
+def read_subset(path: str) -> SubsetSettings:
     """FileError where the file can't be used."""
     from ..subsetting.settings import Layout, Reach, ServiceBy, SubsetSettings
 
--- a/zincstile/net/gateway.py
+++ b/zincstile/net/gateway.py
@@ -47,13 +47,13 @@
         self.pool = ConnectionPool(self.dispatcher)
         self.attempts = Attempts(self.dispatcher, config.settings, self.pool, read_buffer)
         self.peers = Peers(self.dispatcher, config.peers)
-        reader = EndpointReader(config.zones, config.kinds, host)
+        reader = EndpointReader(config.zones, config.backend_types, host)
         self.table = EndpointTable(self.dispatcher, reader, self.pool.update)
         self.watcher = EndpointWatcher(
             self.dispatcher, self.table, config.discovery, self._become_ready, random.Random(config.seed)
         )
         quota_client, starter = self._connect_features(read_buffer)
-        administration = self._build_administration() if config.control else None
+        administration = self._build_administration() if config.admin_address else None
         self.shutdown = GracefulShutdown(
             self.dispatcher, self.listener, self.peers, config.limits, administration
         )
@@ -86,9 +86,9 @@
             from .feature_messages import connect_leases
 
             connect_leases(self.dispatcher, self.peers)
-        if config.start:
+        if config.cold_start:
             starter = self._build_starter()
-        if config.place:
+        if config.zone_failover:
             from .feature_messages import connect_zone_failover
 
             connect_zone_failover(self.dispatcher, self.peers)
@@ -103,7 +103,7 @@
             self.dispatcher,
             self.peers,
             self.watcher,
-            config.start,
+            config.cold_start,
             config.settings.gateway_index,
             config.settings.gateway_count,
             config.settings.gossip_in_per_s,
--- a/zincstile/net/handover_file.py
+++ b/zincstile/net/handover_file.py
@@ -53,7 +53,7 @@
         self._on_maintenance = on_maintenance
         self._returned_at_ns = returned_at_ns
         self._discovery_offset_ns = discovery_offset_ns
-        self.found: Handover | None = None  # at the start, what another process left, where it is trusted
+        self.loaded: Handover | None = None  # at the start, what another process left, where it is trusted
         self.on_saved: Callable[[], None] = lambda: None  # called when all that was asked for is in the file
         self.on_successor_ready: Callable[[], None] | None = None  # called once another process says so
         self._ready_process = ""  # the process that said last that it takes clients
@@ -77,18 +77,18 @@
         """Takes at the start what an earlier or older process left; returns what was found, for the log.
 
         Removes what writes of ended processes left half done. A file that can't be read is tried again for
-        `handover_read_ns`.
+        `handover_read_timeout_ns`.
         """
         limits = self._dispatcher.limits
-        self._host.remove_parts(self.path)
-        until_ns = self._dispatcher.now_ns() + limits.handover_read_ns
+        self._host.remove_temporary_files(self.path)
+        until_ns = self._dispatcher.now_ns() + limits.handover_read_timeout_ns
         while True:
             try:
                 return self._load_once()
             except OSError as err:
                 if self._dispatcher.now_ns() >= until_ns:
                     return f"can't be read for now: {self.path}: {err.strerror or err}"
-            await asyncio.sleep(limits.inherit_look_ns / NS_PER_S)
+            await asyncio.sleep(limits.inherit_poll_interval_ns / NS_PER_S)
 
     def _load_once(self) -> str:
         try:
@@ -98,7 +98,7 @@
         if found is None:
             return "none"
         self._state.adopt(set(found.under_maintenance), found.version)
-        self.found = found
+        self.loaded = found
         return f"{len(found.under_maintenance)} under maintenance, version {found.version}"
 
     def _read(self) -> Handover | None:
@@ -131,10 +131,10 @@
         try:
             found = self._read()
         except OSError as err:
-            self._dispatcher.log.often("handover", f"can't read {self.path}: {err.strerror or err}")
+            self._dispatcher.log.line_limited("handover", f"can't read {self.path}: {err.strerror or err}")
             return False
         except HandoverError as err:
-            self._dispatcher.log.often("handover", f"ignored: {self.path}: {err}")
+            self._dispatcher.log.line_limited("handover", f"ignored: {self.path}: {err}")
             self._unsaved = True  # what is trusted here goes over it
             return True
         if found is not None:
@@ -173,7 +173,7 @@
         try:
             self._host.write_file(self.path, encode(self._content()), sync=self._unsaved)
         except OSError as err:
-            self._dispatcher.log.often("handover", f"can't write {self.path}: {err.strerror or err}")
+            self._dispatcher.log.line_limited("handover", f"can't write {self.path}: {err.strerror or err}")
             self._touch()
             return False
         self._last_stat = self._host.stat(self.path)
@@ -206,8 +206,11 @@
     # ---- polling
 
     def poll(self) -> None:
-        """Reads the file where it changed, and keeps it fresh; called every `handover_poll_ns`."""
+        """Reads the file where it changed, and keeps it fresh; called every `handover_poll_interval_ns`."""
         self.refresh()
-        due = self._dispatcher.now_ns() - self._written_ns >= self._dispatcher.limits.handover_keep_ns
+        due = (
+            self._dispatcher.now_ns() - self._written_ns
+            >= self._dispatcher.limits.handover_rewrite_interval_ns
+        )
         if due or self._unsaved:
             self._write()
--- a/zincstile/net/host.py
+++ b/zincstile/net/host.py
@@ -66,7 +66,7 @@
             raise
         return listening
 
-    def inherit(self, fd: int) -> socket.socket:
+    def inherit_socket(self, fd: int) -> socket.socket:
         """Returns the clients' listening socket that the platform hands down (`$RELAY_SOCKET_FD`).
 
         By it an old and a new process take clients from one queue. ConfigError where the descriptor is no
@@ -95,13 +95,13 @@
         poll.register(transport.get_extra_info("socket").fileno(), select.POLLIN)
         return bool(poll.poll(0))
 
-    def ended(self, transport: asyncio.Transport) -> bool:
+    def peer_has_ended(self, transport: asyncio.Transport) -> bool:
         """Tells whether the other side has ended its sending, whatever lies unread before its end."""
         poll = select.poll()
         poll.register(transport.get_extra_info("socket").fileno(), select.POLLRDHUP)
         return bool(poll.poll(0))
 
-    def unread_ns(self, transport: asyncio.Transport) -> int:
+    def last_received_age_ns(self, transport: asyncio.Transport) -> int:
         """Returns how long ago the machine received what came last on a connection (tcp(7), TCP_INFO).
 
         0 where it doesn't say, or says what can't be.
@@ -164,7 +164,7 @@
         now_ns = self.monotonic_ns()
         os.utime(path, ns=(now_ns, now_ns))
 
-    def remove_parts(self, path: str) -> None:
+    def remove_temporary_files(self, path: str) -> None:
         """Removes what ended processes left of their writes of this file."""
         folder, _, name = path.rpartition("/")
         with contextlib.suppress(OSError):
--- a/zincstile/net/invariants.py
+++ b/zincstile/net/invariants.py
@@ -20,7 +20,7 @@
 from .trace import Trace
 
 # By how much the deadline given to a backend server may be after the client's: the process may have been
-# stopped for as long between the two (`Limits.held_up_ns`).
+# stopped for as long between the two (`Limits.process_stall_ns`).
 DEADLINE_SLACK_NS: Final = 150_000_000
 
 
@@ -84,7 +84,7 @@
         name = f"violated_{invariant.value}"
         setattr(self._counters, name, getattr(self._counters, name) + 1)
         label = subject.decode("latin-1") if isinstance(subject, bytes) else subject
-        self._log.often("violated", f"{invariant.value} {label}: {problem}")
+        self._log.line_limited("violated", f"{invariant.value} {label}: {problem}")
         if self.observer is not None:
             self.observer(invariant, f"{label}: {problem}")
         for line in self._trace.describe(now, subject):
--- a/zincstile/net/lifecycle.py
+++ b/zincstile/net/lifecycle.py
@@ -92,7 +92,7 @@
         """Counts what escaped a connection's callback: asyncio closes that connection and goes on."""
         self._dispatcher.counters.faults += 1
         err = context.get("exception")
-        self._log.often("fault", f"{type(err).__name__}: {err} in {context.get('message')}")
+        self._log.line_limited("fault", f"{type(err).__name__}: {err} in {context.get('message')}")
 
     async def _unless_ended(self, work: Coroutine[Any, Any, None]) -> None:
         """Runs a part of the start; it is left where it stands when the process is told to end."""
@@ -107,15 +107,17 @@
         """Listens for clients, peers' gossip having begun; takes them once an endpoint list is here."""
         config, parts, dispatcher = self._config, self._parts, self._dispatcher
         dispatcher.post(Started())
-        known = self._begin_list()
+        known = self._apply_initial_list()
         await retry_while_exhausted(lambda: parts.listener.listen(config.listen, config.socket_fd))
-        administration, admin_address = parts.administration, config.control
+        administration, admin_address = parts.administration, config.admin_address
         if administration is not None and admin_address is not None:
             await retry_while_exhausted(lambda: administration.open(admin_address))
             administration.watch_files()
         if parts.starter is None and known:
             # Discovery may be down: then the known list must do.
-            dispatcher.deadlines.add(dispatcher.now_ns() + config.limits.table_first_ns, self.become_ready)
+            dispatcher.deadlines.add(
+                dispatcher.now_ns() + config.limits.initial_list_wait_ns, self.become_ready
+            )
         dispatcher.wake()
         if config.quota_service or config.leases:
             from .bound_report import log_quota_bounds
@@ -123,10 +125,10 @@
             log_quota_bounds(config, self._log)
         self._log_addresses()
 
-    def _begin_list(self) -> bool:
+    def _apply_initial_list(self) -> bool:
         """Begins with the endpoint list that the start was given; False where there is none."""
         starter = self._parts.starter
-        return begin_list(self._config, self._parts.watcher if starter is None else starter)
+        return apply_initial_list(self._config, self._parts.watcher if starter is None else starter)
 
     def _log_addresses(self) -> None:
         listener, administration = self._parts.listener, self._parts.administration
@@ -190,12 +192,12 @@
         self._log.line("reload discovery at {}:{}".format(*config.discovery))
 
 
-def begin_list(config: Config, source: EndpointWatcher | ColdStart) -> bool:
+def apply_initial_list(config: Config, source: EndpointWatcher | ColdStart) -> bool:
     """Hands the endpoint list that the start was given to who begins with it; False where there is none.
 
     It is taken out of the configuration: as JSON it takes more memory than all that is made of it.
     """
-    known = config.known
-    config.known = {}
+    known = config.initial_list
+    config.initial_list = {}
     source.begin(known)
     return bool(known.get("endpoints"))
--- a/zincstile/net/limits.py
+++ b/zincstile/net/limits.py
@@ -18,8 +18,48 @@
     "quota_service_pipelined": "keeper_pipelined",
     "quota_service_waiting": "keeper_waiting",
     "quota_service_call_ns": "keeper_call_ns",
-    "quota_service_stuck_ns": "keeper_stuck_ns",
+    "quota_service_stall_ns": "keeper_stuck_ns",
     "quota_service_idle_ns": "keeper_rest_ns",
+    "max_arguments": "words",
+    "lingering_close_bytes": "drained_bytes",
+    "lingering_close_ns": "drained_ns",
+    "unread_answer_bytes": "written_bytes",
+    "max_pipelined": "pipelined",
+    "accepts_per_iteration": "accepts",
+    "client_silence_timeout_ns": "silent_ns",
+    "client_idle_timeout_ns": "rest_ns",
+    "connection_check_interval_ns": "tend_ns",
+    "answer_stall_ns": "answer_ns",
+    "backend_idle_timeout_ns": "idle_ns",
+    "surplus_answer_wait_ns": "settled_ns",
+    "evictable_idle_ns": "spare_ns",
+    "new_client_grace_ns": "newcomer_ns",
+    "request_transit_ns": "margin_ns",
+    "initial_list_wait_ns": "table_first_ns",
+    "watch_silence_timeout_ns": "table_silence_ns",
+    "watch_answer_timeout_ns": "table_answer_ns",
+    "list_call_timeout_ns": "table_patience_ns",
+    "list_time_per_gateway_ns": "table_list_ns",
+    "first_watch_delay_ns": "table_first_ask_ns",
+    "watch_backoff_ns": "table_again_ns",
+    "max_watch_backoff_ns": "table_again_most_ns",
+    "max_watch_wait_ns": "table_longest_ns",
+    "process_stall_ns": "held_up_ns",
+    "listing_delay_ns": "start_told_ns",
+    "max_backoff_ns": "backoff_most_ns",
+    "min_drain_ns": "drain_least_ns",
+    "shutdown_ns": "drain_most_ns",
+    "stream_read_interval_ns": "stream_pace_ns",
+    "stream_small_piece_bytes": "stream_piece_bytes",
+    "handover_rewrite_interval_ns": "handover_keep_ns",
+    "handover_read_timeout_ns": "handover_read_ns",
+    "handover_save_timeout_ns": "handover_kept_ns",
+    "handover_poll_interval_ns": "handover_poll_ns",
+    "inherit_timeout_ns": "inherit_wait_ns",
+    "inherit_poll_interval_ns": "inherit_look_ns",
+    "standby_idle_timeout_ns": "standby_rest_ns",
+    "admin_request_timeout_ns": "control_call_ns",
+    "admin_connections": "control_connections",
 }
 
 
@@ -53,7 +93,7 @@
     longest_request_ns: int
     gateways: int = 1  # of the fleet
     poll_interval_ns: int = 0  # above 0 where discovery is a service that all gateways poll
-    operators: bool = False  # the admin endpoint is open
+    has_admin_endpoint: bool = False  # the admin endpoint is open
 
 
 @dataclass(frozen=True, slots=True)
@@ -68,77 +108,93 @@
     read_bytes: int = 65536  # the one buffer that all connections read into
     value_bytes: int = 65536  # of a command
     answer_bytes: int = 1 << 20  # of a value that a backend server sends: many times a command's were seen
-    words: int = 16  # arguments of a command, its name counted
+    max_arguments: int = 16  # arguments of a command, its name counted
     line_bytes: int = 1024  # a header line of RESP or HTTP
     command_bytes: int = 131072
     id_bytes: int = 64
-    drained_bytes: int = 1 << 20  # thrown away after a client's last answer before the connection is reset
+    lingering_close_bytes: int = (
+        1 << 20
+    )  # thrown away after a client's last answer before the connection is reset
     header_lines: int = 64
     table_bytes: int = 4 << 20  # one line of the endpoint table, at least; more by the memory
     datagram_bytes: int = 256
     # counts
     sessions: int = 20000
-    pipelined: int = 64  # unanswered requests on one connection before it is read no further
-    written_bytes: int = 262144  # unread answers on one connection before it is read no further
+    max_pipelined: int = 64  # unanswered requests on one connection before it is read no further
+    unread_answer_bytes: int = 262144  # unread answers on one connection before it is read no further
     backlog: int = 512
-    accepts: int = 64  # connections taken in one iteration of the loop
+    accepts_per_iteration: int = 64  # connections taken in one iteration of the loop
     quota_service_connections: int = 4  # it resets what is over 32
     quota_service_pipelined: int = 32  # calls on one of these that have no answer yet
     quota_service_waiting: int = 512  # calls that wait for a connection; more are not made
     # times
     quota_service_call_ns: int = 50 * MS  # a call to it is given up after this
-    quota_service_stuck_ns: int = SECOND  # a connection to it whose next answer is late by this is of no use
+    quota_service_stall_ns: int = SECOND  # a connection to it whose next answer is late by this is of no use
     quota_service_idle_ns: int = 8 * SECOND  # an idle one is closed after this: the service does it at 10 s
     connect_ns: int = 250 * MS
     command_ns: int = 10 * SECOND  # a command that is begun has to be complete within this
     command_stall_ns: int = 2200 * MS  # and has to go on within this
-    silent_ns: int = 2200 * MS  # a client that has sent no complete command by then is closed
-    rest_ns: int = 10 * SECOND  # a client's connection that was idle this long is closed
-    tend_ns: int = 250 * MS  # how often connections are checked for the above
-    drained_ns: int = 500 * MS  # after the last answer, how long the client's close is waited for
-    answer_ns: int = 250 * MS  # an answer that is begun has to go on within this
-    idle_ns: int = 20 * SECOND  # an idle backend connection is closed after this
-    settled_ns: int = 10 * MS  # after an answer, how long a second one may come that no request is for
-    spare_ns: int = 2 * SECOND  # a client's connection idle this long may be closed to make room
-    newcomer_ns: int = 100 * MS  # the same for one that sent no request, or only one
-    margin_ns: int = 2 * MS  # a request's way here, taken off the time that its client waits
-    table_first_ns: int = 300 * MS  # how long the start waits for discovery before the known list must do
-    table_silence_ns: int = 2600 * MS  # a watch sends an event every 2 s; one that does not is opened anew
-    table_answer_ns: int = 800 * MS  # the same for one that has sent nothing yet
-    table_patience_ns: int = 0  # a call that a list service took is left out for so long; 0: an agent answers
-    table_list_ns: int = 250 * MS  # a whole list may take the service so long, for each gateway of the fleet
-    table_first_ask_ns: int = 1  # the first watch is opened within this, where a list is known
-    table_again_ns: int = 50 * MS  # a lost watch is opened again within this, then twice, four times it
-    table_again_most_ns: int = SECOND  # and within this at most
-    table_longest_ns: int = (
+    client_silence_timeout_ns: int = 2200 * MS  # a client that has sent no complete command by then is closed
+    client_idle_timeout_ns: int = 10 * SECOND  # a client's connection that was idle this long is closed
+    connection_check_interval_ns: int = 250 * MS  # how often connections are checked for the above
+    lingering_close_ns: int = 500 * MS  # after the last answer, how long the client's close is waited for
+    answer_stall_ns: int = 250 * MS  # an answer that is begun has to go on within this
+    backend_idle_timeout_ns: int = 20 * SECOND  # an idle backend connection is closed after this
+    surplus_answer_wait_ns: int = (
+        10 * MS
+    )  # after an answer, how long a second one may come that no request is for
+    evictable_idle_ns: int = 2 * SECOND  # a client's connection idle this long may be closed to make room
+    new_client_grace_ns: int = 100 * MS  # the same for one that sent no request, or only one
+    request_transit_ns: int = 2 * MS  # a request's way here, taken off the time that its client waits
+    initial_list_wait_ns: int = (
+        300 * MS
+    )  # how long the start waits for discovery before the known list must do
+    watch_silence_timeout_ns: int = (
+        2600 * MS
+    )  # a watch sends an event every 2 s; one that does not is opened anew
+    watch_answer_timeout_ns: int = 800 * MS  # the same for one that has sent nothing yet
+    list_call_timeout_ns: int = (
+        0  # a call that a list service took is left out for so long; 0: an agent answers
+    )
+    list_time_per_gateway_ns: int = (
+        250 * MS
+    )  # a whole list may take the service so long, for each gateway of the fleet
+    first_watch_delay_ns: int = 1  # the first watch is opened within this, where a list is known
+    watch_backoff_ns: int = 50 * MS  # a lost watch is opened again within this, then twice, four times it
+    max_watch_backoff_ns: int = SECOND  # and within this at most
+    max_watch_wait_ns: int = (
         4500 * MS
     )  # no wait is longer: with a connect and an answer, the list is here within 6 s
-    held_up_ns: int = 150 * MS  # a process that gets no processor for longer logs it
-    start_told_ns: int = 60 * SECOND  # a server may have started so long before discovery first lists it
+    process_stall_ns: int = 150 * MS  # a process that gets no processor for longer logs it
+    listing_delay_ns: int = 60 * SECOND  # a server may have started so long before discovery first lists it
     backoff_ns: int = 50 * MS
-    backoff_most_ns: int = SECOND
+    max_backoff_ns: int = SECOND
     drain_quiet_ns: int = 450 * MS  # after SIGTERM, connections are kept until no call came for this
     drain_ns: int = 2900 * MS  # and for this at most
-    drain_least_ns: int = 500 * MS  # the balancer sends new clients for up to 0.4 s after SIGTERM
+    min_drain_ns: int = 500 * MS  # the balancer sends new clients for up to 0.4 s after SIGTERM
     drain_margin_ns: int = 100 * MS  # all has its answer so long before the end
-    drain_most_ns: int = 3600 * MS  # after SIGTERM, the end: the longest deadline and more
+    shutdown_ns: int = 3600 * MS  # after SIGTERM, the end: the longest deadline and more
     # large values
     stream_bytes: int = 65536  # a larger value is forwarded as it comes: its first bytes are timed
     stream_stall_ns: int = 10 * SECOND  # one that sends nothing this long, past its client's time, is cut off
-    stream_pace_ns: int = 5 * MS  # a value that comes in small pieces is read at most this often
-    stream_piece_bytes: int = 16384  # a piece smaller than this is small
+    stream_read_interval_ns: int = 5 * MS  # a value that comes in small pieces is read at most this often
+    stream_small_piece_bytes: int = 16384  # a piece smaller than this is small
     # operators
-    control_connections: int = 16  # callers at once; where more come, the oldest is answered and closed
-    control_call_ns: int = 900 * MS  # a request has to be complete by then: its response is due within 1 s
-    handover_poll_ns: int = 50 * MS  # the hand-over file is polled so often: maintenance holds within 250 ms
-    handover_keep_ns: int = 10 * SECOND  # how often a running process writes it anew
-    handover_read_ns: int = 2 * SECOND  # a start waits so long for a file that can't be read for now
-    handover_kept_ns: int = 700 * MS  # a yes waits so long for the file to hold it
+    admin_connections: int = 16  # callers at once; where more come, the oldest is answered and closed
+    admin_request_timeout_ns: int = (
+        900 * MS
+    )  # a request has to be complete by then: its response is due within 1 s
+    handover_poll_interval_ns: int = (
+        50 * MS
+    )  # the hand-over file is polled so often: maintenance holds within 250 ms
+    handover_rewrite_interval_ns: int = 10 * SECOND  # how often a running process writes it anew
+    handover_read_timeout_ns: int = 2 * SECOND  # a start waits so long for a file that can't be read for now
+    handover_save_timeout_ns: int = 700 * MS  # a yes waits so long for the file to hold it
     handover_stale_ns: int = 60 * SECOND  # a file that nobody wrote for this long is not trusted
-    inherit_wait_ns: int = 250 * MS  # a new process waits so long for the old one's memory: five polls
-    inherit_look_ns: int = 10 * MS  # and polls for it so often
+    inherit_timeout_ns: int = 250 * MS  # a new process waits so long for the old one's memory: five polls
+    inherit_poll_interval_ns: int = 10 * MS  # and polls for it so often
     inherit_bytes: int = 1 << 20  # of the memory that is left: files count as memory
-    standby_rest_ns: int = 500 * MS  # in standby, a connection idle this long is closed
+    standby_idle_timeout_ns: int = 500 * MS  # in standby, a connection idle this long is closed
 
     @classmethod
     def for_gateway(cls, machine: Machine, given: dict[str, int]) -> Limits:
@@ -151,8 +207,8 @@
         usual = cls()
         memory_mb = max(1, machine.memory_mb)
         reserved = max(MIN_RESERVED, machine.sockets // RESERVED_PART)
-        if machine.operators:
-            reserved += given.get("control_connections", usual.control_connections)
+        if machine.has_admin_endpoint:
+            reserved += given.get("admin_connections", usual.admin_connections)
         connections = max(2, machine.sockets - reserved)
         frontend_connections = connections * 3 // 5
         made = {
@@ -160,11 +216,11 @@
             "backend_connections": connections - frontend_connections,
             "reserved": reserved,
             "answer_bytes": min(usual.answer_bytes, memory_mb << ANSWER_SHIFT),
-            "written_bytes": min(usual.written_bytes, memory_mb << UNREAD_SHIFT),
+            "unread_answer_bytes": min(usual.unread_answer_bytes, memory_mb << UNREAD_SHIFT),
             "table_bytes": cls.table_line_bytes(memory_mb),
             "sessions": max(1, machine.sessions),
             "connect_ns": machine.connect_ns,
-            "idle_ns": machine.idle_close_ns * 2 // 3,  # well before the server closes it
+            "backend_idle_timeout_ns": machine.idle_close_ns * 2 // 3,  # well before the server closes it
         }
         return cls(**(made | _polling(usual, machine) | _draining(usual, machine) | given))
 
@@ -196,14 +252,16 @@
     """
     if not machine.poll_interval_ns:
         return {}
-    again_ns = usual.table_again_ns * machine.gateways
+    again_ns = usual.watch_backoff_ns * machine.gateways
     longest_backoff_ns = min(machine.poll_interval_ns, again_ns * MAX_BACKOFF_FACTOR)
     return {
-        "table_again_ns": again_ns,
-        "table_first_ask_ns": again_ns,
-        "table_answer_ns": usual.table_silence_ns,
-        "table_patience_ns": max(usual.table_silence_ns, machine.gateways * usual.table_list_ns),
-        "table_again_most_ns": max(usual.table_again_most_ns, longest_backoff_ns),
+        "watch_backoff_ns": again_ns,
+        "first_watch_delay_ns": again_ns,
+        "watch_answer_timeout_ns": usual.watch_silence_timeout_ns,
+        "list_call_timeout_ns": max(
+            usual.watch_silence_timeout_ns, machine.gateways * usual.list_time_per_gateway_ns
+        ),
+        "max_watch_backoff_ns": max(usual.max_watch_backoff_ns, longest_backoff_ns),
     }
 
 
@@ -211,8 +269,8 @@
     """Returns the limits of a graceful shutdown: as long as the longest request, within bounds."""
     stop_ns = min(machine.longest_request_ns, SUPPORTED_DRAIN_NS) + DRAIN_TAIL_NS
     return {
-        "drain_most_ns": stop_ns,
-        "drain_ns": max(stop_ns - LAST_ANSWERS_NS, min(usual.drain_least_ns, stop_ns)),
+        "shutdown_ns": stop_ns,
+        "drain_ns": max(stop_ns - LAST_ANSWERS_NS, min(usual.min_drain_ns, stop_ns)),
     }
 
 
--- a/zincstile/net/log.py
+++ b/zincstile/net/log.py
@@ -16,7 +16,7 @@
     __slots__ = ("_last_ns", "_suppressed", "_name", "_host", "_interval_ns")
 
     def __init__(self, name: str, interval_ns: int = REPEAT_INTERVAL_NS, host: Host = HOST) -> None:
-        """`name` of the gateway; `interval_ns` between two lines of one kind written by `often`."""
+        """`name` of the gateway; `interval_ns` between two lines of one kind written by `line_limited`."""
         self._name = name
         self._host = host
         self._interval_ns = interval_ns
@@ -28,7 +28,7 @@
         with contextlib.suppress(OSError):  # a log that can't be written is no reason to stop serving
             self._host.log(f"{self._host.unix_ns() / 1e9:.3f} {self._name} {text}\n")
 
-    def often(self, kind: str, text: str) -> None:
+    def line_limited(self, kind: str, text: str) -> None:
         """Writes a line of a kind that may repeat, or counts it where one was written just before."""
         now = self._host.monotonic_ns()
         if now - self._last_ns.get(kind, -self._interval_ns) < self._interval_ns:
--- a/zincstile/net/policy_assembly.py
+++ b/zincstile/net/policy_assembly.py
@@ -34,21 +34,21 @@
     features: list[Feature] = _quota_feature(config, host)
     describe_zones = None
     ramp = None
-    if config.place:
+    if config.zone_failover:
         from ..zone_failover.feature import ZoneRoutingFeature
 
-        zones = ZoneRoutingFeature(settings, config.seed, config.place, config.zones)
+        zones = ZoneRoutingFeature(settings, config.seed, config.zone_failover, config.zones)
         features.append(zones)
         describe_zones = zones.describe
-    if config.start:
+    if config.cold_start:
         from ..cold_start.feature import AdmissionRampFeature
 
-        ramp = AdmissionRampFeature(settings, config.seed, config.start)
+        ramp = AdmissionRampFeature(settings, config.seed, config.cold_start)
         features.append(ramp)
     if config.subset:
         from ..subsetting.feature import SubsettingFeature
 
-        machine_types = [endpoint_id(name) for name in config.kinds]
+        machine_types = [endpoint_id(name) for name in config.backend_types]
         features.append(SubsettingFeature(settings, config.subset, config.zones, machine_types))
     policy = Policy(settings, config.seed, features)
     return AssembledPolicy(policy, describe_zones, lambda: ramp is None or ramp.is_open)
--- a/zincstile/net/quota_service.py
+++ b/zincstile/net/quota_service.py
@@ -84,7 +84,7 @@
             for status, body in self._answers.feed(bytes(self.client.buffer[:size])):
                 self._take_answer(status, body)
         except http.HttpError as err:
-            dispatcher.log.often("quota_service", f"answer of {self.address} malformed: {err}")
+            dispatcher.log.line_limited("quota_service", f"answer of {self.address} malformed: {err}")
             self.transport.abort()
             return
         self.idle_since_ns = dispatcher.now_ns()
@@ -118,7 +118,7 @@
         self._connecting = 0
         self._tasks: dict[asyncio.Task, None] = {}
         self._no_connect_before_ns = 0  # after a connect that failed
-        every(dispatcher, dispatcher.limits.tend_ns, self._check_connections)
+        every(dispatcher, dispatcher.limits.connection_check_interval_ns, self._check_connections)
 
     def call(self, name: str, amount: float, ttl_ms: int, on_answer: OnAnswer) -> None:
         """Adds the amount to the counter `name`, which lives for `ttl_ms`.
@@ -194,7 +194,7 @@
                 )
         except (OSError, TimeoutError) as err:
             reason = err or type(err).__name__
-            dispatcher.log.often("quota_service", f"can't connect to {address}: {reason}")
+            dispatcher.log.line_limited("quota_service", f"can't connect to {address}: {reason}")
             self._no_connect_before_ns = dispatcher.now_ns() + dispatcher.limits.backoff_ns
             dispatcher.deadlines.add(self._no_connect_before_ns, self._retry_connect)
             dispatcher.wake()
@@ -257,7 +257,7 @@
         for connection in list(self.connections):
             if connection.calls:
                 waited_ns = now - connection.calls[0].made_ns
-                if waited_ns > limits.quota_service_call_ns + limits.quota_service_stuck_ns:
+                if waited_ns > limits.quota_service_call_ns + limits.quota_service_stall_ns:
                     connection.transport.abort()
                 continue
             idle_ns = now - connection.idle_since_ns
--- a/zincstile/net/resp.py
+++ b/zincstile/net/resp.py
@@ -131,7 +131,7 @@
     def _message(self, buffer: bytes, at: int) -> tuple[list[bytes], int]:
         if buffer[at] != ARRAY_SIGN:
             raise RespError("expected '*'")
-        count, at = self._number(buffer, at, self.limits.words)
+        count, at = self._number(buffer, at, self.limits.max_arguments)
         arguments: list[bytes] = []
         if at < 0:
             return arguments, -1
@@ -198,7 +198,7 @@
         return (ErrorLine(text) if sign == ERROR_SIGN else PlainLine(text)), end + 2
 
     def _array(self, buffer: bytes, at: int) -> tuple[Reply, int]:
-        count, at = self._number(buffer, at, self.limits.words)
+        count, at = self._number(buffer, at, self.limits.max_arguments)
         if at < 0 or count < 0:
             return None, at
         parts: list[Reply] = []
--- a/zincstile/net/shutdown.py
+++ b/zincstile/net/shutdown.py
@@ -60,7 +60,7 @@
         self._begun_ns = now_ns
         self._listener.last_request_ns = now_ns
         self._drain_clients()
-        end_ns = now_ns + self._limits.drain_most_ns
+        end_ns = now_ns + self._limits.shutdown_ns
         deadlines = self._dispatcher.deadlines
         deadlines.add(end_ns - self._limits.drain_margin_ns, self._fail_rest)
         deadlines.add(end_ns, self._end)
@@ -126,5 +126,5 @@
         dispatcher = self._dispatcher
         dispatcher.guard.may_end(dispatcher.now_ns(), len(dispatcher.sessions))
         if self._administration is not None:
-            self._administration.state_files.leave_totals()
+            self._administration.state_files.write_totals()
         self.ended.set_result(None)
--- a/zincstile/net/state_files.py
+++ b/zincstile/net/state_files.py
@@ -73,7 +73,7 @@
         except OSError as err:
             return f"can't ask for it: {err.strerror or err}"
         self._last_stats[REQUEST_SUFFIX] = self._host.stat(self._base_path + REQUEST_SUFFIX)
-        until_ns = self._dispatcher.now_ns() + limits.inherit_wait_ns
+        until_ns = self._dispatcher.now_ns() + limits.inherit_timeout_ns
         last_stat = None
         while self._dispatcher.now_ns() < until_ns:
             stat = self._host.stat(self._base_path + MEMORY_SUFFIX)
@@ -82,7 +82,7 @@
                 table = self._read(MEMORY_SUFFIX)
                 if table.get("for") == self._process:
                     return self._take_memory(table)
-            await asyncio.sleep(limits.inherit_look_ns / NS_PER_S)
+            await asyncio.sleep(limits.inherit_poll_interval_ns / NS_PER_S)
         return "no older process answered"
 
     def _take_memory(self, table: dict[str, Any]) -> str:
@@ -90,7 +90,7 @@
         now_ns = self._dispatcher.now_ns()
         written_ns = table.get("written_monotonic_ns", now_ns)  # earlier versions don't write it
         self._share_limits_for(
-            self._dispatcher.limits.drain_most_ns + self._dispatcher.limits.control_call_ns
+            self._dispatcher.limits.shutdown_ns + self._dispatcher.limits.admin_request_timeout_ns
         )
         try:
             validate(memory, self._dispatcher.policy.parts)
@@ -152,7 +152,7 @@
             }
         ).encode()
 
-    def leave_totals(self) -> None:
+    def write_totals(self) -> None:
         """Writes at the end of this process what it sent since a new one took its memory."""
         if self._successor:
             totals = state_transfer.running_totals(self._dispatcher.policy.parts)
@@ -204,6 +204,6 @@
         try:
             self._host.write_file(self._base_path + suffix, data)
         except OSError as err:
-            self._dispatcher.log.often(
+            self._dispatcher.log.line_limited(
                 "memory", f"can't write {self._base_path}{suffix}: {err.strerror or err}"
             )
--- a/zincstile/scale/capacity_answers.py
+++ b/zincstile/scale/capacity_answers.py
@@ -228,7 +228,7 @@
 def _kept_row(entry: str, load: Load, size: int, carried: str) -> Row:
     """Part of the requests that find a connection which rested less than it may, where all endpoints are used
     alike."""
-    kept_s = Limits().idle_ns / 1e9
+    kept_s = Limits().backend_idle_timeout_ns / 1e9
     return Row(
         f"{entry}: requests that find a connection kept",
         f"{load.requests_per_s:,.0f} a second to {size:,} endpoints, kept for {kept_s:g} s",
--- a/zincstile/scale/capacity_events.py
+++ b/zincstile/scale/capacity_events.py
@@ -159,7 +159,7 @@
 def zone_started(measured: Measured, topology: Topology) -> list[Row]:
     """Each needs the whole list before it can take clients."""
     started, limits = topology.gateways // len(topology.zones), Limits()
-    whole, list_s = capacity_messages.list_bytes(topology.backends), limits.table_list_ns / 1e9
+    whole, list_s = capacity_messages.list_bytes(topology.backends), limits.list_time_per_gateway_ns / 1e9
     datagrams = BUCKETS * len(capacity_messages.bucket_lines(topology.backends))
     intake = INTAKE_RATIO * capacity_load.PEER_IN_PER_S
     return [
--- a/zincstile/scale/capacity_roles.py
+++ b/zincstile/scale/capacity_roles.py
@@ -161,7 +161,7 @@
 
 def operators(topology: Topology) -> list[Row]:
     """Standby, maintenance and zones by the admin endpoint; counters and state by the log."""
-    gateways, call_s = topology.gateways, Limits().control_call_ns / 1e9
+    gateways, call_s = topology.gateways, Limits().admin_request_timeout_ns / 1e9
     return [
         Row(
             "state",
--- a/zincstile/simulation/mutants_network.py
+++ b/zincstile/simulation/mutants_network.py
@@ -334,7 +334,7 @@
         self._dispatcher.post(EndpointList(EndpointListKind.CACHED, 0, []))
         return True
 
-    return replace_attribute(lifecycle.Lifecycle, "_begin_list", begin)
+    return replace_attribute(lifecycle.Lifecycle, "_apply_initial_list", begin)
 
 
 def shutdown_closes_without_guard() -> Undo:
--- a/zincstile/simulation/virtual_gateways.py
+++ b/zincstile/simulation/virtual_gateways.py
@@ -39,8 +39,8 @@
         """What a gateway reads of its file, with the features' settings put in as their files would be."""
         found = config.read(self.table(node), {})
         found.leases = self.lease_settings
-        found.start = self.cold_start_settings
-        found.place = self.zone_failover_settings
+        found.cold_start = self.cold_start_settings
+        found.zone_failover = self.zone_failover_settings
         found.subset = self.subset_settings
         if self.quota_service_settings is not None:
             found.quota_service = self.quota_service_settings
--- a/zincstile/virtual/host.py
+++ b/zincstile/virtual/host.py
@@ -37,11 +37,11 @@
         """Whether something has come on the connection that was not read."""
         return transport.has_unread
 
-    def ended(self, transport: TcpTransport) -> bool:
+    def peer_has_ended(self, transport: TcpTransport) -> bool:
         """Whether the other side's end has come, read or not."""
         return transport.peer_has_ended
 
-    def unread_ns(self, transport: Any) -> int:
+    def last_received_age_ns(self, transport: Any) -> int:
         """The age of what came last, which is not known here: always 0."""
         return 0
 
