--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -217,7 +217,7 @@
 
     async def run(late_ns):
         now = [0]
-        dispatcher = make_dispatcher(FailingTimerPolicy(), Limits(held_up_ns=10))
+        dispatcher = make_dispatcher(FailingTimerPolicy(), Limits(process_stall_ns=10))
         dispatcher.now_ns = lambda: now[0]
         dispatcher._loop_timer_ns, now[0] = 100, 100 + late_ns
         dispatcher._on_loop_timer()
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -382,9 +382,9 @@
     """For 0.4 s even with short deadlines; the last request has its deadline or 0.6 s before the end."""
     limits = Limits.for_gateway(Machine(512, 88, 100, 250 * MS, 30 * SECOND, longest_request_ms * MS), {})
     longest_request_ns = min(longest_request_ms, 3000) * MS
-    assert 400 * MS < limits.drain_ns < limits.drain_most_ns - limits.drain_margin_ns + 1
-    assert limits.drain_most_ns <= longest_request_ns + 700 * MS - 100 * MS
-    assert limits.drain_most_ns - limits.drain_ns >= min(600 * MS, longest_request_ns)
+    assert 400 * MS < limits.drain_ns < limits.shutdown_ns - limits.drain_margin_ns + 1
+    assert limits.shutdown_ns <= longest_request_ns + 700 * MS - 100 * MS
+    assert limits.shutdown_ns - limits.drain_ns >= min(600 * MS, longest_request_ns)
 
 
 def test_accepted_connections_have_tcp_nodelay():
@@ -410,7 +410,7 @@
 
     listening_socket = HOST.listen(("127.0.0.1", 0), 8)
     platform_socket = socket.create_server(("127.0.0.1", 0))
-    inherited_socket = HOST.inherit(platform_socket.detach())
+    inherited_socket = HOST.inherit_socket(platform_socket.detach())
     for listening in (listening_socket, inherited_socket):
         assert asyncio.run(asyncio.wait_for(run(listening), TIMEOUT_S)) != [0]
         listening.close()
--- a/zincstile/net/clients/closer.py
+++ b/zincstile/net/clients/closer.py
@@ -57,7 +57,7 @@
     def discard(self, size: int) -> None:
         """Counts discarded input; aborts the connection if there is too much of it."""
         self._discarded_bytes += size
-        if self._discarded_bytes > self._dispatcher.limits.drained_bytes:
+        if self._discarded_bytes > self._dispatcher.limits.lingering_close_bytes:
             self.abort(CloseReason.FLOOD)
 
     def start_draining(self) -> None:
@@ -71,7 +71,7 @@
         self.draining = False
         self.reason = None
         self._dispatcher.deadlines.cancel(self._stall_deadline)
-        self._transport.set_write_buffer_limits(high=self._dispatcher.limits.written_bytes)
+        self._transport.set_write_buffer_limits(high=self._dispatcher.limits.unread_answer_bytes)
 
     def send_eof(self) -> bool:
         """Sends the FIN; returns False if the connection is closed already or may not be closed."""
@@ -113,7 +113,7 @@
         ):
             self.abort(CloseReason.STALLED)
             return
-        wait_ns = limits.silent_ns if unsent_bytes else limits.drained_ns
+        wait_ns = limits.client_silence_timeout_ns if unsent_bytes else limits.lingering_close_ns
         deadlines = self._dispatcher.deadlines
         deadlines.cancel(self._stall_deadline)
         at_ns = self._dispatcher.now_ns() + wait_ns
--- a/zincstile/net/clients/connection.py
+++ b/zincstile/net/clients/connection.py
@@ -116,7 +116,7 @@
         """Called by the event loop with the connected transport."""
         dispatcher = self.dispatcher
         self.transport = transport  # type: ignore[assignment]
-        self.transport.set_write_buffer_limits(high=dispatcher.limits.written_bytes)
+        self.transport.set_write_buffer_limits(high=dispatcher.limits.unread_answer_bytes)
         self._closer = ConnectionCloser(dispatcher, self.transport, self._answers, f"connection {id(self)}")
         self.idle_since_ns = dispatcher.now_ns()
         self.counters.clients += 1
@@ -133,8 +133,8 @@
             return
         if self.input_may_have_waited:
             self.input_may_have_waited = False
-            self._input_age_ns = self.listener.host.unread_ns(self.transport)
-            self.from_inherited_queue &= self._input_age_ns > self.dispatcher.limits.held_up_ns
+            self._input_age_ns = self.listener.host.last_received_age_ns(self.transport)
+            self.from_inherited_queue &= self._input_age_ns > self.dispatcher.limits.process_stall_ns
         self._process_input(bytes(self.listener.read_buffer[:size]))
         self._input_age_ns = 0
 
@@ -183,7 +183,7 @@
             self._command_began_ns = self._command_began_ns or self._last_read_ns
         if self._parser.error:  # the rest of the input can't be parsed
             self.counters.malformed += 1
-            self.dispatcher.log.often("malformed", f"command: {self._parser.error}")
+            self.dispatcher.log.line_limited("malformed", f"command: {self._parser.error}")
             self._close_with_error("Protocol error: " + self._parser.error, CloseReason.MALFORMED)
         self._update_reading()
 
@@ -237,7 +237,7 @@
 
     def _update_reading(self) -> None:
         """Pauses or resumes reading, depending on unanswered commands and unread answers."""
-        pause = self._writing_paused or len(self._answers.pending) > self.dispatcher.limits.pipelined
+        pause = self._writing_paused or len(self._answers.pending) > self.dispatcher.limits.max_pipelined
         if pause == self._reading_paused or self._closer.reading_ended or self.transport.is_closing():
             return
         self._reading_paused = pause
@@ -357,7 +357,7 @@
     def _check_incomplete_command(self, now: int) -> None:
         limits = self.dispatcher.limits
         stalled = now - self._last_read_ns > limits.command_stall_ns
-        silent = not self.command_count and now - self.idle_since_ns > limits.silent_ns
+        silent = not self.command_count and now - self.idle_since_ns > limits.client_silence_timeout_ns
         if stalled or silent or now - self._command_began_ns > limits.command_ns:
             self._close_with_error("command not completed in time", CloseReason.INCOMPLETE)
 
@@ -365,8 +365,8 @@
         """Returns the idle timeout."""
         limits = self.dispatcher.limits
         if standby:
-            return limits.standby_rest_ns
-        return limits.rest_ns if self.command_count else limits.silent_ns
+            return limits.standby_idle_timeout_ns
+        return limits.client_idle_timeout_ns if self.command_count else limits.client_silence_timeout_ns
 
     def close_if_idle(self, reason: CloseReason) -> bool:
         """Closes the connection if it is idle and has no unread input; returns True if the FIN is sent."""
--- a/zincstile/net/clients/eviction.py
+++ b/zincstile/net/clients/eviction.py
@@ -17,9 +17,13 @@
     next command or its last answer may be in transit.
     """
     for client in clients:
-        if client.has_lingered(now_ns, limits.newcomer_ns):
+        if client.has_lingered(now_ns, limits.new_client_grace_ns):
             return client.evict()
-    min_idle_ns = (limits.newcomer_ns, limits.newcomer_ns, limits.spare_ns)  # by number of commands
+    min_idle_ns = (
+        limits.new_client_grace_ns,
+        limits.new_client_grace_ns,
+        limits.evictable_idle_ns,
+    )  # by number of commands
     idle = [
         (min(client.command_count, 2), client.idle_since_ns, order, client)
         for order, client in enumerate(clients)
--- a/zincstile/net/clients/listener.py
+++ b/zincstile/net/clients/listener.py
@@ -34,7 +34,7 @@
         self.read_buffer = read_buffer
         self.host = host
         self.counters = dispatcher.counters
-        self.reader = CallReader(settings, dispatcher.limits.margin_ns, dispatcher.limits.id_bytes)
+        self.reader = CallReader(settings, dispatcher.limits.request_transit_ns, dispatcher.limits.id_bytes)
         self.open_requests: dict[bytes, Session] = {}  # without a final answer, by the client's request id
         self.clients: dict[ClientConnection, None] = {}  # in the order in which they connected
         self.last_request_ns = 0
@@ -59,11 +59,11 @@
         """
         self.inherited = inherited is not None
         if inherited is not None:
-            self._socket = self.host.inherit(inherited)
+            self._socket = self.host.inherit_socket(inherited)
         else:
             self._socket = self.host.listen(address, self.dispatcher.limits.backlog)
         self._resume_accepting()
-        run_every(self.dispatcher, self.dispatcher.limits.tend_ns, self._check_timeouts)
+        run_every(self.dispatcher, self.dispatcher.limits.connection_check_interval_ns, self._check_timeouts)
 
     @property
     def address(self) -> str:
@@ -100,14 +100,14 @@
     def _accept_queued(self) -> bool:
         """Accepts queued connections up to the limit per batch; returns True if the queue was emptied."""
         limits = self.dispatcher.limits
-        for _ in range(limits.accepts):
+        for _ in range(limits.accepts_per_iteration):
             connection_count = len(self.clients) + self._acceptor.pending
             if connection_count >= limits.frontend_connections and not self._evict_one():
                 # Further connections stay in the backlog until a descriptor is free.
-                self.dispatcher.log.often(
+                self.dispatcher.log.line_limited(
                     "full", f"{self._describe_clients()}: accepting paused until a descriptor is free"
                 )
-                self._pause_accepting_for(limits.newcomer_ns)
+                self._pause_accepting_for(limits.new_client_grace_ns)
                 return False
             result = self._acceptor.accept(self._socket)
             if result is AcceptResult.QUEUE_EMPTY:
@@ -158,7 +158,7 @@
         # It may have connected and sent a request while accepting was paused, on an inherited socket even
         # before this process started
         elapsed_ns = self.dispatcher.now_ns() - self._resumed_ns
-        client.input_may_have_waited = elapsed_ns < self.dispatcher.limits.newcomer_ns
+        client.input_may_have_waited = elapsed_ns < self.dispatcher.limits.new_client_grace_ns
         client.from_inherited_queue = client.input_may_have_waited and self.inherited
 
     def on_disconnected(self, client: ClientConnection) -> None:
@@ -187,7 +187,7 @@
 
         The balancer sends PING every 0.1 s and no new connections soon after an error, but clients keep their
         open ones. So each connection is closed once its requests are answered, and an idle one after
-        `standby_rest_ns`, so that none is idle when the balancer counts them. New requests are still served.
+        `standby_idle_timeout_ns`, so that none is idle when the balancer counts them. New requests are still served.
         """
         self.standby = standby
         if standby:
@@ -198,7 +198,7 @@
 
         New connections without a command are kept for a moment, as their first command may be in transit.
         """
-        now, min_idle_ns = self.dispatcher.now_ns(), self.dispatcher.limits.newcomer_ns
+        now, min_idle_ns = self.dispatcher.now_ns(), self.dispatcher.limits.new_client_grace_ns
         closed = 0
         for client in list(self.clients):
             if client.command_count or now - client.idle_since_ns > min_idle_ns:
--- a/zincstile/net/dispatcher.py
+++ b/zincstile/net/dispatcher.py
@@ -68,7 +68,7 @@
         # Methods of the host, without an indirect call on the path of a request
         self.now_ns = host.monotonic_ns
         self.readable = host.readable
-        self.closed_by_peer = host.ended
+        self.closed_by_peer = host.peer_has_ended
         self.trace = Trace()
         self.guard = InvariantGuard(counters, log, self.trace)
         self.deadlines = Deadlines()
@@ -199,7 +199,7 @@
         """Logs an exception and fails the session concerned; other sessions go on."""
         self.counters.faults += 1
         subject_type = type(subject).__name__
-        self.log.often(
+        self.log.line_limited(
             "fault", f"{type(err).__name__}: {err} at {_raise_location(err)} while handling {subject_type}"
         )
         session = self._session_of(subject)
@@ -230,9 +230,9 @@
     def _on_loop_timer(self) -> None:
         self._loop_timer = None
         late_ns = self.now_ns() - self._loop_timer_ns
-        if late_ns > self.limits.held_up_ns:
+        if late_ns > self.limits.process_stall_ns:
             self.counters.held_up += 1
-            self.log.often("late", f"event loop delayed by {late_ns // 1_000_000} ms")
+            self.log.line_limited("late", f"event loop delayed by {late_ns // 1_000_000} ms")
         self.wake()
 
     # ---- actions that need no connection
@@ -261,7 +261,7 @@
             self.finish(session, FAILED)
 
     def _log_message(self, _: int, action: LogMessage) -> None:
-        self.log.often("module", action.text)
+        self.log.line_limited("module", action.text)
 
 
 def _raise_location(err: Exception) -> str:
--- a/zincstile/net/resp.py
+++ b/zincstile/net/resp.py
@@ -139,7 +139,7 @@
     def _parse_message(self, buffer: bytes, position: int) -> tuple[list[bytes], int]:
         if buffer[position] != ARRAY_PREFIX:
             raise RespError("expected '*'")
-        count, position = self._parse_number(buffer, position, self.limits.words)
+        count, position = self._parse_number(buffer, position, self.limits.max_arguments)
         arguments: list[bytes] = []
         if position < 0:
             return arguments, -1
@@ -206,7 +206,7 @@
         return (ErrorReply(text) if prefix == ERROR_PREFIX else SimpleReply(text)), end + 2
 
     def _parse_array(self, buffer: bytes, position: int) -> tuple[Reply, int]:
-        count, position = self._parse_number(buffer, position, self.limits.words)
+        count, position = self._parse_number(buffer, position, self.limits.max_arguments)
         if position < 0 or count < 0:
             return None, position
         parts: list[Reply] = []
