--- a/zincstile/net/clients/call_reader.py
+++ b/zincstile/net/clients/call_reader.py
@@ -56,7 +56,7 @@
             <= len(arguments)
             <= ARGUMENT_COUNT_WITHOUT_BODY + (verb != CALL_GET)
         ):
-            raise CallError("wrong number of arguments")
+            raise CallError("wrong number of words")
         fields = arguments[3].split(b",")
         values = _parse_fields(fields)
         try:
@@ -78,16 +78,16 @@
             units = float(values[b"units"])
             customer = int(arguments[1], 16)
         except KeyError as err:
-            raise CallError(f"missing field, or unknown class or plan: {err.args[0]!r}") from None
+            raise CallError(f"missing or unknown: {err.args[0]!r}") from None
         except ValueError:
-            raise CallError("a field or the customer is not a number") from None
+            raise CallError("a value that is no number") from None
         if (
             len(arguments[1]) != CUSTOMER_ID_DIGITS
             or not arguments[1].isalnum()
             or customer >= CUSTOMER_ID_LIMIT
             or not 0 < len(arguments[2]) <= self._max_id_bytes
         ):
-            raise CallError("invalid customer or request id")
+            raise CallError("no such customer or id")
         # Limited, as any client can send these values for any customer, and the customer's quota keeps them
         if not (
             0 < timeout_ms <= MAX_TIMEOUT_MS
@@ -95,11 +95,11 @@
             and 0 < gateway_set_size <= self._gateway_count
             and first_gateway < self._gateway_count
         ):
-            raise CallError("d, units, spread or first is out of range")
+            raise CallError("a value out of range")
         if (request_class.idempotency is Idempotency.ALWAYS) != (verb == CALL_GET):
-            raise CallError("the class must be called by the other command")
+            raise CallError("the wrong command for this class")
         if request_class.idempotency is Idempotency.BY_KEY and not values.get(b"k"):
-            raise CallError("idempotency key (field k) is missing")
+            raise CallError("no key")
         timeout_ns = timeout_ms * 1_000_000
         deadline_ns = now + timeout_ns - min(self._network_margin_ns, timeout_ns // 2)
         deadline_field_index = fields.index(b"d=" + timeout_digits)
@@ -127,6 +127,6 @@
     for field in fields:
         name, equals, value = field.partition(b"=")
         if not equals or name in values:
-            raise CallError("fields must be name=value with unique names")
+            raise CallError("malformed list of names and values")
         values[name] = value
     return values
--- a/zincstile/net/clients/connection.py
+++ b/zincstile/net/clients/connection.py
@@ -207,7 +207,7 @@
         try:
             call, request = listener.reader.read(arguments, request_id, now - self._input_age_ns)
             if call.id in listener.open_requests:  # backends would take it for a retry of that request
-                raise CallError("request id is in use by an open request")
+                raise CallError("the id of an open request")
         except CallError as err:
             self.counters.malformed += 1
             self._reply(resp.encode_error(str(err)))
@@ -359,7 +359,7 @@
         stalled = now - self._last_read_ns > limits.command_stall_ns
         silent = not self.command_count and now - self.idle_since_ns > limits.silent_ns
         if stalled or silent or now - self._command_began_ns > limits.command_ns:
-            self._close_with_error("command not completed in time", CloseReason.INCOMPLETE)
+            self._close_with_error("a command that does not end", CloseReason.INCOMPLETE)
 
     def _max_idle_ns(self, *, standby: bool) -> int:
         """Returns the idle timeout."""
--- a/zincstile/net/resp.py
+++ b/zincstile/net/resp.py
@@ -82,7 +82,7 @@
                 message, end = self._parse_message(buffer, position)
                 if end < 0:
                     if max(len(buffer), self._value_end) - position > self._max_message_bytes:
-                        raise RespError("message exceeds the size limit")
+                        raise RespError("too long")
                     self._needed_bytes = self._value_end - position
                     break
                 messages.append(message)
@@ -102,7 +102,7 @@
         end = buffer.find(CRLF, position + 1, position + self.limits.line_bytes)
         if end < 0:
             if len(buffer) - position >= self.limits.line_bytes:
-                raise RespError("line exceeds the size limit")
+                raise RespError("too long a line")
             return 0, -1
         digits = buffer[position + 1 : end]
         if not digits.isdigit():
@@ -110,7 +110,7 @@
                 return -1, end + 2
             raise RespError("invalid length")
         if len(digits) > MAX_LENGTH_DIGITS or int(digits) > max_value:
-            raise RespError("length exceeds the limit")
+            raise RespError("length past the limit")
         return int(digits), end + 2
 
     def _parse_bulk_string(self, buffer: bytes, position: int) -> tuple[bytes | None, int]:
@@ -157,12 +157,12 @@
             start = end + 2
             end = start + int(digits)
             if end - start > max_value_bytes:
-                raise RespError("length exceeds the limit")
+                raise RespError("length past the limit")
             if size < end + 2:
                 self._value_end = end + 2
                 return arguments, -1
             if buffer[end : end + 2] != CRLF:
-                raise RespError("bulk string is not terminated by CRLF")
+                raise RespError("a value without its end")
             arguments.append(buffer[start:end])
             position = end + 2
         return arguments, position
@@ -174,7 +174,7 @@
         if buffer[position] != BULK_STRING_PREFIX:
             raise RespError("expected '$'")
         if len(buffer) - position >= self.limits.line_bytes:
-            raise RespError("line exceeds the size limit")
+            raise RespError("too long a line")
 
 
 class ReplyParser(Parser):
--- a/zincstile/zone_failover/zone_description.py
+++ b/zincstile/zone_failover/zone_description.py
@@ -25,7 +25,7 @@
 
 def _table_line(now: int, agreement: Agreement, table: RoutingTable | None) -> str:
     if table is None or agreement.terms is None:
-        return "no table: each gateway sends other zones at most its share of the spill"
+        return "no table: each gateway by its stated part"
     generation = table.generation
     age_ms = (now - agreement.terms.table_renewed_ns) // NS_PER_MS
     return f"table {generation.term}.{generation.number} by gateway {generation.leader}, {age_ms} ms old"
