--- a/zincstile/net/clients/listener.py
+++ b/zincstile/net/clients/listener.py
@@ -187,7 +187,8 @@
 
         The balancer sends PING every 0.1 s and no new connections soon after an error, but clients keep their
         open ones. So each connection is closed once its requests are answered, and an idle one after
-        `standby_idle_timeout_ns`, so that none is idle when the balancer counts them. New requests are still served.
+        `standby_idle_timeout_ns`, so that none is idle when the balancer counts them. New requests are
+        still served.
         """
         self.standby = standby
         if standby:
