--- a/tests/test_bad_configuration.py
+++ b/tests/test_bad_configuration.py
@@ -1,4 +1,4 @@
-"""A configuration that can not be used: one line on stderr, exit code 2."""
+"""An invalid configuration gives one line on standard error and exit code 2."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 @pytest.mark.parametrize(
-    ("broken", "said"),
+    ("broken", "message"),
     [
         ({"settings": None}, "settings"),
         ({"listen": "nowhere"}, "nowhere"),
@@ -17,12 +17,12 @@
         ({"settings": {"classes": []}}, "key"),
         ({"known": {"index": 1, "endpoints": [{"name": "a"}]}}, "known"),
         ({"limits": {"idle_ns": 0}}, "limits"),
-        ("{", "not JSON"),
+        ("{", "invalid JSON"),
         (None, "No such file"),
         ([], ""),
     ],
 )
-def test_a_bad_configuration_is_one_line_and_exit_2(tmp_path, broken, said):
+def test_an_invalid_configuration_gives_one_line_and_exit_code_2(tmp_path, broken, message):
     path = tmp_path / "config.json"
     table = minimal_config()
     if broken is not None:
@@ -31,4 +31,4 @@
         )
     done = run_until_exit(path)
     assert done.returncode == 2 and done.stdout == ""
-    assert len(done.stderr.splitlines()) == 1 and said in done.stderr
+    assert len(done.stderr.splitlines()) == 1 and message in done.stderr
--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -249,7 +249,7 @@
     table["features"] = {"start": str(path)}
     assert read(table, {}).cold_start.use_peer_lists
     table["settings"]["limits"]["peers"] = False
-    with pytest.raises(ConfigError, match="nobody could be asked"):
+    with pytest.raises(ConfigError, match="no peer can be queried"):
         read(table, {})
 
 
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -1,5 +1,5 @@
-"""The gateway's own checks of what it sends, repeats, closes and starts, its trace, and the rules from
-outside that go with them: each fed with what breaks it and with what only just does not."""
+"""The gateway's invariant checks, its trace, and the corresponding rules of the external checker; each is
+tested with an input that violates it and one that just does not."""
 
 from __future__ import annotations
 
@@ -54,19 +54,19 @@
     return {n.removeprefix("violated_"): v for n in names if (v := getattr(guard._counters, n))}
 
 
-def test_what_is_sent_in_order_is_no_violation(guard):
+def test_allowed_sends_closes_and_readiness_are_no_violations(guard):
     owner = session()
     assert guard.may_send(0, attempt(owner, server()))
-    assert guard.may_send(0, attempt(None, server(ready=False)))  # a probe
+    assert guard.may_send(0, attempt(None, server(ready=False)))  # a health check
     assert guard.may_close(0, 0, "c1") and guard.may_end(0, 0)
     assert guard.may_be_ready(0, 0, list_received=True) and guard.may_be_ready(0, 1, list_received=False)
     assert counted(guard) == {}
 
 
-def test_sends_for_nobody_to_nobody_or_for_too_long_are_named(guard, capsys):
-    over = session()
-    over.ended = True
-    assert not guard.may_send(0, attempt(over, server()))
+def test_sends_for_an_ended_request_to_an_unready_server_or_past_the_deadline_are_violations(guard, capsys):
+    ended = session()
+    ended.ended = True
+    assert not guard.may_send(0, attempt(ended, server()))
     assert not guard.may_send(0, attempt(session(), server(ready=False)))
     longest = GIVE_UP + DEADLINE_SLACK_NS
     assert guard.may_send(0, attempt(session(), server(), until_ns=longest))
@@ -76,7 +76,7 @@
 
 
 @pytest.mark.parametrize(
-    ("effect", "where", "now", "may"),
+    ("idempotency", "backend", "now", "allowed"),
     [
         (Idempotency.ALWAYS, server(2, cell=1), 7 * SECOND, True),
         (Idempotency.NEVER, server(2), 0, False),
@@ -85,51 +85,55 @@
         (Idempotency.BY_KEY, server(2, cell=1), 0, False),
     ],
 )
-def test_repeats_of_what_may_have_run_are_by_its_class(guard, effect, where, now, may):
-    owner = session(effect)
-    owner.sent_attempts.append(attempt(owner, server(1), may_have_run=False))  # turned away: no matter
-    assert guard.may_send(now, attempt(owner, where))
+def test_a_request_that_may_have_run_is_repeated_only_as_its_class_allows(
+    guard, idempotency, backend, now, allowed
+):
+    owner = session(idempotency)
+    owner.sent_attempts.append(attempt(owner, server(1), may_have_run=False))  # rejected: does not count
+    assert guard.may_send(now, attempt(owner, backend))
     owner.sent_attempts.append(attempt(owner, server(1), may_have_run=True))
-    assert guard.may_send(now, attempt(owner, where)) is may
-    assert counted(guard) == ({} if may else {"repeat": 1})
+    assert guard.may_send(now, attempt(owner, backend)) is allowed
+    assert counted(guard) == ({} if allowed else {"repeat": 1})
 
 
-@pytest.mark.parametrize(("group", "may"), [(DeduplicationScope.ALL, True), (DeduplicationScope.ZONE, False)])
-def test_a_group_may_be_all_servers_or_a_zone(guard, group, may):
-    owner = session(Idempotency.BY_KEY, group)
+@pytest.mark.parametrize(
+    ("scope", "allowed"), [(DeduplicationScope.ALL, True), (DeduplicationScope.ZONE, False)]
+)
+def test_the_deduplication_scope_may_be_all_servers_or_a_zone(guard, scope, allowed):
+    owner = session(Idempotency.BY_KEY, scope)
     owner.sent_attempts.append(attempt(owner, server(1, zone=0), may_have_run=True))
-    assert guard.may_send(0, attempt(owner, server(2, zone=1))) is may
+    assert guard.may_send(0, attempt(owner, server(2, zone=1))) is allowed
 
 
-def test_closing_ending_and_being_ready_are_checked(guard):
-    heard = []
-    guard.observer = lambda which, text: heard.append((which.value, text))
+def test_closing_with_open_requests_and_readiness_without_a_list_are_violations(guard):
+    reported = []
+    guard.observer = lambda invariant, text: reported.append((invariant.value, text))
     assert not guard.may_close(0, 2, "c1")
     assert not guard.may_end(0, 1)
     assert not guard.may_be_ready(0, 0, list_received=False)
     assert counted(guard) == {"close": 2, "start": 1}
-    assert heard[0] == ("close", "c1: 2 requests without an answer")
+    assert reported[0] == ("close", "c1: 2 requests without an answer")
 
 
-def test_a_violation_tells_what_its_request_went_through(guard, capsys):
+def test_a_violation_logs_the_trace_of_its_request(guard, capsys):
     guard._trace.note(0, Step.RECEIVED, b"id")
     guard._trace.note(2 * MS, Step.SENT, b"other", ("10.0.0.1", 1))
     guard._trace.note(3 * MS, Step.OUTCOME, b"id", AttemptResult.RESET)
     owner = session()
     owner.ended = True
     guard.may_send(5 * MS, attempt(owner, server()))
-    told = capsys.readouterr().err
-    assert "trace -5.000ms received id" in told and "trace -2.000ms outcome id reset" in told
-    assert "other" not in told
+    logged = capsys.readouterr().err
+    assert "trace -5.000ms received id" in logged and "trace -2.000ms outcome id reset" in logged
+    assert "other" not in logged
 
 
-def test_the_trace_is_bounded_and_tells_the_last():
+def test_the_trace_is_bounded_and_describes_the_latest_entries():
     trace = Trace()
     for n in range(RING_ENTRIES + 5):
         trace.note(n, Step.RECEIVED, n)
     assert len(trace) == RING_ENTRIES
-    told = trace.describe(RING_ENTRIES + 5)
-    assert len(told) == DESCRIBED_ENTRIES and told[-1].endswith(f"received {RING_ENTRIES + 4}")
+    described = trace.describe(RING_ENTRIES + 5)
+    assert len(described) == DESCRIBED_ENTRIES and described[-1].endswith(f"received {RING_ENTRIES + 4}")
 
 
 def test_every_reason_has_a_counter():
@@ -146,7 +150,7 @@
     assert {why.name for why in RejectionReason} <= {r.name for r in GatewayRejection}
 
 
-def test_results_of_the_testbed_hold_all_counters_by_the_names_of_those_stored_before():
+def test_stored_results_of_the_testbed_have_all_counters_under_their_stored_names():
     result = json.loads((Path(ROOT) / "tests/data/stored/field-result.json").read_text(encoding="utf-8"))
     stored = by_stored_name(json.loads(Counters().line().removeprefix("counters ")))
     assert result["rows"]
@@ -154,7 +158,7 @@
         assert stored.keys() == row["counters"].keys()
 
 
-# ---- from outside
+# ---- the external checker
 
 
 @pytest.fixture
@@ -162,7 +166,7 @@
     return Bench()
 
 
-def test_nothing_begins_0_1_s_after_the_client_left(bench):
+def test_an_attempt_later_than_0_1_s_after_the_client_disconnected_is_a_breach(bench):
     bench.ask(wait=3000)
     bench.at(500).client_disconnected(b"1")
     bench.at(600)
@@ -173,7 +177,7 @@
     assert bench.broken == ["left"]
 
 
-def test_a_backend_is_given_no_later_deadline_than_its_client(bench):
+def test_an_attempt_with_a_later_deadline_than_its_client_is_a_breach(bench):
     bench.ask(wait=1000)
     bench.at(300)
     one = bench.checker.attempt_started("g0", "b1", b"1", bench.now)
@@ -184,7 +188,7 @@
     assert bench.broken == ["deadline"]
 
 
-def test_what_a_paused_gateway_reads_late_is_timed_by_its_own_clock(bench):
+def test_the_deadline_of_a_request_that_a_paused_gateway_read_late_counts_from_the_read(bench):
     bench.checker.gateway_paused("g0", 400 * MS)
     bench.ask(wait=1000)
     bench.at(450)
@@ -193,7 +197,7 @@
     assert bench.broken == []
 
 
-def test_maintenance_holds_from_the_yes_until_the_call_back_over_a_restart(bench):
+def test_maintenance_applies_from_its_confirmation_until_its_end_even_after_a_restart(bench):
     maintenance = bench.checker.maintenance
     maintenance.confirmed(bench.now, "g0", "b1")
     bench.ask(wait=9000)
@@ -211,12 +215,12 @@
     assert bench.broken == ["maintenance"]
 
 
-def test_what_a_gateway_counts_itself_is_a_breach(bench):
+def test_a_violation_that_a_gateway_reports_is_a_breach(bench):
     bench.checker.report_invariant("g0", "close c1: 2 requests without an answer")
     assert bench.broken == ["invariant"]
 
 
-def test_what_waited_for_a_process_may_be_answered_late_or_never_and_only_that(bench):
+def test_only_requests_of_an_excused_gateway_may_be_answered_late_or_never(bench):
     bench.ask(wait=100)
     bench.ask(b"2", wait=100, line=2, gateway="g1")
     bench.checker.excuse_gateway("g0")
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -291,7 +291,7 @@
             config.read(table, {})
         assert message in str(err.value) and "\n" not in str(err.value)
     table |= {"features": {"shared": "a", "keeper": str(ROOT / "deploy" / "keeper.yaml")}, "counter": "h:1"}
-    with pytest.raises(config.ConfigError, match="name one of both"):
+    with pytest.raises(config.ConfigError, match="set only one of the two"):
         config.read(table, {})
 
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""The limits that keep the module portable by hand."""
+"""The limits of the gateway, and bounds on the size and the imports of the decisions' modules."""
 
 import ast
 import os
@@ -15,8 +15,8 @@
 
 
 DECISIONS = Path(ROOT) / "zincstile" / "decisions"
-MOST_LINES = 300  # non-blank lines of a module of the decisions
-# What operators may set under `limits` in the configuration, each by itself.
+MAX_LINES = 300  # non-blank lines of a module of the decisions
+# The keys that operators may set under `limits` in the configuration.
 OPERATORS_KEYS = """
     frontend_connections backend_connections reserved read_bytes value_bytes answer_bytes words
     line_bytes command_bytes id_bytes drained_bytes header_lines table_bytes datagram_bytes sessions
@@ -56,17 +56,17 @@
 @pytest.mark.parametrize("path", modules(), ids=by_name)
 def test_a_module_of_the_decisions_is_small(path):
     lines = path.read_text(encoding="utf-8").splitlines()
-    assert sum(1 for line in lines if line.strip()) <= MOST_LINES
+    assert sum(1 for line in lines if line.strip()) <= MAX_LINES
     assert max(len(line) for line in lines) <= 110
 
 
 @pytest.mark.parametrize("path", modules(), ids=by_name)
-def test_a_module_of_the_decisions_says_its_job_first(path):
+def test_a_module_of_the_decisions_has_a_doc_comment(path):
     assert ast.get_docstring(ast.parse(path.read_text(encoding="utf-8")))
 
 
 @pytest.mark.parametrize("path", modules(), ids=by_name)
-def test_no_clock_network_or_shared_randomness(path):
+def test_decisions_use_no_clock_network_or_global_random_generator(path):
     tree = ast.parse(path.read_text(encoding="utf-8"))
     for node in ast.walk(tree):
         if isinstance(node, ast.Import):
@@ -78,12 +78,12 @@
         elif (
             isinstance(node, ast.Attribute) and isinstance(node.value, ast.Name) and node.value.id == "random"
         ):
-            assert node.attr == "Random", "the generator that all of a process share"
+            assert node.attr == "Random", "the random generator of the whole process is used"
 
 
-def test_two_tries_of_a_silent_watch_fit_into_the_time_after_which_drains_count_as_told():
+def test_two_attempts_after_a_silent_watch_fit_into_the_time_in_which_drains_must_be_known():
     limits = Limits()
-    assert limits.watch_silence_timeout_ns > 2 * SECOND  # a watch that is well says something every 2 s
+    assert limits.watch_silence_timeout_ns > 2 * SECOND  # a working watch sends an event every 2 s
     assert (
         limits.watch_silence_timeout_ns + limits.watch_answer_timeout_ns + 2 * limits.max_backoff_ns
         < 6 * SECOND
@@ -91,23 +91,23 @@
 
 
 @pytest.mark.parametrize("sockets", [128, 192, 384, 1024])
-def test_two_processes_of_an_upgrade_have_together_what_one_has(sockets):
+def test_two_processes_during_an_upgrade_use_no_more_descriptors_than_one(sockets):
     limits = Limits.for_gateway(Machine(sockets, 40, 100, 1, 1, SECOND, has_admin_endpoint=True), {})
-    half = limits.shared()
+    shared = limits.shared()
     assert limits.frontend_connections + limits.backend_connections + limits.reserved <= sockets
-    assert 2 * (half.frontend_connections + half.backend_connections + limits.reserved) <= sockets
-    assert half.frontend_connections > half.backend_connections >= sockets // 16
+    assert 2 * (shared.frontend_connections + shared.backend_connections + limits.reserved) <= sockets
+    assert shared.frontend_connections > shared.backend_connections >= sockets // 16
 
 
-def test_a_stop_ends_before_the_platform_kills():
-    for longest, kill in ((SECOND, 1.7), (3 * SECOND, 3.7), (9 * SECOND, 3.7)):
-        limits = Limits.for_gateway(Machine(256, 32, 100, 1, 1, longest), {})
-        assert limits.drain_ns < limits.shutdown_ns < kill * SECOND
+def test_shutdown_ends_before_the_platform_kills_the_process():
+    for longest_ns, kill_s in ((SECOND, 1.7), (3 * SECOND, 3.7), (9 * SECOND, 3.7)):
+        limits = Limits.for_gateway(Machine(256, 32, 100, 1, 1, longest_ns), {})
+        assert limits.drain_ns < limits.shutdown_ns < kill_s * SECOND
 
 
 @pytest.mark.parametrize("key", OPERATORS_KEYS.split())
-def test_each_key_of_operators_sets_one_limit(key):
-    usual = asdict(config.read(minimal_config(), {}).limits)
-    found = asdict(config.read(minimal_config() | {"limits": {key: 7}}, {}).limits)
-    changed = {name: value for name, value in found.items() if value != usual[name]}
+def test_each_key_of_operators_sets_exactly_one_limit(key):
+    default = asdict(config.read(minimal_config(), {}).limits)
+    configured = asdict(config.read(minimal_config() | {"limits": {key: 7}}, {}).limits)
+    changed = {name: value for name, value in configured.items() if value != default[name]}
     assert list(changed.values()) == [7]
--- a/tests/test_machine.py
+++ b/tests/test_machine.py
@@ -1,5 +1,5 @@
-"""Real processes on machines that fail: clocks that are stepped, calls that fail for a moment, folders that
-take no writes; each beside a stop, a restart or an upgrade, the crossing forced by events."""
+"""Real processes on a faulty machine: stepped clocks, system calls that fail temporarily, folders that reject
+writes; each during a shutdown, a restart or an upgrade. Events force the order."""
 
 from __future__ import annotations
 
@@ -28,15 +28,15 @@
 
 from zincstile.testbed.shim_control import Knob, ShimControl
 
-CALLS = 20  # each goes to the one server that takes calls, unless that is out
-QUIET_S = (
-    1.5  # after SIGTERM, how long no call comes until the listener shuts: longer than a busy machine sleeps
-)
-YES, NO = 200, 503
-PATIENT = {
+CALLS = 20  # each goes to the only server that accepts, unless that is under maintenance
+# Time without requests after SIGTERM until the listening socket closes: longer than a busy machine's delays.
+QUIET_S = 1.5
+CONFIRMED, UNAVAILABLE = 200, 503
+# One watch per process, however slow the machine is.
+LONG_WATCH_TIMEOUTS = {
     "table_answer_ns": 60 * SECOND,
     "table_silence_ns": 60 * SECOND,
-}  # one watch a process, however slow
+}
 
 
 def free_port() -> int:
@@ -45,13 +45,13 @@
 
 
 class Machine(GatewayHarness):
-    """A gateway under the shim, with a control endpoint."""
+    """A gateway process under the shim, with an admin endpoint."""
 
     def __init__(self, folder, listening=None, **config):
-        """listening: the clients' socket, held by the platform."""
+        """listening: the clients' socket, inherited from the platform."""
         self.shim, self.listening = ShimControl(folder / "shim"), listening
-        self.control = (LOOPBACK_ADDRESS, free_port())
-        super().__init__(folder, {"control": "{}:{}".format(*self.control)} | config)
+        self.admin_address = (LOOPBACK_ADDRESS, free_port())
+        super().__init__(folder, {"control": "{}:{}".format(*self.admin_address)} | config)
 
     def command(self):
         return [sys.executable, "-m", "zincstile.testbed.shim", str(self.config_path.parent / "shim")]
@@ -67,23 +67,23 @@
         folder.mkdir(exist_ok=True)
         return folder
 
-    def ask_operator(self, path: str, name: str, within_s: float = 5.0) -> int:
-        """The status of the answer."""
+    def request_change(self, path: str, name: str, within_s: float = 5.0) -> int:
+        """Send a request to the admin endpoint; return the status of the response."""
         body = name.encode()
-        with socket.create_connection(self.control, timeout=within_s) as sock:
+        with socket.create_connection(self.admin_address, timeout=within_s) as sock:
             head = f"POST {path} HTTP/1.1\r\nHost: x\r\nContent-Length: {len(body)}\r\n\r\n"
             sock.sendall(head.encode() + body)
             return int(sock.makefile("rb").readline().split()[1])
 
-    def take_out(self, name: str) -> int:
-        return self.ask_operator("/maintenance/enter", name)
+    def enter_maintenance(self, name: str) -> int:
+        return self.request_change("/maintenance/enter", name)
 
-    def put_back(self, name: str) -> int:
-        return self.ask_operator("/maintenance/exit", name)
+    def exit_maintenance(self, name: str) -> int:
+        return self.request_change("/maintenance/exit", name)
 
-    def again(self, how: int = signal.SIGKILL) -> None:
-        """Ended and started again in the same folder."""
-        self.program.send_signal(how)
+    def restart(self, end_signal: int = signal.SIGKILL) -> None:
+        """End the process and start it again in the same folder."""
+        self.program.send_signal(end_signal)
         self.program.wait()
         self.launch()
         self.wait_for_log("ready *")
@@ -96,20 +96,20 @@
 @contextlib.contextmanager
 def machine(folder, **config):
     folder.mkdir(exist_ok=True)
-    made = Machine(folder, known_servers="ab", **config)
+    harness = Machine(folder, known_servers="ab", **config)
     try:
-        made.wait_for_log("ready *")
-        yield made
+        harness.wait_for_log("ready *")
+        yield harness
     finally:
-        made.tear_down()
+        harness.tear_down()
 
 
-def calls_at(harness, calls: int = CALLS) -> int:
-    """Of so many calls, each on a connection of its own, how many come to server a, while b refuses all: what
-    may go to a does. Each is answered."""
+def count_calls_at_a(harness, calls: int = CALLS) -> int:
+    """Send calls, each on its own connection, while server b refuses connections; return how many reach a.
+    Each is answered."""
     harness.refuse("b")
     harness.listeners["a"].setblocking(False)
-    came, servers = 0, []
+    received, servers = 0, []
     selector = selectors.DefaultSelector()
     selector.register(harness.listeners["a"], selectors.EVENT_READ, "listener")
     for number in range(calls):
@@ -126,7 +126,7 @@
                     servers.append(key.fileobj.accept()[0])
                     selector.register(servers[-1], selectors.EVENT_READ, "server")
                 elif key.fileobj.recv(4096):
-                    came += 1
+                    received += 1
                     key.fileobj.sendall(b"*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n")
                 else:
                     selector.unregister(key.fileobj)
@@ -136,69 +136,73 @@
     selector.close()
     for sock in servers:
         sock.close()
-    return came
+    return received
 
 
 # ---- maintenance
 
 
-def test_maintenance_holds_over_a_restart_whatever_the_wall_clock_does(tmp_path):
-    """Stepped while no process runs, both ways, by seconds and by an hour; another server was put back
-    before, which the file tells too."""
-    found = {}
+def test_maintenance_outlasts_a_restart_although_the_wall_clock_is_stepped(tmp_path):
+    """The clock is stepped while no process runs, both ways, by seconds and by an hour. The file also has
+    another server that returned from maintenance."""
+    calls_by_step = {}
     for step_s in (0, 7, -7, 3600, -3600):
         with machine(tmp_path / f"step{step_s}") as harness:
-            assert harness.take_out("s-b") == harness.put_back("s-b") == harness.take_out("s-a") == YES
+            assert (
+                harness.enter_maintenance("s-b")
+                == harness.exit_maintenance("s-b")
+                == harness.enter_maintenance("s-a")
+                == CONFIRMED
+            )
             harness.program.kill()
             harness.program.wait()
             harness.shim.set(Knob.WALL_OFFSET_S, step_s)
             harness.launch()
             harness.wait_for_log("ready *")
-            found[step_s] = calls_at(harness)
-    assert found == dict.fromkeys(found, 0)
+            calls_by_step[step_s] = count_calls_at_a(harness)
+    assert calls_by_step == dict.fromkeys(calls_by_step, 0)
 
 
-def test_a_yes_to_maintenance_is_kept_where_the_folder_takes_no_writes(tmp_path):
-    """Either it is no yes, or it holds after a kill; and the folder is tried again at once when it takes
-    writes."""
+def test_maintenance_that_cant_be_saved_is_not_confirmed_and_is_saved_once_writes_succeed(tmp_path):
+    """A change is confirmed only if it outlasts a kill; failed writes are retried soon."""
     with machine(tmp_path / "m") as harness:
         harness.shim.set(Knob.WRITE_SHARE, 1.0)
         began = time.monotonic()
-        first = harness.take_out("s-a")
+        first = harness.enter_maintenance("s-a")
         assert time.monotonic() - began < 1.0
-        assert calls_at(harness) == 0  # from the call on, whatever is said of the next process
+        assert count_calls_at_a(harness) == 0  # applies at once, although it is not confirmed
         harness.shim.set(Knob.WRITE_SHARE, 0.0)
         time.sleep(0.3)
-        harness.again()
-        assert first == NO and calls_at(harness) == 0
+        harness.restart()
+        assert first == UNAVAILABLE and count_calls_at_a(harness) == 0
 
 
-def test_a_yes_comes_where_the_folder_takes_writes_again_in_time(tmp_path):
+def test_maintenance_is_confirmed_if_writes_succeed_before_the_timeout(tmp_path):
     with machine(tmp_path / "m") as harness:
         harness.shim.set(Knob.WRITE_SHARE, 1.0)
-        with socket.create_connection(harness.control, timeout=5) as sock:
+        with socket.create_connection(harness.admin_address, timeout=5) as sock:
             sock.sendall(b"POST /maintenance/enter HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\ns-a")
             harness.wait_for_log("handover can't write *")
             harness.shim.set(Knob.WRITE_SHARE, 0.0)
-            assert int(sock.makefile("rb").readline().split()[1]) == YES
-        harness.again()
-        assert calls_at(harness) == 0
+            assert int(sock.makefile("rb").readline().split()[1]) == CONFIRMED
+        harness.restart()
+        assert count_calls_at_a(harness) == 0
 
 
-def test_a_yes_outlasts_a_folder_that_takes_no_writes_for_longer_than_a_file_is_trusted(tmp_path):
-    """The process lives on and can say so, though not in the file; then it is killed."""
+def test_confirmed_maintenance_outlasts_failing_writes_for_longer_than_a_file_is_valid(tmp_path):
+    """The running process touches the file, which it can't rewrite; then it is killed."""
     limits = {"handover_stale_ns": 2 * SECOND, "handover_keep_ns": SECOND // 4}
     with machine(tmp_path / "m", limits=limits) as harness:
-        assert harness.take_out("s-a") == YES
+        assert harness.enter_maintenance("s-a") == CONFIRMED
         harness.shim.set(Knob.WRITE_SHARE, 1.0)
         time.sleep(3.0)
-        harness.again()
-        assert calls_at(harness) == 0
+        harness.restart()
+        assert count_calls_at_a(harness) == 0
 
 
-def test_a_start_reads_what_was_kept_though_the_first_reads_fail(tmp_path):
+def test_a_start_retries_reading_the_handover_file(tmp_path):
     with machine(tmp_path / "m") as harness:
-        assert harness.take_out("s-a") == YES
+        assert harness.enter_maintenance("s-a") == CONFIRMED
         harness.program.kill()
         harness.program.wait()
         harness.shim.set(Knob.READ_SHARE, 1.0)
@@ -206,58 +210,58 @@
         harness.launch()
         harness.wait_for_log("ready *")
         time.sleep(0.2)
-        assert calls_at(harness) == 0
-        harness.again()
-        assert calls_at(harness) == 0
+        assert count_calls_at_a(harness) == 0
+        harness.restart()
+        assert count_calls_at_a(harness) == 0
 
 
-def test_a_write_that_a_kill_leaves_half_done_spoils_nothing_and_is_taken_away(tmp_path):
+def test_a_kill_during_a_write_keeps_the_old_file_and_the_temporary_file_is_removed(tmp_path):
     with machine(tmp_path / "m") as harness:
-        assert harness.take_out("s-a") == YES
+        assert harness.enter_maintenance("s-a") == CONFIRMED
         harness.shim.set(Knob.KILL_IN_WRITE, 1.0)
         with contextlib.suppress(OSError, IndexError, ValueError):
-            harness.take_out("s-b")
+            harness.enter_maintenance("s-b")
         harness.program.wait()
         harness.launch()
         harness.wait_for_log("ready *")
-        assert calls_at(harness) == 0
-        left = [n for n in os.listdir(harness.tmpdir()) if n.startswith("zincstile-n0.handover")]
-        assert left == ["zincstile-n0.handover"]
+        assert count_calls_at_a(harness) == 0
+        names = [n for n in os.listdir(harness.tmpdir()) if n.startswith("zincstile-n0.handover")]
+        assert names == ["zincstile-n0.handover"]
 
 
-def test_a_new_version_that_says_it_is_ready_undoes_no_call_to_the_old_one(tmp_path):
-    """The old process takes the call while the new one, which has read the file before, is held up; what
-    discovery tells lets the new one write before it looks at the file again."""
-    with machine(tmp_path / "m", limits=PATIENT) as harness:
+def test_a_new_process_that_becomes_ready_keeps_maintenance_requested_at_the_old_one(tmp_path):
+    """The old process gets the request while the new one, which has read the file, is stopped. The list
+    from discovery makes the new one write the file before its next poll."""
+    with machine(tmp_path / "m", limits=LONG_WATCH_TIMEOUTS) as harness:
         harness.expect("d1", "request")
-        old, old_control = harness.program, harness.control
-        harness.control = (LOOPBACK_ADDRESS, free_port())
-        table = harness.config | {"control": "{}:{}".format(*harness.control), "seed": "77"}
+        old, old_admin_address = harness.program, harness.admin_address
+        harness.admin_address = (LOOPBACK_ADDRESS, free_port())
+        table = harness.config | {"control": "{}:{}".format(*harness.admin_address), "seed": "77"}
         harness.config_path.write_text(json.dumps(table | {"known": {}}))
         harness.launch()
         try:
             harness.expect("d2", "request")
             harness.program.send_signal(signal.SIGSTOP)
             os.waitpid(harness.program.pid, os.WUNTRACED)
-            harness.control, new_control = old_control, harness.control
-            assert harness.take_out("s-a") == YES
+            harness.admin_address, new_admin_address = old_admin_address, harness.admin_address
+            assert harness.enter_maintenance("s-a") == CONFIRMED
             harness.send("d2", "full", "a=Ready", "b=Ready")
             harness.program.send_signal(signal.SIGCONT)
             harness.wait_for_log("ready *from discovery")
             old.send_signal(signal.SIGTERM)
             assert old.wait(20) == 0
-            harness.control = new_control
-            assert calls_at(harness) == 0
+            harness.admin_address = new_admin_address
+            assert count_calls_at_a(harness) == 0
         finally:
             old.kill()
             old.wait()
 
 
-# ---- starts, stops and the queue of connections
+# ---- start, shutdown and the accept queue
 
 
-def test_a_stop_takes_all_that_wait_in_the_queue_though_accept_fails_for_some(tmp_path):
-    """Both are due in one turn: the listener shuts, and twenty have come with their requests."""
+def test_shutdown_accepts_all_queued_connections_although_accept_fails_for_some(tmp_path):
+    """In one loop iteration the listening socket is due to close and twenty clients have sent requests."""
     with machine(tmp_path / "m", limits={"drain_quiet_ns": int(QUIET_S * SECOND)}) as harness:
         harness.send("gw", "TERM")
         harness.wait_for_log("stop *")
@@ -280,7 +284,7 @@
         assert harness.program.wait(20) == 0
 
 
-def test_a_lack_of_descriptors_at_accept_costs_no_processor_time(tmp_path):
+def test_accept_without_free_descriptors_does_not_spin(tmp_path):
     with machine(tmp_path / "m") as harness:
         harness.shim.set(Knob.ACCEPT_SHARE, 1.0)
         client = RespConnection(socket.create_connection(harness.address, 5))
@@ -294,7 +298,7 @@
         assert spent_ms < 300
 
 
-def test_a_start_outlasts_sockets_that_can_not_be_had_for_a_moment(tmp_path):
+def test_a_start_retries_when_sockets_are_temporarily_unavailable(tmp_path):
     with machine(tmp_path / "m") as harness:
         harness.program.kill()
         harness.program.wait()
@@ -306,8 +310,8 @@
             harness.program.wait()
 
 
-def test_a_request_that_waited_in_the_queue_is_told_for_no_longer_than_its_client_waits(tmp_path):
-    """The platform holds the listening socket: what comes while no process runs waits for the next."""
+def test_the_time_in_the_accept_queue_is_subtracted_from_the_timeout_of_a_request(tmp_path):
+    """The platform keeps the listening socket: connections made while no process runs wait in its queue."""
     waited_ms, wait_ms, slack_ms = 1200, 3000, 150
     with (
         socket.create_server((LOOPBACK_ADDRESS, 0)) as listening,
@@ -322,15 +326,15 @@
         harness.refuse("b")
         harness.launch()
         server = RespConnection(harness.listeners["a"].accept()[0])
-        told_ms = int(re.search(rb"(?:^|,)d=(\d+)", server.read_message()[3]).group(1))
-        left_ms = wait_ms - (time.monotonic() - came) * 1000
-        assert told_ms <= left_ms + slack_ms
+        sent_timeout_ms = int(re.search(rb"(?:^|,)d=(\d+)", server.read_message()[3]).group(1))
+        remaining_ms = wait_ms - (time.monotonic() - came) * 1000
+        assert sent_timeout_ms <= remaining_ms + slack_ms
         server.close()
         client.close()
 
 
-def test_what_waited_in_the_queue_before_others_is_refused_as_nobody_knows_for_how_long(tmp_path):
-    """Two requests on one connection, 1.2 s apart: the machine tells only when the last came."""
+def test_a_queued_request_of_unknown_age_is_rejected(tmp_path):
+    """Two requests on one connection, 1.2 s apart: the kernel reports only when the last bytes arrived."""
     with (
         socket.create_server((LOOPBACK_ADDRESS, 0)) as listening,
         machine(tmp_path / "m", listening=listening) as harness,
@@ -346,8 +350,8 @@
         harness.launch()
         server = RespConnection(harness.listeners["a"].accept()[0])
         words = server.read_message()
-        told_ms = int(re.search(rb"(?:^|,)d=(\d+)", words[3]).group(1))
-        assert int(words[2], 16) == 2 and told_ms <= 3000 - (time.monotonic() - came) * 1000 + 150
+        sent_timeout_ms = int(re.search(rb"(?:^|,)d=(\d+)", words[3]).group(1))
+        assert int(words[2], 16) == 2 and sent_timeout_ms <= 3000 - (time.monotonic() - came) * 1000 + 150
         server.sock.sendall(b"*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n")
         assert client.read_message().startswith("-BUSY")
         assert client.read_message() == b"ok"
@@ -355,7 +359,7 @@
         client.close()
 
 
-def test_a_client_that_asked_and_stops_in_the_middle_of_a_request_is_told_within_3_s(tmp_path):
+def test_a_client_that_stops_in_the_middle_of_a_request_gets_an_error_within_3_s(tmp_path):
     with machine(tmp_path / "m") as harness:
         client = RespConnection(socket.create_connection(harness.address, 5))
         client.sock.sendall(encode_command(["PING"]))
@@ -367,7 +371,7 @@
         client.close()
 
 
-def test_a_client_that_writes_slowly_and_goes_on_is_served(tmp_path):
+def test_a_client_that_writes_slowly_but_steadily_is_served(tmp_path):
     """A byte every 50 ms, for more than 3 s."""
     with machine(tmp_path / "m") as harness:
         client = RespConnection(socket.create_connection(harness.address, 5))
@@ -388,11 +392,11 @@
         client.close()
 
 
-# ---- servers that are cold
+# ---- slow start
 
 
-def shares(harness, calls: int) -> dict[str, int]:
-    """Of so many calls, how many came to each server; each is answered."""
+def count_calls_by_server(harness, calls: int) -> dict[str, int]:
+    """Send calls and answer each; return how many reached each server."""
     selector, came, servers = selectors.DefaultSelector(), {"a": 0, "b": 0}, {}
     for name in came:
         harness.listeners[name].setblocking(False)
@@ -429,9 +433,9 @@
 
 
 @pytest.mark.parametrize("step_s", [0, 3600, -3600])
-def test_a_server_that_starts_while_the_wall_clock_is_wrong_is_cold(tmp_path, step_s):
+def test_a_server_that_starts_while_the_wall_clock_is_wrong_gets_a_slow_start(tmp_path, step_s):
     """The clock is off when the process starts; discovery then tells that one of two servers has started."""
-    with machine(tmp_path / "m", settings=COLD, limits=PATIENT) as harness:
+    with machine(tmp_path / "m", settings=COLD, limits=LONG_WATCH_TIMEOUTS) as harness:
         harness.expect("d1", "request")
         harness.program.kill()
         harness.program.wait()
@@ -442,14 +446,14 @@
         harness.wait_for_log("ready *")
         harness.send("d2", "change", f"a=Ready@{int(time.time() * 1000)}")
         harness.wait("gw", "tables=3")
-        came = shares(harness, 100)
-        assert came["b"] and came["a"] < 30  # half, where it is taken for a warm one
+        came = count_calls_by_server(harness, 100)
+        assert came["b"] and came["a"] < 30  # half of them without the slow start
 
 
-def test_servers_of_long_ago_are_warm_again_soon_where_the_wall_clock_is_an_hour_behind(tmp_path):
-    """Their starts lie in the future by this clock: they count as started now, and not for an hour."""
+def test_old_servers_are_soon_warm_although_the_wall_clock_is_an_hour_behind(tmp_path):
+    """By this clock they start in the future: their slow start begins now and doesn't last an hour."""
     settings = {"obligations": COLD["obligations"] | {"warm_up_ns": SECOND // 2}}
-    with machine(tmp_path / "m", settings=settings, limits=PATIENT) as harness:
+    with machine(tmp_path / "m", settings=settings, limits=LONG_WATCH_TIMEOUTS) as harness:
         harness.expect("d1", "request")
         harness.program.kill()
         harness.program.wait()
@@ -459,17 +463,17 @@
         long_ago_ms = int((time.time() - 600) * 1000)
         harness.send("d2", "full", f"a=Ready@{long_ago_ms}", f"b=Ready@{long_ago_ms + 30_000}")
         harness.wait_for_log("ready *")
-        time.sleep(0.7)  # as long as a warm-up, and some
+        time.sleep(0.7)  # longer than a warm-up
         harness.counters()
         state = json.loads(harness.wait_for_log("state *").split(" ", 1)[1])
         assert state["good"] == 2.0  # in warm ones
 
 
-# ---- whose fault it is
+# ---- temporary faults of this machine
 
 
-def test_a_lack_of_sockets_here_is_no_fault_of_a_server(tmp_path):
-    """No doubt is kept, and none told to peers, of servers that were never asked."""
+def test_a_lack_of_local_sockets_is_not_counted_against_a_server(tmp_path):
+    """Servers that got no request are not suspected."""
     with machine(tmp_path / "m") as harness:
         harness.shim.set(Knob.SOCKET_SHARE, 1.0)
         client = RespConnection(socket.create_connection(harness.address, 5))
@@ -483,8 +487,8 @@
         assert state["doubted"] == 0
 
 
-def test_a_stop_in_the_middle_of_a_start_ends_it_at_once(tmp_path):
-    """While it waits for an older process's memory: it never takes a connection that nobody would serve."""
+def test_sigterm_during_a_start_ends_it_at_once(tmp_path):
+    """SIGTERM comes while the start waits for the state of an older process; no client is accepted."""
     with machine(tmp_path / "m", limits={"inherit_wait_ns": 3 * SECOND}) as harness:
         harness.program.kill()
         harness.program.wait()
@@ -506,14 +510,14 @@
 
 
 class MachineWithFileInTmpdir(Machine):
-    """Its configuration lies where the shim has reads fail."""
+    """Its configuration is in the folder in which the shim makes reads fail."""
 
     def tmpdir(self):
         return self.config_path.parent
 
 
-def test_a_reload_is_carried_out_though_its_file_can_not_be_read_for_a_moment(tmp_path):
-    """The signal comes once; discovery that has moved would never be learnt of."""
+def test_a_reload_is_retried_while_its_file_can_not_be_read(tmp_path):
+    """The signal is not repeated, so without a retry the new address of discovery would be missed."""
     harness = MachineWithFileInTmpdir(tmp_path, known_servers="ab")
     try:
         harness.wait_for_log("ready *")
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -369,9 +369,9 @@
     "an unusable file at a reload leaves the old configuration": READY
     + """
         send gw reload {"name":
-        expect gw reload rejected*not JSON; the old configuration stands
+        expect gw reload rejected*invalid JSON; the old configuration stays in use
         send gw reload []
-        expect gw reload rejected*not an object; the old configuration stands
+        expect gw reload rejected*top level is not a JSON object; the old configuration stays in use
         send d1 change a=Gone b=Ready
         send c1 look 1
         expect b1 look 1
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -1,4 +1,4 @@
-"""What a gateway still takes and answers after SIGTERM, over sockets."""
+"""Which connections and requests a gateway still accepts and answers after SIGTERM, over sockets."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from scenario import READY, GatewayHarness, run_scenario
 
 
-def test_a_stop_takes_new_connections_for_a_while(tmp_path):
+def test_new_connections_are_accepted_for_a_while_after_sigterm(tmp_path):
     run_scenario(
         tmp_path,
         READY
@@ -22,7 +22,7 @@
     )
 
 
-def test_a_stop_goes_on_while_calls_come_and_no_longer_than_its_time(tmp_path):
+def test_shutdown_waits_while_requests_come_but_not_beyond_the_drain_time(tmp_path):
     for limits in (
         {"drain_quiet_ns": 10**9, "drain_ns": 10**12, "drain_most_ns": 10**13},
         {"drain_quiet_ns": 10**12, "drain_ns": 15 * 10**8},
@@ -30,8 +30,8 @@
         tmp_path.mkdir(exist_ok=True)
         with GatewayHarness(tmp_path, {"limits": limits}) as harness:
             harness.run(READY + "send gw TERM\nexpect gw stop with 0 sessions")
-            end, number = time.monotonic() + 1.2, 0
-            while time.monotonic() < end:
+            until, number = time.monotonic() + 1.2, 0
+            while time.monotonic() < until:
                 number += 1
                 harness.run(
                     f"send c1 look {number} units=0.001\nexpect a1 look {number}\n"
@@ -40,7 +40,7 @@
             harness.run("expect c1 end\nexpect gw exit 0")
 
 
-def test_a_stop_answers_what_can_not_be_waited_for(tmp_path):
+def test_requests_with_a_later_deadline_than_the_shutdown_fail_before_the_end(tmp_path):
     run_scenario(
         tmp_path,
         READY
--- a/zincstile/__main__.py
+++ b/zincstile/__main__.py
@@ -1,6 +1,6 @@
-"""`python -m zincstile`: without arguments one real gateway (`zincstile.serve`); standard library only.
+"""`python -m zincstile`: without arguments runs one real gateway (`zincstile.serve`), with them a command.
 
-With arguments it is the command line (`zincstile.cli`), which is loaded only then.
+The gateway uses the standard library only; the command line (`zincstile.cli`) is loaded only when needed.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Serves, or runs the command that the arguments name; returns the exit code."""
+    """Runs the gateway, or the command that the arguments name; returns the exit code."""
     if arguments:
         from .cli import main as command
 
--- a/zincstile/net/__init__.py
+++ b/zincstile/net/__init__.py
@@ -1,6 +1,7 @@
-"""The gateway's network: sockets, clocks and files, none of which decides anything.
+"""The gateway's network code: sockets, clocks and files. The decisions are in `decisions`.
 
-What clients ask becomes sessions and requests (`clients`), which the `dispatcher` hands to the policy in
-batches; the policy's actions are attempts at backend servers, answers, and messages to peers. Only `clients`,
-the backends' side and `resp` know RESP: a second protocol needs a package beside `clients` and nothing else.
+`clients` turns commands into sessions and requests, which the `dispatcher` passes to the policy in batches;
+the policy's actions are attempts at backend servers, answers, and messages to peers. Only `clients`,
+`backends` and `resp` know RESP: a second client protocol needs another package like `clients` and nothing
+else.
 """
--- a/zincstile/net/admin_endpoint.py
+++ b/zincstile/net/admin_endpoint.py
@@ -1,11 +1,12 @@
-"""The operators' HTTP endpoint: HTTP/1.1 at the configuration's `control` address, one request a connection.
+"""The operators' HTTP endpoint: HTTP/1.1 at the configured `control` address, one request per connection.
 
-Requests are parsed by `admin.http` and answered by `admin.operator_state`; what they change is handed to the
-gateway by `apply`. Every response is written in the loop's iteration in which its request became complete.
+Requests are parsed by `admin.http` and answered by `admin.operator_state`; `apply` carries out their changes
+in the gateway. A response is written in the loop iteration in which its request became complete, unless it
+waits for the handover file.
 
-Guards against callers that send nothing or half a request and stay: each is answered 408 and closed when its
-time is up, and where there are as many as the limits allow, the oldest is closed, so that the next caller
-gets its answer.
+Guards against callers that connect and send nothing or half a request: each is answered 408 and closed after
+a timeout, and beyond the maximum of connections the oldest is closed, so that the next caller gets a
+response.
 """
 
 from __future__ import annotations
@@ -24,38 +25,38 @@
 from .handover_file import HandoverFile
 from .host import Host
 
-# What holds in later processes too: a yes to it waits until it is in the hand-over file.
+# Changes that outlast the process: they are confirmed once the handover file holds them.
 LASTING_CHANGES: Final = (OperatorChange.MAINTENANCE_ENTER, OperatorChange.MAINTENANCE_EXIT)
 FIRST_ERROR_STATUS: Final = 400
-CHECKS_PER_TIMEOUT: Final = 4  # a request that is too late is found within a quarter of its time
+CHECKS_PER_TIMEOUT: Final = 4  # a late request is found within a quarter of its timeout
 
 
 class AdminConnection(asyncio.BufferedProtocol):
-    """One caller's connection: one request, one response, and its end."""
+    """One caller's connection, which carries one request and one response."""
 
     __slots__ = ("_endpoint", "_transport", "_parser", "opened_ns", "_finished", "request_complete")
 
     def __init__(self, endpoint: AdminEndpoint) -> None:
-        """Starts the time within which the request has to be complete."""
+        """Starts the timeout of the request."""
         self._endpoint = endpoint
         self._transport: asyncio.Transport | None = None
         self._parser = RequestParser(endpoint.request_limits)
         self.opened_ns = endpoint.dispatcher.now_ns()
         self._finished = False
-        self.request_complete = False  # its request is carried out, and its yes has to wait
+        self.request_complete = False  # the request is applied, and its response waits for the file
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Joins the endpoint's connections (asyncio.BaseProtocol)."""
+        """Registers the connection at the endpoint (asyncio.BaseProtocol)."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         self._endpoint.add(self)
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        """Returns the one buffer of all callers (asyncio.BufferedProtocol)."""
+        """Returns the buffer that all connections share (asyncio.BufferedProtocol)."""
         return self._endpoint.buffer
 
     def buffer_updated(self, size: int) -> None:
-        """Takes what was read (asyncio.BufferedProtocol)."""
+        """Parses the received bytes (asyncio.BufferedProtocol)."""
         if self._finished or self.request_complete:
             return
         try:
@@ -77,7 +78,7 @@
             self.finish(reply.status, reply.text)
 
     def finish(self, status: Status, text: str) -> None:
-        """Writes the response and closes; the first one counts."""
+        """Writes the response and closes; does nothing once a response was written."""
         if self._finished or self._transport is None:
             return
         self._finished = True
@@ -89,13 +90,13 @@
         self._transport.close()
 
     def eof_received(self) -> bool:
-        """Answers half a request at its end: nothing more will come (asyncio.BufferedProtocol)."""
+        """Answers an incomplete request with an error (asyncio.BufferedProtocol)."""
         if not self._finished and not self.request_complete:
-            self.finish(Status.BAD_REQUEST, "the call ended before it was whole")
+            self.finish(Status.BAD_REQUEST, "the connection was closed before the request was complete")
         return False
 
     def connection_lost(self, err: Exception | None) -> None:
-        """Leaves the endpoint's connections (asyncio.BaseProtocol)."""
+        """Removes the connection from the endpoint (asyncio.BaseProtocol)."""
         self._finished = True
         self._endpoint.remove(self)
 
@@ -113,7 +114,7 @@
         apply: Callable[[OperatorReply], None],
         is_ready: Callable[[], bool],
     ) -> None:
-        """apply: carries out what a request changes. is_ready: the process takes clients."""
+        """apply: carries out the change of a request. is_ready: whether the process accepts clients."""
         self.dispatcher = dispatcher
         self.handover = handover
         self._state = state
@@ -122,9 +123,9 @@
         self._is_ready = is_ready
         limits = dispatcher.limits
         self.request_limits = RequestLimits(limits.line_bytes, limits.header_lines, limits.line_bytes)
-        self.buffer = memoryview(bytearray(limits.line_bytes))  # each read is taken out of it at once
+        self.buffer = memoryview(bytearray(limits.line_bytes))  # each read is copied out at once
         self._connections: dict[AdminConnection, None] = {}  # the oldest first
-        self._unsaved: dict[AdminConnection, OperatorReply] = {}  # a yes that is not in the file yet
+        self._unsaved: dict[AdminConnection, OperatorReply] = {}  # responses that wait for the file
         self._socket: socket.socket | None = None
         self._acceptor = Acceptor(dispatcher, lambda: AdminConnection(self))
         handover.on_saved = self._answer_saved
@@ -137,43 +138,43 @@
     # ---- listening
 
     def open(self, address: Address) -> None:
-        """Listens from now on; raises OSError where the address can't be had.
+        """Starts to listen. Raises OSError if the address can't be bound.
 
-        With the clients' backlog: where one is full, the machine drops what comes, and a caller's own machine
-        tries again only after 1 s, which is as long as a response may take.
+        Uses the backlog of the clients' socket: when a backlog is full, the kernel drops new connections and
+        a caller's TCP retries only after 1 s, which is as long as a response may take.
         """
         self._socket = self._host.listen(address, self.dispatcher.limits.backlog)
         self._resume_accepting(None)
         every(
             self.dispatcher,
             self.dispatcher.limits.admin_request_timeout_ns // CHECKS_PER_TIMEOUT,
-            self._close_late,
+            self._close_timed_out,
         )
 
     def close(self) -> None:
-        """Listens no more; the connections go on."""
+        """Closes the listening socket; open connections stay."""
         if self._socket is not None:
             self.dispatcher.loop.remove_reader(self._socket.fileno())
             self._socket.close()
             self._socket = None
 
     def _accept(self) -> None:
-        """Takes as many in one iteration of the loop as may be connected.
+        """Accepts at most the maximum of connections in one iteration of the loop.
 
-        Each that is too many is answered in the iterations between, so that a crowd of callers costs no more
-        descriptors than the endpoint may hold and as many again.
+        Surplus connections are answered between iterations, so that many callers at once use at most twice
+        the endpoint's maximum of descriptors.
         """
         if self._socket is None:
             return
         for _ in range(self.dispatcher.limits.admin_connections):
-            taken = self._acceptor.accept(self._socket)
-            if taken is AcceptResult.EXHAUSTED:
+            result = self._acceptor.accept(self._socket)
+            if result is AcceptResult.EXHAUSTED:
                 self._pause_accepting(self._socket)
-            if taken in (AcceptResult.QUEUE_EMPTY, AcceptResult.EXHAUSTED):
+            if result in (AcceptResult.QUEUE_EMPTY, AcceptResult.EXHAUSTED):
                 return
 
     def _pause_accepting(self, listening: socket.socket) -> None:
-        """Waits where the machine lacks descriptors or memory; else the loop would spin."""
+        """Pauses while the machine lacks descriptors or memory, so that the loop doesn't spin."""
         self.dispatcher.loop.remove_reader(listening.fileno())
         retry_ns = self.dispatcher.now_ns() + self.dispatcher.limits.backoff_ns
         self.dispatcher.deadlines.add(retry_ns, self._resume_accepting)
@@ -186,47 +187,47 @@
     # ---- connections
 
     def add(self, connection: AdminConnection) -> None:
-        """Takes a connection in; answers the oldest where there are too many."""
+        """Adds a connection; beyond the maximum, answers and closes the oldest."""
         self._connections[connection] = None
         if len(self._connections) > self.dispatcher.limits.admin_connections:
             oldest = next(iter(self._connections))
-            oldest.finish(Status.SERVICE_UNAVAILABLE, "too many callers at once")
+            oldest.finish(Status.SERVICE_UNAVAILABLE, "too many connections to the admin endpoint")
 
     def remove(self, connection: AdminConnection) -> None:
-        """Forgets a connection that has ended."""
+        """Removes a closed connection."""
         self._connections.pop(connection, None)
         self._unsaved.pop(connection, None)
 
-    def _close_late(self) -> None:
+    def _close_timed_out(self) -> None:
         now_ns = self.dispatcher.now_ns()
         for connection in list(self._connections):
             age_ns = now_ns - connection.opened_ns
             if age_ns >= self.dispatcher.limits.admin_request_timeout_ns and not connection.request_complete:
                 self.dispatcher.counters.control_malformed += 1
-                connection.finish(Status.REQUEST_TIMEOUT, "no whole call in time")
+                connection.finish(Status.REQUEST_TIMEOUT, "request was not complete before the timeout")
 
     # ---- requests
 
     def handle_request(self, request: Request) -> OperatorReply:
-        """Answers a request and applies what it changes; a fault fails this request alone, with 500."""
+        """Answers a request and applies its change; an unexpected exception fails it alone, with 500."""
         try:
-            self.handover.refresh()  # what another process was asked for goes before
+            self.handover.refresh()  # earlier changes by another process come first
             reply = self._state.handle(request, ready=self._is_ready())
             self._apply(reply)
         except Exception as err:
             self.dispatcher.counters.faults += 1
-            self.dispatcher.log.line_limited("control", f"fault: {type(err).__name__}: {err}")
-            return OperatorReply(Status.INTERNAL_SERVER_ERROR, "fault")
+            self.dispatcher.log.line_limited("control", f"unexpected {type(err).__name__}: {err}")
+            return OperatorReply(Status.INTERNAL_SERVER_ERROR, "internal error")
         return reply
 
     def wait_until_saved(self, connection: AdminConnection, reply: OperatorReply) -> None:
-        """Holds a yes back until it is in the hand-over file; it is a no where that takes too long.
+        """Delays a response until the handover file holds the change; after a timeout it becomes an error.
 
-        What was asked for holds in this process from the request on, either way.
+        In either case this process applies the change from the request on.
         """
         self._unsaved[connection] = reply
         until_ns = self.dispatcher.now_ns() + self.dispatcher.limits.handover_save_timeout_ns
-        self.dispatcher.deadlines.add(until_ns, self._give_up, connection)
+        self.dispatcher.deadlines.add(until_ns, self._fail_unsaved, connection)
         self.dispatcher.wake()
 
     def _answer_saved(self) -> None:
@@ -235,8 +236,8 @@
         for connection, reply in unsaved.items():
             connection.finish(reply.status, reply.text)
 
-    def _give_up(self, connection: AdminConnection) -> None:
+    def _fail_unsaved(self, connection: AdminConnection) -> None:
         reply = self._unsaved.pop(connection, None)
         if reply is not None:
-            text = f"{reply.text}, but not kept over a restart: it can't be written for now"
+            text = f"{reply.text}, but a restart would lose it: the handover file can't be written"
             connection.finish(Status.SERVICE_UNAVAILABLE, text)
--- a/zincstile/net/administration.py
+++ b/zincstile/net/administration.py
@@ -1,6 +1,6 @@
-"""What operators steer in one process: their endpoint, their state, and the files that hand both over.
+"""Operators' control of one process: the admin endpoint, its state and the files for a handover.
 
-Built only where the configuration names a `control` address.
+Built only if the configuration has a `control` address.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class Administration:
-    """Owns the `OperatorState` of a process, and carries out what operators ask for."""
+    """Owns the `OperatorState` of a process, and carries out operators' requests."""
 
     def __init__(
         self,
@@ -34,8 +34,8 @@
         is_stopping: Callable[[], bool],
         describe_zones: Callable[[int], str] | None,
     ) -> None:
-        """is_stopping: the process was told to stop; then it is not ready. describe_zones: the zones
-        at a time, as text; None without configured ones."""
+        """is_stopping: whether shutdown has begun, in which case the process is not ready. describe_zones:
+        returns the state of the zones at a time as text; None without configured zones."""
         self._config = config
         self._host = host
         self._dispatcher = dispatcher
@@ -69,42 +69,42 @@
     # ---- start
 
     async def take_over(self) -> None:
-        """Takes what an older process of this gateway left, before anything of this one is seen outside."""
+        """Adopts what an older process of this gateway left, before this one is visible to others."""
         log = self._dispatcher.log
         log.line(f"handover: {await self.handover.load()}")
         for name in self.state.under_maintenance:
             self._table.maintenance.enter(name, self._dispatcher.now_ns())
-        found = self.handover.loaded
-        if found is None:
+        loaded = self.handover.loaded
+        if loaded is None:
             return
-        elapsed_ns = self._host.timestamp().elapsed_since_ns(found.written)
+        elapsed_ns = self._host.timestamp().elapsed_since_ns(loaded.written)
         self._table.restore_returned(
-            {name: age_ns + elapsed_ns for name, age_ns in found.returned_age_ns.items()}
+            {name: age_ns + elapsed_ns for name, age_ns in loaded.returned_age_ns.items()}
         )
-        if found.discovery_offset_ns is not None:
-            self._table.reader.clock.offer(found.discovery_offset_ns)
-        # Until the memory is here, the old process is the one that receives what peers send.
+        if loaded.discovery_offset_ns is not None:
+            self._table.reader.clock.offer(loaded.discovery_offset_ns)
+        # Until the state is inherited, peers' messages still go to the old process.
         log.line(f"memory: {await self.state_files.inherit()}")
 
     def open(self, address: Address) -> None:
-        """Listens for operators; raises OSError where the address can't be had."""
+        """Starts to listen for operators. Raises OSError if the address can't be bound."""
         self.endpoint.open(address)
 
     def watch_files(self) -> None:
-        """Polls the files from now on."""
+        """Starts to poll the files."""
         every(self._dispatcher, self._dispatcher.limits.handover_poll_interval_ns, self._poll_files)
 
     def _poll_files(self) -> None:
         self.handover.poll()
         self.state_files.poll()
 
-    # ---- what operators ask for
+    # ---- operators' requests
 
     def _is_ready(self) -> bool:
         return self._listener.ready and not self._is_stopping()
 
     def _apply(self, reply: OperatorReply) -> None:
-        """Carries out what a request changes."""
+        """Carries out the change of a request."""
         change = reply.change
         if change is OperatorChange.STANDBY:
             self._set_standby(standby=True)
@@ -118,9 +118,9 @@
 
     def _set_standby(self, *, standby: bool) -> None:
         if standby:
-            text = "standby: PING says no; connections are closed once nothing is owed on them"
+            text = "standby: PING fails; connections are closed once all their requests are answered"
         else:
-            text = "active: taking clients again"
+            text = "active: accepting clients again"
         self._dispatcher.log.line(text)
         self._listener.set_standby(standby=standby)
 
@@ -139,7 +139,7 @@
         self._dispatcher.log.line(f"zone {reply.text}")
 
     def _adopt_maintenance(self, change: MaintenanceChange) -> None:
-        """Carries out what another process of this gateway was asked for."""
+        """Applies maintenance that operators requested at another process of this gateway."""
         for name in change.entered:
             self._table.maintain(name, enter=True)
         for name in change.exited:
@@ -149,7 +149,7 @@
         self._dispatcher.log.line(text)
 
     def _share_limits(self, shared: bool) -> None:
-        """Another process of this gateway serves beside this one, or no more: both have one's descriptors."""
+        """Halves the limits while another process of this gateway runs, as both share one's descriptors."""
         limits = self._config.limits
         self._dispatcher.limits = limits.shared() if shared else limits
         self._listener.shrink_to_limits()
--- a/zincstile/net/bound_report.py
+++ b/zincstile/net/bound_report.py
@@ -1,6 +1,6 @@
-"""The log's lines on how far quotas can be passed at most, stated before anything fails.
+"""Logs the maximum overshoot of quotas, computed from the settings before any failure occurs.
 
-Written at the start where quotas are held by leases or by the quota service.
+Used at the start if leases or the quota service enforce quotas.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 def log_quota_bounds(config: Config, log: Log) -> None:
-    """Logs a line for each plan that has a quota: the worst of the failures that the settings tolerate."""
+    """Logs for each plan with a quota the largest overshoot by a failure that the settings tolerate."""
     settings = config.settings
     for plan in settings.plans:
         if not plan.rate:
@@ -28,12 +28,12 @@
             tolerated = config.quota_service.tolerated_failures
         worst = max((b for b in bounds if b.failure in tolerated), key=lambda bound: bound.units)
         log.line(
-            f"bound plan {plan.name}: {worst.units:.2f} units at most beyond a quota, "
+            f"bound plan {plan.name}: {worst.units:.2f} units at most over a quota, "
             f"{100 * worst.overshoot_ratio:.1f}% of a minute, by {worst.failure}"
         )
     if config.leases:
         log.line(
-            f"bound budget: {config.leases.units_per_endpoint:g} units out for each ready server by all "
-            f"gateways, times {MAX_FACTOR:g} at most where parts of silent ones are "
+            f"bound budget: {config.leases.units_per_endpoint:g} units in flight per ready server from all "
+            f"gateways, times {MAX_FACTOR:g} at most while parts of silent ones are "
             "taken over"
         )
--- a/zincstile/net/config.py
+++ b/zincstile/net/config.py
@@ -10,7 +10,7 @@
 
 from ..decisions.settings import Settings
 from ..simulator import settings_codec
-from .limits import Limits, Machine, read_given
+from .limits import Limits, Machine, read_configured
 
 if TYPE_CHECKING:
     from ..decisions.quota_bounds import Quota
@@ -18,7 +18,7 @@
 Address = tuple[str, int]  # host and port
 Environment = Mapping[str, str]
 
-# Where neither the file nor its settings say so.
+# Defaults of settings that the file leaves out.
 DEFAULT_SOCKETS: Final = 1024
 DEFAULT_MEMORY_MB: Final = 192
 DEFAULT_SESSIONS: Final = 20_000
@@ -28,14 +28,15 @@
 
 
 class ConfigError(ValueError):
-    """The configuration can't be used; the text says why in one line."""
+    """The configuration is invalid; the text gives the reason in one line."""
 
 
 @dataclass(slots=True)
 class Config:
-    """What one process was given. The last fields are None where the configuration doesn't switch them on.
+    """The configuration of one process. The last fields are None where it doesn't switch them on.
 
-    A feature's settings are of the class `Settings` of its package, read from the file that `features` names.
+    A feature's settings are an instance of its package's settings class, read from the file that `features`
+    names.
     """
 
     name: str
@@ -44,31 +45,29 @@
     seed: int
     settings: Settings
     zones: list[str]
-    backend_types: list[str]  # types of backend servers, by the numbers that the policy knows them by
+    backend_types: list[str]  # names of the types of backend servers; a type's number is its index
     limits: Limits
-    initial_list: dict[
-        str, Any
-    ]  # the endpoint list of before the start, as in the file; taken out once it is used
+    initial_list: dict[str, Any]  # the cached endpoint list, as in the file; emptied once it is used
     peer_listen: Address | None
     peers: list[Address]
     quota_service_address: Address | None = None
-    quota_service: Any = None  # where quotas are held by a quota service
-    cold_start: Any = None  # where gateways start beside each other
-    zone_failover: Any = None  # where zones are chosen in common
-    subset: Any = None  # where a gateway uses a part of the endpoints
-    leases: Any = None  # where state is shared within stated bounds
+    quota_service: Any = None  # settings where a quota service enforces quotas
+    cold_start: Any = None  # settings of the cold start
+    zone_failover: Any = None  # settings of zone failover
+    subset: Any = None  # settings of subsetting
+    leases: Any = None  # settings of leases
     socket_fd: int | None = None  # the clients' listening socket, inherited ($RELAY_SOCKET_FD)
-    admin_address: Address | None = None  # the admin endpoint ($RELAY_CONTROL)
+    admin_address: Address | None = None  # of the admin endpoint ($RELAY_CONTROL)
 
 
 # ---- reading
 
 
 def load(env: Environment, object_hook: Callable[[dict[str, Any]], Any] | None = None) -> Config:
-    """Reads the file that $RELAY_CONFIG names; what else the environment gives goes before the file.
+    """Reads the file that $RELAY_CONFIG names; the other environment variables override it.
 
-    object_hook: what becomes of each object of the file as soon as it is decoded. Raises ConfigError; its
-    cause is the OSError where the file can't be opened.
+    object_hook: passed to the JSON decoder. Raises ConfigError, with the OSError as its cause if the file
+    can't be opened.
     """
     path = env.get("RELAY_CONFIG")
     if not path:
@@ -85,14 +84,14 @@
 
 
 def reload(env: Environment) -> Config:
-    """Reads the file as it is by now. The other variables date from the start, so the file goes before."""
+    """Reads the file again, without the other environment variables, which date from the start."""
     return load({"RELAY_CONFIG": env.get("RELAY_CONFIG", "")}, object_hook=_without_endpoint)
 
 
 def _without_endpoint(table: dict[str, Any]) -> dict[str, Any] | None:
-    """Returns an object of the file; None for one of the known list, which only a start needs.
+    """Returns an object of the file, or None for an entry of the cached endpoint list.
 
-    That list is the most of a large fleet's file.
+    Only a start needs that list, and it makes up most of a large fleet's file.
     """
     return None if "address" in table and "status" in table else table
 
@@ -104,24 +103,24 @@
     except OSError as err:
         raise ConfigError(f"{path}: {err.strerror}") from err
     except (ValueError, RecursionError):
-        raise ConfigError(f"{path}: not JSON") from None
+        raise ConfigError(f"{path}: invalid JSON") from None
     if not isinstance(table, dict):
-        raise ConfigError(f"{path}: not an object")
+        raise ConfigError(f"{path}: top level is not a JSON object")
     return table
 
 
 def read(table: dict[str, Any], env: Environment) -> Config:
-    """Returns the configuration that a table as in the file makes.
+    """Returns the configuration for the decoded file.
 
-    Raises ConfigError, or ValueError, TypeError, KeyError and their like, where it can't be used.
+    Raises ConfigError, or ValueError, TypeError, KeyError and similar, if it is invalid.
     """
     settings_table = table["settings"]
     settings = settings_codec.read_settings(json.dumps(settings_table).encode())
     settings_limits = settings_table["limits"]
     own_limits = table.get("limits") or {}
-    given_limits = read_given(own_limits)
-    if min(given_limits.values(), default=1) < 1:
-        raise ConfigError("limits: all must be above 0")
+    configured_limits = read_configured(own_limits)
+    if min(configured_limits.values(), default=1) < 1:
+        raise ConfigError("limits: each value must be above 0")
     peers = [parse_address(peer) for peer in table.get("peers") or []]
     return Config(
         name=str(env.get("RELAY_NAME") or table["name"]),
@@ -130,7 +129,7 @@
         seed=int(str(table["seed"]), 16),
         settings=settings,
         zones=_zones(table),
-        backend_types=[str(kind) for kind in settings_table.get("skus") or []],
+        backend_types=[str(name) for name in settings_table.get("skus") or []],
         limits=Limits.for_gateway(
             Machine(
                 sockets=int(own_limits.get("sockets", DEFAULT_SOCKETS)),
@@ -143,7 +142,7 @@
                 poll_interval_ns=_poll_interval_ns(settings_table, settings),
                 has_admin_endpoint=bool(env.get("RELAY_CONTROL") or table.get("control")),
             ),
-            given_limits,
+            configured_limits,
         ),
         initial_list=table.get("known") or {},
         peer_listen=parse_address(table["peer_listen"]) if table.get("peer_listen") else None,
@@ -151,11 +150,11 @@
         quota_service_address=_quota_service_address(table),
         quota_service=_quota_service(table, settings),
         leases=_leases(table, settings),
-        cold_start=_start(table, settings),
-        zone_failover=_place(table, settings),
+        cold_start=_cold_start(table, settings),
+        zone_failover=_zone_failover(table, settings),
         subset=_subset(table, settings),
         socket_fd=parse_descriptor(env.get("RELAY_SOCKET_FD")),
-        admin_address=_control(table, env),
+        admin_address=_admin_address(table, env),
     )
 
 
@@ -164,38 +163,38 @@
 
 
 def _poll_interval_ns(settings_table: dict[str, Any], settings: Settings) -> int:
-    """Returns within which time discovery has to be polled; 0 where it is a watch of this machine's agent."""
+    """Returns the interval within which discovery must be polled; 0 for a watch of this machine's agent."""
     if not settings.polls_endpoint_list:
         return 0
     obligations = settings_table.get("obligations") or {}
     return int(obligations.get("ask_within_ns", DEFAULT_POLL_INTERVAL_NS))
 
 
-def _control(table: dict[str, Any], env: Environment) -> Address | None:
-    """Returns the admin endpoint's address: `$RELAY_CONTROL` before `control`."""
-    given = env.get("RELAY_CONTROL") or table.get("control")
-    if not given:
+def _admin_address(table: dict[str, Any], env: Environment) -> Address | None:
+    """Returns the admin endpoint's address; `$RELAY_CONTROL` overrides `control`."""
+    text = env.get("RELAY_CONTROL") or table.get("control")
+    if not text:
         return None
     try:
-        return parse_address(given)
+        return parse_address(text)
     except ConfigError as err:
         raise ConfigError(f"control: {err}") from None
 
 
 def parse_address(text: object) -> Address:
-    """Returns host and port of HOST:PORT or [HOST]:PORT; ConfigError where it is neither."""
+    """Returns host and port of HOST:PORT or [HOST]:PORT. Raises ConfigError for any other text."""
     host, colon, port = str(text).rpartition(":")
     if not colon or not host or not port.isdecimal() or not 0 <= int(port) < 65536:
-        raise ConfigError(f"not an address: {text!r}")
+        raise ConfigError(f"not an address of the form HOST:PORT: {text!r}")
     return host.strip("[]"), int(port)
 
 
 def parse_descriptor(text: str | None) -> int | None:
-    """Returns the number of `$RELAY_SOCKET_FD`, or None where none is given; ConfigError where it is none."""
+    """Returns the number in `$RELAY_SOCKET_FD`, or None if unset. Raises ConfigError if not a number."""
     if text is None or not text.strip():
         return None
     if not text.strip().isdecimal():
-        raise ConfigError(f"$RELAY_SOCKET_FD: not a descriptor: {text!r}")
+        raise ConfigError(f"$RELAY_SOCKET_FD: not a file descriptor number: {text!r}")
     return int(text)
 
 
@@ -203,14 +202,14 @@
 
 
 def _feature_path(table: dict[str, Any], name: str) -> str | None:
-    """Returns the path of the file that switches a feature on, or None."""
+    """Returns the path of a feature's file, or None if the feature is off."""
     path = (table.get("features") or {}).get(name)
     return str(path) if path else None
 
 
 @contextlib.contextmanager
 def _config_errors() -> Iterator[None]:
-    """Raises what is wrong with a feature's file as a ConfigError."""
+    """Converts errors in a feature's file to ConfigError."""
     from ..serialization.errors import FileError
 
     try:
@@ -220,7 +219,7 @@
 
 
 def _quotas(settings: Settings) -> list[Quota]:
-    """Returns one for each plan that has a quota, and each number of gateways that a customer may use."""
+    """Returns a quota for each plan that has one and each number of gateways that a customer may use."""
     from ..decisions.quota_bounds import quota_of_plan
 
     return [
@@ -238,38 +237,40 @@
 
 
 def _quota_service(table: dict[str, Any], settings: Settings) -> Any:
-    """Reads the file of `features.keeper`; ConfigError where a plan can't be held as it says."""
+    """Reads the file of `features.keeper`. Raises ConfigError if a plan's quota can't be enforced."""
     path = _feature_path(table, "keeper")
     if path is None:
         return None
     if not table.get("counter"):
-        raise ConfigError("features.keeper: no counter is given")
+        raise ConfigError("features.keeper: the address of the quota service (counter) is missing")
     from . import features
 
     with _config_errors():
-        found, _ = features.read_quota_service(path)
-        features.check_quota_service(path, found, _quotas(settings))
-    return found
+        feature_settings, _ = features.read_quota_service(path)
+        features.check_quota_service(path, feature_settings, _quotas(settings))
+    return feature_settings
 
 
 def _leases(table: dict[str, Any], settings: Settings) -> Any:
-    """Reads the file of `features.shared`; ConfigError where a plan can't be held as it says."""
+    """Reads the file of `features.shared`. Raises ConfigError if a plan's quota can't be enforced."""
     path = _feature_path(table, "shared")
     if path is None:
         return None
     if _feature_path(table, "keeper"):
-        raise ConfigError("features.shared: quotas are held by features.keeper already; name one of both")
+        raise ConfigError("features.shared: features.keeper enforces quotas already; set only one of the two")
     if not settings.gossips:
-        raise ConfigError("features.shared: settings.limits.peers is false: nobody could be lent to")
+        raise ConfigError(
+            "features.shared: settings.limits.peers is false: there is no gossip, so no peer can hold a lease"
+        )
     from . import features
 
     with _config_errors():
-        found, _ = features.read_leases(path)
-        features.check_leases(path, found, _quotas(settings))
-    return found
+        feature_settings, _ = features.read_leases(path)
+        features.check_leases(path, feature_settings, _quotas(settings))
+    return feature_settings
 
 
-def _start(table: dict[str, Any], settings: Settings) -> Any:
+def _cold_start(table: dict[str, Any], settings: Settings) -> Any:
     """Reads the file of `features.start`."""
     path = _feature_path(table, "start")
     if path is None:
@@ -277,35 +278,39 @@
     from . import features
 
     with _config_errors():
-        found = features.read_cold_start(path)
-    if found.use_peer_lists and not settings.gossips:
-        raise ConfigError(f"{path}: peers: settings.limits.peers is false: nobody could be asked")
-    return found
+        feature_settings = features.read_cold_start(path)
+    if feature_settings.use_peer_lists and not settings.gossips:
+        raise ConfigError(
+            f"{path}: peers: settings.limits.peers is false: there is no gossip, so no peer can be queried"
+        )
+    return feature_settings
 
 
-def _place(table: dict[str, Any], settings: Settings) -> Any:
-    """Reads the file of `features.place`; ConfigError where it doesn't fit the zones of the settings."""
+def _zone_failover(table: dict[str, Any], settings: Settings) -> Any:
+    """Reads the file of `features.place`. Raises ConfigError if it doesn't fit the zones."""
     path = _feature_path(table, "place")
     if path is None:
         return None
     from . import features
 
     with _config_errors():
-        found = features.read_zone_failover(path)
-        features.check_zone_failover(path, found, _zones(table))
+        feature_settings = features.read_zone_failover(path)
+        features.check_zone_failover(path, feature_settings, _zones(table))
     if not settings.gossips:
-        raise ConfigError(f"{path}: settings.limits.peers is false: nothing could be decided in common")
-    return found
+        raise ConfigError(
+            f"{path}: settings.limits.peers is false: without gossip, gateways can't agree on zones"
+        )
+    return feature_settings
 
 
 def _subset(table: dict[str, Any], settings: Settings) -> Any:
-    """Reads the file of `features.subset`; ConfigError where it doesn't fit the zones of the settings."""
+    """Reads the file of `features.subset`. Raises ConfigError if it doesn't fit the zones."""
     path = _feature_path(table, "subset")
     if path is None:
         return None
     from . import features
 
     with _config_errors():
-        found = features.read_subset(path)
-        features.check_subset(path, found, _zones(table), settings)
-    return found
+        feature_settings = features.read_subset(path)
+        features.check_subset(path, feature_settings, _zones(table), settings)
+    return feature_settings
--- a/zincstile/net/counters.py
+++ b/zincstile/net/counters.py
@@ -1,4 +1,4 @@
-"""What the gateway received, sent and answered; written to the log on SIGUSR1 and at the end."""
+"""Counters of requests, attempts, messages and errors; logged on SIGUSR1 and at the end."""
 
 from __future__ import annotations
 
@@ -59,7 +59,7 @@
         "faults",
         "batches",
         "reloads",
-        "held_up",  # times that the process got no processor for longer than it is made for
+        "held_up",  # times that the process got no CPU for longer than `process_stall_ns`
         # the quota service
         "quota_service_calls",
         "quota_service_unanswered",
@@ -73,7 +73,7 @@
         # large values
         "streamed",
         "streams_truncated",
-        # invariants (`invariants.Invariant`) that did not hold: each is always 0
+        # violations of invariants (`invariants.Invariant`): 0 unless there is a defect
         "violated_send",
         "violated_repeat",
         "violated_close",
@@ -84,12 +84,12 @@
     )
 
     def __init__(self) -> None:
-        """All are 0."""
+        """Sets all counters to 0."""
         for name in self.__slots__:
             setattr(self, name, 0)
 
     def count_close(self, reason: CloseReason) -> None:
-        """Counts the end of a client's connection."""
+        """Counts a closed client connection."""
         self._add(CLOSE_COUNTERS[reason])
 
     def count_rejection(self, reason: GatewayRejection) -> None:
@@ -97,13 +97,13 @@
         self._add(REJECT_COUNTERS[reason])
 
     def count_retry(self, reason: RetryReason) -> None:
-        """Counts another attempt for a request."""
+        """Counts a further attempt for a request."""
         self._add(RETRY_COUNTERS[reason])
 
     def _add(self, name: str) -> None:
         setattr(self, name, getattr(self, name) + 1)
 
     def line(self, host: Host = HOST) -> str:
-        """All counters and what the process used, as a line of the log."""
+        """Returns the log line with all counters and the resource usage of the process."""
         counts = {name: getattr(self, name) for name in self.__slots__}
         return "counters " + json.dumps(counts | host.usage())
--- a/zincstile/net/features.py
+++ b/zincstile/net/features.py
@@ -1,6 +1,7 @@
-"""Files under deploy/ that switch features on: YAML, typed, checked at load. Loaded only where one is named.
+"""Reads the files under deploy/ that switch features on: typed YAML, validated when read.
 
-The platform's configuration names none, and so loads neither this nor a library.
+Imported only if the configuration names such a file. The platform's names none, so that it loads neither this
+module nor a library.
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 from ..serialization.errors import FileError
 from ..serialization.typed_yaml import load
 
-if TYPE_CHECKING:  # a start loads what its own files need: each feature's modules are some 10 ms of its CPU
+if TYPE_CHECKING:  # imported in functions: a feature's modules take some 10 ms of CPU of a start
     from ..cold_start.settings import ColdStartSettings
     from ..decisions.quota_bounds import Quota
     from ..decisions.settings import Settings
@@ -27,7 +28,7 @@
 
 
 class PlanRow(msgspec.Struct, forbid_unknown_fields=True):
-    """A plan's quota for each customer, in units and units a second."""
+    """A plan's quota per customer, in units and units per second."""
 
     name: str
     rate: float
@@ -37,7 +38,7 @@
 
 
 class QuotaServiceRow(msgspec.Struct, forbid_unknown_fields=True, omit_defaults=True):
-    """`QuotaServiceSettings` in milliseconds, under the operators' keys; what is left out has its default."""
+    """`QuotaServiceSettings` in milliseconds, under the operators' keys; missing keys take the defaults."""
 
     epoch_ms: int | None = None
     lease_cover_ms: int | None = msgspec.field(name="lease_ms", default=None)
@@ -55,7 +56,7 @@
 
 
 class LeaseRow(msgspec.Struct, forbid_unknown_fields=True, omit_defaults=True):
-    """`LeaseSettings` in milliseconds, under the operators' keys; what is left out has its default."""
+    """`LeaseSettings` in milliseconds, under the operators' keys; missing keys take the defaults."""
 
     lease_ms: int | None = msgspec.field(name="life_ms", default=None)
     answer_timeout_ms: int | None = msgspec.field(name="held_ms", default=None)
@@ -78,7 +79,7 @@
 
 
 class ColdStartRow(msgspec.Struct, forbid_unknown_fields=True, omit_defaults=True):
-    """`ColdStartSettings` in milliseconds, under the operators' keys; what is left out has its default."""
+    """`ColdStartSettings` in milliseconds, under the operators' keys; missing keys take the defaults."""
 
     use_peer_lists: bool | None = msgspec.field(name="peers", default=None)
     peer_wait_ms: int | None = msgspec.field(name="wait_ms", default=None)
@@ -96,7 +97,7 @@
 
 
 class ZoneLoadRow(msgspec.Struct, forbid_unknown_fields=True):
-    """What a zone is asked for and what it bears, in units a second."""
+    """The demand and the capacity of a zone, in units per second."""
 
     name: str
     demand: float
@@ -110,14 +111,14 @@
 
 
 class DistanceRow(msgspec.Struct, forbid_unknown_fields=True):
-    """Between two regions, with its unit."""
+    """The distance between two regions, as a duration with its unit."""
 
     between: tuple[str, str]
     is_: str = msgspec.field(name="is")
 
 
 class ZoneFailoverRow(msgspec.Struct, forbid_unknown_fields=True, omit_defaults=True):
-    """`ZoneFailoverSettings` in milliseconds, under the operators' keys; what is left out has its default."""
+    """`ZoneFailoverSettings` in milliseconds, under the operators' keys; missing keys take the defaults."""
 
     regions: dict[str, list[str]] = {}
     distances: list[DistanceRow] = []
@@ -135,14 +136,14 @@
 
 
 class ZoneFailoverFile(msgspec.Struct, forbid_unknown_fields=True):
-    """deploy/place.yaml. `zones` are for `place plan`: a gateway takes its own settings'."""
+    """deploy/place.yaml. `zones` are for `place plan`: a gateway uses those of its own settings."""
 
     place: ZoneFailoverRow
     zones: list[ZoneLoadRow] = []
 
 
 class SubsetRow(msgspec.Struct, forbid_unknown_fields=True, omit_defaults=True):
-    """`SubsetSettings`, under the operators' keys; what is left out has its default."""
+    """`SubsetSettings`, under the operators' keys; missing keys take the defaults."""
 
     service_by: Literal["type", "group", "none"]
     reach: Literal["zone", "region", "all"] = "all"
@@ -162,31 +163,31 @@
 
 
 class QuotaServiceFile(msgspec.Struct, forbid_unknown_fields=True):
-    """deploy/keeper.yaml. A gateway takes the quotas of its own settings; `plans` are for `bound`."""
+    """deploy/keeper.yaml. `plans` are for `bound`: a gateway uses the quotas of its own settings."""
 
     plans: list[PlanRow] = []
     quota_service: QuotaServiceRow = msgspec.field(name="keeper", default_factory=QuotaServiceRow)
 
 
 class LeaseFile(msgspec.Struct, forbid_unknown_fields=True):
-    """deploy/shared.yaml, likewise."""
+    """deploy/shared.yaml. `plans` are for `bound`: a gateway uses the quotas of its own settings."""
 
     leases: LeaseRow = msgspec.field(name="shared")
     plans: list[PlanRow] = []
 
 
-def _settings(path: str, row: msgspec.Struct, kind: Callable[..., Any]) -> Any:
+def _settings(path: str, row: msgspec.Struct, settings_class: Callable[..., Any]) -> Any:
     given = {k: v for k, v in msgspec.structs.asdict(row).items() if v is not None}
     times = {k[:-3] + "_ns": v * MS for k, v in given.items() if k.endswith("_ms")}
-    rest = {k: tuple(v) if isinstance(v, list) else v for k, v in given.items() if not k.endswith("_ms")}
+    others = {k: tuple(v) if isinstance(v, list) else v for k, v in given.items() if not k.endswith("_ms")}
     try:
-        return kind(**times, **rest)
+        return settings_class(**times, **others)
     except ValueError as err:
-        raise FileError(f"{path}: {_by_keys(row, str(err))}") from None
+        raise FileError(f"{path}: {_with_keys(row, str(err))}") from None
 
 
-def _by_keys(row: msgspec.Struct, text: str) -> str:
-    """An error's text with the operators' keys in place of the names of fields."""
+def _with_keys(row: msgspec.Struct, text: str) -> str:
+    """Returns an error's text with the operators' keys in place of the names of fields."""
     for field in msgspec.structs.fields(row):
         if field.encode_name != field.name:
             name, key = (re.sub("_ms$", "_ns", word) for word in (field.name, field.encode_name))
@@ -204,13 +205,13 @@
 
 
 def feature_of_file(path: str) -> str:
-    """Which feature a file is of: `keeper` or `shared`. FileError where it can't be read."""
+    """Returns the feature of a file, `keeper` or `shared`. Raises FileError if it can't be read."""
     table = load(path, dict)
     return "shared" if "shared" in table else "keeper"
 
 
 def read_quota_service(path: str) -> tuple[QuotaServiceSettings, list[Quota]]:
-    """Reads deploy/keeper.yaml. FileError where the file can't be used."""
+    """Reads a file like deploy/keeper.yaml. Raises FileError if it is invalid."""
     from ..quota_service.settings import QuotaServiceSettings
 
     table = load(path, QuotaServiceFile)
@@ -218,7 +219,7 @@
 
 
 def read_leases(path: str) -> tuple[LeaseSettings, list[Quota]]:
-    """FileError where the file can't be used."""
+    """Reads a file like deploy/shared.yaml. Raises FileError if it is invalid."""
     from ..leases.settings import LeaseSettings
 
     table = load(path, LeaseFile)
@@ -226,14 +227,14 @@
 
 
 def read_cold_start(path: str) -> ColdStartSettings:
-    """FileError where the file can't be used."""
+    """Reads a file like deploy/start.yaml. Raises FileError if it is invalid."""
     from ..cold_start.settings import ColdStartSettings
 
     return _settings(path, load(path, ColdStartFile).start, ColdStartSettings)
 
 
 def read_zone_failover(path: str) -> ZoneFailoverSettings:
-    """FileError where the file can't be used."""
+    """Reads a file like deploy/place.yaml. Raises FileError if it is invalid."""
     from ..zone_failover.settings import ZoneFailoverSettings, parse_duration
 
     row = load(path, ZoneFailoverFile).place
@@ -249,36 +250,37 @@
         if v is not None and k not in ("regions", "distances", "within")
     }
     times = {k[:-3] + "_ns": v * MS for k, v in given.items() if k.endswith("_ms")}
-    rest = {k: v for k, v in given.items() if not k.endswith("_ms")}
+    others = {k: v for k, v in given.items() if not k.endswith("_ms")}
     if within is not None:
-        rest["within_ns"] = within
+        others["within_ns"] = within
     try:
-        return ZoneFailoverSettings(regions, distances, **times, **rest)
+        return ZoneFailoverSettings(regions, distances, **times, **others)
     except ValueError as err:
-        raise FileError(f"{path}: {_by_keys(row, str(err))}") from None
+        raise FileError(f"{path}: {_with_keys(row, str(err))}") from None
 
 
 def read_failover_zones(path: str) -> list[ZoneLoadRow]:
-    """The zones that a dry run is made of."""
+    """Returns the zones of a dry run."""
     return load(path, ZoneFailoverFile).zones
 
 
 def check_zone_failover(path: str, settings: ZoneFailoverSettings, zones: list[str]) -> None:
-    """FileError where the file doesn't fit the zones that the gateways are told of."""
+    """Raises FileError if the file doesn't fit the zones in the gateways' settings."""
     from ..zone_failover.settings import MAX_ZONES
 
     if len(zones) >= MAX_ZONES:
-        raise FileError(f"{path}: {len(zones)} zones: {MAX_ZONES - 1} at most")
+        raise FileError(f"{path}: {len(zones)} zones are more than the maximum of {MAX_ZONES - 1}")
     for region, names in settings.regions.items():
         for name in names:
             if zones and name not in zones:
                 raise FileError(
-                    f"{path}: regions: {region}: no zone is called {name}; there are " f"{', '.join(zones)}"
+                    f"{path}: regions: {region}: no zone is called {name}; the zones are "
+                    f"{', '.join(zones)}"
                 )
 
 
 def read_subset(path: str) -> SubsetSettings:
-    """FileError where the file can't be used."""
+    """Reads a file like deploy/subset.yaml. Raises FileError if it is invalid."""
     from ..subsetting.settings import Layout, Reach, ServiceBy, SubsetSettings
 
     row = load(path, SubsetFile).subset
@@ -292,11 +294,11 @@
             ServiceBy(row.service_by), Reach(row.reach), regions, Layout(row.layout), **given
         )
     except ValueError as err:
-        raise FileError(f"{path}: {_by_keys(row, str(err))}") from None
+        raise FileError(f"{path}: {_with_keys(row, str(err))}") from None
 
 
 def check_subset(path: str, subset: SubsetSettings, zones: list[str], settings: Settings) -> None:
-    """FileError where the file doesn't fit what the gateway is told of zones and of its own one."""
+    """Raises FileError if the file doesn't fit the zones, or the own zone, in the gateway's settings."""
     from ..subsetting.fleet import zone_of
     from ..subsetting.settings import Layout
 
@@ -304,34 +306,34 @@
         for name in names:
             if name not in zones:
                 raise FileError(
-                    f"{path}: regions: {region}: no zone is called {name}; there are {', '.join(zones)}"
+                    f"{path}: regions: {region}: no zone is called {name}; the zones are {', '.join(zones)}"
                 )
     if subset.layout is not Layout.UNKNOWN and zones:
-        told = zone_of(subset.layout, settings.gateway_index, settings.gateway_count, len(zones))
-        if told != settings.zone:
+        layout_zone = zone_of(subset.layout, settings.gateway_index, settings.gateway_count, len(zones))
+        if layout_zone != settings.zone:
             raise FileError(
                 f"{path}: layout: {subset.layout.value} puts gateway {settings.gateway_index} of "
                 f"{settings.gateway_count} in "
-                f"zone {zones[told]}, and its settings in another"
+                f"zone {zones[layout_zone]}, but its settings name another zone"
             )
 
 
-def _check(path: str, settings: Any, quotas: list[Quota], refused: Callable[..., str | None]) -> None:
+def _check_quotas(path: str, settings: Any, quotas: list[Quota], refusal: Callable[..., str | None]) -> None:
     for quota in quotas:
-        why = refused(quota, settings)
-        if why:
-            raise FileError(f"{path}: {why}")
+        reason = refusal(quota, settings)
+        if reason:
+            raise FileError(f"{path}: {reason}")
 
 
 def check_quota_service(path: str, settings: QuotaServiceSettings, quotas: list[Quota]) -> None:
-    """FileError where a quota can't be held as the settings ask."""
+    """Raises FileError if the settings can't enforce a quota."""
     from ..quota_service.overshoot_bound import refusal_reason
 
-    _check(path, settings, quotas, refusal_reason)
+    _check_quotas(path, settings, quotas, refusal_reason)
 
 
 def check_leases(path: str, settings: LeaseSettings, quotas: list[Quota]) -> None:
-    """FileError where a quota can't be held as the settings ask."""
+    """Raises FileError if the settings can't enforce a quota."""
     from ..leases.overshoot_bound import refusal_reason
 
-    _check(path, settings, quotas, refusal_reason)
+    _check_quotas(path, settings, quotas, refusal_reason)
--- a/zincstile/net/gateway.py
+++ b/zincstile/net/gateway.py
@@ -1,4 +1,4 @@
-"""One gateway, put together: what is built from which settings. `lifecycle` starts, reloads and ends it."""
+"""Builds the parts of one gateway from its configuration. `lifecycle` starts, reloads and ends it."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
     """The parts of one gateway process. Each owns its own state; this class owns none beyond them."""
 
     def __init__(self, config: Config, loop: asyncio.AbstractEventLoop, host: Host = HOST) -> None:
-        """Builds the parts, opens nothing: `lifecycle.run` does."""
+        """Builds the parts; `lifecycle.run` opens sockets and files."""
         self.config = config
         self.host = host
         self.log = Log(config.name, host=host)
@@ -41,7 +41,7 @@
         self.admission_is_open = assembled.admission_is_open
         self.describe_zones = assembled.describe_zones
         self.dispatcher = Dispatcher(loop, assembled.policy, config.limits, self.counters, self.log, host)
-        # One buffer for all connections: each read is taken out of it at once.
+        # All connections share one buffer: each read is copied out at once.
         read_buffer = memoryview(bytearray(config.limits.read_bytes))
         self.listener = ClientListener(self.dispatcher, config.settings, read_buffer, host)
         self.pool = ConnectionPool(self.dispatcher)
@@ -75,7 +75,7 @@
     def _connect_features(
         self, read_buffer: memoryview
     ) -> tuple[QuotaServiceClient | None, ColdStart | None]:
-        """Connects what the configuration's `features` switch on; returns what the lifecycle needs of it."""
+        """Connects the features that the configuration switches on; returns those the lifecycle needs."""
         config = self.config
         quota_client, starter = None, None
         if config.quota_service:
@@ -95,7 +95,7 @@
         return quota_client, starter
 
     def _build_starter(self) -> ColdStart:
-        """Builds what starts this gateway beside others: with a list from those that have one."""
+        """Builds the cold start, which can get the endpoint list from peers."""
         from .cold_start import ColdStart
 
         config = self.config
@@ -113,7 +113,7 @@
         )
 
     def _build_administration(self) -> Administration:
-        """Builds what operators steer this process by."""
+        """Builds the control by operators."""
         from .administration import Administration
 
         return Administration(
--- a/zincstile/net/handover_file.py
+++ b/zincstile/net/handover_file.py
@@ -1,8 +1,8 @@
-"""The file in `$TMPDIR` by which processes of one gateway share what operators asked for (`admin.handover`).
+"""The file in `$TMPDIR` by which processes of one gateway share operators' requests (`admin.handover`).
 
-It is written whole on each change and well within `handover_stale_ns`, and read where another process wrote
-it since. What another process wrote is read before anything is written over it; where it can't be read,
-nothing is. A write that fails is tried again at every poll.
+It is replaced on each change and at least every `handover_rewrite_interval_ns`, and read when another process
+has written it. A process reads what another one wrote before it overwrites the file; if it can't read the
+file, it does not write. A failed write is retried at every poll.
 """
 
 from __future__ import annotations
@@ -21,10 +21,10 @@
 
 
 class HandoverFile:
-    """Reads and writes the hand-over file for one process, and owns what is only in the file.
+    """Reads and writes the handover file for one process, and owns the state that only the file has.
 
-    That is: which process said last that it takes clients, and whether all that operators asked for is in the
-    file. Maintenance itself is the `OperatorState`'s.
+    This is the process that last announced that it is ready, and whether the file holds all requests of
+    operators. Maintenance itself belongs to `OperatorState`.
     """
 
     def __init__(
@@ -40,9 +40,9 @@
         returned_at_ns: Callable[[], dict[str, int]],
         discovery_offset_ns: Callable[[], int | None],
     ) -> None:
-        """process: this process's id, as the file names the one that is ready. on_maintenance: called with
-        what another process was asked for. returned_at_ns: servers that came back from maintenance and warm
-        up since, on the monotonic clock. discovery_offset_ns: from discovery's times to that clock.
+        """process: this process's id in the file. on_maintenance: called with changes requested at another
+        process. returned_at_ns: when servers in slow start returned from maintenance, on the monotonic clock.
+        discovery_offset_ns: from discovery's times to that clock.
         """
         self._dispatcher = dispatcher
         self._state = state
@@ -53,30 +53,30 @@
         self._on_maintenance = on_maintenance
         self._returned_at_ns = returned_at_ns
         self._discovery_offset_ns = discovery_offset_ns
-        self.loaded: Handover | None = None  # at the start, what another process left, where it is trusted
-        self.on_saved: Callable[[], None] = lambda: None  # called when all that was asked for is in the file
-        self.on_successor_ready: Callable[[], None] | None = None  # called once another process says so
-        self._ready_process = ""  # the process that said last that it takes clients
-        self._last_stat: FileStat | None = None  # the file as last read or written
+        self.loaded: Handover | None = None  # what another process left, if valid
+        self.on_saved: Callable[[], None] = lambda: None  # called once the file holds all requests
+        self.on_successor_ready: Callable[[], None] | None = None  # called when another is ready
+        self._ready_process = ""  # the process that last announced that it is ready
+        self._last_stat: FileStat | None = None  # when the file was last read or written
         self._written_ns = 0
-        self._unsaved = False  # something that was asked for is not in the file
+        self._unsaved = False  # the file lacks a request of operators
 
     @property
     def saved(self) -> bool:
-        """All that operators asked for is in the file, and outlasts this process."""
+        """Whether the file holds all requests of operators, so that they outlast this process."""
         return not self._unsaved
 
     @property
     def successor_ready(self) -> bool:
-        """Another process said last that it takes clients."""
+        """Whether another process was the last to announce that it is ready."""
         return self._ready_process not in ("", self._process)
 
     # ---- reading
 
     async def load(self) -> str:
-        """Takes at the start what an earlier or older process left; returns what was found, for the log.
+        """Loads at the start what an earlier process left; returns the result for the log.
 
-        Removes what writes of ended processes left half done. A file that can't be read is tried again for
+        Removes temporary files of ended processes. If the file can't be read, retries for
         `handover_read_timeout_ns`.
         """
         limits = self._dispatcher.limits
@@ -87,25 +87,25 @@
                 return self._load_once()
             except OSError as err:
                 if self._dispatcher.now_ns() >= until_ns:
-                    return f"can't be read for now: {self.path}: {err.strerror or err}"
+                    return f"can't read {self.path}: {err.strerror or err}"
             await asyncio.sleep(limits.inherit_poll_interval_ns / NS_PER_S)
 
     def _load_once(self) -> str:
         try:
-            found = self._read()
+            content = self._read()
         except HandoverError as err:
             return f"ignored: {self.path}: {err}"
-        if found is None:
+        if content is None:
             return "none"
-        self._state.adopt(set(found.under_maintenance), found.version)
-        self.loaded = found
-        return f"{len(found.under_maintenance)} under maintenance, version {found.version}"
+        self._state.adopt(set(content.under_maintenance), content.version)
+        self.loaded = content
+        return f"{len(content.under_maintenance)} under maintenance, version {content.version}"
 
     def _read(self) -> Handover | None:
-        """Returns the file's content, or None where there is no file.
+        """Returns the file's content, or None if there is no file.
 
-        Raises OSError where it can't be read: then it counts as not seen. Raises HandoverError (counted)
-        where it can't be trusted.
+        Raises OSError if it can't be read: the next poll then reads it again. Raises HandoverError, and
+        counts it, if the content is invalid.
         """
         stat = self._host.stat(self.path)
         data = self._host.read_file(self.path)
@@ -116,40 +116,41 @@
         modified_ns = stat.modified_ns if stat else 0
         self._last_stat = stat
         try:
-            found = decode(data, self._gateway, self._host.timestamp(), stale_ns, modified_ns)
+            content = decode(data, self._gateway, self._host.timestamp(), stale_ns, modified_ns)
         except HandoverError:
             self._dispatcher.counters.handover_bad += 1
             raise
-        self._ready_process = found.ready_process
-        return found
+        self._ready_process = content.ready_process
+        return content
 
     def refresh(self) -> bool:
-        """Takes what another process wrote since the last poll; False where it can't be read for now."""
+        """Adopts what another process wrote since the last poll; returns False if the file can't be read."""
         stat = self._host.stat(self.path)
         if stat is None or stat == self._last_stat:
             return True
         try:
-            found = self._read()
+            content = self._read()
         except OSError as err:
             self._dispatcher.log.line_limited("handover", f"can't read {self.path}: {err.strerror or err}")
             return False
         except HandoverError as err:
             self._dispatcher.log.line_limited("handover", f"ignored: {self.path}: {err}")
-            self._unsaved = True  # what is trusted here goes over it
+            self._unsaved = True  # the next write replaces it
             return True
-        if found is not None:
-            self._adopt(found)
+        if content is not None:
+            self._adopt(content)
         return True
 
-    def _adopt(self, found: Handover) -> None:
-        """Takes what another process wrote.
+    def _adopt(self, content: Handover) -> None:
+        """Adopts what another process wrote.
 
-        Where that process wrote what it knew before a request to this one, the older version is overwritten.
+        A version older than this process's, written before that process saw a request made here, is
+        overwritten.
         """
-        change = self._state.adopt(set(found.under_maintenance), found.version)
+        change = self._state.adopt(set(content.under_maintenance), content.version)
         if change.entered or change.exited:
             self._on_maintenance(change)
-        if found.version < self._state.version:
+        if content.version < self._state.version:
             self._unsaved = True
         if self.on_successor_ready is not None and self.successor_ready:
             self.on_successor_ready()
@@ -157,12 +158,12 @@
     # ---- writing
 
     def save(self) -> bool:
-        """Writes what holds by now; False where that fails: it is tried again at every poll."""
+        """Writes the current state; returns False if that fails: each poll retries."""
         self._unsaved = True
         return self._write()
 
     def announce_ready(self) -> None:
-        """Says in the file that this process takes clients from now on."""
+        """Announces in the file that this process accepts clients."""
         self.refresh()
         self._ready_process = self._process
         self.save()
@@ -185,7 +186,7 @@
         return True
 
     def _touch(self) -> None:
-        """Dates a file that can't be written anew: what it says still holds, and must not grow stale."""
+        """Updates the modification time of a file that can't be rewritten, as its content is still valid."""
         with contextlib.suppress(OSError):
             self._host.touch(self.path)
             self._last_stat = self._host.stat(self.path)
@@ -206,11 +207,11 @@
     # ---- polling
 
     def poll(self) -> None:
-        """Reads the file where it changed, and keeps it fresh; called every `handover_poll_interval_ns`."""
+        """Reads the file if it changed and rewrites it in time; called every `handover_poll_interval_ns`."""
         self.refresh()
-        due = (
+        is_due = (
             self._dispatcher.now_ns() - self._written_ns
             >= self._dispatcher.limits.handover_rewrite_interval_ns
         )
-        if due or self._unsaved:
+        if is_due or self._unsaved:
             self._write()
--- a/zincstile/net/invariants.py
+++ b/zincstile/net/invariants.py
@@ -1,9 +1,8 @@
-"""Checks of what must hold whenever the gateway sends, repeats, closes, becomes ready, or ends.
+"""Checks of invariants before the gateway sends, repeats, closes, becomes ready, or ends.
 
-There is one check for each of these, called by the code that is about to do it. What would break an
-invariant is counted, logged with the trace of its request, and left undone where that is still possible. The
-decisions are made elsewhere (`decisions.policy`): the checks look at the session alone, so that a fault of a
-decision shows here too.
+The code that is about to do one of these calls its check. A violation is counted, logged with the trace of
+its request, and prevented where that is still possible. The decisions are made elsewhere
+(`decisions.policy`); the checks use the session alone, so that they also detect wrong decisions.
 """
 
 from __future__ import annotations
@@ -19,36 +18,36 @@
 from .session import SentAttempt, Session
 from .trace import Trace
 
-# By how much the deadline given to a backend server may be after the client's: the process may have been
-# stopped for as long between the two (`Limits.process_stall_ns`).
+# How far the deadline given to a backend server may be after the client's: between computing the two, the
+# process may have been stopped for this long (`Limits.process_stall_ns`).
 DEADLINE_SLACK_NS: Final = 150_000_000
 
 
 class Invariant(Enum):
-    """What must hold; the values are the names of the counters, without `violated_`."""
+    """The invariants; the values are the names of their counters without `violated_`."""
 
-    SEND = "send"  # to a server that is ready, for an open request, with no more time than it has
-    REPEAT = "repeat"  # what may have run is sent again only as its class allows
-    CLOSE = "close"  # nothing is owed on a connection that is closed, nor at the end of the process
+    SEND = "send"  # an attempt goes to a ready server, for an open request, within its deadline
+    REPEAT = "repeat"  # a request that may have run is sent again only if its class allows it
+    CLOSE = "close"  # when a connection or the process ends, all its requests are answered
     START = "start"  # a process becomes ready only once it has an endpoint list
 
 
 class InvariantGuard:
-    """Checks, counts and logs; one for each gateway."""
+    """Checks invariants, and counts and logs violations; one for each gateway."""
 
     __slots__ = ("_counters", "_log", "_trace", "observer")
 
     def __init__(self, counters: Counters, log: Log, trace: Trace) -> None:
-        """What is violated goes to all three."""
+        """Violations are reported to all three."""
         self._counters = counters
         self._log = log
         self._trace = trace
-        self.observer: Callable[[Invariant, str], None] | None = None  # is called for each violation too
+        self.observer: Callable[[Invariant, str], None] | None = None  # called for each violation
 
-    # ---- one check for each thing that is about to be done
+    # ---- checks
 
     def may_send(self, now: int, attempt: SentAttempt) -> bool:
-        """The last look before an attempt's first byte is written; False: it must not go out."""
+        """Checks an attempt before its first byte is written; False: it must not be sent."""
         session = attempt.session
         if session is None:  # a health check: no request depends on it
             return True
@@ -64,19 +63,23 @@
                 return self._violated(now, Invariant.REPEAT, session.call.id, problem)
         return True
 
-    def may_close(self, now: int, owed: int, where: str) -> bool:
-        """Before this side closes a connection; `owed`: requests read on it without their answer."""
-        return not owed or self._violated(now, Invariant.CLOSE, where, f"{owed} requests without an answer")
+    def may_close(self, now: int, unanswered: int, where: str) -> bool:
+        """Checks a connection before this side closes it; `unanswered`: its open requests."""
+        return not unanswered or self._violated(
+            now, Invariant.CLOSE, where, f"{unanswered} requests without an answer"
+        )
 
     def may_be_ready(self, now: int, servers: int, *, list_received: bool) -> bool:
-        """Before the first yes to PING; `list_received`: from discovery, be it an empty one."""
+        """Checks before PING first succeeds; `list_received`: discovery sent a list, even an empty one."""
         return bool(servers or list_received) or self._violated(
-            now, Invariant.START, "ready", "no list of servers"
+            now, Invariant.START, "ready", "no endpoint list"
         )
 
-    def may_end(self, now: int, owed: int) -> bool:
-        """Before the process ends of its own accord; `owed`: requests without their answer."""
-        return not owed or self._violated(now, Invariant.CLOSE, "end", f"{owed} requests without an answer")
+    def may_end(self, now: int, unanswered: int) -> bool:
+        """Checks before the process ends by itself; `unanswered`: the number of open requests."""
+        return not unanswered or self._violated(
+            now, Invariant.CLOSE, "end", f"{unanswered} requests without an answer"
+        )
 
     # ---- violations
 
@@ -97,7 +100,7 @@
         return "its request has ended"
     if not attempt.backend.ready:
         return f"{attempt.backend.address} is not ready"
-    return "a later deadline than its client's"
+    return "its deadline is after its client's deadline"
 
 
 def _repeat_problem(now: int, attempt: SentAttempt, session: Session) -> str:
@@ -110,14 +113,14 @@
     if request_class.idempotency is Idempotency.NEVER:
         return f"it may have run at {first.backend.address}"
     if not _same_group(request_class.deduplication_scope, first.backend.entry, attempt.backend.entry):
-        return f"out of the group of {first.backend.address}, where it may have run"
+        return f"not in the deduplication group of {first.backend.address}, where it may have run"
     if now - first.sent_ns > request_class.deduplication_window_ns:
-        return f"{(now - first.sent_ns) / 1e6:.0f} ms after the first that may have run"
+        return f"{(now - first.sent_ns) / 1e6:.0f} ms after the first attempt that may have run"
     return ""
 
 
-def _same_group(group: DeduplicationScope, one: EndpointEntry | None, other: EndpointEntry | None) -> bool:
-    """Whether both servers drop a key that the other has run."""
-    if one is None or other is None or group is DeduplicationScope.ALL:
+def _same_group(scope: DeduplicationScope, one: EndpointEntry | None, other: EndpointEntry | None) -> bool:
+    """Whether each of both servers deduplicates a request that the other has run."""
+    if one is None or other is None or scope is DeduplicationScope.ALL:
         return True
-    return one.zone == other.zone if group is DeduplicationScope.ZONE else one.cell == other.cell
+    return one.zone == other.zone if scope is DeduplicationScope.ZONE else one.cell == other.cell
--- a/zincstile/net/lifecycle.py
+++ b/zincstile/net/lifecycle.py
@@ -1,4 +1,4 @@
-"""The life of one gateway process: start, readiness, reload at SIGHUP, and the signals that lead to each."""
+"""Start, readiness and reload (SIGHUP) of one gateway process, and the handling of its signals."""
 
 from __future__ import annotations
 
@@ -26,14 +26,14 @@
     from .cold_start import ColdStart
     from .quota_service import QuotaServiceClient
 
-# SIGHUP comes once: a file that the machine can't open for now is tried again, for 3 s in all.
+# A signal is not repeated, so a file that temporarily can't be opened is retried, for 3 s in all.
 RELOAD_RETRY_NS: Final = 100_000_000
 RELOAD_ATTEMPTS: Final = 30
 
 
 @dataclass(frozen=True, slots=True)
 class Parts:
-    """What a gateway consists of (`gateway`); None for what its configuration doesn't switch on."""
+    """The parts of a gateway; None for those that its configuration doesn't switch on."""
 
     dispatcher: Dispatcher
     listener: ClientListener
@@ -62,17 +62,17 @@
     async def run(self, early_signals: list[int] | None = None) -> None:
         """Runs the gateway from its start to its end.
 
-        early_signals: those that came before this process could handle them. Raises OSError where an address
-        can't be had.
+        early_signals: signals received before the event loop ran. Raises OSError if an address can't be
+        bound.
         """
         self._handle_signals(early_signals or [])
         administration = self._parts.administration
         if administration is not None:
-            await self._unless_ended(administration.take_over())
+            await self._until_shutdown(administration.take_over())
         peer_address = self._config.peer_listen
         if peer_address is not None:
             await retry_while_exhausted(lambda: self._parts.peers.open(peer_address))
-        if not self._shutdown.begun:  # else no client was taken yet, and none is
+        if not self._shutdown.begun:  # else shut down before any client was accepted
             await self._serve()
         await self._shutdown.ended
         self.log_counters()
@@ -89,32 +89,32 @@
             loop.call_soon(self.reload)
 
     def _log_fault(self, _: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-        """Counts what escaped a connection's callback: asyncio closes that connection and goes on."""
+        """Counts and logs an exception from a connection's callback; asyncio closes that connection."""
         self._dispatcher.counters.faults += 1
         err = context.get("exception")
         self._log.line_limited("fault", f"{type(err).__name__}: {err} in {context.get('message')}")
 
-    async def _unless_ended(self, work: Coroutine[Any, Any, None]) -> None:
-        """Runs a part of the start; it is left where it stands when the process is told to end."""
+    async def _until_shutdown(self, work: Coroutine[Any, Any, None]) -> None:
+        """Runs a part of the start; cancels it when shutdown ends first."""
         task = self._dispatcher.loop.create_task(work)
         await asyncio.wait((task, self._shutdown.ended), return_when=asyncio.FIRST_COMPLETED)
         if task.done():
-            task.result()  # its error is the start's
+            task.result()  # raises its exception
         else:
             task.cancel()
 
     async def _serve(self) -> None:
-        """Listens for clients, peers' gossip having begun; takes them once an endpoint list is here."""
+        """Listens for clients and operators; clients are accepted once there is an endpoint list."""
         config, parts, dispatcher = self._config, self._parts, self._dispatcher
         dispatcher.post(Started())
-        known = self._apply_initial_list()
+        has_list = self._apply_initial_list()
         await retry_while_exhausted(lambda: parts.listener.listen(config.listen, config.socket_fd))
         administration, admin_address = parts.administration, config.admin_address
         if administration is not None and admin_address is not None:
             await retry_while_exhausted(lambda: administration.open(admin_address))
             administration.watch_files()
-        if parts.starter is None and known:
-            # Discovery may be down: then the known list must do.
+        if parts.starter is None and has_list:
+            # If discovery does not answer in time, the cached list is used.
             dispatcher.deadlines.add(
                 dispatcher.now_ns() + config.limits.initial_list_wait_ns, self.become_ready
             )
@@ -126,7 +126,7 @@
         self._log_addresses()
 
     def _apply_initial_list(self) -> bool:
-        """Begins with the endpoint list that the start was given; False where there is none."""
+        """Applies the cached endpoint list of the configuration; returns False if there is none."""
         starter = self._parts.starter
         return apply_initial_list(self._config, self._parts.watcher if starter is None else starter)
 
@@ -140,7 +140,7 @@
     # ---- readiness
 
     def become_ready(self, _: object = None) -> None:
-        """Takes clients from now on, where an endpoint list is here; a second call changes nothing."""
+        """Starts to accept clients if there is an endpoint list; does nothing if ready already."""
         parts = self._parts
         if parts.listener.ready or not self._may_be_ready():
             return
@@ -154,14 +154,14 @@
         self._log.line(f"ready with {len(parts.pool.listed)} backend servers, {source}")
 
     def _may_be_ready(self) -> bool:
-        """A list is here: discovery's, peers', or the one known before."""
+        """Whether there is an endpoint list: from discovery, from peers, or cached."""
         return self._dispatcher.guard.may_be_ready(
             self._dispatcher.now_ns(),
             len(self._parts.pool.listed),
             list_received=self._parts.watcher.has_received or self._parts.starter is not None,
         )
 
-    # ---- while it serves
+    # ---- operation
 
     def log_counters(self) -> None:
         """Logs the counters and the state of the policy; at SIGUSR1 and at the end."""
@@ -169,10 +169,10 @@
         self._log.line("state " + json.dumps(self._dispatcher.policy.state_values()))
 
     def reload(self, attempts: int = RELOAD_ATTEMPTS) -> None:
-        """Reads again where discovery and the quota service are found (SIGHUP); all else stays as it is.
+        """Reloads the addresses of discovery and of the quota service (SIGHUP); other settings stay.
 
-        Sessions, connections and all that is remembered go on. A file that is broken or half written leaves
-        the old configuration in force; one that the machine can't open for now is tried again.
+        Sessions, connections and state are kept. If the file is invalid, the old configuration stays in use;
+        if it temporarily can't be opened, the reload is retried.
         """
         try:
             config = self._host.reload_config()
@@ -182,7 +182,9 @@
                 self._dispatcher.deadlines.add(retry_ns, self.reload, attempts - 1)
                 self._dispatcher.wake()
                 return
-            self._log.line(f"reload rejected: {' '.join(str(err).split())}; the old configuration stands")
+            self._log.line(
+                f"reload rejected: {' '.join(str(err).split())}; the old configuration stays in use"
+            )
             return
         self._dispatcher.counters.reloads += 1
         self._config.discovery = config.discovery
@@ -193,11 +195,11 @@
 
 
 def apply_initial_list(config: Config, source: EndpointWatcher | ColdStart) -> bool:
-    """Hands the endpoint list that the start was given to who begins with it; False where there is none.
+    """Passes the cached endpoint list of the configuration to `source`; returns False if there is none.
 
-    It is taken out of the configuration: as JSON it takes more memory than all that is made of it.
+    Removes it from the configuration, as decoded JSON takes more memory than the resulting endpoints.
     """
-    known = config.initial_list
+    initial_list = config.initial_list
     config.initial_list = {}
-    source.begin(known)
-    return bool(known.get("endpoints"))
+    source.begin(initial_list)
+    return bool(initial_list.get("endpoints"))
--- a/zincstile/net/shutdown.py
+++ b/zincstile/net/shutdown.py
@@ -1,7 +1,7 @@
-"""Graceful shutdown: serve on while clients come, answer what is left, and end within a bound.
+"""Graceful shutdown: keeps serving while clients come, answers open requests, and ends within a bound.
 
-Guards against a balancer that goes on sending to a gateway until it finds it dead, and against ending with a
-request unanswered.
+Guards against a balancer that keeps sending to a gateway until a health check fails, and against ending with
+unanswered requests.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class GracefulShutdown:
-    """Ends one process. Owns whether it was told to stop, and `ended`."""
+    """Shuts down one process. Owns whether shutdown has begun, and the future `ended`."""
 
     def __init__(
         self,
@@ -32,7 +32,7 @@
         limits: Limits,
         administration: Administration | None,
     ) -> None:
-        """limits: of the configuration; two processes that share theirs drain by the same times."""
+        """limits: those of the configuration; two processes that share limits use the same drain times."""
         self._dispatcher = dispatcher
         self._listener = listener
         self._peers = peers
@@ -43,10 +43,10 @@
         self._begun_ns = 0
 
     def begin(self) -> None:
-        """Stops the process; a second call changes nothing.
+        """Begins the shutdown; does nothing if it has begun.
 
-        Serves on while clients come, as long as what they ask can still be answered; then answers what is
-        left, and ends.
+        Keeps serving while clients come and their requests can still be answered; then answers the open
+        requests and ends.
         """
         if self.begun:
             return
@@ -62,7 +62,7 @@
         self._drain_clients()
         end_ns = now_ns + self._limits.shutdown_ns
         deadlines = self._dispatcher.deadlines
-        deadlines.add(end_ns - self._limits.drain_margin_ns, self._fail_rest)
+        deadlines.add(end_ns - self._limits.drain_margin_ns, self._fail_open_requests)
         deadlines.add(end_ns, self._end)
         self._dispatcher.wake()
 
@@ -72,29 +72,29 @@
             return
         handover = self._administration.handover
         if handover.successor_ready:
-            self._leave_to_successor()
+            self._hand_over_to_successor()
         else:
-            handover.on_successor_ready = self._leave_to_successor  # it may yet say that it is ready
+            handover.on_successor_ready = self._hand_over_to_successor  # it may still become ready
             self._shut_if_quiet(None)
 
-    def _leave_to_successor(self) -> None:
-        """Leaves the shared listening socket, and what is in its queue, to a new process that takes clients.
+    def _hand_over_to_successor(self) -> None:
+        """Leaves the shared listening socket and its accept queue to a new process that is ready.
 
-        Each connection is closed once no answer is owed on it. Guards against a gap where SIGTERM comes
-        before the new process is ready.
+        Closes each connection once its requests are answered. Called only when the new one is ready, which
+        guards against refused connections if SIGTERM comes before that.
         """
         if self._administration is not None:
             self._administration.handover.on_successor_ready = None
         if self._listener.closing:
             return
         self._listener.shut_down(accept_queued=False)
-        self._peers.close()  # else what peers send to the address goes to one of both processes, by chance
+        self._peers.close()  # else peers' datagrams reach either process at random
         self._end_if_empty(None)
 
     def _shut_if_quiet(self, _: object) -> None:
-        """Closes the listening socket once no call came for a while, or the time to drain is over."""
+        """Closes the listening socket once no request came for a while, or the drain time is over."""
         if self._listener.closing:
-            return  # left to a successor meanwhile
+            return  # a successor has taken over meanwhile
         limits = self._limits
         quiet_ns = self._listener.last_request_ns + limits.drain_quiet_ns
         shut_ns = min(self._begun_ns + limits.drain_ns, quiet_ns)
@@ -104,16 +104,16 @@
             self._listener.shut_down()
             self._end_if_empty(None)
 
-    def _fail_rest(self, _: object) -> None:
-        """Answers what is left as failed, however long its client would wait, and takes nothing more: it
-        could not be answered before the end."""
+    def _fail_open_requests(self, _: object) -> None:
+        """Fails all open requests, whatever their deadlines, and rejects new ones: they could not be answered
+        before the process ends."""
         self._listener.rejects_all = True
         for session in list(self._dispatcher.sessions.values()):
             if self._dispatcher.finish(session, FAILED):
                 self._dispatcher.post(RequestAbandoned(session.id))
 
     def _end_if_empty(self, _: object) -> None:
-        self._listener.close_idle()  # also those that came last and ask nothing
+        self._listener.close_idle()  # includes new connections without a request
         if self._listener.is_empty:
             self._end(None)
         else:
--- a/zincstile/serve.py
+++ b/zincstile/serve.py
@@ -1,4 +1,4 @@
-"""One real gateway from its start to its end, configured by the environment (RELAY_CONFIG and its like)."""
+"""Runs one real gateway, configured by the environment (RELAY_CONFIG and other RELAY_ variables)."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 
 
 def serve() -> int:
-    """Runs a gateway until it is told to stop; returns the exit code of the process.
+    """Runs a gateway until it is stopped; returns the exit code of the process.
 
-    0: it was stopped; 1: the machine refused what it needs, such as an address; 2: the configuration can't be
-    used.
+    0: it was stopped; 1: a system call failed at the start, such as binding an address; 2: the configuration
+    is invalid.
     """
     early_signals = _collect_early_signals()
-    # The gateway speaks no TLS. asyncio does without `ssl` where there is none, which spares each start a
-    # twelfth of its CPU and the process 1.3 MB. Commands keep it: their libraries may want it.
+    # The gateway uses no TLS, and asyncio works without `ssl`. Blocking its import saves a twelfth of the CPU
+    # of each start and 1.3 MB. Commands don't block it, as their libraries may need it.
     sys.modules["ssl"] = None  # type: ignore[assignment]
 
     import asyncio
@@ -28,11 +28,11 @@
 
     async def run(config: Config) -> None:
         gateway = Gateway(config, asyncio.get_running_loop())
-        gc.freeze()  # what is built by now lives until the end: no collection has to look at it
+        gc.freeze()  # objects built so far live until the end: excludes them from collections
         await gateway.lifecycle.run(early_signals)
 
     def make_loop() -> asyncio.AbstractEventLoop:
-        """Makes the event loop; tries again where the machine lacks descriptors for a moment."""
+        """Creates the event loop; retries while the machine lacks descriptors."""
         for _ in range(MOST_ATTEMPTS):
             try:
                 return asyncio.new_event_loop()
@@ -56,10 +56,10 @@
 
 
 def _collect_early_signals() -> list[int]:
-    """Keeps the signals that come before the event loop handles them; returns the list that they are put in.
+    """Records the signals received before the event loop handles them; returns the list that collects them.
 
-    Done before anything that takes time: guards a start against a reload, whose signal would end it. The
-    reload is carried out later, as the file that was read may be older than the signal.
+    Called before anything that takes time, since an unhandled SIGHUP would end the process. The reload is
+    carried out later, as the configuration may have been read before the signal.
     """
     early_signals: list[int] = []
     for number in (signal.SIGHUP, signal.SIGUSR1):
