--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -42,7 +42,7 @@
 
     def send(self, backend, number=b"1", gateway="g0"):
         attempt = self.checker.attempt_started(gateway, backend, number, self.now)
-        self.checker.attempt_complete(number, attempt)
+        self.checker.attempt_completed(number, attempt)
 
     def arrive(self, backend, number=b"1", gateway="g0", work=0):
         self.checker.attempt_received(backend, number, self.checker.histories[number].key, gateway, work)
@@ -199,7 +199,7 @@
 
 
 def test_a_cold_backend_is_sent_no_more_than_it_can_do_by_all_together(bench):
-    cold = bench.checker.cold
+    cold = bench.checker.cold_starts
     cold.backend_started("b1", 7, lambda: 0.25, lambda: False)
     for number in range(4):
         bench.ask(b"%d" % number, line=number)
@@ -213,7 +213,7 @@
 
 
 def test_a_gateway_that_does_not_know_of_a_start_breaks_no_rule(bench):
-    bench.checker.cold.backend_started("b1", 7, lambda: 0.25, lambda: False)
+    bench.checker.cold_starts.backend_started("b1", 7, lambda: 0.25, lambda: False)
     bench.ask()
     bench.arrive("b1", work=5 * SECOND)
     assert bench.broken == []
@@ -223,7 +223,7 @@
     """12 calls of 125 ms may come in 3 s: under 30 these are 12 + 3 x root of 12 + 3, 25.4; 48 calls are 48 +
     2 x root of 48 + 2, 63.9. A fall is nobody's fault where a third or more came from gateways that did not
     know of the start."""
-    cold = bench.checker.cold
+    cold = bench.checker.cold_starts
     cold.backend_started("b1", 7, lambda: 0.25, lambda: False)
     bench.checker.gateway_notified("g0", "b1", "Ready", 7)
     for _ in range(10):
@@ -242,7 +242,7 @@
 
 
 def test_work_of_long_ago_weighs_no_more(bench):
-    bench.checker.cold.backend_started("b1", 7, lambda: 0.25, lambda: False)
+    bench.checker.cold_starts.backend_started("b1", 7, lambda: 0.25, lambda: False)
     bench.checker.gateway_notified("g0", "b1", "Ready", 7)
     bench.ask(b"1", wait=9000)
     bench.ask(b"2", wait=9000, line=2)
@@ -270,9 +270,9 @@
 def test_what_no_client_asked_and_what_is_left_over(bench):
     unknown = bench.checker.attempt_started("g0", "b1", b"77", 0)
     assert unknown is None and bench.broken == ["foreign"]
-    bench.checker.check_leftovers("g0", {"sessions": 0, "attempts": 0})
+    bench.checker.check_resources_released("g0", {"sessions": 0, "attempts": 0})
     assert bench.broken == ["foreign"]
-    bench.checker.check_leftovers("g0", {"sessions": 2, "attempts": 0})
+    bench.checker.check_resources_released("g0", {"sessions": 2, "attempts": 0})
     assert bench.checker.violations[-1].text == "g0 holds at the end: 2 sessions"
     bench.checker.check_descriptors("g1", 65, 64)
     assert len(bench.broken) == 2  # one violation of a rule for each request, here none
@@ -280,7 +280,7 @@
 
 def test_more_calls_at_a_cold_backend_than_the_standing_test_allows_are_named(bench):
     """12 calls are allowed, 25.4 with chance: the 26th of notified gateways is one too many."""
-    bench.checker.cold.backend_started("b1", 7, lambda: 0.25, lambda: False)
+    bench.checker.cold_starts.backend_started("b1", 7, lambda: 0.25, lambda: False)
     bench.checker.gateway_notified("g0", "b1", "Ready", 7)
     for number in range(25):
         bench.ask(b"%d" % number, wait=9000, line=number)
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -101,7 +101,7 @@
 
 
 def test_status_is_yes_only_when_ready_and_not_in_standby():
-    state = OperatorState(listed={"s-a"})
+    state = OperatorState(listed_names={"s-a"})
     assert state.handle(Request("GET", "/status", b""), ready=False).status == 503
     assert state.handle(Request("GET", "/status", b""), ready=True).status == 200
     assert state.handle(post("/standby"), ready=True).change is OperatorChange.STANDBY
@@ -111,7 +111,7 @@
 
 
 def test_maintenance_out_repeated_is_harmless_and_one_call_back_ends_it():
-    state = OperatorState(listed={"s-a", "s-b"})
+    state = OperatorState(listed_names={"s-a", "s-b"})
     for _ in range(3):
         reply = state.handle(post("/maintenance/enter", b"s-a\n"), ready=True)
         assert (reply.status, reply.change, reply.name) == (200, OperatorChange.MAINTENANCE_ENTER, "s-a")
@@ -124,7 +124,7 @@
 
 @pytest.mark.parametrize("body, status", [(b"s-never", 404), (b"", 400), (b"s-a s-b", 400), (b"\xff", 400)])
 def test_an_id_never_listed_or_no_id_is_a_no(body, status):
-    state = OperatorState(listed={"s-a", "s-b"})
+    state = OperatorState(listed_names={"s-a", "s-b"})
     reply = state.handle(post("/maintenance/enter", body), ready=True)
     assert reply.status == status and reply.change is OperatorChange.NONE and not state.under_maintenance
 
@@ -143,7 +143,7 @@
 
 
 def test_a_ban_by_another_process_is_taken_where_it_is_newer():
-    state = OperatorState(listed={"s-a"})
+    state = OperatorState(listed_names={"s-a"})
     assert state.adopt({"s-a"}, 3) == ({"s-a"}, set())
     assert state.adopt(set(), 2) == (set(), set())  # older: ignored
     assert state.adopt(set(), 4) == (set(), {"s-a"})
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -177,10 +177,10 @@
     bench.ask(wait=1000)
     bench.at(300)
     one = bench.checker.attempt_started("g0", "b1", b"1", bench.now)
-    bench.checker.attempt_complete(b"1", one, 850)
+    bench.checker.attempt_completed(b"1", one, 850)
     assert bench.broken == []
     one = bench.checker.attempt_started("g0", "b2", b"1", bench.now)
-    bench.checker.attempt_complete(b"1", one, 851)
+    bench.checker.attempt_completed(b"1", one, 851)
     assert bench.broken == ["deadline"]
 
 
@@ -189,7 +189,7 @@
     bench.ask(wait=1000)
     bench.at(450)
     one = bench.checker.attempt_started("g0", "b1", b"1", bench.now)
-    bench.checker.attempt_complete(b"1", one, 990)
+    bench.checker.attempt_completed(b"1", one, 990)
     assert bench.broken == []
 
 
@@ -219,7 +219,7 @@
 def test_what_waited_for_a_process_may_be_answered_late_or_never_and_only_that(bench):
     bench.ask(wait=100)
     bench.ask(b"2", wait=100, line=2, gateway="g1")
-    bench.checker.excuse_gateway("g0")
+    bench.checker.waive_answer_deadlines("g0")
     bench.at(100).request_answered(b"2", "failed", b"")
     bench.at(500).request_answered(b"1", "failed", b"")
     bench.ask(b"3", wait=100, line=3)
--- a/tests/test_throng.py
+++ b/tests/test_throng.py
@@ -34,7 +34,7 @@
     found = run.play()  # the house's own rule is narrower than the term, and tested elsewhere
     assert found.breach is None, found.breach.text
     assert found.tally["served"] > 100
-    assert 0.2 < run.checker.cold.calls.peak_ratio <= 1
+    assert 0.2 < run.checker.cold_starts.calls.peak_ratio <= 1
 
 
 def test_what_servers_did_that_drain_is_not_taken_for_what_those_left_can_do():
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -202,10 +202,10 @@
 
 def test_a_close_goes_out_before_the_send_after_it():
     reply, number = codec.Reply(4), int.from_bytes(BACKEND, "little")
-    reply.add(3, CloseIdleConnections(number))
-    reply.add(3, ForwardRequest(9, number, 77))
-    size, count, batch = struct.unpack_from("<III", reply.data())
+    reply.add_action(3, CloseIdleConnections(number))
+    reply.add_action(3, ForwardRequest(9, number, 77))
+    size, count, batch = struct.unpack_from("<III", reply.encode())
     assert (count, batch) == (3, 4)
-    body = reply.data()[12:]
+    body = reply.encode()[12:]
     assert len(body) == size
     assert body == b"\x50\x03\x00" + b"\x3c" + BACKEND + struct.pack("<BIQ", 10, 9, 77) + BACKEND
--- a/zincstile/admin/handover.py
+++ b/zincstile/admin/handover.py
@@ -21,7 +21,7 @@
     apart_ns            `discovery_offset_ns`: what the writer adds to discovery's times to have them on its
                         monotonic clock.
     boot, written_ns, written_monotonic_ns
-                        `written`: when the file was written.
+                        `written_at`: when the file was written.
     back                The same as `back_age_ns` in Unix time, for versions that know no more.
 
 A file that no process has written for `stale_ns` is stale: its writers are gone long ago, and operators may
@@ -53,7 +53,7 @@
 
     gateway: str  # the name of the gateway whose processes share the file
     version: int
-    written: Timestamp
+    written_at: Timestamp
     under_maintenance: frozenset[str]
     ready_process: str = ""
     returned_age_ns: dict[str, int] = field(default_factory=dict)  # as of the writing
@@ -62,19 +62,19 @@
 
 def encode(handover: Handover) -> bytes:
     """Returns the bytes of the file."""
-    written = handover.written
-    returned_unix_ns = {name: written.unix_ns - age for name, age in handover.returned_age_ns.items()}
+    written_at = handover.written_at
+    returned_unix_ns = {name: written_at.unix_ns - age for name, age in handover.returned_age_ns.items()}
     return json.dumps(
         {
             "form": FORM,
             "gateway": handover.gateway,
             "version": handover.version,
-            "written_ns": written.unix_ns,
+            "written_ns": written_at.unix_ns,
             "banned": sorted(handover.under_maintenance),
             "ready_by": handover.ready_process,
             "back": returned_unix_ns,
-            "boot": written.boot_id,
-            "written_monotonic_ns": written.monotonic_ns,
+            "boot": written_at.boot_id,
+            "written_monotonic_ns": written_at.monotonic_ns,
             "back_age_ns": handover.returned_age_ns,
             "apart_ns": handover.discovery_offset_ns,
         }
@@ -89,8 +89,8 @@
     """
     table = _parse(data)
     _check_names(table, gateway)
-    written = _written(table)
-    age_ns = _age_ns(written, now, modified_ns)
+    written_at = _written_at(table)
+    age_ns = _age_ns(written_at, now, modified_ns)
     if age_ns > stale_ns:
         raise HandoverError(f"key written_ns: stale, {age_ns / NS_PER_S:.0f} s old")
     if not isinstance(table.get("ready_by", ""), str):
@@ -101,11 +101,11 @@
     return Handover(
         gateway=table["gateway"],
         version=table["version"],
-        written=written,
+        written_at=written_at,
         under_maintenance=frozenset(table["banned"]),
         ready_process=table.get("ready_by", ""),
         returned_age_ns=_returned_age_ns(table),
-        discovery_offset_ns=discovery_offset_ns if now.same_boot(written) else None,
+        discovery_offset_ns=discovery_offset_ns if now.same_boot(written_at) else None,
     )
 
 
@@ -135,14 +135,14 @@
     return isinstance(name, str) and bool(name) and not any(char.isspace() for char in name)
 
 
-def _age_ns(written: Timestamp, now: Timestamp, modified_ns: int) -> int:
+def _age_ns(written_at: Timestamp, now: Timestamp, modified_ns: int) -> int:
     """Returns how long ago a running process wrote the file, or dated it."""
-    if now.same_boot(written) and written.monotonic_ns <= modified_ns <= now.monotonic_ns:
+    if now.same_boot(written_at) and written_at.monotonic_ns <= modified_ns <= now.monotonic_ns:
         return now.monotonic_ns - modified_ns
-    return now.elapsed_since_ns(written)
+    return now.elapsed_since_ns(written_at)
 
 
-def _written(table: dict[str, Any]) -> Timestamp:
+def _written_at(table: dict[str, Any]) -> Timestamp:
     """Returns when the file was written; by the wall clock alone where an earlier version wrote it."""
     boot_id = table.get("boot", "")
     monotonic_ns = table.get("written_monotonic_ns", 0)
--- a/zincstile/admin/operator_state.py
+++ b/zincstile/admin/operator_state.py
@@ -84,7 +84,9 @@
 
     standby: bool = False
     under_maintenance: set[str] = field(default_factory=set)
-    listed: Container[str] = field(default_factory=set)  # names that discovery gives, or gave not long ago
+    listed_names: Container[str] = field(
+        default_factory=set
+    )  # names that discovery gives, or gave not long ago
     zones: Collection[str] = ()  # those that an operator may name; none where zones are not chosen in common
     describe_zones: Callable[[], str] = str  # the routing weights between zones, as text
     version: int = 0  # of `under_maintenance`; counts on across processes, so that the newest wins
@@ -138,7 +140,7 @@
 
     def _change_maintenance(self, name: str, *, enter: bool) -> OperatorReply:
         """Enters or exits maintenance; what holds already is answered with a yes, and is no new version."""
-        if name not in self.listed and name not in self.under_maintenance:
+        if name not in self.listed_names and name not in self.under_maintenance:
             return OperatorReply(Status.NOT_FOUND, f"{name} was never listed")
         if enter != (name in self.under_maintenance):
             self.version += 1
--- a/zincstile/checkers/checker.py
+++ b/zincstile/checkers/checker.py
@@ -55,7 +55,7 @@
         self.counts = CheckerCounts()
         self.drains = Drains(limits)
         self.maintenance = Maintenance(limits)
-        self.cold = ColdStarts(limits)
+        self.cold_starts = ColdStarts(limits)
         self.ceilings = Ceilings(limits)
         self.quotas = quotas
         self._clock = clock
@@ -184,7 +184,7 @@
             _, history.disconnected_ns = self._clock()
         self.request_voided(request_id)
 
-    def excuse_gateway(self, gateway: str) -> None:
+    def waive_answer_deadlines(self, gateway: str) -> None:
         """The gateway's machine took connections while no process of it ran.
 
         What was asked meanwhile may be answered late, or never.
@@ -239,7 +239,7 @@
         if late_ns > 0:
             self.report_violation(Rule.DRAIN, f"{sent} {late_ns / MS_NS:.1f} ms after the grace", history)
 
-    def attempt_complete(self, request_id: bytes, attempt: Attempt, timeout_ms: int = 0) -> None:
+    def attempt_completed(self, request_id: bytes, attempt: Attempt, timeout_ms: int = 0) -> None:
         """Check an attempt whose last byte has left the gateway: from here on it may have run.
 
         `timeout_ms`: the client's remaining time, as the backend is given it.
@@ -301,12 +301,12 @@
     def _check_cold_start(
         self, history: RequestHistory, now_ns: int, backend: str, gateway: str, work_ns: int
     ) -> None:
-        before = self.cold.calls.peak_ratio
-        excess_ns = self.cold.call_received(now_ns, backend, gateway, work_ns)
+        before = self.cold_starts.calls.peak_ratio
+        excess_ns = self.cold_starts.call_received(now_ns, backend, gateway, work_ns)
         if excess_ns > 0:
             text = f"{backend} was sent {excess_ns / MS_NS:.0f} ms of work more than it can do"
             self.report_violation(Rule.COLD, text, history)
-        ratio = self.cold.calls.peak_ratio
+        ratio = self.cold_starts.calls.peak_ratio
         if ratio > max(1.0, before):
             text = f"{backend} was sent {ratio:.2f} times the calls that it can do"
             self.report_violation(Rule.COLD_CALLS, text, history)
@@ -343,14 +343,14 @@
         _, now_ns = self._clock()
         self.counts.notifications += 1
         self.drains.gateway_notified(now_ns, gateway, backend, status)
-        self.cold.gateway_notified(gateway, backend, since_ms)
+        self.cold_starts.gateway_notified(gateway, backend, since_ms)
 
     def gateway_started(self, gateway: str) -> None:
         """A process of the gateway starts."""
         _, now_ns = self._clock()
         self.ended_gateways.pop(gateway, None)
         self.drains.gateway_started(now_ns, gateway)
-        self.cold.gateway_started(gateway)
+        self.cold_starts.gateway_started(gateway)
         self.record_event(f"{gateway} started")
 
     def gateway_paused(self, gateway: str, pause_ns: int) -> None:
@@ -379,7 +379,7 @@
                 self.report_violation(Rule.ANSWER, "no answer in its time", history)
         return bool(self.violations)
 
-    def check_leftovers(self, gateway: str, held: dict[str, int]) -> None:
+    def check_resources_released(self, gateway: str, held: dict[str, int]) -> None:
         """Check that a gateway holds nothing when nothing is asked of it any more; counts by name."""
         found = ", ".join(f"{count} {name}" for name, count in held.items() if count)
         if found:
--- a/zincstile/cli/demo.py
+++ b/zincstile/cli/demo.py
@@ -48,7 +48,7 @@
         """An attempt has come to a backend: it counts as sent and as read whole at that moment."""
         one = self.checker.attempt_started(gateway, box, request, time.monotonic_ns())
         if one is not None:
-            self.checker.attempt_complete(request, one)
+            self.checker.attempt_completed(request, one)
         self.checker.attempt_received(box, request, key, gateway, work_ns)
 
 
--- a/zincstile/net/administration.py
+++ b/zincstile/net/administration.py
@@ -42,7 +42,7 @@
         self._listener = listener
         self._table = table
         self._is_stopping = is_stopping
-        self.state = OperatorState(listed=table)
+        self.state = OperatorState(listed_names=table)
         if describe_zones is not None:
             self.state.zones = config.zones
             self.state.describe_zones = lambda: describe_zones(dispatcher.now_ns())
@@ -77,7 +77,7 @@
         found = self.handover.found
         if found is None:
             return
-        elapsed_ns = self._host.timestamp().elapsed_since_ns(found.written)
+        elapsed_ns = self._host.timestamp().elapsed_since_ns(found.written_at)
         self._table.restore_returned(
             {name: age_ns + elapsed_ns for name, age_ns in found.returned_age_ns.items()}
         )
--- a/zincstile/net/handover_file.py
+++ b/zincstile/net/handover_file.py
@@ -196,7 +196,7 @@
         return Handover(
             gateway=self._gateway,
             version=self._state.version,
-            written=now,
+            written_at=now,
             under_maintenance=frozenset(self._state.under_maintenance),
             ready_process=self._ready_process,
             returned_age_ns={name: max(0, now.monotonic_ns - at_ns) for name, at_ns in returned.items()},
--- a/zincstile/scale/surroundings.py
+++ b/zincstile/scale/surroundings.py
@@ -202,7 +202,7 @@
         checker.add_backend(entry.name, self.fleet.zones.index(entry.zone), entry.group)
         if cold:
             self.probe.cold.began(entry.name, self.budget(self._clock()))
-            checker.cold.backend_started(
+            checker.cold_starts.backend_started(
                 entry.name, entry.since_ms, backend.capacity, lambda: backend.warmth() >= 1
             )
 
--- a/zincstile/serialization/typed_json.py
+++ b/zincstile/serialization/typed_json.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from .errors import FileError, split_place
+from .errors import FileError, split_location
 
 Record = TypeVar("Record")
 
@@ -32,7 +32,7 @@
     except OSError as err:
         raise FileError(f"{path}: {err.strerror}") from None
     except msgspec.ValidationError as err:
-        reason, place = split_place(str(err))
+        reason, place = split_location(str(err))
         raise FileError(f"{path}: {place or f'not a result of {source}'}: {reason}") from None
     except (msgspec.DecodeError, UnicodeDecodeError) as err:
         raise FileError(f"{path}: not JSON: {err}") from None
--- a/zincstile/serialization/typed_yaml.py
+++ b/zincstile/serialization/typed_yaml.py
@@ -12,7 +12,7 @@
 import msgspec
 import yaml
 
-from .errors import FileError, split_place
+from .errors import FileError, split_location
 
 Record = TypeVar("Record")
 
@@ -41,7 +41,7 @@
     try:
         return msgspec.convert(value, kind)
     except msgspec.ValidationError as err:
-        reason, place = split_place(str(err))
+        reason, place = split_location(str(err))
         raise FileError(f"{path}:{_line_of(node, place)}: {place or '$'}: {reason}") from None
 
 
--- a/zincstile/simulation/observation.py
+++ b/zincstile/simulation/observation.py
@@ -49,7 +49,7 @@
             return
         if self._attempt is not None:
             timeout_ms = codec.forwarded_timeout_ms(arguments)
-            self.checker.attempt_complete(arguments[2], self._attempt, timeout_ms)
+            self.checker.attempt_completed(arguments[2], self._attempt, timeout_ms)
         self._attempt = None
 
 
--- a/zincstile/simulation/places.py
+++ b/zincstile/simulation/places.py
@@ -172,7 +172,7 @@
         watch.until(zone, begin, end, True),
         watch.until(zone, end, LAST_MS / 1000 - SPAN_S, False),
         changes,
-        run.checker.cold.peak_ratio,
+        run.checker.cold_starts.peak_ratio,
     )
 
 
--- a/zincstile/simulation/run.py
+++ b/zincstile/simulation/run.py
@@ -170,7 +170,7 @@
         for node in self.nodes:
             self.check_process(node)
             if node.process.alive and not node.stopping:
-                self.checker.check_leftovers(node.name, leftovers(node, self.scheduler.now_ns))
+                self.checker.check_resources_released(node.name, leftovers(node, self.scheduler.now_ns))
 
     def _result(self) -> Result:
         checker = self.checker
@@ -188,7 +188,7 @@
             breach=checker.violations[0] if checker.violations else None,
             tally=tally,
             nearest={
-                "cold": round(checker.cold.peak_ratio, 4),
+                "cold": round(checker.cold_starts.peak_ratio, 4),
                 "ceiling": round(checker.ceilings.peak_ratio, 4),
                 "quota": round(checker.quotas.peak_ratio, 4) if checker.quotas else 0.0,
             },
--- a/zincstile/simulation/shared_trials.py
+++ b/zincstile/simulation/shared_trials.py
@@ -110,7 +110,7 @@
     quotas = run.checker.quotas
     minute = max(
         (
-            -s.lowest_level / (quotas.stated[plan].burst + 60 * quotas.stated[plan].rate)
+            -s.lowest_level / (quotas.bounded_quotas[plan].burst + 60 * quotas.bounded_quotas[plan].rate)
             for (plan, _), s in quotas.customers.items()
         ),
         default=0.0,
@@ -120,10 +120,10 @@
         failure,
         seed,
         f"{result.breach.rule}: {result.breach.text}" if result.breach else "",
-        quotas.worst_excess,
+        quotas.max_excess,
         quotas.peak_ratio,
-        quotas.sent,
-        quotas.ideal,
+        quotas.sent_units,
+        quotas.ideal_units,
         result.tally.get("served", 0),
         sent,
         minute,
--- a/zincstile/simulation/starts.py
+++ b/zincstile/simulation/starts.py
@@ -184,7 +184,7 @@
         max(0, counts.snapshots - before) / len(killed),
         most_in(watch.sent, back, back + 2) / boxes,
         int(opened / boxes * 100) / 100,  # type: ignore[arg-type]
-        run.checker.cold.peak_ratio,
+        run.checker.cold_starts.peak_ratio,
         served,
         result.tally.get("failed", 0),
     )
--- a/zincstile/simulation/virtual_backends.py
+++ b/zincstile/simulation/virtual_backends.py
@@ -75,7 +75,9 @@
             name, f"{host}:{port}", traffic.ZONES[zone], "std", group, "Ready", 1.0, since_ms
         )
         self.checker.add_backend(name, zone, group)
-        self.checker.cold.backend_started(name, since_ms, emulator.capacity, lambda: emulator.warmth() >= 1)
+        self.checker.cold_starts.backend_started(
+            name, since_ms, emulator.capacity, lambda: emulator.warmth() >= 1
+        )
         self.backends[name] = Backend(entry, process, emulator, host, port, zone, model)
         return self.backends[name]
 
--- a/zincstile/simulator/adapter.py
+++ b/zincstile/simulator/adapter.py
@@ -12,10 +12,10 @@
 
 
 def _handle(policies: dict[int, Policy], now: int, instance: int, event: Any) -> list[Action]:
-    if isinstance(event, codec.Open):
+    if isinstance(event, codec.InstanceOpened):
         policies[instance] = Policy(event.settings, event.seed)
         return policies[instance].handle(now, Started())
-    if isinstance(event, codec.Stop):
+    if isinstance(event, codec.InstanceStopped):
         policies.pop(instance, None)
         return []
     if instance not in policies:
@@ -40,10 +40,10 @@
         for instance, event in codec.read_records(body, count):
             try:
                 for action in _handle(policies, now, instance, event):
-                    reply.add(instance, action)
+                    reply.add_action(instance, action)
             except Exception as err:
-                reply.fault(instance, f"{type(err).__name__}: {err}")
-        sink.write(reply.data())
+                reply.add_fault(instance, f"{type(err).__name__}: {err}")
+        sink.write(reply.encode())
         sink.flush()
 
 
--- a/zincstile/simulator/codec.py
+++ b/zincstile/simulator/codec.py
@@ -81,7 +81,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Open:
+class InstanceOpened:
     """A new instance: its seed and settings."""
 
     seed: int
@@ -89,7 +89,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Stop:
+class InstanceStopped:
     """The instance is dead."""
 
 
@@ -129,9 +129,9 @@
     return list(reader.take(struct.Struct(f"<{count}f")))
 
 
-def _open(reader: _RecordReader) -> Open:
+def _open(reader: _RecordReader) -> InstanceOpened:
     seed, size = reader.take(OPEN)
-    return Open(seed, read_settings(reader.raw(size)))
+    return InstanceOpened(seed, read_settings(reader.raw(size)))
 
 
 def _list(reader: _RecordReader) -> EndpointList:
@@ -206,7 +206,7 @@
     70: _list,
     30: _request,
     120: _peer,
-    110: lambda _: Stop(),
+    110: lambda _: InstanceStopped(),
     40: _outcome,
     100: _stream,
     80: _health_check,
@@ -275,13 +275,13 @@
         self.count = 0
         self.instance = -1
 
-    def fault(self, instance: int, text: str) -> None:
+    def add_fault(self, instance: int, text: str) -> None:
         """An event of this instance could not be handled."""
         self._for(instance)
         data = text.encode()[:MAX_FAULT_BYTES]
         self._put(struct.pack("<BH", FAULT_REPLY, len(data)) + data)
 
-    def add(self, instance: int, action: Action) -> None:
+    def add_action(self, instance: int, action: Action) -> None:
         """An action of this instance; TypeError for one that the simulator doesn't know."""
         self._for(instance)
         if isinstance(action, SendGossip):
@@ -293,7 +293,7 @@
             raise TypeError(f"no such action: {action!r}")
         self._put(encode(action))
 
-    def data(self) -> bytes:
+    def encode(self) -> bytes:
         """The frame of the reply."""
         body = b"".join(self.parts)
         return REPLY.pack(len(body), self.count, self.number) + body
--- a/zincstile/testbed/emulated.py
+++ b/zincstile/testbed/emulated.py
@@ -79,7 +79,7 @@
         since = int(time.time() * 1000) if cold else 0
         entry = EndpointEntry(name, "", traffic.ZONES[zone], "std", group, "Ready", 1.0, since)
         self.checker.add_backend(name, zone, group)
-        self.checker.cold.backend_started(name, since, box.capacity, lambda: box.warmth() >= 1)
+        self.checker.cold_starts.backend_started(name, since, box.capacity, lambda: box.warmth() >= 1)
         self.backends[name] = Backend(entry, box, proxy, zone, model, number)
         return self.backends[name]
 
--- a/zincstile/testbed/gateways.py
+++ b/zincstile/testbed/gateways.py
@@ -76,7 +76,7 @@
         node.starts += 1
         node.stopping, node.may_die = False, bool(node.shim.get(Knob.KILL_IN_WRITE))
         if node.socket is not None:  # the platform's: it has taken connections on
-            self.checker.excuse_gateway(node.name)
+            self.checker.waive_answer_deadlines(node.name)
         self.checker.gateway_started(node.name)
         node.program = self._start_program(node)
 
--- a/zincstile/testbed/probe.py
+++ b/zincstile/testbed/probe.py
@@ -103,11 +103,11 @@
     def request_sent(self, request: Any) -> None:
         """Counts what one all-seeing store would let in of it."""
         quotas = self.checker.quotas
-        before = quotas.ideal if quotas else 0.0
+        before = quotas.ideal_units if quotas else 0.0
         self.checker.request_sent(request)
         if quotas:
             second = self._second()
-            self.series.best[second] = self.series.best.get(second, 0.0) + quotas.ideal - before
+            self.series.best[second] = self.series.best.get(second, 0.0) + quotas.ideal_units - before
 
     def request_answered(self, request_id: bytes, kind: str, value: bytes) -> None:
         """Counts the answer by its kind."""
@@ -214,7 +214,7 @@
                     self.gateway, self.backend, arguments[2], self._first_ns
                 )
             if complete and self._attempt is not None:
-                self.probe.checker.attempt_complete(
+                self.probe.checker.attempt_completed(
                     arguments[2], self._attempt, codec.forwarded_timeout_ms(arguments)
                 )
                 self._attempt = None
--- a/zincstile/testbed/summary.py
+++ b/zincstile/testbed/summary.py
@@ -27,8 +27,8 @@
         tally=_tally(run),
         plans=_plans(run),
         nearest={
-            "cold": round(checker.cold.peak_ratio, 4),
-            "cold_calls": round(checker.cold.calls.peak_ratio, 4),
+            "cold": round(checker.cold_starts.peak_ratio, 4),
+            "cold_calls": round(checker.cold_starts.calls.peak_ratio, 4),
             "ceiling": round(checker.ceilings.peak_ratio, 4),
             "quota": round(checker.quotas.peak_ratio, 4),
         },
