--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,3 +1,5 @@
+"""The adapter to the simulator: its frames, its settings and its gossip datagrams."""
+
 from __future__ import annotations
 
 import json
@@ -60,12 +62,12 @@
 BACKEND = bytes([10, 18, 74, 7]) + struct.pack("<H", 7003)
 
 
-def frame(*records, now=10**9, number=1):
+def frame(*records, now=10**9, frame_number=1):
     body = b"".join(records)
-    return struct.pack("<QIII", now, len(body), len(records), number) + body
+    return struct.pack("<QIII", now, len(body), len(records), frame_number) + body
 
 
-def opening(settings=None):
+def opening_records(settings=None):
     text = json.dumps(SETTINGS if settings is None else settings).encode()
     entry = BACKEND + struct.pack("<BHHBfQ", 0, 0, 0, 1, 1.0, 0)
     return [
@@ -75,115 +77,121 @@
     ]
 
 
-def knock(rid=9, plan=0):
-    return struct.pack("<BIHIQQfffB", 30, rid, 0, plan, 77, 5 * 10**9, 2.0, 2.0, 0.0, 1)
+def request_record(request_id=9, plan=0):
+    return struct.pack("<BIHIQQfffB", 30, request_id, 0, plan, 77, 5 * 10**9, 2.0, 2.0, 0.0, 1)
 
 
-def run(data):
+def run_adapter(data):
     command = [sys.executable, "-m", "zincstile.simulator.adapter"]
     return subprocess.run(command, input=data, capture_output=True, cwd=ROOT, timeout=60)
 
 
-def bad(data):
-    done = run(data)
-    text = done.stderr.decode()
-    assert done.returncode != 0 and len(text.splitlines()) == 1 and "Traceback" not in text
+def run_expecting_error(data):
+    result = run_adapter(data)
+    text = result.stderr.decode()
+    assert result.returncode != 0 and len(text.splitlines()) == 1 and "Traceback" not in text
     return text
 
 
-def test_end_of_input_is_a_clean_exit():
-    done = run(b"")
-    assert done.returncode == 0 and done.stdout == b"" and done.stderr == b""
+def test_end_of_file_gives_exit_code_0():
+    result = run_adapter(b"")
+    assert result.returncode == 0 and result.stdout == b"" and result.stderr == b""
 
 
-def test_an_empty_batch_gets_an_empty_reply():
-    done = run(frame(number=5))
-    assert done.returncode == 0 and done.stdout == struct.pack("<III", 0, 0, 5)
+def test_empty_frame_gets_an_empty_reply():
+    result = run_adapter(frame(frame_number=5))
+    assert result.returncode == 0 and result.stdout == struct.pack("<III", 0, 0, 5)
 
 
-def test_a_request_is_sent_on():
-    done = run(frame(*opening(), knock()))
-    assert done.returncode == 0
-    assert struct.pack("<BI", 10, 9) in done.stdout and BACKEND in done.stdout
+def test_request_is_forwarded():
+    result = run_adapter(frame(*opening_records(), request_record()))
+    assert result.returncode == 0
+    assert struct.pack("<BI", 10, 9) in result.stdout and BACKEND in result.stdout
 
 
-def test_malformed_frames_end_the_adapter():
-    whole = frame(*opening(), knock())
-    assert "header" in bad(whole[:7])
-    assert "body" in bad(whole[:-3])
-    assert "unknown record code 99" in bad(frame(struct.pack("<BH", 90, 3), b"\x63"))
-    assert "cut short" in bad(frame(struct.pack("<BH", 90, 3), b"\x1e\x01"))
-    assert "instance" in bad(frame(knock()))
+def test_malformed_frame_ends_the_adapter_with_one_error_line():
+    frame_bytes = frame(*opening_records(), request_record())
+    assert "header" in run_expecting_error(frame_bytes[:7])
+    assert "body" in run_expecting_error(frame_bytes[:-3])
+    assert "unknown record code 99" in run_expecting_error(frame(struct.pack("<BH", 90, 3), b"\x63"))
+    assert "truncated record" in run_expecting_error(frame(struct.pack("<BH", 90, 3), b"\x1e\x01"))
+    assert "instance" in run_expecting_error(frame(request_record()))
 
 
 @pytest.mark.parametrize("key", ["balancers", "classes", "plans", "limits", "obligations", "discovery"])
-def test_settings_that_lack_a_key_end_the_adapter(key):
-    assert key in bad(frame(*opening({k: v for k, v in SETTINGS.items() if k != key})))
+def test_settings_without_a_required_key_end_the_adapter(key):
+    assert key in run_expecting_error(
+        frame(*opening_records({k: v for k, v in SETTINGS.items() if k != key}))
+    )
 
 
-def test_unusable_settings_end_the_adapter():
-    assert "settings" in bad(frame(*opening(SETTINGS | {"ordinal": "x"})))
-    assert "me" in bad(frame(*opening(SETTINGS | {"ordinal": 7})))
+def test_invalid_settings_end_the_adapter():
+    assert "settings" in run_expecting_error(frame(*opening_records(SETTINGS | {"ordinal": "x"})))
+    assert "me" in run_expecting_error(frame(*opening_records(SETTINGS | {"ordinal": 7})))
     with pytest.raises(settings_codec.WireError):
         settings_codec.read_settings(b"{")
     with pytest.raises(settings_codec.WireError):
         settings_codec.read_settings(b"[1]")
 
 
-def test_an_exception_in_the_module_becomes_a_fault_record():
-    done = run(frame(*opening(), knock(plan=44)))
-    assert done.returncode == 0 and b"IndexError" in done.stdout
+def test_exception_in_the_policy_becomes_a_fault_record():
+    result = run_adapter(frame(*opening_records(), request_record(plan=44)))
+    assert result.returncode == 0 and b"IndexError" in result.stdout
 
 
-def test_peer_messages_survive_the_trip_and_damage_is_dropped():
-    shares = [
+def test_gossip_round_trips_and_a_damaged_datagram_is_dropped():
+    usages = [
         CustomerUsage(
             2**33 - k, 0, 12.5 + k, -1.25, k, requested_units=-2.5, query_id=65535 - k, is_answer=k % 2 == 0
         )
         for k in range(40)
     ]
-    figures, doubts = [0.5, 2.0, 1024.0], [ErrorSample(2**16 - 1, 5, 1.0), ErrorSample(7, 0, 0.0)]
-    messages = gossip_codec.encode_gossip(SendGossip(2, 4_000_000_000, shares, figures, doubts))
-    assert all(len(m) <= 256 for m in messages)
-    back = [gossip_codec.decode_gossip(2, m) for m in messages]
-    assert [s for b in back for s in b.usages] == shares
-    assert [x for b in back for x in b.estimates] == figures and [
-        d for b in back for d in b.error_samples
-    ] == doubts
-    for at in range(len(messages[0])):
-        hurt = bytearray(messages[0])
-        hurt[at] ^= 0x41
-        told = gossip_codec.decode_gossip(2, bytes(hurt))
-        assert told is None
+    estimates, samples = [0.5, 2.0, 1024.0], [ErrorSample(2**16 - 1, 5, 1.0), ErrorSample(7, 0, 0.0)]
+    datagrams = gossip_codec.encode_gossip(SendGossip(2, 4_000_000_000, usages, estimates, samples))
+    assert all(len(d) <= 256 for d in datagrams)
+    decoded = [gossip_codec.decode_gossip(2, d) for d in datagrams]
+    assert [usage for message in decoded for usage in message.usages] == usages
+    assert [estimate for message in decoded for estimate in message.estimates] == estimates and [
+        sample for message in decoded for sample in message.error_samples
+    ] == samples
+    for offset in range(len(datagrams[0])):
+        damaged = bytearray(datagrams[0])
+        damaged[offset] ^= 0x41
+        result = gossip_codec.decode_gossip(2, bytes(damaged))
+        assert result is None
     assert (
-        gossip_codec.decode_gossip(2, b"") is None and gossip_codec.decode_gossip(2, messages[0][:-1]) is None
+        gossip_codec.decode_gossip(2, b"") is None
+        and gossip_codec.decode_gossip(2, datagrams[0][:-1]) is None
     )
-    old = struct.pack("<BIH", 0xB7, 1, 0)
-    assert gossip_codec.decode_gossip(2, old) is None
+    older_layout = struct.pack("<BIH", 0xB7, 1, 0)
+    assert gossip_codec.decode_gossip(2, older_layout) is None
 
 
-def test_settings_name_the_field_that_cannot_work():
-    ok = settings_codec.read_settings(json.dumps(SETTINGS).encode())
+def test_invalid_settings_error_names_the_field():
+    valid = settings_codec.read_settings(json.dumps(SETTINGS).encode())
     with pytest.raises(ValueError, match="classes"):
-        Settings(gateway_index=0, gateway_count=1, classes=[], plans=ok.plans)
+        Settings(gateway_index=0, gateway_count=1, classes=[], plans=valid.plans)
     with pytest.raises(ValueError, match="me"):
-        Settings(gateway_index=3, gateway_count=3, classes=ok.classes, plans=ok.plans)
+        Settings(gateway_index=3, gateway_count=3, classes=valid.classes, plans=valid.plans)
     with pytest.raises(ValueError, match="rate"):
-        Settings(gateway_index=0, gateway_count=1, classes=ok.classes, plans=[CustomerPlan("p", rate=-1.0)])
+        Settings(
+            gateway_index=0, gateway_count=1, classes=valid.classes, plans=[CustomerPlan("p", rate=-1.0)]
+        )
 
 
-@pytest.mark.parametrize("figure", [float("nan"), float("inf"), -1.0])
-def test_settings_refuse_figures_that_are_none(figure):
-    ok = settings_codec.read_settings(json.dumps(SETTINGS).encode())
-    spec = vars_of(ok.classes[0])
+@pytest.mark.parametrize("invalid_number", [float("nan"), float("inf"), -1.0])
+def test_settings_reject_nan_infinite_and_negative_numbers(invalid_number):
+    valid = settings_codec.read_settings(json.dumps(SETTINGS).encode())
+    fields = field_values(valid.classes[0])
+    # The errors name a field as it was called in earlier versions.
     for name, key in (
         ("latency_objective_ns", "aim_ns"),
         ("priority_weight", "worth"),
         ("late_weight", "late_worth"),
-    ):  # errors have the names of before
+    ):
         with pytest.raises(ValueError, match=key):
-            classes = [RequestClass(**(spec | {name: figure}))]
-            Settings(gateway_index=0, gateway_count=1, plans=ok.plans, classes=classes)
+            classes = [RequestClass(**(fields | {name: invalid_number}))]
+            Settings(gateway_index=0, gateway_count=1, plans=valid.plans, classes=classes)
     for name, key in (
         ("gossip_in_per_s", "peer_in_per_s"),
         ("max_request_units", "largest_units"),
@@ -193,19 +201,25 @@
         ("max_attempts", "max_attempts"),
     ):
         with pytest.raises(ValueError, match=key):
-            Settings(gateway_index=0, gateway_count=1, plans=ok.plans, classes=ok.classes, **{name: figure})
+            Settings(
+                gateway_index=0,
+                gateway_count=1,
+                plans=valid.plans,
+                classes=valid.classes,
+                **{name: invalid_number},
+            )
 
 
-def vars_of(record):
+def field_values(record):
     return {key: getattr(record, key) for key in record.__dataclass_fields__}
 
 
-def test_a_close_goes_out_before_the_send_after_it():
-    reply, number = codec.Reply(4), int.from_bytes(BACKEND, "little")
-    reply.add_action(3, CloseIdleConnections(number))
-    reply.add_action(3, ForwardRequest(9, number, 77))
-    size, count, batch = struct.unpack_from("<III", reply.encode())
-    assert (count, batch) == (3, 4)
+def test_reply_keeps_the_order_of_actions():
+    reply, endpoint = codec.Reply(4), int.from_bytes(BACKEND, "little")
+    reply.add_action(3, CloseIdleConnections(endpoint))
+    reply.add_action(3, ForwardRequest(9, endpoint, 77))
+    size, count, frame_number = struct.unpack_from("<III", reply.encode())
+    assert (count, frame_number) == (3, 4)
     body = reply.encode()[12:]
     assert len(body) == size
     assert body == b"\x50\x03\x00" + b"\x3c" + BACKEND + struct.pack("<BIQ", 10, 9, 77) + BACKEND
--- a/zincstile/admin/__init__.py
+++ b/zincstile/admin/__init__.py
@@ -1,4 +1,4 @@
-"""Operators' state, pure: the HTTP/1.1 requests of operators, the state they change, and its hand-over file.
+"""Operator state: parsing of admin HTTP/1.1 requests, the state they change, and the hand-over file format.
 
 No module here does I/O or reads a clock; `net/admin_endpoint` and `net/handover_file` do both.
 """
--- a/zincstile/admin/handover.py
+++ b/zincstile/admin/handover.py
@@ -1,32 +1,33 @@
-"""The hand-over file's content: what one process of a gateway leaves for the next, and for the one beside it
-during an upgrade. No I/O: the bytes of the file, and their reading.
+"""The hand-over file: state that a gateway process passes to its successor, and to the process that runs
+beside it during an upgrade. Encodes and decodes the file's bytes; does no I/O.
 
-The file is JSON, written whole under another name and renamed, so that it is read whole or not at all:
+The file is JSON. It is written to a temporary name and renamed, so that a reader never sees a partial file:
 
     {"form": 1, "gateway": "n3", "version": 7, "written_ns": 1796152608043000000, "banned": ["s-5be2a07c"],
      "ready_by": "8c1f30d27a5be964", "back": {"s-0c4419f2": 1796152599000000000},
      "boot": "0f5b...", "written_monotonic_ns": 91834000000000,
      "back_age_ns": {"s-0c4419f2": 9043000000}, "apart_ns": -1796060774043000000}
 
-The keys are stored data and stay as they are. Each with its field here:
+The keys are stored data and must not change. Each key, with its field in `Handover`:
 
-    version             `version`: of the maintenance state; the newest wins.
+    version             `version`: version of the maintenance state; the highest wins.
     banned              `under_maintenance`: names of the backend servers under maintenance.
-    ready_by            `ready_process`: the process that said last that it takes clients, by its seed, which
-                        is new with each start. An old process on SIGTERM learns by it whether a new one has
-                        taken over the socket they share.
-    back_age_ns         `returned_age_ns`: servers back from maintenance that discovery has not announced as
-                        started since, and how long before the writing they came back: they warm up from
-                        then, in a new process too.
-    apart_ns            `discovery_offset_ns`: what the writer adds to discovery's times to have them on its
+    ready_by            `ready_process`: the process that most recently announced that it accepts clients,
+                        identified by its seed, which is new at each start. A process that gets SIGTERM reads
+                        it to learn whether a new process has taken over the shared socket.
+    back_age_ns         `returned_age_ns`: servers that returned from maintenance and that discovery has not
+                        announced as started since, with the time from their return to the writing of the
+                        file. Their slow start counts from their return, in a new process too.
+    apart_ns            `discovery_offset_ns`: what the writer adds to a discovery time to get a time on its
                         monotonic clock.
     boot, written_ns, written_monotonic_ns
                         `written_at`: when the file was written.
-    back                The same as `back_age_ns` in Unix time, for versions that know no more.
+    back                The times of return as Unix time, for older versions, which don't read `back_age_ns`.
 
-A file that no process has written for `stale_ns` is stale: its writers are gone long ago, and operators may
-have forgotten what they asked for as well. Each running process writes it anew well within that time
-(`net/handover_file`). Ages go by the monotonic clock: a step of the wall clock is no time that has passed.
+A file that no process has written for `stale_ns` is stale and is rejected: the processes that wrote it ended
+long ago, and operators may have forgotten their requests. Each running process rewrites it well within that
+time (`net/handover_file`). Ages are measured on the monotonic clock, so that a step of the wall clock does
+not count as elapsed time.
 """
 
 from __future__ import annotations
@@ -37,36 +38,36 @@
 
 from .timestamp import Timestamp
 
-FORM: Final = 1  # of the file; a file of another form is not read
+FORMAT_VERSION: Final = 1  # the value of the key `form`; a file with another value is rejected
 NS_PER_S: Final = 1e9
 
 REQUIRED_KEYS: Final = (("gateway", str), ("version", int), ("written_ns", int), ("banned", list))
 
 
 class HandoverError(ValueError):
-    """A file that is spoilt, of another gateway, or stale; the text says which, and at which key."""
+    """The file is malformed, stale, or of another gateway; the message names the key."""
 
 
 @dataclass(frozen=True, slots=True)
 class Handover:
-    """The file's content."""
+    """The content of the hand-over file."""
 
-    gateway: str  # the name of the gateway whose processes share the file
+    gateway: str  # name of the gateway whose processes share the file
     version: int
     written_at: Timestamp
     under_maintenance: frozenset[str]
     ready_process: str = ""
-    returned_age_ns: dict[str, int] = field(default_factory=dict)  # as of the writing
-    discovery_offset_ns: int | None = None  # None: not known, or of another run of the machine
+    returned_age_ns: dict[str, int] = field(default_factory=dict)  # at `written_at`
+    discovery_offset_ns: int | None = None  # None if unknown, or written before the last reboot
 
 
 def encode(handover: Handover) -> bytes:
-    """Returns the bytes of the file."""
+    """Returns the content of the file as bytes."""
     written_at = handover.written_at
     returned_unix_ns = {name: written_at.unix_ns - age for name, age in handover.returned_age_ns.items()}
     return json.dumps(
         {
-            "form": FORM,
+            "form": FORMAT_VERSION,
             "gateway": handover.gateway,
             "version": handover.version,
             "written_ns": written_at.unix_ns,
@@ -82,22 +83,22 @@
 
 
 def decode(data: bytes, gateway: str, now: Timestamp, stale_ns: int, modified_ns: int = 0) -> Handover:
-    """Reads the bytes of the file; raises HandoverError where they can't be trusted.
+    """Decodes the bytes of the file; raises HandoverError if it is malformed, stale or of another gateway.
 
-    modified_ns: the file's own date. Where it lies between the writing and now on the monotonic clock, a
-    running process put it there (`Host.touch`).
+    modified_ns: the file's modification time. A running process that can't rewrite the file sets it to its
+    monotonic clock (`Host.touch`), so it counts if it lies between `written_at` and `now` on that clock.
     """
     table = _parse(data)
     _check_names(table, gateway)
     written_at = _written_at(table)
     age_ns = _age_ns(written_at, now, modified_ns)
     if age_ns > stale_ns:
-        raise HandoverError(f"key written_ns: stale, {age_ns / NS_PER_S:.0f} s old")
+        raise HandoverError(f"key written_ns: the file is stale, {age_ns / NS_PER_S:.0f} s old")
     if not isinstance(table.get("ready_by", ""), str):
-        raise HandoverError("key ready_by: not a string")
+        raise HandoverError("key ready_by: must be a string")
     discovery_offset_ns = table.get("apart_ns")
     if discovery_offset_ns is not None and type(discovery_offset_ns) is not int:
-        raise HandoverError("key apart_ns: not a whole number")
+        raise HandoverError("key apart_ns: must be an integer")
     return Handover(
         gateway=table["gateway"],
         version=table["version"],
@@ -110,25 +111,25 @@
 
 
 def _parse(data: bytes) -> dict[str, Any]:
-    """Returns the file's object with all keys that it must have, each of its type."""
+    """Parses the JSON object; raises HandoverError if a required key is missing or has the wrong type."""
     try:
         table = json.loads(data)
     except (ValueError, RecursionError):
-        raise HandoverError("not JSON") from None
-    if not isinstance(table, dict) or table.get("form") != FORM:
-        raise HandoverError("key form: not 1")
-    for key, kind in REQUIRED_KEYS:
-        if not isinstance(table.get(key), kind) or isinstance(table.get(key), bool):
-            raise HandoverError(f"key {key}: missing or not a {kind.__name__}")
+        raise HandoverError("the file is not valid JSON") from None
+    if not isinstance(table, dict) or table.get("form") != FORMAT_VERSION:
+        raise HandoverError("key form: must be 1")
+    for key, expected_type in REQUIRED_KEYS:
+        if not isinstance(table.get(key), expected_type) or isinstance(table.get(key), bool):
+            raise HandoverError(f"key {key}: required, of type {expected_type.__name__}")
     return table
 
 
 def _check_names(table: dict[str, Any], gateway: str) -> None:
-    """Refuses another gateway's file, and names that no backend server can have."""
+    """Rejects the file of another gateway, and names that are not valid for a backend server."""
     if table["gateway"] != gateway:
-        raise HandoverError(f"key gateway: {table['gateway']!r} is another gateway's")
+        raise HandoverError(f"key gateway: the file belongs to another gateway, {table['gateway']!r}")
     if table["version"] < 0 or not all(_is_name(name) for name in table["banned"]):
-        raise HandoverError("key banned: not a list of names")
+        raise HandoverError("keys version, banned: must be 0 or more, and a list of names without spaces")
 
 
 def _is_name(name: object) -> bool:
@@ -136,39 +137,39 @@
 
 
 def _age_ns(written_at: Timestamp, now: Timestamp, modified_ns: int) -> int:
-    """Returns how long ago a running process wrote the file, or dated it."""
+    """Returns the time since a running process last wrote the file or set its modification time."""
     if now.same_boot(written_at) and written_at.monotonic_ns <= modified_ns <= now.monotonic_ns:
         return now.monotonic_ns - modified_ns
     return now.elapsed_since_ns(written_at)
 
 
 def _written_at(table: dict[str, Any]) -> Timestamp:
-    """Returns when the file was written; by the wall clock alone where an earlier version wrote it."""
+    """Returns when the file was written; a file of an older version has the wall clock time only."""
     boot_id = table.get("boot", "")
     monotonic_ns = table.get("written_monotonic_ns", 0)
     if not isinstance(boot_id, str):
-        raise HandoverError("key boot: not a string")
+        raise HandoverError("key boot: must be a string")
     if type(monotonic_ns) is not int:
-        raise HandoverError("key written_monotonic_ns: not a whole number")
+        raise HandoverError("key written_monotonic_ns: must be an integer")
     return Timestamp(monotonic_ns, table["written_ns"], boot_id)
 
 
 def _returned_age_ns(table: dict[str, Any]) -> dict[str, int]:
-    """Returns the ages; in a file of an earlier version, from times by the wall clock that wrote it.
+    """Returns the ages; for a file of an older version, computes them from its wall clock times.
 
-    A time that lies behind the writing by a step of that clock counts as just now.
+    A time after `written_ns`, as a step of the wall clock can cause, gives the age 0.
     """
     returned_unix_ns = table.get("back", {})
-    if not _is_map_of_counts(returned_unix_ns):
-        raise HandoverError("key back: not names and times")
+    if not _is_map_of_non_negative_integers(returned_unix_ns):
+        raise HandoverError("key back: must map names to Unix times in nanoseconds")
     ages: dict[str, int] | None = table.get("back_age_ns")
     if ages is None:
-        return {name: max(0, table["written_ns"] - at_ns) for name, at_ns in returned_unix_ns.items()}
-    if not _is_map_of_counts(ages):
-        raise HandoverError("key back_age_ns: not names and ages")
+        return {name: max(0, table["written_ns"] - unix_ns) for name, unix_ns in returned_unix_ns.items()}
+    if not _is_map_of_non_negative_integers(ages):
+        raise HandoverError("key back_age_ns: must map names to ages in nanoseconds")
     return ages
 
 
-def _is_map_of_counts(value: object) -> bool:
-    """Tells whether a value is an object whose members are whole numbers from 0 up."""
-    return isinstance(value, dict) and all(type(count) is int and count >= 0 for count in value.values())
+def _is_map_of_non_negative_integers(value: object) -> bool:
+    """Returns whether the value is a JSON object with integer values of at least 0."""
+    return isinstance(value, dict) and all(type(number) is int and number >= 0 for number in value.values())
--- a/zincstile/admin/http.py
+++ b/zincstile/admin/http.py
@@ -1,9 +1,9 @@
-"""HTTP/1.1 as a server for one request a connection, no I/O: a bounded parser of the request, fed in pieces,
-and the encoder of its response (RFC 9112: request line, header fields, a body by Content-Length).
+"""HTTP/1.1 server codec for one request per connection, without I/O: an incremental request parser with
+limits, and a response encoder (RFC 9112: request line, header fields, a body framed by Content-Length).
 
-A request that breaks the syntax or a bound raises `RequestError` with the status of its response; nothing
-after it is read. Chunked bodies are rejected with 411: an operator's request holds one name at most, and a
-parser of chunks is a second place for faults that no caller needs.
+A request that is malformed or exceeds a limit raises `RequestError` with the response status; the rest of the
+connection is not read. Chunked bodies are rejected with 411: a request holds at most one name, so no client
+needs them, and a chunk parser would be one more source of defects.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class Status(IntEnum):
-    """The statuses that the admin endpoint answers with (RFC 9110, section 15)."""
+    """Status codes that the admin endpoint returns (RFC 9110, section 15)."""
 
     OK = 200
     BAD_REQUEST = 400
@@ -45,28 +45,28 @@
     Status.VERSION_NOT_SUPPORTED: "HTTP Version Not Supported",
 }
 
-# Bytes of a token (RFC 9110, section 5.6.2): of a method, and of a field's name.
+# Bytes allowed in a token, such as a method or a field name (RFC 9110, section 5.6.2).
 TOKEN_BYTES: Final = frozenset(
     b"!#$%&'*+-.^_`|~0123456789ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz"
 )
-VERSIONS: Final = (b"HTTP/1.1", b"HTTP/1.0")
-FIRST_VISIBLE_BYTE: Final = 0x21  # of ASCII; a path holds visible bytes alone
+SUPPORTED_VERSIONS: Final = (b"HTTP/1.1", b"HTTP/1.0")
+FIRST_VISIBLE_BYTE: Final = 0x21  # a path may contain visible ASCII characters only
 LAST_VISIBLE_BYTE: Final = 0x7E
-LENGTH_DIGITS: Final = 9  # of a Content-Length; more is past any bound
+MAX_LENGTH_DIGITS: Final = 9  # of a Content-Length; a longer number exceeds any limit
 
 
 class RequestError(ValueError):
-    """A request that can't be answered as asked; `status` is the one of its response."""
+    """The request is malformed or exceeds a limit; `status` is the status of the response."""
 
     def __init__(self, status: Status, reason: str) -> None:
-        """reason: the text of the response."""
+        """reason: the body of the response."""
         super().__init__(reason)
         self.status = status
 
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """A complete request; its header fields are of no use to what answers it."""
+    """A complete request, without its header fields, which no handler needs."""
 
     method: str
     path: str
@@ -75,15 +75,15 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestLimits:
-    """What a request may be at most."""
+    """Maximum sizes of a request."""
 
-    line_bytes: int = 1024
-    header_lines: int = 32
-    body_bytes: int = 1024
+    max_line_bytes: int = 1024
+    max_header_lines: int = 32
+    max_body_bytes: int = 1024
 
 
 class RequestParser:
-    """Parses one request, fed in pieces of any size."""
+    """Parses one request incrementally, from chunks of any size."""
 
     __slots__ = (
         "limits",
@@ -97,7 +97,7 @@
     )
 
     def __init__(self, limits: RequestLimits | None = None) -> None:
-        """Takes the usual limits where none are given."""
+        """limits: the defaults of `RequestLimits` if None."""
         self.limits = limits or RequestLimits()
         self._buffer = bytearray()
         self._method = ""
@@ -108,9 +108,9 @@
         self._request: Request | None = None
 
     def feed(self, data: bytes) -> Request | None:
-        """Takes the next bytes; returns the request once it is complete, else None.
+        """Consumes the next bytes; returns the request once it is complete, else None.
 
-        Raises RequestError. One request a connection: what comes behind it is not read.
+        Raises RequestError. Bytes after the request are ignored: a connection carries one request only.
         """
         if self._request is not None:
             return self._request
@@ -126,12 +126,12 @@
         return self._request
 
     def _take_line(self) -> bytes | None:
-        """Takes a line without its end out of the buffer; None where it is not complete."""
+        """Removes the next line from the buffer and returns it without its line end; None if incomplete."""
         end = self._buffer.find(b"\n")
         length = end if end >= 0 else len(self._buffer)
-        if length > self.limits.line_bytes:
+        if length > self.limits.max_line_bytes:
             status = Status.HEADERS_TOO_LARGE if self._method else Status.BAD_REQUEST
-            raise RequestError(status, "too long a line")
+            raise RequestError(status, "a line exceeds the length limit")
         if end < 0:
             return None
         line = bytes(self._buffer[:end])
@@ -141,7 +141,7 @@
     def _parse_head_line(self, line: bytes) -> None:
         if not self._method:
             if not line and not self._header_lines:
-                self._header_lines += 1  # one empty line before the request line is ignored (RFC 9112, 2.2)
+                self._header_lines += 1  # ignores one empty line before the request line (RFC 9112, 2.2)
                 return
             self._parse_request_line(line)
         elif line:
@@ -152,46 +152,48 @@
     def _parse_request_line(self, line: bytes) -> None:
         parts = line.split(b" ")
         if len(parts) != 3:
-            raise RequestError(Status.BAD_REQUEST, "not a request line")
+            raise RequestError(Status.BAD_REQUEST, "malformed request line")
         method, path, version = parts
         if not method or not set(method) <= TOKEN_BYTES or not path.startswith(b"/"):
-            raise RequestError(Status.BAD_REQUEST, "not a request line")
-        if version not in VERSIONS:
-            other_version = version.startswith(b"HTTP/")
-            status = Status.VERSION_NOT_SUPPORTED if other_version else Status.BAD_REQUEST
-            raise RequestError(status, "not HTTP/1.1")
+            raise RequestError(Status.BAD_REQUEST, "malformed request line")
+        if version not in SUPPORTED_VERSIONS:
+            is_http = version.startswith(b"HTTP/")
+            status = Status.VERSION_NOT_SUPPORTED if is_http else Status.BAD_REQUEST
+            raise RequestError(status, "unsupported HTTP version; expected HTTP/1.0 or HTTP/1.1")
         if any(not FIRST_VISIBLE_BYTE <= byte <= LAST_VISIBLE_BYTE for byte in path):
-            raise RequestError(Status.BAD_REQUEST, "a path with a byte that no path has")
+            raise RequestError(Status.BAD_REQUEST, "the path contains an invalid byte")
         self._method = method.decode()
         self._path = path.decode()
 
     def _parse_header_line(self, line: bytes) -> None:
         self._header_lines += 1
-        if self._header_lines > self.limits.header_lines:
+        if self._header_lines > self.limits.max_header_lines:
             raise RequestError(Status.HEADERS_TOO_LARGE, "too many header lines")
         name, colon, value = line.partition(b":")
         if not colon or not name or not set(name) <= TOKEN_BYTES:
-            raise RequestError(Status.BAD_REQUEST, "not a header line")
+            raise RequestError(Status.BAD_REQUEST, "malformed header line")
         name = name.lower()
         if name == b"transfer-encoding":
-            raise RequestError(Status.LENGTH_REQUIRED, "a body in chunks")
+            raise RequestError(
+                Status.LENGTH_REQUIRED, "Transfer-Encoding is not supported; send Content-Length"
+            )
         if name == b"content-length":
-            self._take_content_length(value.strip(b" \t"))
+            self._parse_content_length(value.strip(b" \t"))
 
-    def _take_content_length(self, value: bytes) -> None:
-        """Takes the length of the body; a second one has to be the same."""
-        if not value.isdigit() or len(value) > LENGTH_DIGITS:
-            raise RequestError(Status.BAD_REQUEST, "a length that is no length")
+    def _parse_content_length(self, value: bytes) -> None:
+        """Parses Content-Length; a repeated header must have the same value."""
+        if not value.isdigit() or len(value) > MAX_LENGTH_DIGITS:
+            raise RequestError(Status.BAD_REQUEST, "invalid Content-Length")
         length = int(value)
         if self._content_length is not None and length != self._content_length:
-            raise RequestError(Status.BAD_REQUEST, "a length that is no length")
+            raise RequestError(Status.BAD_REQUEST, "conflicting Content-Length headers")
         self._content_length = length
-        if length > self.limits.body_bytes:
-            raise RequestError(Status.CONTENT_TOO_LARGE, "too long a body")
+        if length > self.limits.max_body_bytes:
+            raise RequestError(Status.CONTENT_TOO_LARGE, "the body exceeds the length limit")
 
 
 def encode_response(status: Status, text: str = "") -> bytes:
-    """Returns a whole response, which ends the connection."""
+    """Returns a complete response, which announces that the connection will be closed."""
     body = (text + "\n").encode() if text else b""
     head = (
         f"HTTP/1.1 {status.value} {REASON_PHRASES[status]}\r\nContent-Type: text/plain\r\n"
--- a/zincstile/admin/operator_state.py
+++ b/zincstile/admin/operator_state.py
@@ -1,9 +1,9 @@
-"""What operators have asked for: standby or active, and the backend servers under maintenance.
+"""State set by operators: standby or active, and the backend servers under maintenance.
 
-No I/O, no clock. `OperatorState.handle` answers one request of the admin endpoint and says what changes; the
-network code carries that out. Maintenance is by the name that discovery gives a backend server (`name` in its
-list), the same at every gateway. A name that was never listed gets a 404: maintenance of a misspelled name
-would stand for nothing and be trusted.
+No I/O, no clock. `OperatorState.handle` answers one admin request and returns the change, which the network
+code applies. Maintenance goes by the name of a backend server in discovery's list (`name`), which is the same
+at every gateway. A name that was never listed gets a 404: otherwise an operator who misspelled a name would
+believe that the server is under maintenance.
 """
 
 from __future__ import annotations
@@ -17,16 +17,16 @@
 
 
 class OperatorChange(Enum):
-    """What a request changes, for the network code to carry out."""
+    """The change that a request makes, applied by the network code."""
 
     NONE = 0
-    STANDBY = 1  # PING fails, connections are closed once no answer is owed on them
-    ACTIVE = 2  # takes clients again
-    MAINTENANCE_ENTER = 3  # the backend server counts as draining, whatever discovery says
-    MAINTENANCE_EXIT = 4  # what discovery says of it holds again
-    ZONE_DRAIN = 5  # no zone sends there any more, but its own gateways' retries
-    ZONE_HOLD = 6  # its state stays as it is
-    ZONE_RELEASE = 7  # neither holds any more
+    STANDBY = 1  # PING fails; client connections are closed once no answer is pending on them
+    ACTIVE = 2  # accepts clients again
+    MAINTENANCE_ENTER = 3  # the backend server counts as draining, whatever discovery reports
+    MAINTENANCE_EXIT = 4  # the state that discovery reports applies again
+    ZONE_DRAIN = 5  # the zone gets no more requests, except retries of its own gateways
+    ZONE_HOLD = 6  # the state of the zone is frozen
+    ZONE_RELEASE = 7  # ends a drain or a hold
 
 
 STATUS_PATH: Final = "/status"
@@ -44,7 +44,7 @@
     MAINTENANCE_EXIT_PATH: "POST",
 }
 
-# Known only where zones are chosen in common.
+# Available only with zone failover, where the gateways choose zones together.
 ZONE_CHANGES: Final = {
     "/place/drain": OperatorChange.ZONE_DRAIN,
     "/place/hold": OperatorChange.ZONE_HOLD,
@@ -55,12 +55,12 @@
 
 @dataclass(frozen=True, slots=True)
 class OperatorReply:
-    """The answer to one request, and what it changes."""
+    """The response to one request, and the change that it makes."""
 
     status: Status
     text: str
     change: OperatorChange = OperatorChange.NONE
-    name: str = ""  # of the backend server or zone that the change is about
+    name: str = ""  # of the backend server or zone that changes
 
 
 class MaintenanceChange(NamedTuple):
@@ -71,38 +71,37 @@
 
 
 class InvalidNameError(ValueError):
-    """A request's body that is not one name; the text says why."""
+    """The request body is not exactly one name; the message says why."""
 
 
 @dataclass(slots=True)
 class OperatorState:
-    """Owns `standby` and `under_maintenance`, from the start of a process to its end.
+    """Owns `standby` and `under_maintenance`, for the lifetime of a process.
 
-    Maintenance survives a restart and an upgrade by the hand-over file (`handover`). Standby doesn't: a new
-    process is started to take clients.
+    Maintenance survives restarts and upgrades through the hand-over file (`handover`). Standby doesn't: a new
+    process is started to accept clients.
     """
 
     standby: bool = False
     under_maintenance: set[str] = field(default_factory=set)
-    listed_names: Container[str] = field(
-        default_factory=set
-    )  # names that discovery gives, or gave not long ago
-    zones: Collection[str] = ()  # those that an operator may name; none where zones are not chosen in common
-    describe_zones: Callable[[], str] = str  # the routing weights between zones, as text
-    version: int = 0  # of `under_maintenance`; counts on across processes, so that the newest wins
+    # In the endpoint list of discovery now, or until recently.
+    listed_names: Container[str] = field(default_factory=set)
+    zones: Collection[str] = ()  # that operators may name; empty without zone failover
+    describe_zones: Callable[[], str] = str  # describes the routing weights between zones
+    version: int = 0  # of `under_maintenance`; carried on by the next process, so that the highest wins
 
     def handle(self, request: Request, *, ready: bool) -> OperatorReply:
         """Answers one request; 404 for an unknown path, 405 for a known path with another method.
 
-        ready: the process takes clients (it listens, and has an endpoint list).
+        ready: whether the process accepts clients (it listens and has an endpoint list).
         """
         path = request.path.split("?", 1)[0]
         methods = METHODS | ZONE_METHODS if self.zones else METHODS
         method = methods.get(path)
         if method is None:
-            return OperatorReply(Status.NOT_FOUND, "no such call")
+            return OperatorReply(Status.NOT_FOUND, "no such path")
         if request.method != method:
-            return OperatorReply(Status.METHOD_NOT_ALLOWED, f"{path} takes {method}")
+            return OperatorReply(Status.METHOD_NOT_ALLOWED, f"{path} requires the method {method}")
         if path == STATUS_PATH:
             return self._status(ready=ready)
         if path == ZONES_PATH:
@@ -123,7 +122,7 @@
         return OperatorReply(Status.OK, self.describe())
 
     def _change_named(self, path: str, body: bytes) -> OperatorReply:
-        """Answers a request whose body names a zone or a backend server."""
+        """Handles a request whose body names a zone or a backend server."""
         try:
             name = _read_name(body)
         except InvalidNameError as err:
@@ -134,14 +133,14 @@
 
     def _change_zone(self, path: str, name: str) -> OperatorReply:
         if name not in self.zones:
-            return OperatorReply(Status.NOT_FOUND, f"no zone is called {name}")
+            return OperatorReply(Status.NOT_FOUND, f"unknown zone {name}")
         verb = path.rpartition("/")[2]
         return OperatorReply(Status.OK, f"{name} {verb}", ZONE_CHANGES[path], name)
 
     def _change_maintenance(self, name: str, *, enter: bool) -> OperatorReply:
-        """Enters or exits maintenance; what holds already is answered with a yes, and is no new version."""
+        """Enters or exits maintenance; a repeated request succeeds and leaves the version as it is."""
         if name not in self.listed_names and name not in self.under_maintenance:
-            return OperatorReply(Status.NOT_FOUND, f"{name} was never listed")
+            return OperatorReply(Status.NOT_FOUND, f"{name} was never in the endpoint list of discovery")
         if enter != (name in self.under_maintenance):
             self.version += 1
         if enter:
@@ -153,7 +152,7 @@
         return OperatorReply(Status.OK, f"{name} back", OperatorChange.MAINTENANCE_EXIT, name)
 
     def adopt(self, under_maintenance: set[str], version: int) -> MaintenanceChange:
-        """Takes what another process of this gateway was asked for, where it is newer."""
+        """Adopts the maintenance state of another process of this gateway if its version is higher."""
         if version <= self.version:
             return MaintenanceChange(set(), set())
         entered = under_maintenance - self.under_maintenance
@@ -163,18 +162,18 @@
         return MaintenanceChange(entered, exited)
 
     def describe(self) -> str:
-        """Returns the text of a `/status` that is answered with a yes."""
+        """Returns the response body of a successful `/status`."""
         if not self.under_maintenance:
             return "active"
         return f"active; maintenance: {' '.join(sorted(self.under_maintenance))}"
 
 
 def _read_name(body: bytes) -> str:
-    """Returns the name that a body holds; raises InvalidNameError where there is none, or more than one."""
+    """Returns the name in a request body; raises InvalidNameError unless it is exactly one ASCII name."""
     try:
         name = body.decode("ascii").strip()
     except UnicodeDecodeError:
-        raise InvalidNameError("an id that is not ASCII") from None
+        raise InvalidNameError("the name must be ASCII") from None
     if not name or any(char.isspace() for char in name):
-        raise InvalidNameError("no id, or more than one")
+        raise InvalidNameError("the body must hold exactly one name")
     return name
--- a/zincstile/admin/timestamp.py
+++ b/zincstile/admin/timestamp.py
@@ -1,4 +1,4 @@
-"""One instant by both clocks of a machine, so that another process can tell how long ago it was."""
+"""A point in time on both clocks of a machine, from which another process can compute the elapsed time."""
 
 from __future__ import annotations
 
@@ -6,22 +6,22 @@
 
 
 class Timestamp(NamedTuple):
-    """An instant, read by one process of a machine and compared by another.
+    """A point in time, recorded by one process and compared by another on the same machine.
 
-    Within one run of the machine the monotonic clock is the same for all processes, and no step of the wall
-    clock moves it.
+    Until the machine reboots, all processes share the monotonic clock, and steps of the wall clock don't
+    affect it.
     """
 
     monotonic_ns: int  # CLOCK_MONOTONIC
     unix_ns: int  # the wall clock
-    boot_id: str = ""  # names the run of the machine; empty where the system doesn't say
+    boot_id: str = ""  # new at each boot of the machine; empty if the system provides none
 
     def same_boot(self, other: Timestamp) -> bool:
-        """Tells whether the monotonic clocks of both can be compared."""
+        """Returns whether both were taken in the same boot, so that their monotonic times compare."""
         return bool(self.boot_id) and self.boot_id == other.boot_id
 
     def elapsed_since_ns(self, earlier: Timestamp) -> int:
-        """Returns how long ago the other was, 0 at least; after the machine restarted by the wall clock."""
+        """Returns the time since `earlier`, at least 0; across a reboot, measured on the wall clock."""
         if self.same_boot(earlier):
             return max(0, self.monotonic_ns - earlier.monotonic_ns)
         return max(0, self.unix_ns - earlier.unix_ns)
--- a/zincstile/serialization/__init__.py
+++ b/zincstile/serialization/__init__.py
@@ -1,1 +1,1 @@
-"""Typed records from and to files and datagrams: YAML, JSON, framed messages."""
+"""Reads typed records from YAML and JSON files, writes them as JSON, and frames messages in datagrams."""
--- a/zincstile/serialization/datagrams.py
+++ b/zincstile/serialization/datagrams.py
@@ -1,4 +1,4 @@
-"""Frames of messages between gateways: a first byte of their own, the kind, a checksum, the body.
+"""Framing of messages between gateways: a magic byte, the message kind, a checksum, and the body.
 
 No I/O.
 """
@@ -12,36 +12,36 @@
 
 Message = TypeVar("Message")
 
-MAX_BYTES: Final = 256  # of a datagram (PROTOCOL)
-HEADER: Final = struct.Struct("<BBH")  # magic byte, kind of the message, checksum
-CHECKSUM_MASK: Final = 0xFFFF  # the lower half of the CRC: two bytes are enough beside the checks of UDP
+MAX_BYTES: Final = 256  # size limit of a datagram (PROTOCOL)
+HEADER: Final = struct.Struct("<BBH")  # magic byte, message kind, checksum
+CHECKSUM_MASK: Final = 0xFFFF  # the lower half of the CRC; two bytes suffice, as UDP has a checksum too
 
 
 class Frame(NamedTuple):
-    """What a datagram holds: the kind of its message, and the message's bytes."""
+    """The content of a datagram: the message kind and the encoded message."""
 
     kind: int
     body: bytes
 
 
 def encode(magic: int, kind: int, body: bytes) -> bytes:
-    """A datagram that holds one message."""
+    """Encodes one message as a datagram."""
     return HEADER.pack(magic, kind, _checksum(kind, body)) + body
 
 
 def decode_frame(magic: int, data: bytes) -> Frame | None:
-    """The frame in a datagram; None where it is damaged, too long, or has another first byte."""
+    """Decodes a datagram; None if it is damaged, too long, or has another magic byte."""
     if not HEADER.size <= len(data) <= MAX_BYTES:
         return None
-    found_magic, kind, checksum = HEADER.unpack_from(data)
+    received_magic, kind, checksum = HEADER.unpack_from(data)
     body = data[HEADER.size :]
-    if found_magic != magic or checksum != _checksum(kind, body):
+    if received_magic != magic or checksum != _checksum(kind, body):
         return None
     return Frame(kind, body)
 
 
 def decode(magic: int, data: bytes, decoders: dict[int, Callable[[bytes], Message | None]]) -> Message | None:
-    """The message in a datagram, by the decoder of its kind; None where it is none of these."""
+    """Decodes a datagram with the decoder of its kind; None if malformed or of a kind not in `decoders`."""
     frame = decode_frame(magic, data)
     if frame is None or frame.kind not in decoders:
         return None
--- a/zincstile/serialization/typed_yaml.py
+++ b/zincstile/serialization/typed_yaml.py
@@ -1,7 +1,7 @@
-"""YAML files to typed records; errors name file, line, place and reason.
+"""Loads YAML files into typed records; errors name file, line, location and reason.
 
-Reads one file and nothing else. Uses PyYAML, whose marks give the lines, and msgspec, whose paths give the
-places; only commands and installations that need such a file load this module.
+PyYAML's marks give the lines, and msgspec's paths give the locations. The module is imported only where a
+YAML file is needed, so that other commands and installations don't need PyYAML.
 """
 
 from __future__ import annotations
@@ -16,20 +16,21 @@
 
 Record = TypeVar("Record")
 
-LOADER: Final = getattr(yaml, "CSafeLoader", yaml.SafeLoader)  # libyaml's where it is there: a start waits
+# Prefers the faster loader of libyaml if it is installed: a starting process waits for the file.
+LOADER: Final = getattr(yaml, "CSafeLoader", yaml.SafeLoader)
 
 
-def load(path: str | Path, kind: type[Record]) -> Record:
-    """Read the file as that type; FileError where it can't be read or does not fit."""
+def load(path: str | Path, record_type: type[Record]) -> Record:
+    """Loads a file as a record; raises FileError if it can't be read or does not match the type."""
     try:
         text = Path(path).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as err:
         raise FileError(f"{path}: {getattr(err, 'strerror', None) or 'not UTF-8'}") from None
-    return parse(text, str(path), kind)
+    return parse(text, str(path), record_type)
 
 
-def parse(text: str, path: str, kind: type[Record]) -> Record:
-    """Read a text as that type; `path` is for the messages of the FileError."""
+def parse(text: str, path: str, record_type: type[Record]) -> Record:
+    """Parses a text as a record; raises FileError, whose message begins with `path`."""
     try:
         node = yaml.compose(text, Loader=LOADER)
         value = yaml.load(text, Loader=LOADER)
@@ -39,20 +40,20 @@
     except (yaml.YAMLError, RecursionError, ValueError) as err:
         raise FileError(f"{path}: not YAML: {' '.join(str(err).split())}") from None
     try:
-        return msgspec.convert(value, kind)
+        return msgspec.convert(value, record_type)
     except msgspec.ValidationError as err:
-        reason, place = split_location(str(err))
-        raise FileError(f"{path}:{_line_of(node, place)}: {place or '$'}: {reason}") from None
+        reason, location = split_location(str(err))
+        raise FileError(f"{path}:{_line_of(node, location)}: {location or '$'}: {reason}") from None
 
 
-def line_of(path: str | Path, place: str) -> int:
-    """The line of a place (`$.faults[2].kind`) in a file that was loaded, or of the nearest one in it."""
-    return _line_of(yaml.compose(Path(path).read_text(encoding="utf-8"), Loader=LOADER), place)
+def line_of(path: str | Path, location: str) -> int:
+    """Returns the line of a location (`$.faults[2].kind`) in a file, or of its closest parent there."""
+    return _line_of(yaml.compose(Path(path).read_text(encoding="utf-8"), Loader=LOADER), location)
 
 
-def _line_of(node: yaml.Node | None, place: str) -> int:
+def _line_of(node: yaml.Node | None, location: str) -> int:
     line = 1
-    for part in place.removeprefix("$").replace("[", ".[").strip(".").split("."):
+    for part in location.removeprefix("$").replace("[", ".[").strip(".").split("."):
         if node is None or not part:
             break
         line = node.start_mark.line + 1
@@ -61,7 +62,7 @@
 
 
 def _child(node: yaml.Node, part: str) -> yaml.Node | None:
-    """The value under a key, or under an index in brackets; None where there is none."""
+    """Returns the value under a key, or under an index in brackets; None if there is none."""
     if part.startswith("[") and isinstance(node, yaml.SequenceNode):
         index = part[1:-1]
         return node.value[int(index)] if index.isdigit() and int(index) < len(node.value) else None
--- a/zincstile/simulator/__init__.py
+++ b/zincstile/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' simulator: the codec of its wire, and the program that speaks it on standard streams."""
+"""Adapter to the operators' simulator: its frame codec, and a program that speaks it on stdin and stdout."""
--- a/zincstile/simulator/adapter.py
+++ b/zincstile/simulator/adapter.py
@@ -1,4 +1,4 @@
-"""Hosts one policy object per instance on standard input and output. Decides nothing."""
+"""Runs one policy object per simulated instance; reads events on stdin and writes actions to stdout."""
 
 from __future__ import annotations
 
@@ -11,35 +11,35 @@
 from .settings_codec import WireError
 
 
-def _handle(policies: dict[int, Policy], now: int, instance: int, event: Any) -> list[Action]:
+def _handle(policies: dict[int, Policy], now_ns: int, instance: int, event: Any) -> list[Action]:
     if isinstance(event, codec.InstanceOpened):
         policies[instance] = Policy(event.settings, event.seed)
-        return policies[instance].handle(now, Started())
+        return policies[instance].handle(now_ns, Started())
     if isinstance(event, codec.InstanceStopped):
         policies.pop(instance, None)
         return []
     if instance not in policies:
         return []
-    return policies[instance].handle(now, event)
+    return policies[instance].handle(now_ns, event)
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answers batches until the end of input."""
+    """Reads frames and answers each with a reply, until end of file; raises WireError for a malformed one."""
     policies: dict[int, Policy] = {}
     while True:
-        head = source.read(codec.HEADER.size)
-        if not head:
+        header = source.read(codec.FRAME_HEADER.size)
+        if not header:
             return
-        if len(head) < codec.HEADER.size:
-            raise WireError("frame: the header is cut short")
-        now, size, count, number = codec.HEADER.unpack(head)
+        if len(header) < codec.FRAME_HEADER.size:
+            raise WireError("frame: truncated header")
+        now_ns, size, count, frame_number = codec.FRAME_HEADER.unpack(header)
         body = source.read(size)
         if len(body) < size:
-            raise WireError("frame: the body is cut short")
-        reply = codec.Reply(number)
+            raise WireError("frame: truncated body")
+        reply = codec.Reply(frame_number)
         for instance, event in codec.read_records(body, count):
             try:
-                for action in _handle(policies, now, instance, event):
+                for action in _handle(policies, now_ns, instance, event):
                     reply.add_action(instance, action)
             except Exception as err:
                 reply.add_fault(instance, f"{type(err).__name__}: {err}")
@@ -48,7 +48,7 @@
 
 
 def main() -> int:
-    """Answers until the end of input; exit code 2 where it can't be understood."""
+    """Serves until end of file; returns the exit code, 2 for malformed input and 1 for a closed stdout."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except WireError as err:
--- a/zincstile/simulator/codec.py
+++ b/zincstile/simulator/codec.py
@@ -1,7 +1,7 @@
-"""Codec of the simulator's frames: the only place that knows their record codes.
+"""Codec of the simulator's frames; the record codes are defined here only.
 
-A frame holds records for many instances of the decisions: events on the way in, actions on the way out.
-Numbers are little-endian; endpoints have 6 bytes.
+A frame holds records for many policy instances: events in a request frame, actions in a reply frame. Numbers
+are little-endian; an endpoint takes 6 bytes.
 """
 
 from __future__ import annotations
@@ -42,33 +42,33 @@
 from .gossip_codec import decode_gossip, encode_gossip
 from .settings_codec import WireError, read_settings
 
-HEADER: Final = struct.Struct("<QIII")  # of a frame: time, bytes of the body, records, number of the frame
-REPLY: Final = struct.Struct("<III")  # bytes of the body, records, number of the frame
-ENTRY: Final = struct.Struct("<6sBHHBfQ")  # of an endpoint list
+FRAME_HEADER: Final = struct.Struct("<QIII")  # time, body size, record count, frame number
+REPLY_HEADER: Final = struct.Struct("<III")  # body size, record count, frame number
+LIST_ENTRY: Final = struct.Struct("<6sBHHBfQ")  # one entry of an endpoint list
 U8: Final = struct.Struct("<B")
 U16: Final = struct.Struct("<H")
 U32: Final = struct.Struct("<I")
-OPEN: Final = struct.Struct("<QI")
-LIST: Final = struct.Struct("<BQI")
+OPEN_HEADER: Final = struct.Struct("<QI")
+LIST_HEADER: Final = struct.Struct("<BQI")
 REQUEST: Final = struct.Struct("<IHIQQfffB")
-PEER: Final = struct.Struct("<HH")
-OUTCOME: Final = struct.Struct("<IB6sBQBHH")
-STREAM: Final = struct.Struct("<IQB6s")
+GOSSIP_HEADER: Final = struct.Struct("<HH")
+ATTEMPT_OUTCOME: Final = struct.Struct("<IB6sBQBHH")
+STREAM_STARTED: Final = struct.Struct("<IQB6s")
 HEALTH_CHECK: Final = struct.Struct("<6sBQ")
-COUNTED: Final = struct.Struct("<QBfQ")
+COUNTER_ANSWER: Final = struct.Struct("<QBfQ")
 TIMER: Final = struct.Struct("<Q")
 
-INSTANCE_RECORD: Final = 90  # names the instance of the records behind it
-INSTANCE_REPLY: Final = 80
-FAULT_REPLY: Final = 30
-IS_RETRY_BIT: Final = 2  # of a request's flags
+INSTANCE_RECORD: Final = 90  # names the instance of the records that follow
+INSTANCE_REPLY_RECORD: Final = 80
+FAULT_RECORD: Final = 30
+IS_RETRY_BIT: Final = 2  # in the flags of a request
 ENDPOINT_BYTES: Final = 6
 MAX_FAULT_BYTES: Final = 60000
 MAX_LOG_BYTES: Final = 1000
 MAX_LIST_KIND: Final = 3
 MAX_ENDPOINT_STATE: Final = 2
 
-RESULTS: Final = {
+RESULTS_BY_CODE: Final = {
     0: AttemptResult.OK,
     5: AttemptResult.ERROR,
     11: AttemptResult.REJECTED,
@@ -82,7 +82,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InstanceOpened:
-    """A new instance: its seed and settings."""
+    """A new policy instance starts, with this seed and these settings."""
 
     seed: int
     settings: Settings
@@ -90,151 +90,165 @@
 
 @dataclass(frozen=True, slots=True)
 class InstanceStopped:
-    """The instance is dead."""
+    """The policy instance has stopped."""
 
 
-def _endpoint(raw: bytes) -> int:
-    return int.from_bytes(raw, "little")
+def _decode_endpoint(raw_endpoint: bytes) -> int:
+    return int.from_bytes(raw_endpoint, "little")
 
 
 class _RecordReader:
-    """Walks one frame's records."""
+    """Reads the records in the body of a frame in sequence."""
 
     def __init__(self, data: bytes) -> None:
-        """`data`: the body of the frame."""
+        """`data`: the body of a frame."""
         self.data = data
-        self.at = 0
+        self.offset = 0
 
-    def take(self, form: struct.Struct) -> tuple[Any, ...]:
-        """The next values of this form."""
-        return form.unpack(self.raw(form.size))
+    def read(self, layout: struct.Struct) -> tuple[Any, ...]:
+        """Reads the next values in this layout."""
+        return layout.unpack(self.read_bytes(layout.size))
 
-    def raw(self, size: int) -> bytes:
-        """The next bytes; WireError where there are not so many."""
-        end = self.at + size
+    def read_bytes(self, size: int) -> bytes:
+        """Reads the next `size` bytes; raises WireError if fewer are left."""
+        end = self.offset + size
         if end > len(self.data):
-            raise WireError("frame: a record is cut short")
-        self.at = end
+            raise WireError("frame: truncated record")
+        self.offset = end
         return self.data[end - size : end]
 
 
-def _result(code: int) -> AttemptResult:
-    if code not in RESULTS:
-        raise WireError(f"frame: unknown outcome {code}")
-    return RESULTS[code]
+def _decode_result(code: int) -> AttemptResult:
+    if code not in RESULTS_BY_CODE:
+        raise WireError(f"frame: unknown outcome code {code}")
+    return RESULTS_BY_CODE[code]
 
 
-def _report(reader: _RecordReader) -> list[float]:
-    count = reader.take(U8)[0]
-    return list(reader.take(struct.Struct(f"<{count}f")))
+def _read_load_report(reader: _RecordReader) -> list[float]:
+    count = reader.read(U8)[0]
+    return list(reader.read(struct.Struct(f"<{count}f")))
 
 
-def _open(reader: _RecordReader) -> InstanceOpened:
-    seed, size = reader.take(OPEN)
-    return InstanceOpened(seed, read_settings(reader.raw(size)))
+def _read_open(reader: _RecordReader) -> InstanceOpened:
+    seed, size = reader.read(OPEN_HEADER)
+    return InstanceOpened(seed, read_settings(reader.read_bytes(size)))
 
 
-def _list(reader: _RecordReader) -> EndpointList:
-    kind, version, count = reader.take(LIST)
+def _read_list(reader: _RecordReader) -> EndpointList:
+    kind, version, count = reader.read(LIST_HEADER)
     if kind > MAX_LIST_KIND:
-        raise WireError(f"frame: unknown list mode {kind}")
+        raise WireError(f"frame: unknown list kind {kind}")
     entries = []
     for _ in range(count):
-        raw, zone, machine, cell, mode, weight, started = reader.take(ENTRY)
-        if mode > MAX_ENDPOINT_STATE:
-            raise WireError(f"frame: unknown backend mode {mode}")
+        raw_endpoint, zone, machine_type, cell, state, weight, started_ns = reader.read(LIST_ENTRY)
+        if state > MAX_ENDPOINT_STATE:
+            raise WireError(f"frame: unknown backend state {state}")
         entries.append(
-            EndpointEntry(_endpoint(raw), zone, machine, cell, EndpointState(mode), weight, started)
+            EndpointEntry(
+                _decode_endpoint(raw_endpoint),
+                zone,
+                machine_type,
+                cell,
+                EndpointState(state),
+                weight,
+                started_ns,
+            )
         )
     return EndpointList(EndpointListKind(kind), version, entries)
 
 
-def _request(reader: _RecordReader) -> Request:
-    number, class_index, plan, customer, deadline_ns, units, spread, first, bits = reader.take(REQUEST)
-    if not (math.isfinite(units) and math.isfinite(spread) and math.isfinite(first)):
-        raise WireError("frame: a request's figures are not numbers")
+def _read_request(reader: _RecordReader) -> Request:
+    request_id, class_index, plan, customer, deadline_ns, units, gateway_set_size, first_gateway, flags = (
+        reader.read(REQUEST)
+    )
+    if not (math.isfinite(units) and math.isfinite(gateway_set_size) and math.isfinite(first_gateway)):
+        raise WireError("frame: a request contains an infinite or NaN value")
     return Request(
-        number,
+        request_id,
         class_index,
         plan,
         customer,
         deadline_ns,
         units,
-        int(spread),
-        int(first),
-        bool(bits & IS_RETRY_BIT),
+        int(gateway_set_size),
+        int(first_gateway),
+        bool(flags & IS_RETRY_BIT),
     )
 
 
-def _peer(reader: _RecordReader) -> GossipReceived | None:
-    sender, size = reader.take(PEER)
-    return decode_gossip(sender, reader.raw(size))
+def _read_gossip(reader: _RecordReader) -> GossipReceived | None:
+    sender, size = reader.read(GOSSIP_HEADER)
+    return decode_gossip(sender, reader.read_bytes(size))
 
 
-def _outcome(reader: _RecordReader) -> AttemptOutcome:
-    request, attempt, raw, code, latency_ns, finished, used, cost = reader.take(OUTCOME)
+def _read_outcome(reader: _RecordReader) -> AttemptOutcome:
+    request, attempt, raw_endpoint, code, latency_ns, finished, used, actual_units = reader.read(
+        ATTEMPT_OUTCOME
+    )
     return AttemptOutcome(
         request,
         attempt,
-        _endpoint(raw),
-        _result(code),
+        _decode_endpoint(raw_endpoint),
+        _decode_result(code),
         latency_ns,
         bool(finished),
         used,
-        float(cost),
-        _report(reader),
+        float(actual_units),
+        _read_load_report(reader),
     )
 
 
-def _stream(reader: _RecordReader) -> StreamStarted:
-    request, latency_ns, attempt, raw = reader.take(STREAM)
-    return StreamStarted(request, attempt, _endpoint(raw), latency_ns)
+def _read_stream_started(reader: _RecordReader) -> StreamStarted:
+    request, latency_ns, attempt, raw_endpoint = reader.read(STREAM_STARTED)
+    return StreamStarted(request, attempt, _decode_endpoint(raw_endpoint), latency_ns)
 
 
-def _health_check(reader: _RecordReader) -> HealthCheckResult:
-    raw, code, latency_ns = reader.take(HEALTH_CHECK)
-    return HealthCheckResult(_endpoint(raw), _result(code), latency_ns, _report(reader))
+def _read_health_check(reader: _RecordReader) -> HealthCheckResult:
+    raw_endpoint, code, latency_ns = reader.read(HEALTH_CHECK)
+    return HealthCheckResult(
+        _decode_endpoint(raw_endpoint), _decode_result(code), latency_ns, _read_load_report(reader)
+    )
 
 
-def _counted(reader: _RecordReader) -> CounterAnswer:
-    name, code, total, latency_ns = reader.take(COUNTED)
-    return CounterAnswer(name, _result(code), total, latency_ns)
+def _read_counter_answer(reader: _RecordReader) -> CounterAnswer:
+    call_number, code, total, latency_ns = reader.read(COUNTER_ANSWER)
+    return CounterAnswer(call_number, _decode_result(code), total, latency_ns)
 
 
-READERS: Final[dict[int, Callable[[_RecordReader], Any]]] = {
-    50: _open,
-    70: _list,
-    30: _request,
-    120: _peer,
+RECORD_DECODERS: Final[dict[int, Callable[[_RecordReader], Any]]] = {
+    50: _read_open,
+    70: _read_list,
+    30: _read_request,
+    120: _read_gossip,
     110: lambda _: InstanceStopped(),
-    40: _outcome,
-    100: _stream,
-    80: _health_check,
-    10: _counted,
-    20: lambda reader: RequestAbandoned(reader.take(U32)[0]),
-    60: lambda reader: TimerFired(reader.take(TIMER)[0]),
+    40: _read_outcome,
+    100: _read_stream_started,
+    80: _read_health_check,
+    10: _read_counter_answer,
+    20: lambda reader: RequestAbandoned(reader.read(U32)[0]),
+    60: lambda reader: TimerFired(reader.read(TIMER)[0]),
 }
 
 
 def read_records(data: bytes, count: int) -> list[tuple[int, Any]]:
-    """The events of one frame's body, each with its instance."""
+    """Decodes the body of a frame into pairs of instance and event; raises WireError if it is malformed."""
     reader = _RecordReader(data)
     events: list[tuple[int, Any]] = []
     instance = -1
     for _ in range(count):
-        code = reader.take(U8)[0]
+        code = reader.read(U8)[0]
         if code == INSTANCE_RECORD:
-            instance = reader.take(U16)[0]
+            instance = reader.read(U16)[0]
             continue
-        if code not in READERS:
+        if code not in RECORD_DECODERS:
             raise WireError(f"frame: unknown record code {code}")
         if instance < 0:
-            raise WireError("frame: a record before any instance was named")
-        event = READERS[code](reader)
+            raise WireError("frame: a record precedes the first instance record")
+        event = RECORD_DECODERS[code](reader)
         if event is not None:
             events.append((instance, event))
-    if reader.at != len(data):
-        raise WireError("frame: bytes left over after the last record")
+    if reader.offset != len(data):
+        raise WireError("frame: trailing bytes after the last record")
     return events
 
 
@@ -243,8 +257,8 @@
 
 
 def _encode_forward(action: ForwardRequest) -> bytes:
-    head = struct.pack("<BIQ", 10, action.request, max(0, action.give_up_ns))
-    return head + _encode_endpoint(action.endpoint)
+    header = struct.pack("<BIQ", 10, action.request, max(0, action.give_up_ns))
+    return header + _encode_endpoint(action.endpoint)
 
 
 def _encode_log(action: LogMessage) -> bytes:
@@ -252,7 +266,7 @@
     return struct.pack("<BH", 100, len(text)) + text
 
 
-ENCODERS: Final[dict[type, Callable[[Any], bytes]]] = {
+ACTION_ENCODERS: Final[dict[type, Callable[[Any], bytes]]] = {
     ForwardRequest: _encode_forward,
     SetTimer: lambda action: struct.pack("<BQQ", 50, max(0, action.at_ns), action.token),
     RejectRequest: lambda action: struct.pack("<BIQ", 120, action.request, action.retry_after_ns),
@@ -266,43 +280,43 @@
 
 
 class Reply:
-    """Gathers the actions that answer one batch."""
+    """Collects the records of the reply to one frame."""
 
-    def __init__(self, number: int) -> None:
-        """`number`: of the frame that is answered."""
-        self.number = number
-        self.parts: list[bytes] = []
+    def __init__(self, frame_number: int) -> None:
+        """`frame_number`: the number of the frame that this replies to."""
+        self.frame_number = frame_number
+        self.records: list[bytes] = []
         self.count = 0
         self.instance = -1
 
     def add_fault(self, instance: int, text: str) -> None:
-        """An event of this instance could not be handled."""
-        self._for(instance)
+        """Adds a record for an event of this instance that raised an exception."""
+        self._select_instance(instance)
         data = text.encode()[:MAX_FAULT_BYTES]
-        self._put(struct.pack("<BH", FAULT_REPLY, len(data)) + data)
+        self._append_record(struct.pack("<BH", FAULT_RECORD, len(data)) + data)
 
     def add_action(self, instance: int, action: Action) -> None:
-        """An action of this instance; TypeError for one that the simulator doesn't know."""
-        self._for(instance)
+        """Adds an action of this instance; raises TypeError if the simulator has no record for it."""
+        self._select_instance(instance)
         if isinstance(action, SendGossip):
-            for message in encode_gossip(action):
-                self._put(struct.pack("<BIH", 70, action.peer, len(message)) + message)
+            for datagram in encode_gossip(action):
+                self._append_record(struct.pack("<BIH", 70, action.peer, len(datagram)) + datagram)
             return
-        encode = ENCODERS.get(type(action))
+        encode = ACTION_ENCODERS.get(type(action))
         if encode is None:
-            raise TypeError(f"no such action: {action!r}")
-        self._put(encode(action))
+            raise TypeError(f"the simulator has no record for the action {action!r}")
+        self._append_record(encode(action))
 
     def encode(self) -> bytes:
-        """The frame of the reply."""
-        body = b"".join(self.parts)
-        return REPLY.pack(len(body), self.count, self.number) + body
+        """Returns the complete reply frame."""
+        body = b"".join(self.records)
+        return REPLY_HEADER.pack(len(body), self.count, self.frame_number) + body
 
-    def _put(self, data: bytes) -> None:
-        self.parts.append(data)
+    def _append_record(self, data: bytes) -> None:
+        self.records.append(data)
         self.count += 1
 
-    def _for(self, instance: int) -> None:
+    def _select_instance(self, instance: int) -> None:
         if instance != self.instance:
-            self._put(struct.pack("<BH", INSTANCE_REPLY, instance))
+            self._append_record(struct.pack("<BH", INSTANCE_REPLY_RECORD, instance))
             self.instance = instance
