--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -9,7 +9,7 @@
 
 import pytest
 from scenario import ROOT
-from test_checker import MS, SECOND, Bench
+from test_checker import MS_NS, SECOND_NS, CheckerHarness
 
 from zincstile.decisions.messages import AttemptResult, EndpointEntry, EndpointState, RejectionReason
 from zincstile.decisions.settings import DeduplicationScope, Idempotency, RequestClass
@@ -21,7 +21,7 @@
 from zincstile.net.trace import DESCRIBED_ENTRIES, RING_ENTRIES, Step, Trace
 from zincstile.testbed.counter_names import by_stored_name
 
-GIVE_UP = 10 * SECOND
+GIVE_UP = 10 * SECOND_NS
 
 
 def server(number: int = 1, zone: int = 0, cell: int = 0, ready: bool = True):
@@ -33,7 +33,7 @@
     effect: Idempotency = Idempotency.ALWAYS, group: DeduplicationScope = DeduplicationScope.CELL
 ) -> Session:
     spec = RequestClass(
-        "x", SECOND, GIVE_UP, effect, 1.0, deduplication_scope=group, deduplication_window_ns=6 * SECOND
+        "x", SECOND_NS, GIVE_UP, effect, 1.0, deduplication_scope=group, deduplication_window_ns=6 * SECOND_NS
     )
     return Session(1, Call(True, b"c", b"id", [], 0, None), None, GIVE_UP, spec)
 
@@ -78,10 +78,10 @@
 @pytest.mark.parametrize(
     ("effect", "where", "now", "may"),
     [
-        (Idempotency.ALWAYS, server(2, cell=1), 7 * SECOND, True),
+        (Idempotency.ALWAYS, server(2, cell=1), 7 * SECOND_NS, True),
         (Idempotency.NEVER, server(2), 0, False),
-        (Idempotency.BY_KEY, server(2), 6 * SECOND, True),
-        (Idempotency.BY_KEY, server(2), 6 * SECOND + 1, False),
+        (Idempotency.BY_KEY, server(2), 6 * SECOND_NS, True),
+        (Idempotency.BY_KEY, server(2), 6 * SECOND_NS + 1, False),
         (Idempotency.BY_KEY, server(2, cell=1), 0, False),
     ],
 )
@@ -113,11 +113,11 @@
 
 def test_a_violation_tells_what_its_request_went_through(guard, capsys):
     guard._trace.note(0, Step.RECEIVED, b"id")
-    guard._trace.note(2 * MS, Step.SENT, b"other", ("10.0.0.1", 1))
-    guard._trace.note(3 * MS, Step.OUTCOME, b"id", AttemptResult.RESET)
+    guard._trace.note(2 * MS_NS, Step.SENT, b"other", ("10.0.0.1", 1))
+    guard._trace.note(3 * MS_NS, Step.OUTCOME, b"id", AttemptResult.RESET)
     owner = session()
     owner.ended = True
-    guard.may_send(5 * MS, attempt(owner, server()))
+    guard.may_send(5 * MS_NS, attempt(owner, server()))
     told = capsys.readouterr().err
     assert "trace -5.000ms received id" in told and "trace -2.000ms outcome id reset" in told
     assert "other" not in told
@@ -159,69 +159,69 @@
 
 @pytest.fixture
 def bench():
-    return Bench()
+    return CheckerHarness()
 
 
 def test_nothing_begins_0_1_s_after_the_client_left(bench):
-    bench.ask(wait=3000)
-    bench.at(500).client_disconnected(b"1")
-    bench.at(600)
-    bench.send("b1")
-    assert bench.broken == []
-    bench.at(601)
-    bench.send("b2")
-    assert bench.broken == ["left"]
+    bench.send_request(timeout_ms=3000)
+    bench.advance_to(500).client_disconnected(b"1")
+    bench.advance_to(600)
+    bench.send_attempt("b1")
+    assert bench.broken_rules == []
+    bench.advance_to(601)
+    bench.send_attempt("b2")
+    assert bench.broken_rules == ["left"]
 
 
 def test_a_backend_is_given_no_later_deadline_than_its_client(bench):
-    bench.ask(wait=1000)
-    bench.at(300)
-    one = bench.checker.attempt_started("g0", "b1", b"1", bench.now)
+    bench.send_request(timeout_ms=1000)
+    bench.advance_to(300)
+    one = bench.checker.attempt_started("g0", "b1", b"1", bench.now_ns)
     bench.checker.attempt_completed(b"1", one, 850)
-    assert bench.broken == []
-    one = bench.checker.attempt_started("g0", "b2", b"1", bench.now)
+    assert bench.broken_rules == []
+    one = bench.checker.attempt_started("g0", "b2", b"1", bench.now_ns)
     bench.checker.attempt_completed(b"1", one, 851)
-    assert bench.broken == ["deadline"]
+    assert bench.broken_rules == ["deadline"]
 
 
 def test_what_a_paused_gateway_reads_late_is_timed_by_its_own_clock(bench):
-    bench.checker.gateway_paused("g0", 400 * MS)
-    bench.ask(wait=1000)
-    bench.at(450)
-    one = bench.checker.attempt_started("g0", "b1", b"1", bench.now)
+    bench.checker.gateway_paused("g0", 400 * MS_NS)
+    bench.send_request(timeout_ms=1000)
+    bench.advance_to(450)
+    one = bench.checker.attempt_started("g0", "b1", b"1", bench.now_ns)
     bench.checker.attempt_completed(b"1", one, 990)
-    assert bench.broken == []
+    assert bench.broken_rules == []
 
 
 def test_maintenance_holds_from_the_yes_until_the_call_back_over_a_restart(bench):
     maintenance = bench.checker.maintenance
-    maintenance.confirmed(bench.now, "g0", "b1")
-    bench.ask(wait=9000)
-    bench.at(250)
-    bench.send("b1")
-    assert bench.broken == []
+    maintenance.confirmed(bench.now_ns, "g0", "b1")
+    bench.send_request(timeout_ms=9000)
+    bench.advance_to(250)
+    bench.send_attempt("b1")
+    assert bench.broken_rules == []
     bench.checker.gateway_ended("g0")
     bench.checker.gateway_started("g0")
-    bench.at(251)
-    bench.send("b1")
-    assert bench.broken == ["maintenance"]
+    bench.advance_to(251)
+    bench.send_attempt("b1")
+    assert bench.broken_rules == ["maintenance"]
     maintenance.ended("g0", "b1")
-    bench.ask(b"2", line=2, wait=9000)
-    bench.send("b1", b"2")
-    assert bench.broken == ["maintenance"]
+    bench.send_request(b"2", connection=2, timeout_ms=9000)
+    bench.send_attempt("b1", b"2")
+    assert bench.broken_rules == ["maintenance"]
 
 
 def test_what_a_gateway_counts_itself_is_a_breach(bench):
     bench.checker.report_invariant("g0", "close c1: 2 requests without an answer")
-    assert bench.broken == ["invariant"]
+    assert bench.broken_rules == ["invariant"]
 
 
 def test_what_waited_for_a_process_may_be_answered_late_or_never_and_only_that(bench):
-    bench.ask(wait=100)
-    bench.ask(b"2", wait=100, line=2, gateway="g1")
+    bench.send_request(timeout_ms=100)
+    bench.send_request(b"2", timeout_ms=100, connection=2, gateway="g1")
     bench.checker.waive_answer_deadlines("g0")
-    bench.at(100).request_answered(b"2", "failed", b"")
-    bench.at(500).request_answered(b"1", "failed", b"")
-    bench.ask(b"3", wait=100, line=3)
-    bench.at(700)
-    assert bench.broken == ["answer"]
+    bench.advance_to(100).request_answered(b"2", "failed", b"")
+    bench.advance_to(500).request_answered(b"1", "failed", b"")
+    bench.send_request(b"3", timeout_ms=100, connection=3)
+    bench.advance_to(700)
+    assert bench.broken_rules == ["answer"]
--- a/zincstile/checkers/history.py
+++ b/zincstile/checkers/history.py
@@ -1,4 +1,4 @@
-"""What is known of one request and of a violation of a rule."""
+"""Records of a request's history and of a rule violation."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 
 
 class RequestState(StrEnum):
-    """How far a request has come."""
+    """The state of a request as its client sees it."""
 
     OPEN = "open"
     SERVED = "served"
     REJECTED = "denied"
     FAILED = "failed"
-    VOID = "void"  # no answer is owed any more
+    VOID = "void"  # an answer is no longer required
     LATE = "late"  # its answer is overdue, or may come late
 
 
 class SentRequest(Protocol):
-    """A client's request, as the checkers are notified of it."""
+    """The fields of a client's request that the checkers use."""
 
     id: bytes
     request_class: str
@@ -33,19 +33,19 @@
 
 
 class Event(NamedTuple):
-    """One line of a history: step and time of the run, and what happened."""
+    """One line of a history: step and time of the run, and a description."""
 
     step: int
     at_ns: int
     text: str
 
     def line(self) -> str:
-        """The event as it is printed and stored."""
+        """Returns the event as it is printed and stored."""
         return f"step {self.step} t={self.at_ns / 1e9:.6f} {self.text}"
 
 
 class Location(NamedTuple):
-    """Where a backend stands, by the numbers of its zone and of its cell in all zones."""
+    """The location of a backend: the numbers of its zone and of its cell, unique across zones."""
 
     zone: int
     cell: int
@@ -58,18 +58,18 @@
     gateway: str
     backend: str
     first_byte_ns: int
-    complete_ns: int | None = None  # when its last byte left
+    complete_ns: int | None = None  # when its last byte was sent
     rejected: bool = False
 
     @property
     def may_have_run(self) -> bool:
-        """Whether it was sent completely and its backend has not rejected it."""
+        """Whether the attempt was sent completely and not rejected by its backend."""
         return self.complete_ns is not None and not self.rejected
 
 
 @dataclass(slots=True)
 class RequestHistory:
-    """A request, its attempts and everything that happened to it."""
+    """A request with its attempts and events."""
 
     id: bytes
     request_class: str
@@ -80,31 +80,31 @@
     gateway: str
     connection: int
     sent_ns: int
-    due_ns: int  # until then its answer has to come
-    expires_ns: int  # when its client has waited for long enough
+    due_ns: int  # when its answer is due
+    expires_ns: int  # when the timeout of its client expires
     state: RequestState = RequestState.OPEN
     disconnected_ns: int | None = None  # when its client closed the connection
     reached_backend: bool = False
     counted_in_quota: bool = False
-    unread_at_close: bool = False  # its connection was closed before it was read, and it was not sent anew
-    earlier_attempts: int = 0  # of the same request before it was sent anew
+    unread_at_close: bool = False  # closed before the request was read; not resent since
+    earlier_attempts: int = 0  # attempts before the request was last resent
     attempts: list[Attempt] = field(default_factory=list)
     events: list[Event] = field(default_factory=list)
 
     @property
     def customer_name(self) -> str:
-        """The customer and its plan, as violations name them."""
+        """The customer and its plan, as written in violations."""
         return f"customer {self.customer.decode()} of {self.plan}"
 
     @property
     def attempted(self) -> bool:
-        """Whether a gateway has begun an attempt since the request was sent last."""
+        """Whether a gateway has begun an attempt since the request was last sent."""
         return len(self.attempts) > self.earlier_attempts
 
 
 @dataclass(slots=True)
 class Violation:
-    """A broken rule: which, at which step and time, by which request, and what led there."""
+    """A broken rule: its name, the step and time, the request, a description and the preceding events."""
 
     rule: str
     step: int
@@ -114,5 +114,5 @@
     history: list[str] = field(default_factory=list)
 
     def line(self) -> str:
-        """The violation as the command line prints it."""
+        """Returns the violation as the command line prints it."""
         return f"broken rule={self.rule} step={self.step} t={self.at_ns / 1e9:.6f} request={self.request}"
--- a/zincstile/checkers/quotas.py
+++ b/zincstile/checkers/quotas.py
@@ -1,9 +1,9 @@
-"""Rule on quotas with a stated bound: what all gateways forward for a customer exceeds its quota by no more.
+"""Rule on quotas with a bound: all gateways together exceed a customer's quota by no more than the bound.
 
-Looked at only in runs that state a bound. Each customer has a token bucket of the quota's rate and burst.
-Every request takes its units once its first attempt has left a gateway completely. Beside it stands an ideal
-bucket that sees every request at once: what it would have admitted is the measure of what the quota is worth
-while gateways can't reach each other.
+Checked only in runs that define a bound. Each customer has a token bucket with the rate and burst of the
+quota; a request is charged once, when its first attempt has left a gateway completely. An ideal bucket per
+customer sees every request when the client sends it: the units that it admits show what the quota would grant
+if all gateways shared one bucket, and so what customers lose while gateways can't reach each other.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class BoundedQuota(NamedTuple):
-    """A plan's quota for each customer: units a second, units at once, and units that may exceed it."""
+    """A plan's quota per customer: units per second, burst in units, and the units it may be exceeded by."""
 
     rate: float
     burst: float
@@ -23,17 +23,17 @@
 
 
 class PlanUsage(NamedTuple):
-    """What all customers of a plan used, in units."""
+    """The use of a plan by all its customers, in units."""
 
-    max_excess: float  # of one customer
+    max_excess: float  # largest excess of one customer
     bound: float
     sent_units: float
-    ideal_units: float  # what ideal buckets would have admitted
+    ideal_units: float  # admitted by the ideal buckets
 
 
 @dataclass(slots=True)
 class CustomerBuckets:
-    """One customer's two buckets, and what passed them."""
+    """One customer's actual and ideal bucket, and the units that each admitted."""
 
     level: float
     level_at_ns: int
@@ -45,7 +45,7 @@
 
 
 class Quotas:
-    """The buckets of all customers."""
+    """The token buckets of all customers."""
 
     def __init__(
         self,
@@ -54,72 +54,72 @@
         initial_ratio: dict[str, float] | None = None,
         start_ns: int = 0,
     ) -> None:
-        """Begin at `start_ns` with full buckets, and ideal ones filled to the initial ratio of their plan.
+        """Starts at `start_ns` with full buckets, and ideal ones filled to the initial ratio of the plan.
 
-        Gateways that know no past begin with a part of the burst, so the ideal bucket does too. `delay_ns`:
-        units on their way to a backend are counted later by so much.
+        Gateways without earlier state start with a part of the burst, so the ideal bucket does too.
+        `delay_ns`: how much later units in transit to a backend are counted.
         """
         self.bounded_quotas = {plan: BoundedQuota(*quota) for plan, quota in bounded_quotas.items()}
         self.delay_ns = delay_ns
         self.initial_ratio = initial_ratio or {}
         self.start_ns = start_ns
-        self.peak_ratio = 0.0  # of the excess to its bound: 0 within the quota, 1 at the bound
-        self.max_excess = 0.0  # units beyond a quota
-        self.ideal_units = 0.0  # units of all customers
+        self.peak_ratio = 0.0  # highest ratio of excess to bound: 0 within the quota, 1 at the bound
+        self.max_excess = 0.0  # largest excess over a quota, in units
+        self.ideal_units = 0.0  # of all customers
         self.sent_units = 0.0
         self.customers: dict[tuple[str, bytes], CustomerBuckets] = {}  # by plan and customer
 
-    def _usage(self, now_ns: int, plan: str, customer: bytes) -> CustomerBuckets:
-        found = self.customers.get((plan, customer))
-        if found is None:
+    def _buckets(self, now_ns: int, plan: str, customer: bytes) -> CustomerBuckets:
+        buckets = self.customers.get((plan, customer))
+        if buckets is None:
             quota = self.bounded_quotas[plan]
             initial = quota.burst * self.initial_ratio.get(plan, 1.0)
             ideal = min(quota.burst, initial + quota.rate * (now_ns - self.start_ns) / SECOND_NS)
-            found = CustomerBuckets(quota.burst, now_ns, ideal, now_ns)
-            self.customers[plan, customer] = found
-        return found
+            buckets = CustomerBuckets(quota.burst, now_ns, ideal, now_ns)
+            self.customers[plan, customer] = buckets
+        return buckets
 
     def request_sent(self, now_ns: int, plan: str, customer: bytes, units: float) -> None:
-        """A request was sent to any gateway: the ideal bucket admits it or not."""
+        """Offers a request that a client sent to any gateway to the ideal bucket."""
         if plan not in self.bounded_quotas:
             return
         quota = self.bounded_quotas[plan]
-        usage = self._usage(now_ns, plan, customer)
-        refilled = usage.ideal_level + quota.rate * (now_ns - usage.ideal_at_ns) / SECOND_NS
-        usage.ideal_level = min(quota.burst, refilled)
-        usage.ideal_at_ns = now_ns
-        if usage.ideal_level >= units:
-            usage.ideal_level -= units
-            usage.ideal_units += units
+        buckets = self._buckets(now_ns, plan, customer)
+        refilled = buckets.ideal_level + quota.rate * (now_ns - buckets.ideal_at_ns) / SECOND_NS
+        buckets.ideal_level = min(quota.burst, refilled)
+        buckets.ideal_at_ns = now_ns
+        if buckets.ideal_level >= units:
+            buckets.ideal_level -= units
+            buckets.ideal_units += units
             self.ideal_units += units
 
     def request_forwarded(self, now_ns: int, plan: str, customer: bytes, units: float) -> float:
-        """A request's first attempt has left a gateway; units beyond the bound, 0 or less where it holds."""
+        """Charges a request whose first attempt was sent; returns units over the bound, at most 0 if none."""
         if plan not in self.bounded_quotas:
             return 0.0
         quota = self.bounded_quotas[plan]
-        usage = self._usage(now_ns, plan, customer)
-        refilled = usage.level + quota.rate * (now_ns - usage.level_at_ns) / SECOND_NS
-        usage.level = min(quota.burst, refilled) - units
-        usage.level_at_ns = now_ns
-        usage.sent_units += units
+        buckets = self._buckets(now_ns, plan, customer)
+        refilled = buckets.level + quota.rate * (now_ns - buckets.level_at_ns) / SECOND_NS
+        buckets.level = min(quota.burst, refilled) - units
+        buckets.level_at_ns = now_ns
+        buckets.sent_units += units
         self.sent_units += units
-        usage.lowest_level = min(usage.lowest_level, usage.level)
+        buckets.lowest_level = min(buckets.lowest_level, buckets.level)
         bound = quota.bound + quota.rate * self.delay_ns / SECOND_NS
-        excess = -usage.level
+        excess = -buckets.level
         self.max_excess = max(self.max_excess, excess)
         self.peak_ratio = max(self.peak_ratio, excess / bound)
         return excess - bound
 
     def by_plan(self) -> dict[str, PlanUsage]:
-        """What each plan's customers used."""
-        found: dict[str, PlanUsage] = {}
-        for (plan, _), usage in self.customers.items():
-            before = found.get(plan, PlanUsage(0.0, self.bounded_quotas[plan].bound, 0.0, 0.0))
-            found[plan] = PlanUsage(
-                max(before.max_excess, -usage.lowest_level),
-                before.bound,
-                before.sent_units + usage.sent_units,
-                before.ideal_units + usage.ideal_units,
+        """Returns the use of each plan."""
+        usages: dict[str, PlanUsage] = {}
+        for (plan, _), buckets in self.customers.items():
+            previous = usages.get(plan, PlanUsage(0.0, self.bounded_quotas[plan].bound, 0.0, 0.0))
+            usages[plan] = PlanUsage(
+                max(previous.max_excess, -buckets.lowest_level),
+                previous.bound,
+                previous.sent_units + buckets.sent_units,
+                previous.ideal_units + buckets.ideal_units,
             )
-        return found
+        return usages
--- a/zincstile/checkers/rules.py
+++ b/zincstile/checkers/rules.py
@@ -1,4 +1,4 @@
-"""The rules by name, and their limits."""
+"""The names of the rules and their limits."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Rule(StrEnum):
-    """The rules; the values are those of command lines, plans and stored results."""
+    """The rules; command lines, plans and stored results use the values."""
 
     ANSWER = "answer"
     VALUE = "value"
@@ -35,15 +35,15 @@
 
 
 class Idempotency(Enum):
-    """Whether an attempt that may have run may be sent again."""
+    """Whether a request may be sent again after an attempt that may have run."""
 
     ALWAYS = "always"
-    BY_KEY = "by key"  # within the window and the group that drop repeats of a key
+    BY_KEY = "by key"  # within the deduplication window and scope of its key
     NEVER = "never"
 
 
 class DeduplicationScope(Enum):
-    """Which backends drop repeats of a key together."""
+    """The set of backends that together drop repeats of a key."""
 
     ALL = "all"
     ZONE = "zone"
@@ -52,7 +52,7 @@
 
 @dataclass(slots=True)
 class ClassRule:
-    """What a request class allows. `window_ns`: how long repeats of a key are dropped."""
+    """The repeats that a request class allows. `window_ns`: how long backends drop repeats of a key."""
 
     idempotency: Idempotency = Idempotency.ALWAYS
     scope: DeduplicationScope = DeduplicationScope.CELL
@@ -61,7 +61,7 @@
 
 @dataclass(slots=True)
 class PlanRule:
-    """The ceiling of a plan for each customer, in units and units a second; rate 0: none."""
+    """A plan's ceiling per customer, in units and units per second; no ceiling if the rate is 0."""
 
     ceiling_rate: float = 0.0
     ceiling_burst: float = 0.0
@@ -70,17 +70,19 @@
 
 @dataclass(slots=True)
 class RuleLimits:
-    """The limits of the rules; PROTOCOL's unless others are given."""
+    """The limits of the rules; the defaults are those of PROTOCOL."""
 
     classes: dict[str, ClassRule]
     plans: dict[str, PlanRule]
-    answer_grace_ns: int = 58 * MS_NS  # after the client's time; 8 ms, and 50 more on sockets
+    answer_grace_ns: int = 58 * MS_NS  # after the client's timeout: 8 ms, plus 50 ms on sockets
     drain_grace_ns: int = 250 * MS_NS
-    disconnect_grace_ns: int = 100 * MS_NS  # after its client's close, nothing of a request begins
-    deadline_slack_ns: int = 150 * MS_NS  # by which a backend's time may exceed what the client has left
-    max_notification_ns: int = 6 * SECOND_NS  # what discovery knows counts as notified by then
+    disconnect_grace_ns: int = 100 * MS_NS  # after the client's close, in which attempts may still begin
+    # By how much a backend's timeout may exceed the client's remaining time.
+    deadline_slack_ns: int = 150 * MS_NS
+    # A gateway counts as notified of a status this long after discovery learned of it.
+    max_notification_ns: int = 6 * SECOND_NS
     cold_multiple: float = 2.0
     cold_window_ns: int = 3 * SECOND_NS
-    cold_slack_ns: int = 0  # of work, for chance
-    ceiling_delay_ns: int = 150 * MS_NS  # the ceiling's slack is wider by its rate in this time
+    cold_slack_ns: int = 0  # of work; allowance for random variation
+    ceiling_delay_ns: int = 150 * MS_NS  # adds the units that the rate grants in this time to the slack
     max_attempts: int = 6
--- a/zincstile/checkers/violations.py
+++ b/zincstile/checkers/violations.py
@@ -1,4 +1,4 @@
-"""The violations of one run, and the events that concern all of its requests."""
+"""The violations of one run, and its events that concern no single request."""
 
 from __future__ import annotations
 
@@ -9,37 +9,37 @@
 from .history import Event, RequestHistory, Violation
 from .rules import Rule
 
-HISTORY_LINES: Final = 40  # that a violation shows
+MAX_HISTORY_LINES: Final = 40  # in a violation
 
 
 class ViolationLog:
-    """Records a violation once for each rule and request."""
+    """Records violations, each rule once per request."""
 
     def __init__(self, clock: Callable[[], tuple[int, int]], rules: tuple[str, ...]) -> None:
-        """Record violations of these rules. `clock` gives the run's step and its time in nanoseconds."""
+        """`rules`: those to record. `clock` returns the run's step and its time in nanoseconds."""
         self.clock = clock
         self.rules = rules
         self.violations: list[Violation] = []
-        self._common_events: deque[Event] = deque(maxlen=HISTORY_LINES)
+        self._common_events: deque[Event] = deque(maxlen=MAX_HISTORY_LINES)
 
     def report(self, rule: Rule, text: str, history: RequestHistory | None) -> None:
-        """Record that a rule is broken, by that request or by none."""
+        """Records a violation, by a request or, if `history` is None, by none in particular."""
         request = history.id.decode() if history else "-"
-        if rule not in self.rules or self._is_known(rule, request):
+        if rule not in self.rules or self._is_reported(rule, request):
             return
         step, now_ns = self.clock()
-        events = sorted([*(history.events if history else []), *self._common_events])[-HISTORY_LINES:]
+        events = sorted([*(history.events if history else []), *self._common_events])[-MAX_HISTORY_LINES:]
         lines = [event.line() for event in events]
         self.violations.append(Violation(rule.value, step, now_ns, request, text, lines))
 
-    def _is_known(self, rule: Rule, request: str) -> bool:
-        return any(v.rule == rule and v.request == request for v in self.violations)
+    def _is_reported(self, rule: Rule, request: str) -> bool:
+        return any(violation.rule == rule and violation.request == request for violation in self.violations)
 
     def record_event(self, text: str) -> None:
-        """Record what concerns all requests."""
+        """Records an event that is part of the history of all requests."""
         self._common_events.append(self.event(text))
 
     def event(self, text: str) -> Event:
-        """An event at the present step and time."""
+        """Returns an event at the current step and time."""
         step, now_ns = self.clock()
         return Event(step, now_ns, text)
