--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -416,12 +416,12 @@
 
 
 def test_sizes_of_messages_are_the_packers(fleet):
-    head, share = gossip_codec.HEAD.size, gossip_codec.USAGE.size
+    head, share = gossip_codec.HEADER.size, gossip_codec.USAGE.size
     assert capacity_messages.gossip_bytes(0) == head
     assert capacity_messages.gossip_bytes(2.5) == pytest.approx(head + 2.5 * share)
     assert (
         capacity_messages.gossip_bytes(1, figures=True, error_samples=8)
-        == head + share + 12 * gossip_codec.FIGURE.size + 8 * gossip_codec.ERROR_SAMPLE.size
+        == head + share + 12 * gossip_codec.ESTIMATE.size + 8 * gossip_codec.ERROR_SAMPLE.size
     )
     assert capacity_messages.most_parts() == 65_535
 
--- a/zincstile/scale/emulators.py
+++ b/zincstile/scale/emulators.py
@@ -34,7 +34,7 @@
 DATAGRAM_BYTES: Final = 2048
 RECEIVE_BUFFER_BYTES: Final = 4 << 20
 SHARES_IN_DATAGRAM: Final = (
-    gossip_codec.MAX_DATAGRAM_BYTES - gossip_codec.HEAD.size
+    gossip_codec.MAX_DATAGRAM_BYTES - gossip_codec.HEADER.size
 ) // gossip_codec.USAGE.size
 
 
