--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -9,7 +9,7 @@
 
 import pytest
 from scenario import ROOT
-from test_checker import MS, SECOND, Bench
+from test_checker import MS_NS, SECOND_NS, CheckerHarness
 
 from zincstile.decisions.messages import AttemptResult, EndpointEntry, EndpointState, RejectionReason
 from zincstile.decisions.settings import DeduplicationScope, Idempotency, RequestClass
@@ -21,7 +21,7 @@
 from zincstile.net.trace import DESCRIBED_ENTRIES, RING_ENTRIES, Step, Trace
 from zincstile.testbed.counter_names import by_stored_name
 
-GIVE_UP = 10 * SECOND
+GIVE_UP = 10 * SECOND_NS
 
 
 def server(number: int = 1, zone: int = 0, cell: int = 0, ready: bool = True):
@@ -33,7 +33,7 @@
     effect: Idempotency = Idempotency.ALWAYS, group: DeduplicationScope = DeduplicationScope.CELL
 ) -> Session:
     spec = RequestClass(
-        "x", SECOND, GIVE_UP, effect, 1.0, deduplication_scope=group, deduplication_window_ns=6 * SECOND
+        "x", SECOND_NS, GIVE_UP, effect, 1.0, deduplication_scope=group, deduplication_window_ns=6 * SECOND_NS
     )
     return Session(1, Call(True, b"c", b"id", [], 0, None), None, GIVE_UP, spec)
 
@@ -78,10 +78,10 @@
 @pytest.mark.parametrize(
     ("idempotency", "backend", "now", "allowed"),
     [
-        (Idempotency.ALWAYS, server(2, cell=1), 7 * SECOND, True),
+        (Idempotency.ALWAYS, server(2, cell=1), 7 * SECOND_NS, True),
         (Idempotency.NEVER, server(2), 0, False),
-        (Idempotency.BY_KEY, server(2), 6 * SECOND, True),
-        (Idempotency.BY_KEY, server(2), 6 * SECOND + 1, False),
+        (Idempotency.BY_KEY, server(2), 6 * SECOND_NS, True),
+        (Idempotency.BY_KEY, server(2), 6 * SECOND_NS + 1, False),
         (Idempotency.BY_KEY, server(2, cell=1), 0, False),
     ],
 )
@@ -117,11 +117,11 @@
 
 def test_a_violation_logs_the_trace_of_its_request(guard, capsys):
     guard._trace.record(0, Step.RECEIVED, b"id")
-    guard._trace.record(2 * MS, Step.SENT, b"other", ("10.0.0.1", 1))
-    guard._trace.record(3 * MS, Step.OUTCOME, b"id", AttemptResult.RESET)
+    guard._trace.record(2 * MS_NS, Step.SENT, b"other", ("10.0.0.1", 1))
+    guard._trace.record(3 * MS_NS, Step.OUTCOME, b"id", AttemptResult.RESET)
     owner = session()
     owner.ended = True
-    guard.may_send(5 * MS, attempt(owner, server()))
+    guard.may_send(5 * MS_NS, attempt(owner, server()))
     logged = capsys.readouterr().err
     assert "trace -5.000ms received id" in logged and "trace -2.000ms outcome id reset" in logged
     assert "other" not in logged
@@ -163,69 +163,69 @@
 
 @pytest.fixture
 def bench():
-    return Bench()
+    return CheckerHarness()
 
 
 def test_an_attempt_later_than_0_1_s_after_the_client_disconnected_is_a_breach(bench):
-    bench.ask(wait=3000)
-    bench.at(500).client_disconnected(b"1")
-    bench.at(600)
-    bench.send("b1")
-    assert bench.broken == []
-    bench.at(601)
-    bench.send("b2")
-    assert bench.broken == ["left"]
+    bench.send_request(timeout_ms=3000)
+    bench.advance_to(500).client_disconnected(b"1")
+    bench.advance_to(600)
+    bench.send_attempt("b1")
+    assert bench.broken_rules == []
+    bench.advance_to(601)
+    bench.send_attempt("b2")
+    assert bench.broken_rules == ["left"]
 
 
 def test_an_attempt_with_a_later_deadline_than_its_client_is_a_breach(bench):
-    bench.ask(wait=1000)
-    bench.at(300)
-    one = bench.checker.attempt_started("g0", "b1", b"1", bench.now)
-    bench.checker.attempt_complete(b"1", one, 850)
-    assert bench.broken == []
-    one = bench.checker.attempt_started("g0", "b2", b"1", bench.now)
-    bench.checker.attempt_complete(b"1", one, 851)
-    assert bench.broken == ["deadline"]
+    bench.send_request(timeout_ms=1000)
+    bench.advance_to(300)
+    one = bench.checker.attempt_started("g0", "b1", b"1", bench.now_ns)
+    bench.checker.attempt_completed(b"1", one, 850)
+    assert bench.broken_rules == []
+    one = bench.checker.attempt_started("g0", "b2", b"1", bench.now_ns)
+    bench.checker.attempt_completed(b"1", one, 851)
+    assert bench.broken_rules == ["deadline"]
 
 
 def test_the_deadline_of_a_request_that_a_paused_gateway_read_late_counts_from_the_read(bench):
-    bench.checker.gateway_paused("g0", 400 * MS)
-    bench.ask(wait=1000)
-    bench.at(450)
-    one = bench.checker.attempt_started("g0", "b1", b"1", bench.now)
-    bench.checker.attempt_complete(b"1", one, 990)
-    assert bench.broken == []
+    bench.checker.gateway_paused("g0", 400 * MS_NS)
+    bench.send_request(timeout_ms=1000)
+    bench.advance_to(450)
+    one = bench.checker.attempt_started("g0", "b1", b"1", bench.now_ns)
+    bench.checker.attempt_completed(b"1", one, 990)
+    assert bench.broken_rules == []
 
 
 def test_maintenance_applies_from_its_confirmation_until_its_end_even_after_a_restart(bench):
     maintenance = bench.checker.maintenance
-    maintenance.confirmed(bench.now, "g0", "b1")
-    bench.ask(wait=9000)
-    bench.at(250)
-    bench.send("b1")
-    assert bench.broken == []
+    maintenance.confirmed(bench.now_ns, "g0", "b1")
+    bench.send_request(timeout_ms=9000)
+    bench.advance_to(250)
+    bench.send_attempt("b1")
+    assert bench.broken_rules == []
     bench.checker.gateway_ended("g0")
     bench.checker.gateway_started("g0")
-    bench.at(251)
-    bench.send("b1")
-    assert bench.broken == ["maintenance"]
+    bench.advance_to(251)
+    bench.send_attempt("b1")
+    assert bench.broken_rules == ["maintenance"]
     maintenance.ended("g0", "b1")
-    bench.ask(b"2", line=2, wait=9000)
-    bench.send("b1", b"2")
-    assert bench.broken == ["maintenance"]
+    bench.send_request(b"2", connection=2, timeout_ms=9000)
+    bench.send_attempt("b1", b"2")
+    assert bench.broken_rules == ["maintenance"]
 
 
 def test_a_violation_that_a_gateway_reports_is_a_breach(bench):
     bench.checker.report_invariant("g0", "close c1: 2 requests without an answer")
-    assert bench.broken == ["invariant"]
+    assert bench.broken_rules == ["invariant"]
 
 
 def test_only_requests_of_an_excused_gateway_may_be_answered_late_or_never(bench):
-    bench.ask(wait=100)
-    bench.ask(b"2", wait=100, line=2, gateway="g1")
-    bench.checker.excuse_gateway("g0")
-    bench.at(100).request_answered(b"2", "failed", b"")
-    bench.at(500).request_answered(b"1", "failed", b"")
-    bench.ask(b"3", wait=100, line=3)
-    bench.at(700)
-    assert bench.broken == ["answer"]
+    bench.send_request(timeout_ms=100)
+    bench.send_request(b"2", timeout_ms=100, connection=2, gateway="g1")
+    bench.checker.waive_answer_deadlines("g0")
+    bench.advance_to(100).request_answered(b"2", "failed", b"")
+    bench.advance_to(500).request_answered(b"1", "failed", b"")
+    bench.send_request(b"3", timeout_ms=100, connection=3)
+    bench.advance_to(700)
+    assert bench.broken_rules == ["answer"]
