--- a/tests/test_quota_service_client.py
+++ b/tests/test_quota_service_client.py
@@ -180,7 +180,7 @@
     ids=["no name", "long name", "not ascii", "not a number", "too much"],
 )
 def test_an_invalid_call_raises_an_error(environment, name, amount):
-    with pytest.raises(MalformedCallError, match="no such call"):
+    with pytest.raises(MalformedCallError, match="invalid quota service call"):
         environment.client.call(name, amount, 1000, print)
 
 
--- a/zincstile/net/backends/__init__.py
+++ b/zincstile/net/backends/__init__.py
@@ -1,6 +1,6 @@
-"""The backends' side of the gateway in RESP2: listed backends, their connections, and the attempts on them.
+"""The backend side of the gateway, in RESP2: listed backends, connections to them, and attempts.
 
-An attempt has its connection to itself and is given up by closing it, so that no other request is hurt. What
-has run and what never did follows from whether the last byte of the request was written, and from what came
-back.
+A connection carries one attempt at a time. An attempt is abandoned by closing its connection, which affects
+no other request. Whether a request may have run is derived from whether its last byte was written, and from
+the reply.
 """
--- a/zincstile/net/backends/attempt.py
+++ b/zincstile/net/backends/attempt.py
@@ -12,7 +12,7 @@
 
 
 class Connection(Protocol):
-    """A connection to a backend, as far as attempts and backends have to know it."""
+    """A connection to a backend, as seen by attempts and backends."""
 
     attempt: Attempt | None
     stream: ValueStream | None
@@ -24,12 +24,12 @@
         ...
 
     def drop(self) -> None:
-        """Closes the connection without an outcome of the attempt that it carries."""
+        """Closes the connection without reporting an outcome for its attempt."""
         ...
 
 
 class Attempt:
-    """One attempt of a session's call; without a session it is a health check.
+    """One attempt to forward a session's call; without a session it is a health check.
 
     Times are monotonic, in nanoseconds.
     """
@@ -56,28 +56,28 @@
         until_ns: int,
         write_deadline_ns: int,
     ) -> None:
-        """An attempt that is not sent yet."""
+        """Creates an attempt that has not been sent."""
         self.session = session
-        self.number = number  # among the attempts of its session, from 0
+        self.number = number  # index among the attempts of its session
         self.backend = backend
         self.sent_ns = sent_ns
-        self.until_ns = until_ns  # it is given up then
-        self.write_deadline_ns = write_deadline_ns  # its last byte is written by then, or never
+        self.until_ns = until_ns  # deadline of the attempt
+        self.write_deadline_ns = write_deadline_ns  # the request has to be written completely by then
         self.deadline: DeadlineKey | None = None
         self.connection: Connection | None = None
-        self.write_started = False  # its first byte may have left
-        self.may_have_run = False  # its last byte is written, and it was not rejected
+        self.write_started = False  # the first byte of the request may have been sent
+        self.may_have_run = False  # the request was written completely and not rejected
 
 
 @dataclass(slots=True, eq=False)
 class Backend:
-    """One process in the endpoint list, while there is a connection to it or an attempt waits for one."""
+    """One listed backend process; exists while it has connections or attempts that wait for one."""
 
     id: int
     address: tuple[str, int]
     started_ns: int
-    ready: bool  # new attempts may go to it
-    idle: list[Connection] = field(default_factory=list)  # the last used comes last
-    queued: dict[Attempt, None] = field(default_factory=dict)  # these wait for a connection of their own
-    connections: int = 0  # those that are not up yet included
-    entry: EndpointEntry | None = None  # as it is listed
+    ready: bool  # accepts new attempts
+    idle: list[Connection] = field(default_factory=list)  # least recently used first
+    queued: dict[Attempt, None] = field(default_factory=dict)  # attempts that wait for their connection
+    connections: int = 0  # includes connections that are still being opened
+    entry: EndpointEntry | None = None  # as last listed by discovery
--- a/zincstile/net/backends/attempts.py
+++ b/zincstile/net/backends/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts of requests: sent as the decisions say, limited in time, and reported with their one outcome."""
+"""Attempts: sends them as the policy decides, enforces their deadlines, and reports one outcome for each."""
 
 from __future__ import annotations
 
@@ -28,25 +28,26 @@
 from .streaming import AnswerStreams
 
 BUSY: Final = b"BUSY"
-REUSABLE_ERRORS: Final = (BUSY, b"ERR failed")  # error lines after which the connection serves on
+REUSABLE_ERRORS: Final = (BUSY, b"ERR failed")  # error replies after which the connection is reused
 
 
 class Attempts:
-    """The attempts in flight: one session has several, each on a connection of its own.
+    """The attempts in flight. A session can have several, each on its own connection.
 
-    It is also the owner of all connections to backends (`connection.ConnectionOwner`): they notify it of
-    what they have written and read.
+    Also implements `connection.ConnectionOwner`: backend connections notify it of what they wrote and read.
     """
 
     def __init__(
         self, dispatcher: Dispatcher, settings: Settings, pool: ConnectionPool, buffer: memoryview
     ) -> None:
-        """Takes over the actions on attempts; `buffer`: all connections read into it."""
+        """Registers the handlers of the policy's actions; all connections read into `buffer`."""
         self.dispatcher = dispatcher
         self.settings = settings
         self.pool = pool
         self.buffer = buffer
-        self.in_flight: dict[tuple[int, int], Attempt] = {}  # by session id and number; no health checks
+        self.in_flight: dict[
+            tuple[int, int], Attempt
+        ] = {}  # by session id and attempt number; without health checks
         self.connector = Connector(dispatcher, pool, self)
         self.streams = AnswerStreams(dispatcher, pool, self)
         pool.on_withdrawn = self._fail_queued
@@ -56,10 +57,10 @@
         dispatcher.action_handlers[CloseIdleConnections] = self._close_idle
         dispatcher.withdraw_unsent = self.withdraw
 
-    # ---- actions of the decisions
+    # ---- actions of the policy
 
     def forward(self, now_ns: int, action: ForwardRequest) -> None:
-        """Makes an attempt of a request."""
+        """Starts an attempt for a request."""
         session = self.dispatcher.sessions.get(action.request) or self.dispatcher.ended_sessions.get(
             action.request
         )
@@ -68,8 +69,8 @@
         number = session.attempts
         session.attempts = number + 1
         if session.ended or session.client.has_left():
-            # The client left, or was answered, in the very batch in which this attempt was decided on. It
-            # is reported all the same: the decisions would take it to be in flight for good.
+            # The client left or was answered in the same batch in which the policy decided on this attempt.
+            # Report an outcome anyway, or the policy would count the attempt as in flight for ever.
             self.report(session, number, action.endpoint, AttemptResult.NOT_SENT, 0)
             return
         if number:
@@ -87,22 +88,22 @@
         )
 
     def _retry_reason(self, session: Session) -> RetryReason:
-        """Why a session has its latest attempt, which is counted in it already."""
+        """Returns why the latest attempt of a session, which `session.attempts` already counts, was made."""
         before = (session.id, session.attempts - 2)
         if before in self.in_flight or session.last_result is None:
             return RetryReason.HEDGE
         return RETRY_REASONS.get(session.last_result, RetryReason.HEDGE)
 
     def cancel(self, _: int, action: CancelAttempt) -> None:
-        """Gives an attempt up; one that has ended meanwhile is left as it is."""
+        """Cancels an attempt, unless it has already ended."""
         attempt = self.in_flight.get((action.request, action.attempt))
         if attempt is not None:
             self.finish(attempt, AttemptResult.CANCELLED)
 
     def withdraw(self, session: Session) -> None:
-        """Gives up what of a session that ended is not completely written.
+        """Cancels the attempts of an ended session whose request is not completely written.
 
-        Also where the settings allow no cancelling: it can not have run, and never will.
+        This applies even if the settings do not allow cancelling: such an attempt cannot have run.
         """
         for number in range(session.attempts):
             attempt = self.in_flight.get((session.id, number))
@@ -147,12 +148,14 @@
             if connection is not None:
                 self.send(connection, attempt, reused=True)
                 return
-        elif backend.idle:  # the new one replaces the one idle for longest, so that they don't add up
+        elif backend.idle:  # the new connection replaces the longest idle one, so that their number stays
             self.pool.close_idle(backend.idle[0])
         count = len(self.pool.connections)
         if count >= self.dispatcher.limits.backend_connections and not self.pool.close_oldest_idle():
-            # Descriptors are scarce. It was never sent, and the backend is not to blame.
-            self.dispatcher.log.often("full", f"{count} backend connections: no more for now")
+            # The connection limit is reached. Nothing was sent, and the backend is not at fault.
+            self.dispatcher.log.often(
+                "full", f"limit of backend connections reached: {count} open; attempt not sent"
+            )
             self.finish(attempt, AttemptResult.NOT_SENT)
             self.pool.forget_if_unused(backend)
             return
@@ -160,7 +163,7 @@
         self.connector.connect(attempt)
 
     def send(self, connection: BackendConnection, attempt: Attempt, *, reused: bool = False) -> None:
-        """Writes an attempt's request: the one place at which its first byte leaves."""
+        """Writes an attempt's request. No other code sends the first byte of a request."""
         dispatcher, session = self.dispatcher, attempt.session
         now_ns = dispatcher.now_ns()
         if not dispatcher.guard.may_send(now_ns, attempt):
@@ -182,26 +185,26 @@
     # ---- deadlines
 
     def set_deadline(self, attempt: Attempt, at_ns: int) -> None:
-        """Gives an attempt up at a time, in place of the deadline that it had."""
+        """Sets the deadline of an attempt, replacing the previous one."""
         self.dispatcher.deadlines.cancel(attempt.deadline)
         attempt.deadline = self.dispatcher.deadlines.add(at_ns, self._expire, attempt)
 
     def _expire(self, attempt: Attempt) -> None:
-        """Where its request is not completely written by now it never ran: the rest is never written."""
+        """Ends an attempt at its deadline. If its request is not completely written, it never ran."""
         attempt.deadline = None
         connection = attempt.connection
         written = attempt.write_started and connection is not None and connection.request_written
         self.finish(attempt, AttemptResult.TIMEOUT if written else AttemptResult.CONNECT_FAILED)
 
     def on_request_written(self, attempt: Attempt) -> None:
-        """The last byte of its request has left, later than the first."""
+        """Called when the request is completely written, if that took more than one write."""
         if attempt.write_deadline_ns < attempt.until_ns:
             self.set_deadline(attempt, attempt.until_ns)
             self.dispatcher.wake()
 
     def on_answer_started(self, attempt: Attempt) -> None:
-        """Part of its answer has come: the rest has to follow within `answer_ns`."""
-        # A length that is more than what comes would else hold the client for all of its time.
+        """Called on the first part of an answer: more has to arrive every `answer_ns`."""
+        # Otherwise an answer shorter than its stated length would block the client until its deadline.
         at_ns = attempt.connection.last_received_ns + self.dispatcher.limits.answer_ns
         if at_ns < attempt.until_ns:
             self.dispatcher.deadlines.cancel(attempt.deadline)
@@ -213,16 +216,16 @@
         answer_ns = self.dispatcher.limits.answer_ns
         if attempt.connection.last_received_ns + answer_ns > self.dispatcher.now_ns():
             self.set_deadline(attempt, attempt.until_ns)
-            self.on_answer_started(attempt)  # more has come since
+            self.on_answer_started(attempt)  # more data has arrived since
         else:
-            self.on_malformed_answer(attempt, "it does not go on")
+            self.on_malformed_answer(attempt, "incomplete, and no more data arrived in time")
 
     # ---- answers and outcomes
 
     def on_reply(
         self, connection: BackendConnection, attempt: Attempt, reply: resp.Reply, *, no_trailing_data: bool
     ) -> None:
-        """A complete reply has come; `no_trailing_data`: nothing was received after it."""
+        """Called with a complete reply; `no_trailing_data`: nothing was received after it."""
         is_error = isinstance(reply, resp.ErrorLine)
         if is_error:
             result = None
@@ -232,7 +235,7 @@
             reusable = result is not None or attempt.session is None
         if reusable and no_trailing_data and connection.request_written:
             self.pool.add_idle(connection)
-        else:  # what is left to write, or came behind the answer, would confuse the next
+        else:  # unwritten or trailing data would corrupt the next request on this connection
             connection.transport.abort()
         attempt.connection = None
         if is_error:
@@ -242,28 +245,29 @@
         elif result is not None:
             self.finish(attempt, AttemptResult.OK, *result)
         else:
-            self.on_malformed_answer(attempt, f"not of the form agreed on: {str(reply)[:80]}")
+            self.on_malformed_answer(attempt, f"unexpected reply structure: {str(reply)[:80]}")
 
     def _fail(self, attempt: Attempt, error: bytes) -> None:
-        """An error line: `BUSY` or `ERR failed`, with the load report behind it."""
+        """Ends an attempt with an error reply: `BUSY` or `ERR failed`, followed by the load report."""
         code, _, details = error.partition(b" ")
         result = AttemptResult.REJECTED if code == BUSY else AttemptResult.ERROR
         if result is AttemptResult.ERROR and not details.startswith(b"failed"):
-            self.dispatcher.log.often("backend", f"{attempt.backend.address} says {bytes(error[:80])!r}")
+            self.dispatcher.log.often(
+                "backend", f"{attempt.backend.address} replied with an unknown error: {bytes(error[:80])!r}"
+            )
         self.finish(attempt, result, load_report=details.rpartition(b" ")[2])
 
     def on_malformed_answer(self, attempt: Attempt, reason: str) -> None:
-        """Its answer can't be read. It ran; the connection is of no further use."""
-        self.dispatcher.log.often("answer", f"of {attempt.backend.address} malformed: {reason}")
+        """Ends an attempt whose answer is malformed. The request ran; its connection is not reused."""
+        self.dispatcher.log.often("answer", f"from {attempt.backend.address} is malformed: {reason}")
         self.finish(attempt, AttemptResult.MALFORMED)
 
     def finish(
         self, attempt: Attempt, result: AttemptResult, value: bytes = b"", load_report: bytes = b""
     ) -> None:
-        """Ends an attempt with its one outcome. A connection that still carries it is closed.
+        """Ends an attempt with its only outcome, and closes a connection that still carries it.
 
-        A request whose attempt came to `OK` is answered with the value. An attempt that has ended before
-        is left as it is.
+        With `OK` the client is answered with `value`. Does nothing if the attempt has already ended.
         """
         session = attempt.session
         if session is not None and self.in_flight.pop((session.id, attempt.number), None) is None:
@@ -291,7 +295,7 @@
         latency_ns: int,
         load_report: bytes = b"",
     ) -> None:
-        """Reports an outcome to the decisions; without a session it is that of a health check."""
+        """Reports an outcome to the policy; without a session, the outcome of a health check."""
         figures = parse_load_report(load_report, self.settings.load_report_fields) if load_report else []
         if session is None:
             self.dispatcher.post(HealthCheckResult(backend_id, result, latency_ns, figures))
--- a/zincstile/net/backends/connecting.py
+++ b/zincstile/net/backends/connecting.py
@@ -1,4 +1,4 @@
-"""Opening connections to backends, each for the attempt that waits for it."""
+"""Opens connections to backends, each for one waiting attempt."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class AttemptSender(ConnectionOwner, Protocol):
-    """Who sends an attempt on a connection that is up: `attempts.Attempts`."""
+    """Sends an attempt on an open connection; implemented by `attempts.Attempts`."""
 
     def send(self, connection: BackendConnection, attempt: Attempt, *, reused: bool = False) -> None:
         """Writes the attempt's request."""
@@ -25,17 +25,17 @@
 
 
 class Connector:
-    """Opens connections. One task a new connection, none a request."""
+    """Opens connections. Each new connection uses a task; a request on an existing connection uses none."""
 
     def __init__(self, dispatcher: Dispatcher, pool: ConnectionPool, sender: AttemptSender) -> None:
-        """`sender` gets each connection that is up, and the attempts whose connection failed."""
+        """`sender` sends on open connections, and finishes the attempts whose connection failed."""
         self.dispatcher = dispatcher
         self.pool = pool
         self.sender = sender
-        self._tasks: set[asyncio.Task] = set()  # the loop alone would hold them weakly
+        self._tasks: set[asyncio.Task] = set()  # the event loop keeps only weak references
 
     def connect(self, attempt: Attempt) -> None:
-        """Opens a connection to the attempt's backend; the attempt is queued until it is up."""
+        """Opens a connection to the attempt's backend; queues the attempt until it is open."""
         self.dispatcher.counters.connects += 1
         attempt.backend.queued[attempt] = None
         connection = BackendConnection(self.sender, attempt.backend, attempt)
@@ -52,29 +52,29 @@
         except (OSError, TimeoutError) as err:
             if connection.transport is None:
                 connection.attempt = None
-                never_asked = self._is_local_shortage(err)
-                result = AttemptResult.NOT_SENT if never_asked else AttemptResult.CONNECT_FAILED
+                local_shortage = self._is_local_shortage(err)
+                result = AttemptResult.NOT_SENT if local_shortage else AttemptResult.CONNECT_FAILED
                 self.sender.finish(attempt, result)
                 self.pool.remove(connection)
 
     def _is_local_shortage(self, err: Exception) -> bool:
-        """Whether this machine lacks something: no backend may be suspected for it, here or at peers."""
+        """Whether this machine lacks a resource: no gateway may count that against the backend."""
         local = is_exhaustion(err) or (isinstance(err, OSError) and err.errno == errno.EADDRNOTAVAIL)
         if local:
-            self.dispatcher.log.often("full", f"no connection to backend servers for now: {err}")
+            self.dispatcher.log.often("full", f"can't open a connection to a backend server: {err}")
         return local
 
     def on_connected(self, connection: BackendConnection) -> None:
-        """A connection is up: it carries its attempt, or becomes idle where that has ended meanwhile."""
+        """Called when a connection is open: sends its attempt, or keeps it idle if the attempt has ended."""
         attempt = connection.attempt
         connection.attempt = None
         queued = connection.backend.queued
-        if connection.connect_timeout.expired():  # just now: the task closes it next, whatever it carries
+        if connection.connect_timeout.expired():  # the task that opened it is about to close it
             if attempt in queued:
                 self.sender.finish(attempt, AttemptResult.CONNECT_FAILED)
             return
-        connection.connect_timeout.reschedule(None)  # else it may be closed beneath whatever is written to it
-        if attempt not in queued:  # given up meanwhile; the connection serves another
+        connection.connect_timeout.reschedule(None)  # or a late timeout would close it while in use
+        if attempt not in queued:  # ended meanwhile; the connection can serve another attempt
             self.pool.add_idle(connection, unused=True)
             return
         session = attempt.session
--- a/zincstile/net/backends/connection.py
+++ b/zincstile/net/backends/connection.py
@@ -1,4 +1,4 @@
-"""One connection to a backend: it writes requests, reads answers, and notifies its owner of both."""
+"""One connection to a backend: writes requests, reads answers, and notifies its owner of both."""
 
 from __future__ import annotations
 
@@ -11,75 +11,75 @@
 from ..value_stream import ValueStream
 from .attempt import Attempt, Backend
 
-HEAD_BYTES: Final = 16  # of an answer: enough to tell how long its value is
+HEAD_BYTES: Final = 16  # enough of an answer to parse the length of its value
 
 
 class ConnectorEvents(Protocol):
-    """Who waits for a connection to come up: `connecting.Connector`."""
+    """Is notified when a connection opens; implemented by `connecting.Connector`."""
 
     def on_connected(self, connection: BackendConnection) -> None:
-        """The connection is up."""
+        """Called when the connection is open."""
         ...
 
 
 class PoolEvents(Protocol):
-    """Who counts connections: `pool.ConnectionPool`."""
+    """Keeps track of connections; implemented by `pool.ConnectionPool`."""
 
     def on_connection_lost(self, connection: BackendConnection) -> None:
-        """The connection has ended."""
+        """Called when the connection has closed."""
         ...
 
 
 class StreamEvents(Protocol):
-    """Who passes large values on: `streaming.AnswerStreams`."""
+    """Forwards large values while they arrive; implemented by `streaming.AnswerStreams`."""
 
     def begin(self, connection: BackendConnection, attempt: Attempt, size: int, data: bytes) -> None:
-        """A value of `size` bytes has begun, of which `data` is here."""
+        """Starts to forward a value of `size` bytes; `data`: its first bytes."""
         ...
 
     def push(self, connection: BackendConnection, data: bytes) -> None:
-        """More of the answer has come."""
+        """Called with more data of the answer."""
         ...
 
     def connection_lost(self, connection: BackendConnection) -> None:
-        """The connection has ended before the answer."""
+        """Called when the connection closed while a value was forwarded."""
         ...
 
 
 class ConnectionOwner(Protocol):
-    """Who handles what a connection writes and reads: `attempts.Attempts`."""
+    """Handles the events of a connection; implemented by `attempts.Attempts`."""
 
     dispatcher: Dispatcher
-    buffer: memoryview  # all connections read into it; each read is taken out of it at once
+    buffer: memoryview  # shared by all connections; each read is copied out at once
     connector: ConnectorEvents
     pool: PoolEvents
     streams: StreamEvents
 
     def on_request_written(self, attempt: Attempt) -> None:
-        """The last byte of a request has left, later than the first."""
+        """Called when a request is completely written, if that took more than one write."""
         ...
 
     def on_answer_started(self, attempt: Attempt) -> None:
-        """The first part of an answer has come."""
+        """Called on the first part of an incomplete answer."""
         ...
 
     def on_reply(
         self, connection: BackendConnection, attempt: Attempt, reply: resp.Reply, *, no_trailing_data: bool
     ) -> None:
-        """A complete reply has come; `no_trailing_data`: nothing was received after it."""
+        """Called with a complete reply; `no_trailing_data`: nothing was received after it."""
         ...
 
     def on_malformed_answer(self, attempt: Attempt, reason: str) -> None:
-        """What has come is no answer."""
+        """Called when the received data is not a valid answer."""
         ...
 
     def finish(self, attempt: Attempt, result: AttemptResult) -> None:
-        """The attempt has ended without an answer."""
+        """Ends the attempt, which got no answer."""
         ...
 
 
 class BackendConnection(asyncio.BufferedProtocol):
-    """Carries one attempt at a time. Without one it is idle in the pool, or about to be closed."""
+    """Carries one attempt at a time. Without an attempt it is idle in the pool or about to be closed."""
 
     __slots__ = (
         "owner",
@@ -105,39 +105,39 @@
     )
 
     def __init__(self, owner: ConnectionOwner, backend: Backend, attempt: Attempt | None) -> None:
-        """A connection that is not up yet; `attempt`: the one that waits for it."""
+        """Creates a connection that is not open yet; `attempt` waits for it."""
         self.owner = owner
         self.backend = backend
         self.attempt = attempt
         self.transport: asyncio.Transport | None = None
         self.idle_since_ns = 0
-        self.reusable_from_ns = 0  # it may carry another attempt from then on
-        self.last_received_ns = 0  # when more of the incomplete answer came last
-        self.connect_timeout: asyncio.Timeout | None = None  # how long it may take to come up
-        self.stream: ValueStream | None = None  # the value that is passed on as it comes
-        self.bytes_left = 0  # of it still to come, through the end of its line
-        self.last_two_bytes = b""  # of it that came
-        self.trailer_parser: resp.ReplyParser | None = None  # of what follows the value
-        self.trailer: list[resp.Reply] = []  # the figures and the load report, as far as they came
-        self.waits_for_client = False  # not read while the client has not taken what came
-        self.throttled = False  # not read for a while, so that small pieces come together
+        self.reusable_from_ns = 0  # earliest time for another attempt
+        self.last_received_ns = 0  # last data of an incomplete answer
+        self.connect_timeout: asyncio.Timeout | None = None  # limits the time to open it
+        self.stream: ValueStream | None = None  # the value that is being forwarded
+        self.bytes_left = 0  # of the value, with its final CRLF
+        self.last_two_bytes = b""  # received so far, to check the final CRLF
+        self.trailer_parser: resp.ReplyParser | None = None  # parses what follows the value
+        self.trailer: list[resp.Reply] = []  # parts received after the value
+        self.waits_for_client = False  # reading is paused until the client has read what was received
+        self.throttled = False  # reading is paused briefly, so that small pieces accumulate
         self._parser = resp.ReplyParser(owner.dispatcher.limits)
-        self._write_pending = False  # part of a request has not left this process
-        self._answer_started = False  # part of an answer has come
-        self._reused = False  # it has carried another attempt before
-        self._streaming_decided = False  # whether the answer is passed on as it comes
+        self._write_pending = False  # part of a request is still in the transport's buffer
+        self._answer_started = False  # part of an answer was received
+        self._reused = False  # has carried an earlier attempt
+        self._streaming_decided = False  # whether to stream the answer is decided
 
     # ---- writing
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is up. Called by asyncio."""
+        """Called by asyncio when the connection is open."""
         self.transport = transport  # type: ignore[assignment]
-        # With no room in the transport's buffer, `resume_writing` tells when all of a request has left.
+        # With a limit of 0, asyncio calls `resume_writing` exactly when a request is completely written.
         self.transport.set_write_buffer_limits(high=0)
         self.owner.connector.on_connected(self)
 
     def send(self, attempt: Attempt, request: bytes, *, reused: bool = False) -> None:
-        """Writes the request of an attempt; `reused`: the connection has carried another before."""
+        """Writes the request of an attempt; `reused`: the connection has carried an earlier attempt."""
         self._reused = reused
         self.attempt = attempt
         attempt.connection = self
@@ -148,24 +148,24 @@
 
     @property
     def request_written(self) -> bool:
-        """Whether the last byte of the request has left this process."""
+        """Whether the request was completely written to the socket."""
         return not self._write_pending
 
     @property
     def has_no_unread_data(self) -> bool:
-        """Whether nothing came since the connection became idle, not even its end.
+        """Whether nothing was received since the connection became idle, not even end-of-file.
 
-        What comes late behind an answer must not be taken for the next one's, and a connection that the
-        backend has closed must not be used.
+        Late data after an answer must not be taken for the next answer, and a connection that the backend has
+        closed must not be reused.
         """
         return not self.transport.is_closing() and not self.owner.dispatcher.readable(self.transport)
 
     def pause_writing(self) -> None:
-        """Part of a request has to wait. Called by asyncio."""
+        """Called by asyncio when part of a request could not be written yet."""
         self._write_pending = True
 
     def resume_writing(self) -> None:
-        """The last byte of a request has left. Called by asyncio."""
+        """Called by asyncio when the rest of a request was written."""
         self._write_pending = False
         if self.attempt is not None:
             self.attempt.may_have_run = True
@@ -174,31 +174,33 @@
     # ---- reading
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        """The buffer to read into. Called by asyncio."""
+        """Called by asyncio for the buffer to read into."""
         return self.owner.buffer
 
     def buffer_updated(self, size: int) -> None:
-        """So many bytes have come. Called by asyncio."""
+        """Called by asyncio when `size` bytes were read into the buffer."""
         attempt, parser, owner = self.attempt, self._parser, self.owner
         data = bytes(owner.buffer[:size])
         if self.stream is not None:
             owner.streams.push(self, data)
             return
         if not self._streaming_decided and attempt is not None and attempt.session is not None:
-            kept = parser.incomplete()
+            unparsed = parser.incomplete()
             limits = owner.dispatcher.limits
-            head = resp.stream_head(kept[:HEAD_BYTES] + data[:HEAD_BYTES], limits.stream_bytes)
+            head = resp.stream_head(unparsed[:HEAD_BYTES] + data[:HEAD_BYTES], limits.stream_bytes)
             self._streaming_decided = head is None
             if head is not None and head[0]:
                 value_bytes, start = head
                 self._parser = resp.ReplyParser(limits)
-                owner.streams.begin(self, attempt, value_bytes, (kept + data)[start:])
+                owner.streams.begin(self, attempt, value_bytes, (unparsed + data)[start:])
                 return
         replies = parser.feed(data)
         if attempt is None:
-            owner.dispatcher.log.often("backend", f"{self.backend.address} sent what nobody asked for")
+            owner.dispatcher.log.often(
+                "backend", f"{self.backend.address} sent data without a pending request"
+            )
             self.transport.abort()
-        elif replies:  # the first is the answer, whatever came behind it
+        elif replies:  # the first is the answer; any others are unsolicited
             self.attempt = None
             no_trailing_data = len(replies) == 1 and parser.idle and not parser.error
             owner.on_reply(self, attempt, replies[0], no_trailing_data=no_trailing_data)
@@ -210,10 +212,10 @@
                 self._answer_started = True
                 owner.on_answer_started(attempt)
 
-    # ---- a value that is passed on as it comes
+    # ---- streamed values
 
     def begin_stream(self, stream: ValueStream, size_bytes: int) -> None:
-        """A value has begun that takes so many bytes, its head and the end of its line included."""
+        """Starts a streamed value of `size_bytes`, its length line and final CRLF included."""
         self.stream = stream
         self.bytes_left = size_bytes
         self.last_two_bytes = b""
@@ -222,26 +224,26 @@
         self.waits_for_client = self.throttled = False
 
     def end_stream(self) -> None:
-        """The value and what follows it are read, or never come."""
+        """Ends the streamed value, complete or not."""
         self.attempt = None
         self.stream = None
         self.waits_for_client = False
 
     def wait_for_client(self) -> None:
-        """Reads no more until the client has taken what came."""
+        """Pauses reading until the client has read what was received."""
         if not self.waits_for_client:
             self.waits_for_client = True
             if not self.throttled:
                 self.transport.pause_reading()
 
     def on_taken(self) -> None:
-        """The client took what came of the value."""
+        """Called when the client has read what was received of the value."""
         if self.waits_for_client:
             self.waits_for_client = False
             self._resume()
 
     def throttle(self, until_ns: int) -> None:
-        """Reads no more until then, so that small pieces gather in the socket: each read costs a batch."""
+        """Pauses reading until `until_ns`, so that small pieces accumulate: each read costs a batch."""
         if not self.throttled:
             self.throttled = True
             self.transport.pause_reading()
@@ -257,18 +259,18 @@
             self.transport.resume_reading()
 
     def abandon(self) -> None:
-        """The client left before the value was complete."""
+        """Closes the connection: the client left before the value was complete."""
         if not self.transport.is_closing():
             self.transport.abort()
 
-    # ---- the end
+    # ---- closing
 
     def eof_received(self) -> None:
-        """The backend has ended its side: the transport closes. Called by asyncio."""
+        """Called by asyncio at end-of-file; returning None closes the transport."""
         return None
 
     def connection_lost(self, err: Exception | None) -> None:
-        """The connection has ended; so does the attempt that it carries. Called by asyncio."""
+        """Called by asyncio when the connection has closed; ends the attempt that it carries."""
         if self.stream is not None:
             self.owner.streams.connection_lost(self)
         attempt = self.attempt
@@ -276,10 +278,10 @@
         self.owner.pool.on_connection_lost(self)
         if attempt is not None:
             stale = self._reused and self._parser.idle
-            broken = AttemptResult.STALE_CONNECTION if stale else AttemptResult.RESET
-            self.owner.finish(attempt, broken if self.request_written else AttemptResult.CONNECT_FAILED)
+            failure = AttemptResult.STALE_CONNECTION if stale else AttemptResult.RESET
+            self.owner.finish(attempt, failure if self.request_written else AttemptResult.CONNECT_FAILED)
 
     def drop(self) -> None:
-        """Closes the connection without an outcome of the attempt that it carries."""
+        """Closes the connection without reporting an outcome for its attempt."""
         self.attempt = None
         self.transport.abort()
--- a/zincstile/net/backends/outcomes.py
+++ b/zincstile/net/backends/outcomes.py
@@ -1,4 +1,4 @@
-"""What outcomes of attempts are called in counters and retry reasons, and what their load reports say."""
+"""Maps the outcomes of attempts to counters and retry reasons, and parses load reports."""
 
 from __future__ import annotations
 
@@ -22,7 +22,8 @@
     AttemptResult.STALE_CONNECTION: "stale_connection",
     AttemptResult.MALFORMED: "malformed_response",
 }
-RETRY_REASONS: Final = {  # by how the attempt before ended
+# By the result of the previous attempt.
+RETRY_REASONS: Final = {
     AttemptResult.CONNECT_FAILED: RetryReason.CONNECT,
     AttemptResult.REJECTED: RetryReason.REJECTED,
     AttemptResult.NOT_SENT: RetryReason.NOT_SENT,
@@ -35,15 +36,16 @@
 
 
 def parse_load_report(report: bytes, fields: Sequence[str]) -> list[float]:
-    """The figures of a load report, `name=value` with commas between, in the order of `fields`.
+    """Parses a load report, comma-separated `name=value`, and returns its figures in the order of `fields`.
 
-    Empty where a field is missing or a figure is negative, infinite or none. A report may carry the names
-    that the settings use on the wire, as the decoder of the settings puts them into plain ones.
+    Returns an empty list if a field is missing, or a figure is negative, infinite or not a number. A report
+    may use the field names of the settings on the wire, which the decoder of the settings translates.
     """
     try:
         pairs = [part.split("=", 1) for part in report.decode().split(",")]
-        given = {LOAD_REPORT_FIELDS.get(name, name): value for name, value in pairs}
-        figures = [float(given[name]) for name in fields]
+        values = {LOAD_REPORT_FIELDS.get(name, name): value for name, value in pairs}
+        figures = [float(values[name]) for name in fields]
     except (ValueError, KeyError):
         return []
-    return figures if all(0 <= figure < math.inf for figure in figures) else []  # not a number compares false
+    # Comparisons with NaN are false.
+    return figures if all(0 <= figure < math.inf for figure in figures) else []
--- a/zincstile/net/backends/pool.py
+++ b/zincstile/net/backends/pool.py
@@ -1,4 +1,4 @@
-"""The listed backends and the pool of connections to them."""
+"""The listed backends, and the pool of connections to them."""
 
 from __future__ import annotations
 
@@ -13,32 +13,31 @@
 
 
 def _ignore_withdrawal(_: Attempt) -> None:
-    """Without attempts nothing waits for a connection."""
+    """Default of `on_withdrawn`: without `Attempts` no attempt is queued."""
 
 
 class ConnectionPool:
-    """Knows which backends are listed, holds all connections to them, and closes those idle for long.
+    """Tracks the listed backends and all connections to them, and closes connections that are idle too long.
 
-    A `Backend` record exists only while there is a connection to the backend, or an attempt waits for one:
+    A `Backend` record exists only while there is a connection to the backend or an attempt waits for one, as
     most backends of a long list are never connected to.
     """
 
     def __init__(self, dispatcher: Dispatcher) -> None:
-        """An empty pool; idle connections are looked at from here on."""
+        """Creates an empty pool, and starts the periodic check of idle connections."""
         self.dispatcher = dispatcher
-        self.listed: dict[int, ListedEndpoint] = {}  # by id, as discovery last sent them
-        self.backends: dict[int, Backend] = {}  # of those listed, the ones with a record
-        self.connections: set[BackendConnection] = set()  # those that are not up yet included
-        self.idle: dict[BackendConnection, None] = {}  # of these, in the order in which they became idle
-        self.on_withdrawn: Callable[[Attempt], None] = (
-            _ignore_withdrawal  # gets what must not be sent any more
-        )
+        self.listed: dict[int, ListedEndpoint] = {}  # by id, as last listed by discovery
+        self.backends: dict[int, Backend] = {}  # listed backends with a record, by id
+        self.connections: set[BackendConnection] = set()  # includes connections that are still being opened
+        self.idle: dict[BackendConnection, None] = {}  # longest idle first
+        # Called with each queued attempt that must not be sent any more.
+        self.on_withdrawn: Callable[[Attempt], None] = _ignore_withdrawal
         every(dispatcher, dispatcher.limits.idle_ns // 8, self.close_expired)
 
     # ---- listed backends
 
     def update(self, endpoints: list[ListedEndpoint], *, complete: bool) -> None:
-        """Takes over an endpoint list (`complete`), or a change of it."""
+        """Applies an endpoint list (`complete`) or a change of it."""
         if complete:
             received = {entry.id for entry, _ in endpoints}
             for backend_id in [known for known in self.listed if known not in received]:
@@ -53,7 +52,7 @@
             if backend is None:
                 continue
             if (backend.address, backend.started_ns) != (address, entry.started_ns):
-                self._retire(backend)  # another process: connections to the old one lead nowhere
+                self._retire(backend)  # another process: connections to the old one are useless
                 continue
             backend.ready = entry.state is EndpointState.READY
             backend.entry = entry
@@ -67,20 +66,20 @@
             self._retire(backend)
 
     def _retire(self, backend: Backend) -> None:
-        """Forgets a backend. Connections that still carry an attempt end with it."""
+        """Removes a backend. Connections that carry an attempt close when it ends."""
         backend.ready = False
         del self.backends[backend.id]
         self.withdraw(backend)
 
     def withdraw(self, backend: Backend) -> None:
-        """Gives up the attempts that wait for a connection to a backend, and closes its idle connections."""
-        # Rule 3: nothing is begun at a backend that drains or is gone, nor at a restarted one, which is cold.
+        """Withdraws the attempts that wait for a connection to a backend, and closes its idle connections."""
+        # Rule 3: no attempt starts at a backend that drains, is gone, or was restarted and so is cold.
         for attempt in list(backend.queued):
             self.on_withdrawn(attempt)
         self.close_idle_of(backend)
 
     def ready_backend(self, backend_id: int) -> Backend | None:
-        """The record of a backend that takes attempts now, made where there is none yet; else None."""
+        """Returns the record of a backend that accepts attempts, creating it if needed; else None."""
         backend = self.backends.get(backend_id)
         if backend is None:
             listed = self.listed.get(backend_id)
@@ -92,34 +91,34 @@
         return backend if backend.ready else None
 
     def forget_if_unused(self, backend: Backend) -> None:
-        """Forgets the record of a backend without connections, for which no attempt waits either."""
+        """Removes the record of a backend that has no connection and no waiting attempt."""
         if not backend.connections and self.backends.get(backend.id) is backend:
             del self.backends[backend.id]
 
     # ---- connections
 
     def add(self, connection: BackendConnection) -> None:
-        """Counts a connection from the moment at which it is asked for."""
+        """Adds a connection that is about to be opened."""
         self.connections.add(connection)
         connection.backend.connections += 1
 
     def remove(self, connection: BackendConnection) -> None:
-        """Forgets a connection that is closed, or never came up."""
+        """Removes a connection that closed or failed to open."""
         if connection in self.connections:
             self.connections.remove(connection)
             connection.backend.connections -= 1
             self.forget_if_unused(connection.backend)
 
     def on_connection_lost(self, connection: BackendConnection) -> None:
-        """A connection that was up has ended."""
+        """Called when an open connection has closed."""
         if connection in self.idle:
             self._remove_idle(connection)
         self.remove(connection)
 
     def take_reusable(self, backend: Backend, now_ns: int) -> BackendConnection | None:
-        """Takes the idle connection to a backend that was used last and can carry another attempt."""
-        for connection in reversed(backend.idle):  # the current one may be removed on the way
-            # A second answer may come some milliseconds late: it must not be taken for the next request's.
+        """Takes the most recently used idle connection to a backend that is reusable, if any."""
+        for connection in reversed(backend.idle):  # a removal does not disturb reversed iteration
+            # An unsolicited answer may arrive some milliseconds late: it must not answer the next request.
             if connection.reusable_from_ns <= now_ns:
                 self._remove_idle(connection)
                 if connection.has_no_unread_data:
@@ -128,9 +127,9 @@
         return None
 
     def add_idle(self, connection: BackendConnection, *, unused: bool = False) -> None:
-        """Keeps a connection for further attempts, or closes it where its backend takes none.
+        """Keeps a connection for further attempts, or closes it if its backend accepts none.
 
-        `unused`: it has carried nothing, so that nothing can come behind an answer.
+        `unused`: it has carried no request, so no unsolicited answer can follow and it is reusable at once.
         """
         backend = connection.backend
         if self.backends.get(backend.id) is not backend or not backend.ready:
@@ -157,7 +156,7 @@
             self.close_idle(connection)
 
     def close_oldest_idle(self) -> bool:
-        """Closes the connection that has been idle for longest, at any backend; False where none is idle."""
+        """Closes the longest idle connection of all backends; returns False if none is idle."""
         oldest = next(iter(self.idle), None)
         if oldest is None:
             return False
@@ -165,7 +164,7 @@
         return True
 
     def close_expired(self) -> None:
-        """Closes what has been idle for long, before the backend does it beneath a request."""
+        """Closes connections that are idle too long, before the backend does so while a request is sent."""
         now_ns = self.dispatcher.now_ns()
         idle_ns = self.dispatcher.limits.idle_ns
         while (oldest := next(iter(self.idle), None)) and now_ns - oldest.idle_since_ns > idle_ns:
--- a/zincstile/net/backends/requests.py
+++ b/zincstile/net/backends/requests.py
@@ -1,4 +1,4 @@
-"""The commands that go to a backend: a call of a client, and a health check."""
+"""The commands sent to a backend: a client's call and a health check."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def call_command(call: Call, remaining_ns: int) -> bytes:
-    """A client's call with the time that its client still waits, in whole milliseconds, at least one."""
+    """Encodes a client's call with the client's remaining time, in whole milliseconds and at least one."""
     wait_ms = max(1, remaining_ns // NS_PER_MS)
     fields = call.fields.copy()
     fields[call.deadline_field] = b"d=%d" % wait_ms
--- a/zincstile/net/backends/streaming.py
+++ b/zincstile/net/backends/streaming.py
@@ -1,4 +1,4 @@
-"""Large values that are passed on to the client as they arrive from a backend."""
+"""Forwards large values to the client while they arrive from a backend."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from .connection import BackendConnection
 from .pool import ConnectionPool
 
-TRAILER_PARTS: Final = 2  # what follows the value in an answer: its figures and the load report
+TRAILER_PARTS: Final = 2  # parts of an answer after its value: figures and the load report
 
 
 class AttemptReporter(Protocol):
-    """Who knows the attempts in flight and reports their outcomes: `attempts.Attempts`."""
+    """Tracks the attempts in flight and reports their outcomes; implemented by `attempts.Attempts`."""
 
     in_flight: dict[tuple[int, int], Attempt]
 
@@ -30,23 +30,24 @@
         latency_ns: int,
         load_report: bytes = b"",
     ) -> None:
-        """Reports the one outcome of an attempt to the decisions."""
+        """Reports the only outcome of an attempt to the policy."""
         ...
 
 
 class AnswerStreams:
-    """Passes values on. The outcome of an attempt is reported once its value is complete or cut."""
+    """Forwards values. Reports the outcome of an attempt when its value is complete or cut off."""
 
     def __init__(self, dispatcher: Dispatcher, pool: ConnectionPool, reporter: AttemptReporter) -> None:
-        """`reporter` gets the outcome of each attempt whose value was passed on."""
+        """`reporter` gets the outcome of each attempt whose value was forwarded."""
         self.dispatcher = dispatcher
         self.pool = pool
         self.reporter = reporter
 
     def begin(self, connection: BackendConnection, attempt: Attempt, size: int, data: bytes) -> None:
-        """Answers the client with a value of `size` bytes, of which `data` is here.
+        """Starts to answer the client with a value of `size` bytes; `data`: its first bytes.
 
-        The answer is served from its first byte on: no other attempt can answer it, and none is made again.
+        From the first byte on the request counts as answered: no other attempt can answer it, and it is not
+        retried.
         """
         session = attempt.session
         now_ns, limits = self.dispatcher.now_ns(), self.dispatcher.limits
@@ -56,7 +57,7 @@
         stream = ValueStream(connection)
         connection.begin_stream(stream, len(b"$%d\r\n" % size) + size + len(resp.CRLF))
         if not self.dispatcher.finish(session, Answer(AnswerKind.SERVED, stream=stream)):
-            connection.abandon()  # the client left or was answered meanwhile
+            connection.abandon()  # the client left or was already answered
             return
         self.dispatcher.counters.streamed += 1
         connection.last_received_ns = now_ns
@@ -66,7 +67,7 @@
         self.push(connection, data)
 
     def push(self, connection: BackendConnection, data: bytes) -> None:
-        """Passes on what has come of a value, or reads what follows the value."""
+        """Forwards the next bytes of a value, and parses what follows the value."""
         limits = self.dispatcher.limits
         connection.last_received_ns = self.dispatcher.now_ns()
         if connection.bytes_left:
@@ -77,9 +78,11 @@
             connection.last_two_bytes = (connection.last_two_bytes + piece[-2:])[-2:]
             stream.push(piece)
             if connection.bytes_left == 0:
-                if connection.last_two_bytes != resp.CRLF:  # the value's length was not its length
+                if connection.last_two_bytes != resp.CRLF:  # the stated length was wrong
                     address = connection.backend.address
-                    self.dispatcher.log.often("cut", f"a value of {address} without its end")
+                    self.dispatcher.log.often(
+                        "cut", f"a value from {address} does not end with CRLF at its stated length"
+                    )
                     connection.abandon()
                     return
                 stream.end(truncated=False)
@@ -105,9 +108,10 @@
             connection.transport.abort()
 
     def _check_stalled(self, attempt: Attempt) -> None:
-        """Cuts a value that stopped in the middle, as the client can tell.
+        """Cuts off a value that has stalled; the client can tell that it is incomplete.
 
-        Only once the client's time is over and nothing came for long: what still comes is never cut.
+        This happens only after the client's deadline, and if nothing was received for `stream_stall_ns`. A
+        value that still makes progress is never cut off.
         """
         attempt.deadline = None
         connection = attempt.connection
@@ -116,21 +120,23 @@
         now_ns, limits = self.dispatcher.now_ns(), self.dispatcher.limits
         stalled_ns = max(connection.last_received_ns + limits.stream_stall_ns, attempt.session.deadline_ns)
         if stalled_ns > now_ns or connection.waits_for_client:
-            again_ns = max(stalled_ns, now_ns + 1)
-            attempt.deadline = self.dispatcher.deadlines.add(again_ns, self._check_stalled, attempt)
+            next_check_ns = max(stalled_ns, now_ns + 1)
+            attempt.deadline = self.dispatcher.deadlines.add(next_check_ns, self._check_stalled, attempt)
             return
         address = connection.backend.address
-        self.dispatcher.log.often("cut", f"a value of {address} that does not go on")
+        self.dispatcher.log.often("cut", f"a value from {address} stalled")
         connection.transport.abort()
 
     def connection_lost(self, connection: BackendConnection) -> None:
-        """The connection has ended; its value is cut where it is not complete."""
+        """Called when the connection has closed; truncates the value if it is incomplete."""
         stream = connection.stream
         complete = stream.complete
         if not complete:
             self.dispatcher.counters.streams_truncated += 1
             address, missing = connection.backend.address, connection.bytes_left
-            self.dispatcher.log.often("cut", f"a value of {address}: {missing} bytes short")
+            self.dispatcher.log.often(
+                "cut", f"a value from {address} is {missing} bytes short: its connection closed"
+            )
             stream.end(truncated=True)
         self._finish(connection, AttemptResult.OK if complete else AttemptResult.RESET)
 
--- a/zincstile/net/cold_start.py
+++ b/zincstile/net/cold_start.py
@@ -1,6 +1,6 @@
-"""A start beside other gateways: connects `cold_start` with the peers' datagrams, discovery and readiness.
+"""Start of a gateway in a fleet: connects `cold_start` with the peers' datagrams, discovery and readiness.
 
-It exchanges endpoint lists with other gateways, delays the first call to discovery, and says when this
+Exchanges endpoint lists with other gateways, delays the first call to discovery, and determines when this
 gateway is ready.
 """
 
@@ -21,8 +21,8 @@
 from .dispatcher import Dispatcher
 from .peers import HANDLED, Peers
 
-SEARCH_INTERVAL_NS: Final = 30_000_000  # between two updates while a list is searched for
-IDLE_INTERVAL_NS: Final = 1_000_000_000  # once a trusted list is there and this gateway is ready
+SEARCH_INTERVAL_NS: Final = 30_000_000  # between updates while a list is searched for
+IDLE_INTERVAL_NS: Final = 1_000_000_000  # once this gateway has a trusted list and is ready
 
 
 class ColdStart:
@@ -41,8 +41,10 @@
         ready: Callable[[], None],
         admission_is_open: Callable[[], bool],
     ) -> None:
-        """Takes the parts of the gateway; `ready` is called once, when it may answer that it is ready.
-        `admission_is_open`: this gateway has no pace of a start any more."""
+        """`me`: index of this gateway; `gateways`: size of the fleet; `ready`: called once, when it is ready.
+
+        `admission_is_open` returns whether the admission ramp after the start is over.
+        """
         self.admission_is_open = admission_is_open
         self.dispatcher = dispatcher
         self.peers = peers
@@ -50,19 +52,19 @@
         self.settings = settings
         self.rng = random.Random(f"start {seed}")
         self.lists = PeerLists(settings, me, gateways, intake_per_s, self.rng)
-        # without a patience there is no queue at the list service, as discovery is on this machine
+        # Without `table_patience_ns` discovery is an agent on this machine, and calls are not queued.
         self.spread_ns = (
             gateways * settings.poll_spread_per_gateway_ns if dispatcher.limits.table_patience_ns else 0
         )
-        self.readiness: Readiness | None = None  # from `begin` on
+        self.readiness: Readiness | None = None  # set by `begin`
         self._ready: Callable[[], None] | None = ready
-        self._polled = False
-        self._poll_ns = 0
+        self._watch_opened = False
+        self._open_watch_at_ns = 0
         watcher.listener = self
         peers.decoders[codec.MAGIC] = self._receive
 
     def begin(self, known: dict[str, Any]) -> None:
-        """Starts, with the list that was cached before the start, or without one."""
+        """Starts, with the cached list if there is one."""
         now = self.dispatcher.now_ns()
         self.readiness = Readiness(self.settings, now)
         self.watcher.begin(known, defer_watch=True)
@@ -71,14 +73,14 @@
             self.lists.load_cached_list(now, int(known["index"]), list(known["endpoints"]))
             self.readiness.record_list(ListTrust.CACHED)
         self.lists.search.start(now)
-        if self.lists.search.active:  # a list from peers may save one from the service, or the queue for it
-            self._poll_ns = now + self.settings.peer_wait_ns + self.rng.randrange(self.spread_ns + 1)
+        if self.lists.search.active:  # a list from peers may save a call, or its time in the queue
+            self._open_watch_at_ns = now + self.settings.peer_wait_ns + self.rng.randrange(self.spread_ns + 1)
         else:
-            self._poll(at_once=not cached)
+            self._open_watch(at_once=not cached)
         self._update(None)
 
     def list_received(self, version: int, endpoints: list[dict[str, Any]], *, complete: bool) -> None:
-        """Takes discovery's list, or its changes."""
+        """Applies a list from discovery or a change of it."""
         now = self.dispatcher.now_ns()
         self.lists.receive_discovery_list(now, version, endpoints, complete=complete)
         self.readiness.record_list(ListTrust.DISCOVERY)
@@ -86,14 +88,14 @@
         self._send()
 
     def watch_alive(self) -> None:
-        """Notes that discovery's watch sent something."""
+        """Records that discovery has sent something."""
         self.lists.record_discovery_contact(self.dispatcher.now_ns())
 
-    def _poll(self, *, at_once: bool) -> None:
-        """Opens the watch of discovery, once: at once or at a random moment."""
-        if self._polled:
+    def _open_watch(self, *, at_once: bool) -> None:
+        """Opens the watch of discovery, unless it was opened before: at once or after a random delay."""
+        if self._watch_opened:
             return
-        self._polled = True
+        self._watch_opened = True
         if at_once:
             self.watcher.open()
         else:
@@ -113,24 +115,24 @@
 
     def _apply_search_result(self) -> None:
         """Uses a complete list from peers, if it is not older than the cached one."""
-        found = self.lists.take_result()
-        if found is None or self.watcher.has_discovery_list:
+        result = self.lists.take_result()
+        if result is None or self.watcher.has_discovery_list:
             return
         copy = self.lists.copy
-        if copy.provenance is Provenance.CACHED and found.version < copy.version:
+        if copy.provenance is Provenance.CACHED and result.version < copy.version:
             return
-        agreed = found.trust is ListTrust.PEERS_AGREE
-        if self.watcher.apply_peer_list(found.version, found.entries, agreed=agreed):
-            self._log_search_result(found)
-            self.readiness.record_list(found.trust)
+        agreed = result.trust is ListTrust.PEERS_AGREE
+        if self.watcher.apply_peer_list(result.version, result.entries, agreed=agreed):
+            self._log_search_result(result)
+            self.readiness.record_list(result.trust)
             if agreed:
-                self._poll(at_once=False)
+                self._open_watch(at_once=False)
             self._report_ready()
 
-    def _log_search_result(self, found: FoundList) -> None:
+    def _log_search_result(self, result: FoundList) -> None:
         self.dispatcher.log.line(
-            f"list of {len(found.entries)} backend servers, version {found.version}, "
-            f"{found.trust.value}, confirmed {found.age_ns // 1_000_000} ms ago"
+            f"list of {len(result.entries)} backend servers, version {result.version}, "
+            f"{result.trust.value}, confirmed {result.age_ns // 1_000_000} ms ago"
         )
 
     def _update(self, _: object) -> None:
@@ -140,8 +142,8 @@
         if search.cache_confirmed:
             self.readiness.record_list(ListTrust.CACHED, cache_confirmed=True)
         self._apply_search_result()
-        if not self._polled and now >= self._poll_ns:
-            self._poll(at_once=True)
+        if not self._watch_opened and now >= self._open_watch_at_ns:
+            self._open_watch(at_once=True)
         self._report_ready()
         self._send()
         if search.active or self._ready is not None:
--- a/zincstile/net/discovery/__init__.py
+++ b/zincstile/net/discovery/__init__.py
@@ -1,5 +1,5 @@
-"""The gateway's view of discovery: the watch of the endpoint list, its reader, and the endpoint table.
+"""The client of discovery: watches the endpoint list, parses it, and keeps the endpoint table.
 
-`watcher` keeps a watch open, `watch` is one of them, `reader` turns its JSON into endpoints, `table` holds
-them, and `maintenance` changes them as operators have said.
+`watcher` keeps a watch open, `watch` is one such call, `reader` parses its JSON into endpoints, `table`
+stores them, `maintenance` applies the orders of operators, and `clock` converts start times.
 """
--- a/zincstile/net/discovery/maintenance.py
+++ b/zincstile/net/discovery/maintenance.py
@@ -1,4 +1,4 @@
-"""Changes of listed endpoints that operators have ordered: under maintenance, and back from it."""
+"""Maintenance of endpoints, as ordered by operators: overrides what discovery lists."""
 
 from __future__ import annotations
 
@@ -9,24 +9,24 @@
 
 
 class MaintenanceOverrides:
-    """Which endpoints drain whatever discovery lists, and which count as started when they came back.
+    """Which endpoints drain regardless of discovery, and which count as started when maintenance ended.
 
     Times are monotonic, in nanoseconds.
     """
 
     def __init__(self) -> None:
-        """No endpoint is changed."""
-        self._since_ns: dict[int, int] = {}  # under maintenance, by id: since when
-        # Back from maintenance: the name, and when; started then, where discovery says earlier.
+        """Creates an empty set of overrides."""
+        self._since_ns: dict[int, int] = {}  # start of maintenance by id
+        # By id: name and end of maintenance. An earlier start from discovery is replaced by the end.
         self._returned: dict[int, tuple[str, int]] = {}
 
     @property
     def active(self) -> bool:
-        """Whether any endpoint may have to be changed."""
+        """Whether there are any overrides."""
         return bool(self._since_ns or self._returned)
 
     def apply(self, listed: ListedEndpoint) -> ListedEndpoint:
-        """An endpoint as discovery lists it, changed as operators have ordered."""
+        """Returns a listed endpoint with its override applied."""
         entry, address = listed
         if entry.id in self._since_ns and entry.state is EndpointState.READY:
             return ListedEndpoint(replace(entry, state=EndpointState.DRAINING), address)
@@ -34,28 +34,28 @@
         if returned is not None:
             if entry.started_ns < returned[1]:
                 return ListedEndpoint(replace(entry, started_ns=returned[1]), address)
-            del self._returned[entry.id]  # discovery has a later start: its own holds again
+            del self._returned[entry.id]  # discovery now lists a later start, which is used again
         return listed
 
     def enter(self, name: str, now_ns: int) -> None:
-        """Puts an endpoint under maintenance; again is harmless."""
+        """Puts an endpoint under maintenance; has no effect if it already is."""
         backend_id = endpoint_id(name)
         since_ns = self._since_ns.pop(backend_id, None)
         self._since_ns[backend_id] = since_ns or now_ns
 
     def leave(self, name: str, entry: EndpointEntry | None, now_ns: int) -> None:
-        """Takes an endpoint back from maintenance; `entry`: as it is listed, if it is."""
+        """Ends the maintenance of an endpoint; `entry`: its listed entry, if any."""
         backend_id = endpoint_id(name)
         since_ns = self._since_ns.pop(backend_id, None)
         if since_ns is not None and (entry is None or entry.started_ns < since_ns):
-            # It was restarted while out, whether or not discovery has a new start, and is cold. Started now
-            # as the decisions count, it is warmed up and not pushed over.
+            # Assume a restart during maintenance, even if discovery lists no new start. The endpoint counts
+            # as started now, so that slow start warms it up instead of overloading it.
             self._returned[backend_id] = name, now_ns
 
     def returned_at_ns(self) -> dict[str, int]:
-        """Those back from maintenance that count as started then, by name, and when."""
+        """Returns by name when maintenance ended, for endpoints that count as started then."""
         return dict(self._returned.values())
 
     def restore_returned(self, name: str, at_ns: int) -> None:
-        """Counts an endpoint as started when it came back, as an older process of this gateway knew."""
+        """Restores the end of an endpoint's maintenance, as known to an earlier process of this gateway."""
         self._returned[endpoint_id(name)] = name, at_ns
--- a/zincstile/net/discovery/messages.py
+++ b/zincstile/net/discovery/messages.py
@@ -1,4 +1,4 @@
-"""What discovery sends, as the rest of the gateway takes it, and the ids of backends and types."""
+"""Parsed messages of discovery, and the ids of backends and machine types."""
 
 from __future__ import annotations
 
@@ -8,24 +8,24 @@
 from ...decisions.messages import EndpointEntry
 from ..config import Address
 
-ID_BYTES: Final = 6  # the gossip between gateways has no room for more
+ID_BYTES: Final = 6  # limited by the size of gossip messages
 
 
 class ListedEndpoint(NamedTuple):
-    """One endpoint of the list."""
+    """One listed endpoint."""
 
     entry: EndpointEntry
     address: Address
 
 
 class EndpointListMessage(NamedTuple):
-    """One message of the watch."""
+    """One message of a watch."""
 
-    version: int  # as this discovery counts
-    complete: bool  # a whole list, not changes of it
+    version: int  # discovery's own counter
+    complete: bool  # a complete list rather than changes
     endpoints: list[ListedEndpoint]
 
 
 def endpoint_id(name: str) -> int:
-    """The id for a name, the same at every gateway and after restarts: peers use it."""
+    """Returns the id of a name, the same at every gateway and after restarts, since peers exchange ids."""
     return int.from_bytes(hashlib.blake2b(name.encode(), digest_size=ID_BYTES).digest(), "big")
--- a/zincstile/net/discovery/table.py
+++ b/zincstile/net/discovery/table.py
@@ -1,4 +1,4 @@
-"""The endpoint table: what discovery lists, and each change of it for the decisions and the pool."""
+"""The endpoint table: stores what discovery lists, and publishes changes to the policy and the pool."""
 
 from __future__ import annotations
 
@@ -12,21 +12,21 @@
 from .messages import ListedEndpoint, endpoint_id
 from .reader import EndpointReader
 
-# Endpoints that were listed and are gone: so many may still be named by operators.
+# Maximum number of removed endpoints that operators can still name.
 MAX_REMOVED: Final = 1024
 NS_PER_S: Final = 1e9
 
 
 class UpdateEndpoints(Protocol):
-    """Takes over a list (`complete`), or a change of it: `ConnectionPool.update`."""
+    """Applies a list (`complete`) or a change of it: `ConnectionPool.update`."""
 
     def __call__(self, endpoints: list[ListedEndpoint], *, complete: bool) -> None:
-        """Called in the order in which lists come."""
+        """Called for each list or change, in order."""
         ...
 
 
 class EndpointTable:
-    """Holds the last list of discovery, and passes every change of it on."""
+    """Stores the latest list of discovery, and publishes every change of it."""
 
     def __init__(
         self,
@@ -34,32 +34,32 @@
         reader: EndpointReader,
         update: UpdateEndpoints,
     ) -> None:
-        """`update` gets each list or change after the decisions have."""
+        """`update` is called with each list or change after it was posted to the policy."""
         self.dispatcher = dispatcher
         self.reader = reader
         self.update = update
-        self.version = 0  # of the list, as discovery counts; 0: the next watch asks for a complete list
-        self.endpoints: dict[int, ListedEndpoint] = {}  # by id, as discovery lists them
-        self.removed: dict[int, int] = {}  # listed before, by id: when it had started; the last of these
+        self.version = 0  # of the list, by discovery's counter; 0: the next watch requests a complete list
+        self.endpoints: dict[int, ListedEndpoint] = {}  # by id, without overrides
+        self.removed: dict[int, int] = {}  # start of recently removed endpoints, by id
         self.maintenance = MaintenanceOverrides()
-        self._last_contact_ns: int | None = None  # when discovery last sent anything; none: not yet
+        self._last_contact_ns: int | None = None  # when discovery last sent anything
 
     def __contains__(self, name: object) -> bool:
-        """Whether discovery lists a name, or did not long ago."""
+        """Whether discovery lists a name, or has recently removed it."""
         backend_id = endpoint_id(str(name))
         return backend_id in self.endpoints or backend_id in self.removed
 
-    # ---- what discovery sends
+    # ---- messages from discovery
 
     def record_contact(self) -> None:
-        """Discovery has sent something, be it that nothing has changed."""
+        """Records that discovery has sent something, if only a keep-alive."""
         self._last_contact_ns = self.dispatcher.now_ns()
 
     def read_early(self, raw: dict[str, Any]) -> Any:
-        """Reads an endpoint as soon as its own text is here; what is none, or malformed, stays as it is.
+        """Parses an endpoint as soon as its JSON object is decoded; returns other or malformed objects as is.
 
-        The objects of a complete list take several times the memory that is kept of them, and an endpoint
-        that is known already takes none.
+        The JSON objects of a complete list would take several times the memory of the parsed endpoints, and
+        an unchanged endpoint takes none.
         """
         if "endpoints" in raw:
             return raw
@@ -73,7 +73,7 @@
     def apply_message(
         self, message: dict[str, Any], kind: EndpointListKind, *, record_version: bool = True
     ) -> None:
-        """Takes over a list or a change of it, as its JSON has it.
+        """Applies a list or a change of it, as decoded from JSON.
 
         `record_version`: the next watch requests the changes since this version. If the message is malformed,
         raises what `EndpointReader.read` raises and changes nothing.
@@ -94,10 +94,10 @@
     def _correct_starts(
         self, kind: EndpointListKind, endpoints: list[ListedEndpoint]
     ) -> list[ListedEndpoint]:
-        """Counts endpoints that are new as started now, where their start is too long ago to be true.
+        """Replaces the start of new endpoints by the present time if it is implausibly long ago.
 
-        One that was not listed when discovery last sent something has started since then, or not long
-        before. A wall clock that is ahead would make a cold backend warm.
+        An endpoint that was not listed at the last contact with discovery started after that contact or
+        shortly before. Otherwise a wall clock that is ahead would make a cold backend look warm.
         """
         if self._last_contact_ns is None or kind is EndpointListKind.CACHED:
             return endpoints
@@ -119,13 +119,13 @@
         clock, now_ns = self.reader.clock, self.dispatcher.now_ns()
         age_s = (now_ns - entry.started_ns) / NS_PER_S
         self.dispatcher.log.often(
-            "clock", f"a backend listed just now had started {age_s:.0f} s ago: taken as cold"
+            "clock", f"new backend has an implausible start {age_s:.0f} s ago: treated as cold"
         )
         clock.override_start(entry.id, clock.sent_start_ms(entry.id, entry.started_ns), now_ns)
         return ListedEndpoint(replace(entry, started_ns=now_ns), address)
 
     def _store(self, kind: EndpointListKind, endpoints: list[ListedEndpoint]) -> None:
-        """Remembers what is listed, and of what is gone only that it was, and not for ever."""
+        """Stores the listed endpoints, and the starts of a bounded number of removed ones."""
         if kind is not EndpointListKind.DELTA:
             received = {entry.id for entry, _ in endpoints}
             for backend_id in [known for known in self.endpoints if known not in received]:
@@ -145,19 +145,19 @@
             del self.removed[next(iter(self.removed))]
 
     def _publish(self, kind: EndpointListKind, version: int, endpoints: list[ListedEndpoint]) -> None:
-        # The decisions first: what the pool withdraws by the same change is then decided on by the new list,
-        # and not sent to the next backend that the change takes out.
+        # The policy first: it then decides with the new list on attempts that the pool withdraws, and does
+        # not send them to another backend that the same change removes.
         self.dispatcher.post(EndpointList(kind, version, [entry for entry, _ in endpoints]))
         self.update(endpoints, complete=kind is not EndpointListKind.DELTA)
 
-    # ---- what operators order
+    # ---- orders of operators
 
     def set_maintenance(self, name: str, *, enter: bool) -> bool:
-        """Puts an endpoint under maintenance, or takes it back; False where it was never listed.
+        """Starts or ends the maintenance of an endpoint; returns False if it was never listed.
 
-        Where it is listed, that is published as a change of the list, so that the decisions and the pool
-        get it in the same batch, before any further attempt is decided on. Another process of this gateway
-        may know of endpoints that are not listed here yet.
+        The order also takes effect on an endpoint that is not listed yet, as another process of this gateway
+        may know it. For a listed endpoint it is published as a change of the list, so that the policy and the
+        pool apply it in the same batch, before the next decision on an attempt.
         """
         now_ns = self.dispatcher.now_ns()
         self.dispatcher.trace.note(now_ns, Step.STATE, name, "maintenance" if enter else "back")
@@ -171,14 +171,14 @@
         return name in self
 
     def returned_at_ns(self) -> dict[str, int]:
-        """The listed ones back from maintenance that count as started then, by name, and when."""
+        """Returns by name when maintenance ended, for listed endpoints that count as started then."""
         returned = self.maintenance.returned_at_ns()
         return {name: at_ns for name, at_ns in returned.items() if name in self}
 
     def restore_returned(self, returned_age_ns: dict[str, int]) -> None:
-        """Takes over how long ago endpoints came back, by name, from an older process of this gateway.
+        """Restores from an earlier process of this gateway how long ago each endpoint's maintenance ended.
 
-        Discovery's own start of them may be of before they were taken out.
+        The start that discovery lists may be from before the maintenance.
         """
         now_ns = self.dispatcher.now_ns()
         for name, age_ns in returned_age_ns.items():
--- a/zincstile/net/discovery/watch.py
+++ b/zincstile/net/discovery/watch.py
@@ -1,4 +1,4 @@
-"""One watch: a call to discovery whose answer is the endpoint list, and every change of it."""
+"""One watch: a call to discovery whose response streams the endpoint list and every change of it."""
 
 from __future__ import annotations
 
@@ -18,55 +18,55 @@
 
 
 class WatchFailure(NamedTuple):
-    """Why a watch, or a call for one, has ended."""
+    """Why a watch, or the attempt to open one, failed."""
 
     reason: str
-    retry_after_ns: int = 0  # as discovery has asked for; 0: it has not
-    silent_ns: int = 0  # how long nothing had come when it was given up
+    retry_after_ns: int = 0  # Retry-After from discovery; 0: none
+    silent_ns: int = 0  # how long nothing was received before it was aborted
 
 
 class WatchListener(Protocol):
-    """Who gets discovery's own lists too: `cold_start.ColdStart`."""
+    """Is notified of messages from discovery; implemented by `cold_start.ColdStart`."""
 
     def list_received(self, version: int, endpoints: list[dict[str, Any]], *, complete: bool) -> None:
-        """A list or a change of it, as its JSON has it."""
+        """Called with a list or a change of it, as decoded from JSON."""
         ...
 
     def watch_alive(self) -> None:
-        """Discovery has sent something, be it that nothing has changed."""
+        """Called when discovery has sent something, if only a keep-alive."""
         ...
 
 
 class WatchOwner(Protocol):
-    """Who opens watches: `watcher.EndpointWatcher`."""
+    """Opens watches; implemented by `watcher.EndpointWatcher`."""
 
     dispatcher: Dispatcher
     table: EndpointTable
     listener: WatchListener | None
 
     def on_connected(self, watch: Watch) -> None:
-        """The connection is up."""
+        """Called when the connection is open."""
         ...
 
     def on_message(self, watch: Watch, message: dict[str, Any]) -> None:
-        """A message has come."""
+        """Called with each message."""
         ...
 
     def check_pending_call(self, watch: Watch) -> bool:
-        """Whether a call without an answer may still be answered; it is looked after then."""
+        """Returns whether to keep an unanswered call; if so, starts to check that the service is alive."""
         ...
 
     def on_silent(self, watch: Watch) -> None:
-        """Nothing has come for too long."""
+        """Called when nothing was received for too long."""
         ...
 
     def on_lost(self, address: Address, failure: WatchFailure, watch: Watch | None = None) -> None:
-        """The watch has ended."""
+        """Called when the watch has ended."""
         ...
 
 
 class Watch(asyncio.BufferedProtocol):
-    """Reads the messages of one watch, and notices when nothing comes any more."""
+    """Reads the messages of one watch, and detects silence."""
 
     __slots__ = (
         "owner",
@@ -98,17 +98,17 @@
         self._deadline: DeadlineKey | None = None
         self.requested_ns = owner.dispatcher.now_ns()
         self._last_received_ns = self.requested_ns
-        self._answered = False  # something has come
-        self._answered_ns = 0  # when that was
+        self._answered = False  # something was received
+        self._answered_ns = 0  # when the first data was received
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is up. Called by asyncio."""
+        """Called by asyncio when the connection is open."""
         self.transport = transport  # type: ignore[assignment]
         self.owner.dispatcher.counters.watches += 1
         self.owner.on_connected(self)
         host, port = self.address
-        # What was missed since: every line costs discovery work, for each gateway of the fleet. Where that is
-        # too old to be sent as changes, the complete list comes.
+        # Request only the changes since the known version, as every line costs discovery work for each
+        # gateway of the fleet. If that version is too old, discovery sends the complete list.
         version = self.owner.table.version
         self.transport.write(http.get(f"{host}:{port}", f"/v1/endpoints?stream=1&index={version}"))
         self._check_silence(None)
@@ -116,9 +116,9 @@
     # ---- silence
 
     def _check_silence(self, _: object) -> None:
-        """Notices a watch that fell silent in time for another call.
+        """Detects a silent watch early enough for another call.
 
-        What discovery has sent counts as received after 6 s: drains would be missed.
+        A change has to be applied within 6 s of being published: a silent watch would miss drains.
         """
         dispatcher = self.owner.dispatcher
         limits = dispatcher.limits
@@ -131,37 +131,37 @@
         dispatcher.wake()
 
     def extend_wait(self) -> None:
-        """The service is there, and its answer may still come: silence counts anew."""
+        """Restarts the silence timeout of an unanswered call, as the service is alive."""
         if not self._answered and not self.transport.is_closing():
             self._last_received_ns = self.owner.dispatcher.now_ns()
             self._check_silence(None)
 
     def silent_ns(self) -> int:
-        """How long nothing has come."""
+        """Returns how long nothing was received."""
         return self.owner.dispatcher.now_ns() - self._last_received_ns
 
     def abort(self, reason: str, silent_ns: int = 0) -> None:
-        """Ends the watch."""
+        """Aborts the watch."""
         self._failure = self._failure._replace(reason=reason, silent_ns=silent_ns)
         self.transport.abort()
 
     def abort_if_unanswered(self, reason: str, silent_ns: int = 0) -> None:
-        """Ends the watch, unless something has come meanwhile."""
+        """Aborts the watch unless something was received meanwhile."""
         if not self._answered:
             self.abort(reason, silent_ns)
 
     def response_time_ns(self) -> int:
-        """From the call to the first of its answer."""
+        """Returns the time from the request to the first byte of the response."""
         return self._answered_ns - self.requested_ns
 
     # ---- reading
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        """The buffer to read into. Called by asyncio."""
+        """Called by asyncio for the buffer to read into."""
         return self._buffer
 
     def buffer_updated(self, size: int) -> None:
-        """So many bytes have come. Called by asyncio."""
+        """Called by asyncio when `size` bytes were read into the buffer."""
         owner = self.owner
         self._last_received_ns = owner.dispatcher.now_ns()
         if self._answered and owner.listener is not None:
@@ -178,13 +178,13 @@
         try:
             for line in lines(*data):
                 if self._lines.status != OK_STATUS:
-                    raise http.HttpError(f"status {self._lines.status}")
+                    raise http.HttpError(f"HTTP status {self._lines.status}")
                 for message in self._parser.feed(line):
                     self.owner.on_message(self, message)
             if self._lines.done:
                 if self._lines.status != OK_STATUS:  # rejected, with or without a Retry-After
                     self._failure = self._failure._replace(
-                        reason=f"status {self._lines.status}",
+                        reason=f"HTTP status {self._lines.status}",
                         retry_after_ns=self._lines.retry_after_s * NS_PER_S,
                     )
                 self.transport.close()
@@ -193,10 +193,10 @@
             self.transport.abort()
 
     def eof_received(self) -> None:
-        """Discovery has ended its side. Called by asyncio; a reset does not come here."""
-        self._read(self._lines.feed_eof)  # an answer without a length ends so
+        """Called by asyncio at end-of-file, but not on a reset."""
+        self._read(self._lines.feed_eof)  # ends a response without a length
 
     def connection_lost(self, err: Exception | None) -> None:
-        """The connection has ended. Called by asyncio."""
+        """Called by asyncio when the connection has closed."""
         self.owner.dispatcher.deadlines.cancel(self._deadline)
         self.owner.on_lost(self.address, self._failure, self)
--- a/zincstile/net/discovery/watcher.py
+++ b/zincstile/net/discovery/watcher.py
@@ -1,4 +1,4 @@
-"""Keeping a watch of discovery open: when one is opened, given up, replaced, and opened again."""
+"""Keeps a watch of discovery open: opens, aborts, replaces and reopens it."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class EndpointWatcher:
-    """Keeps a watch open from the start on. While there is none, the last list stands."""
+    """Keeps a watch open from the start on. While there is none, the latest list stays in use."""
 
     def __init__(
         self,
@@ -29,15 +29,15 @@
         on_first_list: Callable[[], None],
         rng: random.Random,
     ) -> None:
-        """`rng` is of this gateway alone: a fleet that draws alike calls discovery in step."""
+        """`rng` must be seeded per gateway: otherwise all gateways would call discovery at the same time."""
         self.dispatcher = dispatcher
         self.table = table
         self.address = address
         self.on_first_list = on_first_list
         self.rng = rng
-        self.has_discovery_list = False  # discovery has sent a list since the start
+        self.has_discovery_list = False  # whether discovery has sent a list since the start
         self.listener: WatchListener | None = None
-        self.current: Watch | None = None  # the last that was opened
+        self.current: Watch | None = None  # the latest one
         limits = dispatcher.limits
         self._polling = ListPolling(
             rng,
@@ -46,17 +46,16 @@
             limits.table_patience_ns,
             limits.table_longest_ns,
         )
-        self._previous: Watch | None = None  # an older one: it stands until the current one is answered
-        self._connecting: asyncio.Task | None = None  # the loop alone would hold it weakly
-        self._checks: dict[asyncio.Task, None] = {}  # whether a silent service is there at all
-        dispatcher.action_handlers[WatchEndpoints] = (
-            lambda now, _: None
-        )  # a watch is always open, or being opened
+        self._previous: Watch | None = None  # kept until the current one is answered
+        self._connecting: asyncio.Task | None = None  # the event loop keeps only weak references
+        self._checks: dict[asyncio.Task, None] = {}  # running checks of silent services
+        # Nothing to do: a watch is always open or being opened.
+        dispatcher.action_handlers[WatchEndpoints] = lambda now, _: None
 
-    # ---- the list of before discovery's own
+    # ---- the list before the first one from discovery
 
     def begin(self, known: dict[str, Any], *, defer_watch: bool = False) -> None:
-        """Starts with the list that the settings know, which may be empty.
+        """Starts with the list from the configuration, which may be empty.
 
         With `defer_watch` the caller opens the watch later. Raises ConfigError if the list is malformed.
         """
@@ -64,7 +63,7 @@
             try:
                 self.table.apply_message(known, EndpointListKind.CACHED)
             except READ_ERRORS as err:
-                raise ConfigError(f"known: {type(err).__name__} {err}") from None
+                raise ConfigError(f"known: malformed endpoint list: {type(err).__name__}: {err}") from None
             if not defer_watch:
                 self.open_after_delay()
         else:
@@ -73,10 +72,10 @@
                 self.open()
 
     def apply_peer_list(self, version: int, endpoints: list[dict[str, Any]], *, agreed: bool) -> bool:
-        """Takes over a list that peers have sent.
+        """Applies a list that peers have sent.
 
-        Not `agreed`: discovery is asked for the complete list all the same. False where discovery's own is
-        here already, or the list can't be read.
+        Unless `agreed`, the complete list is still requested from discovery. Returns False if discovery has
+        already sent a list, or if the peers' list is malformed.
         """
         if self.has_discovery_list:
             return False
@@ -84,7 +83,7 @@
         try:
             self.table.apply_message(message, EndpointListKind.CACHED, record_version=True)
         except READ_ERRORS as err:
-            self.dispatcher.log.often("start", f"a peer's list can't be read: {type(err).__name__} {err}")
+            self.dispatcher.log.often("start", f"list from peers is malformed: {type(err).__name__}: {err}")
             return False
         if not agreed:
             self.table.version = 0
@@ -93,24 +92,24 @@
     # ---- opening
 
     def open_after_delay(self) -> None:
-        """Opens a watch at a drawn moment: a list is here, and a fleet that asks in step is rejected."""
+        """Opens a watch after a random delay, as discovery rejects a fleet that calls all at once."""
         wait_ns = self.rng.randint(1, self.dispatcher.limits.table_first_ask_ns)
         self.dispatcher.deadlines.add(self.dispatcher.now_ns() + wait_ns, self.open, None)
         self.dispatcher.wake()
 
     def open(self, address: Address | None = None) -> None:
-        """Opens a watch; `address`: the one that a retry was meant for, as discovery may have moved since."""
+        """Opens a watch; does nothing if discovery has moved from the `address` of a scheduled retry."""
         if address in (None, self.address):
             self._connecting = self.dispatcher.loop.create_task(self._connect(self.address))
 
     def move(self, address: Address) -> None:
-        """Discovery is found elsewhere from now on.
+        """Changes the address of discovery.
 
-        The table stands, and the old watch is read, until the new one is answered.
+        The table stays in use and the old watch is read until the new one is answered.
         """
         if address != self.address:
             self.address = address
-            self.table.version = 0  # another discovery may count in another way
+            self.table.version = 0  # another discovery may use other version numbers
             self._polling.reset_backoff()
             self.open()
 
@@ -123,38 +122,37 @@
             self.on_lost(address, WatchFailure(f"can't connect: {err or type(err).__name__}"))
 
     def on_connected(self, watch: Watch) -> None:
-        """A watch is connected; the one before stands until this one is answered."""
-        if watch.address != self.address:  # moved on while it came up
+        """Called when a watch is connected; the previous one is kept until this one is answered."""
+        if watch.address != self.address:  # discovery moved while it was being connected
             watch.transport.abort()
             return
         replaced = self.current
         self.current = watch
         if self._previous is None:
             self._previous = replaced
-        elif replaced is not None:  # one without an answer yet stands for nothing
+        elif replaced is not None:  # not answered yet, so of no use
             replaced.transport.abort()
 
     # ---- silence
 
     def on_silent(self, watch: Watch) -> None:
-        """Opens another watch beside a silent one, which stands until that has come up.
+        """Opens a second watch beside a silent one, which is kept until the second is answered.
 
-        What discovery has when it returns counts as received at once: a call has to be out then. Where
-        discovery is one service that each call costs work, the silent one is given up first.
+        When discovery recovers, its changes have to arrive at once, so a call must be pending at all times.
+        If discovery is one service that does work for each call, the silent watch is aborted first.
         """
-        patient = self.dispatcher.limits.table_patience_ns
-        if patient or watch is not self.current or watch.address != self.address:
+        call_is_costly = self.dispatcher.limits.table_patience_ns
+        if call_is_costly or watch is not self.current or watch.address != self.address:
             watch.abort("silent", watch.silent_ns())
             return
-        self.dispatcher.log.often("watch", "silent: another is opened beside it; the last list stands")
+        self.dispatcher.log.often("watch", "silent: opening a second one; the latest list stays in use")
         self.open()
 
     def check_pending_call(self, watch: Watch) -> bool:
-        """Whether a call without an answer is left out.
+        """Returns whether to keep an unanswered call; if so, starts to check that the service is alive.
 
-        Where discovery is one service for the whole fleet, the call's turn may still come: given up and made
-        again, it would cost the service twice, and all that wait behind it. So it is checked whether the
-        service is there at all, by a connection that asks for nothing.
+        If discovery is one service for the whole fleet, the call may be queued there: a repeated call would
+        double its work and delay all callers behind it. The check only opens a connection, without a request.
         """
         if not self.dispatcher.limits.table_patience_ns or watch is not self.current:
             return False
@@ -170,40 +168,40 @@
                 transport, _ = await loop.create_connection(asyncio.Protocol, *watch.address)
             transport.abort()
         except (OSError, TimeoutError):
-            watch.abort_if_unanswered("silent, and it takes no connection")
+            watch.abort_if_unanswered("silent, and discovery accepts no connection")
             return
         if self._polling.keeps_waiting(self.dispatcher.now_ns() - watch.requested_ns):
             watch.extend_wait()
         else:
             waited_ns = self.dispatcher.now_ns() - watch.requested_ns
-            watch.abort_if_unanswered("silent for all of the patience", waited_ns)
+            watch.abort_if_unanswered("no answer within the timeout", waited_ns)
 
-    # ---- the end of a watch, and its messages
+    # ---- failures and messages
 
     def on_lost(self, address: Address, failure: WatchFailure, watch: Watch | None = None) -> None:
-        """A watch has ended, or (without one) a call for one could not connect: tries again.
+        """Schedules a retry after a watch has ended or, without `watch`, after a failed connect.
 
-        Each time later, at a moment drawn from all of the wait. Gateways may lose their watches at once:
-        asked in step, discovery rejects all of them, and asked again by each of them once a second, it
-        never comes to answer.
+        The backoff grows and is drawn at random from its whole span. All gateways may lose their watches at
+        the same time: discovery would reject simultaneous calls, and could never answer if each gateway
+        retried once a second.
         """
         if watch is not None and watch is self._previous:
             self._previous = None
         if address != self.address or (watch is not None and watch is not self.current):
-            return  # an old watch: another has been opened, or is being opened
-        if watch is not None:  # else the one that stands is read on, though the next did not come up
+            return  # an old watch: another one is open or being opened
+        if watch is not None:  # otherwise the current watch, if any, stays open
             self.current = None
-        self.dispatcher.log.often("watch", f"lost: {failure.reason}; the last list stands")
+        self.dispatcher.log.often("watch", f"lost: {failure.reason}; the latest list stays in use")
         wait_ns = self._polling.record_failure(failure.retry_after_ns, failure.silent_ns)
         self.dispatcher.deadlines.add(self.dispatcher.now_ns() + wait_ns, self.open, address)
         self.dispatcher.wake()
 
     def on_message(self, watch: Watch, message: dict[str, Any]) -> None:
-        """A message of a watch. One that was replaced is not read any more."""
+        """Called with a message; ignores those of a watch that was replaced."""
         if watch is not self.current and watch is not self._previous:
             return
         kind = EndpointListKind.FULL if message["snapshot"] else EndpointListKind.DELTA
-        # An old watch may still be answered after a move, and count in another way.
+        # After a move the old watch may still send messages, whose versions belong to the old address.
         self.table.apply_message(message, kind, record_version=watch.address == self.address)
         if self.listener is not None:
             complete = bool(message["snapshot"])
--- a/zincstile/net/feature_messages.py
+++ b/zincstile/net/feature_messages.py
@@ -1,7 +1,7 @@
-"""Connects features to the network: their actions to datagrams and calls, and what arrives to their events.
+"""Connects features to the network: sends messages for their actions, and posts events for received messages.
 
-Each function belongs to one feature, and imports its modules only where it is called: a gateway loads what
-its configuration switches on.
+Each function belongs to one feature and imports its modules when called, so that a gateway loads only the
+features that its configuration enables.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 def connect_quota_service(
     config: Config, dispatcher: Dispatcher, peers: Peers, read_buffer: memoryview
 ) -> QuotaServiceClient:
-    """Connects the quota service: calls to it, and the heartbeats between the gateways that use it.
+    """Connects the quota service: calls to it, and heartbeats between the gateways that use it.
 
     Returns its client.
     """
@@ -27,7 +27,7 @@
     from .quota_service import QuotaServiceClient
 
     address = config.quota_service_address
-    assert address is not None, "config.load takes no quota service without its address"
+    assert address is not None, "config.load rejects a quota service without an address"
     client = QuotaServiceClient(dispatcher, address, read_buffer)
 
     def call(_: int, action: events.CallQuotaService) -> None:
@@ -52,7 +52,7 @@
 
 
 def connect_leases(dispatcher: Dispatcher, peers: Peers) -> None:
-    """Connects the leases by which gateways share state within stated bounds."""
+    """Connects the leases that gateways use to share state within bounds."""
     from ..leases import codec, events
 
     def send(_: int, action: events.SendSharedMessages) -> None:
@@ -60,23 +60,23 @@
             peers.send(action.peer, data)
 
     def receive(sender: int, data: bytes) -> events.SharedMessagesReceived | None:
-        found = codec.unpack(data)
-        return None if found is None else events.SharedMessagesReceived(sender, *found)
+        messages = codec.unpack(data)
+        return None if messages is None else events.SharedMessagesReceived(sender, *messages)
 
     dispatcher.action_handlers[events.SendSharedMessages] = send
     peers.decoders[codec.MAGIC] = receive
 
 
 def connect_zone_failover(dispatcher: Dispatcher, peers: Peers) -> None:
-    """Connects the messages by which gateways choose zones in common."""
+    """Connects the messages that gateways use to agree on zones."""
     from ..zone_failover import codec, events
 
     def send(_: int, action: events.SendZoneMessage) -> None:
         peers.send(action.peer, codec.pack(action.message))
 
     def receive(sender: int, data: bytes) -> events.ZoneMessageReceived | None:
-        found = codec.unpack(data)
-        return None if found is None else events.ZoneMessageReceived(sender, found)
+        message = codec.unpack(data)
+        return None if message is None else events.ZoneMessageReceived(sender, message)
 
     dispatcher.action_handlers[events.SendZoneMessage] = send
     peers.decoders[codec.MAGIC] = receive
--- a/zincstile/net/http.py
+++ b/zincstile/net/http.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 as a client, without I/O: request heads and bounded parsers of responses, fed in pieces.
+"""HTTP/1.1 client without I/O: encodes requests, and parses responses incrementally within limits.
 
 Format: RFC 9112
 """
@@ -10,27 +10,27 @@
 from .limits import Limits
 
 CRLF: Final = b"\r\n"
-RETRY_AFTER_DIGITS: Final = 4  # 9999 s at most: more is no wait that anybody means
+RETRY_AFTER_DIGITS: Final = 4  # longer values (over 9999 s) are ignored as nonsensical
 
 
 class HttpError(ValueError):
-    """The peer does not speak HTTP/1.1, or goes past a limit."""
+    """The response is not valid HTTP/1.1, or exceeds a limit."""
 
 
 def get(host: str, path: str) -> bytes:
-    """A GET request."""
+    """Encodes a GET request."""
     return f"GET {path} HTTP/1.1\r\nHost: {host}\r\n\r\n".encode()
 
 
 def post(host: str, path: str) -> bytes:
-    """A POST request without a body."""
+    """Encodes a POST request without a body."""
     return f"POST {path} HTTP/1.1\r\nHost: {host}\r\nContent-Length: 0\r\n\r\n".encode()
 
 
 class LineReader:
-    """Reads the body of one response line by line, whether it comes in chunks, by length or until the end.
+    """Parses one response, and returns its body line by line: chunked, with a length, or up to end-of-file.
 
-    A state machine: `_state` takes what it can of the buffer, and says whether it is worth a call again.
+    A state machine: `_state` consumes what it can of the buffer, and returns whether to call the next state.
     """
 
     __slots__ = (
@@ -48,21 +48,21 @@
     )
 
     def __init__(self, limits: Limits) -> None:
-        """`limits`: of lines, headers and the body's lines."""
+        """`limits`: of the head's lines, the number of headers, and the body's lines."""
         self.limits = limits
-        self.status = 0  # 0 until the status line has come
+        self.status = 0  # 0 before the status line
         self.done = False  # the body is complete
-        self.retry_after_s = 0  # as the head asks, where it gives seconds
+        self.retry_after_s = 0  # from the head, if given in seconds
         self._buffer = b""
         self._state = self._read_status_line
-        self._left_bytes = 0  # of the body or the chunk; -1: until the connection ends
+        self._left_bytes = 0  # of the body or chunk; -1: up to end-of-file
         self._headers = 0
-        self._line = bytearray()  # body not yet ended by a line feed
+        self._line = bytearray()  # incomplete line of the body
         self._chunked = False
-        self._content_length = -1  # -1: not given
+        self._content_length = -1  # -1: none
 
     def feed(self, data: bytes) -> list[bytes]:
-        """The lines that are complete by now, without their ends. Raises HttpError."""
+        """Returns the lines of the body that `data` completes, without line ends. Raises HttpError."""
         self._buffer += data
         lines: list[bytes] = []
         while not self.done and self._state(lines):
@@ -70,7 +70,7 @@
         return lines
 
     def feed_eof(self) -> list[bytes]:
-        """The peer has ended its sending: the last line, where only that tells the body's end."""
+        """Handles end-of-file: returns the last line if end-of-file ends the body."""
         lines: list[bytes] = []
         if not self.done and self._state == self._read_plain and self._left_bytes < 0:
             self._finish(lines)
@@ -78,14 +78,14 @@
 
     @property
     def remaining_data(self) -> bytes:
-        """What came behind the response, once that is done."""
+        """The data after the response, once it is complete."""
         return self._buffer
 
     def _take_head_line(self) -> bytes | None:
         end = self._buffer.find(CRLF)
         if end < 0:
             if len(self._buffer) > self.limits.line_bytes:
-                raise HttpError("too long a line")
+                raise HttpError("header line exceeds the limit")
             return None
         line, self._buffer = self._buffer[:end], self._buffer[end + 2 :]
         return line
@@ -96,7 +96,7 @@
             return False
         words = line.split(None, 2)
         if len(words) < 2 or not words[0].startswith(b"HTTP/1.") or not words[1].isdigit():
-            raise HttpError("no status line")
+            raise HttpError("malformed status line")
         self.status = int(words[1])
         self._state = self._read_header
         return True
@@ -114,20 +114,20 @@
     def _take_header(self, line: bytes) -> None:
         self._headers += 1
         if self._headers > self.limits.header_lines:
-            raise HttpError("too many headers")
+            raise HttpError("number of headers exceeds the limit")
         name, _, value = line.partition(b":")
         name, value = name.strip().lower(), value.strip().lower()
         if name == b"transfer-encoding":
             self._chunked = value.endswith(b"chunked")
         elif name == b"content-length":
             if not value.isdigit():
-                raise HttpError("no length")
+                raise HttpError("Content-Length is not a number")
             self._content_length = int(value)
         elif name == b"retry-after" and value.isdigit() and len(value) <= RETRY_AFTER_DIGITS:
             self.retry_after_s = int(value)
 
     def _end_head(self) -> None:
-        if 100 <= self.status < 200:  # an interim response has no body: the one asked for comes behind it
+        if 100 <= self.status < 200:  # an interim response has no body and is followed by the final one
             self._headers, self._chunked, self._content_length = 0, False, -1
             self._state = self._read_status_line
         elif self._chunked:
@@ -144,9 +144,9 @@
         try:
             self._left_bytes = int(line.partition(b";")[0], 16)
         except ValueError:
-            raise HttpError("no chunk size") from None
+            raise HttpError("malformed chunk size") from None
         if self._left_bytes < 0 or self._left_bytes > self.limits.table_bytes:
-            raise HttpError("too large a chunk")
+            raise HttpError("chunk size exceeds the limit")
         self._state = self._read_chunk if self._left_bytes else self._read_trailer
         return True
 
@@ -164,7 +164,7 @@
         if len(self._buffer) < 2:
             return False
         if self._buffer[:2] != CRLF:
-            raise HttpError("a chunk without its end")
+            raise HttpError("chunk does not end with CRLF")
         self._buffer = self._buffer[2:]
         self._state = self._read_chunk_size
         return True
@@ -194,33 +194,33 @@
     def _add_to_body(self, part: bytes, lines: list[bytes]) -> None:
         self._line += part
         if b"\n" in part:
-            *complete, rest = bytes(self._line).split(b"\n")
+            *complete, incomplete = bytes(self._line).split(b"\n")
             lines.extend(line.rstrip(b"\r") for line in complete)
-            self._line = bytearray(rest)
+            self._line = bytearray(incomplete)
         if len(self._line) > self.limits.table_bytes:
-            raise HttpError("too long a line of the body")
+            raise HttpError("line of the body exceeds the limit")
 
 
 class Response(NamedTuple):
-    """One response."""
+    """One complete response."""
 
     status: int
-    body: bytes  # its lines, joined by line feeds
+    body: bytes  # lines joined by line feeds
 
 
 class PipelinedResponses:
-    """Reads the responses to requests that were written one behind another, in their order."""
+    """Parses the responses to pipelined requests, in order."""
 
     __slots__ = ("_limits", "_reader", "_lines")
 
     def __init__(self, limits: Limits) -> None:
-        """`limits`: of each response."""
+        """`limits` apply to each response."""
         self._limits = limits
         self._reader = LineReader(limits)
         self._lines: list[bytes] = []
 
     def feed(self, data: bytes) -> list[Response]:
-        """The responses that are complete by now. Raises HttpError where nothing after can be understood."""
+        """Returns the responses that `data` completes. Raises HttpError; the connection is then unusable."""
         responses: list[Response] = []
         while data:
             self._lines += self._reader.feed(data)
--- a/zincstile/net/policy_assembly.py
+++ b/zincstile/net/policy_assembly.py
@@ -1,7 +1,7 @@
-"""Builds the decision policy of one gateway with the features that its configuration switches on.
+"""Builds the decision policy of one gateway with the features that its configuration enables.
 
-Nothing else in `net` knows how a feature joins the policy. Modules of a feature are imported only where its
-file is named under `features` in the configuration.
+Only this module knows how a feature joins the policy. Modules of a feature are imported only if its file is
+named under `features` in the configuration.
 """
 
 from __future__ import annotations
@@ -18,17 +18,18 @@
 
 @dataclass(frozen=True, slots=True)
 class AssembledPolicy:
-    """A policy, and what operators may see of it."""
+    """A policy, and the queries about its features."""
 
     policy: Policy
-    describe_zones: Callable[[int], str] | None  # time -> text; None: without `features.place`
-    admission_is_open: Callable[[], bool]  # always, without `features.start`
+    describe_zones: Callable[[int], str] | None  # from the time in ns to text; None without `features.place`
+    admission_is_open: Callable[[], bool]  # always true without `features.start`
 
 
 def build_policy(config: Config, host: Host) -> AssembledPolicy:
-    """Returns the policy for a configuration: its quota source first, then what features add to it.
+    """Returns the policy for a configuration. The quota source is the first feature, the others follow.
 
-    Quotas are held by gossip, or by leases or the quota service where a file under deploy/ says so.
+    Quotas are enforced through gossip, or through leases or the quota service if a file under deploy/ says
+    so.
     """
     settings = config.settings
     features: list[Feature] = _quota_feature(config, host)
@@ -55,7 +56,7 @@
 
 
 def _quota_feature(config: Config, host: Host) -> list[Feature]:
-    """Returns the feature that holds quotas; none where they are held by gossip."""
+    """Returns the feature that enforces quotas; none if they are enforced through gossip."""
     if config.leases:
         from ..leases.feature import LeasesFeature
 
--- a/zincstile/net/quota_service.py
+++ b/zincstile/net/quota_service.py
@@ -1,8 +1,8 @@
-"""The quota service's client: counter calls over HTTP/1.1, pipelined on a few connections.
+"""Client of the quota service: counter calls over HTTP/1.1, pipelined on a few connections.
 
-A call is made once. Where its answer does not come within 50 ms, or brings no number, the amount may have
-been added, or may yet be: the caller gets no total, and nothing is sent again. An answer that comes later is
-read and dropped, so that the answers behind it keep their order. Nothing is decided here.
+A call is sent at most once. If no answer arrives within 50 ms, or the answer is not a number, the amount may
+have been added or may still be added: the caller gets no total, and the call is not retried. A late answer is
+read and discarded, so that the following answers match their calls. The client makes no decisions.
 """
 
 from __future__ import annotations
@@ -18,29 +18,29 @@
 from .deadlines import DeadlineKey, every
 from .dispatcher import Dispatcher
 
-MAX_NAME_BYTES: Final = 64  # the service refuses longer names
+MAX_NAME_BYTES: Final = 64  # the service rejects longer names
 MAX_AMOUNT: Final = 1e9  # and larger amounts
-LOGGED_BODY_BYTES: Final = 40  # of an answer that is not a number
-UNAVAILABLE_STATUSES: Final = (400, 404, 503)  # the service refuses the call; the connection is sound
+LOGGED_BODY_BYTES: Final = 40  # logged part of an answer that is not a number
+UNAVAILABLE_STATUSES: Final = (400, 404, 503)  # the call was rejected; the connection is usable
 
 OnAnswer = Callable[[int, float | None], None]
 
 
 class MalformedCallError(ValueError):
-    """The service takes no call with this name, amount or lifetime."""
+    """The name, amount or lifetime of a call is invalid."""
 
     def __init__(self, name: str, amount: float, ttl_ms: int) -> None:
-        """Takes the call's amount in units and its counter's lifetime in milliseconds."""
-        super().__init__(f"no such call: {name[:70]!r} {amount} {ttl_ms}")
+        """`amount` in units; `ttl_ms`: lifetime of the counter."""
+        super().__init__(f"invalid quota service call: name={name[:70]!r}, amount={amount}, ttl_ms={ttl_ms}")
 
 
 class PendingCall:
-    """One call; `on_answer(now, total)` is called once, with None where there is no total."""
+    """One call; `on_answer(now, total)` is called once, with a total of None if the call failed."""
 
     __slots__ = ("request", "on_answer", "created_ns", "deadline", "ended")
 
     def __init__(self, request: bytes, on_answer: OnAnswer, created_ns: int) -> None:
-        """Takes the request as it is written, and the time at which the call was made."""
+        """`request`: the encoded request."""
         self.request = request
         self.on_answer = on_answer
         self.created_ns = created_ns
@@ -49,42 +49,42 @@
 
 
 class QuotaServiceConnection(asyncio.BufferedProtocol):
-    """One connection to the quota service, with the calls on it that have no answer yet."""
+    """One connection to the quota service, and its unanswered calls."""
 
     __slots__ = ("client", "address", "transport", "calls", "idle_since_ns", "_responses")
 
     def __init__(self, client: QuotaServiceClient, address: Address) -> None:
-        """Takes the client whose calls it carries, and the address that it is made to."""
+        """Creates a connection of `client` to `address`."""
         self.client = client
         self.address = address
         self.transport: asyncio.Transport | None = None
-        self.calls: deque[PendingCall] = deque()  # written and not answered, in their order
+        self.calls: deque[PendingCall] = deque()  # unanswered calls, in order
         self.idle_since_ns = 0
         self._responses = http.PipelinedResponses(client.dispatcher.limits)
 
     @property
     def usable(self) -> bool:
-        """Whether calls may be written to it: it is to the present address, and not being closed."""
+        """Whether calls can be written: it is not closing, and goes to the current address."""
         return self.address == self.client.address and not self.transport.is_closing()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Called by asyncio when the connection is up."""
+        """Called by asyncio when the connection is open."""
         self.transport = transport  # type: ignore[assignment]
         self.idle_since_ns = self.client.dispatcher.now_ns()
         self.client.on_connected(self)
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        """Called by asyncio: the buffer that all connections share."""
+        """Called by asyncio for the buffer, which all connections share."""
         return self.client.buffer
 
     def buffer_updated(self, size: int) -> None:
-        """Called by asyncio: hands answers to their calls; a malformed one ends the connection."""
+        """Called by asyncio when data was read: assigns answers to their calls; closes on a malformed one."""
         dispatcher = self.client.dispatcher
         try:
             for status, body in self._responses.feed(bytes(self.client.buffer[:size])):
                 self._handle_response(status, body)
         except http.HttpError as err:
-            dispatcher.log.often("quota_service", f"answer of {self.address} malformed: {err}")
+            dispatcher.log.often("quota_service", f"answer from {self.address} is malformed: {err}")
             self.transport.abort()
             return
         self.idle_since_ns = dispatcher.now_ns()
@@ -92,12 +92,12 @@
 
     def _handle_response(self, status: int, body: bytes) -> None:
         if not self.calls:
-            raise http.HttpError("an answer to nothing")
+            raise http.HttpError("response without a pending call")
         if not self.client.on_response(self.calls.popleft(), status, body):
-            raise http.HttpError(f"no number: {body[:LOGGED_BODY_BYTES]!r}")
+            raise http.HttpError(f"total is not a number: {body[:LOGGED_BODY_BYTES]!r}")
 
     def eof_received(self) -> None:
-        """Called by asyncio: the service has ended its sending, so the connection is closed."""
+        """Called by asyncio at end-of-file; returning None closes the connection."""
         return None
 
     def connection_lost(self, err: Exception | None) -> None:
@@ -106,27 +106,27 @@
 
 
 class QuotaServiceClient:
-    """All calls to the quota service, wherever it is found at present."""
+    """Makes calls to the quota service, whose address may change."""
 
     def __init__(self, dispatcher: Dispatcher, address: Address, buffer: memoryview) -> None:
-        """Takes the service's address, and the buffer that all connections read into."""
+        """`buffer` is shared by all connections."""
         self.dispatcher = dispatcher
         self.address = address
         self.buffer = buffer
         self.connections: dict[QuotaServiceConnection, None] = {}
-        self.waiting: deque[PendingCall] = deque()  # for a connection
+        self.waiting: deque[PendingCall] = deque()  # calls not written yet
         self._connecting = 0
         self._tasks: dict[asyncio.Task, None] = {}
-        self._no_connect_before_ns = 0  # after a connect that failed
+        self._no_connect_before_ns = 0  # backoff after a failed connect
         every(dispatcher, dispatcher.limits.tend_ns, self._check_connections)
 
     def call(self, name: str, amount: float, ttl_ms: int, on_answer: OnAnswer) -> None:
-        """Adds the amount to the counter `name`, which lives for `ttl_ms`.
+        """Adds `amount` to the counter `name`, which expires after `ttl_ms`.
 
-        Raises MalformedCallError where the service takes no such call.
+        Raises MalformedCallError if the service would reject the arguments.
         """
-        named = 1 <= len(name) <= MAX_NAME_BYTES and name.isascii()
-        if not named or not math.isfinite(amount) or abs(amount) > MAX_AMOUNT or ttl_ms < 1:
+        valid_name = 1 <= len(name) <= MAX_NAME_BYTES and name.isascii()
+        if not valid_name or not math.isfinite(amount) or abs(amount) > MAX_AMOUNT or ttl_ms < 1:
             raise MalformedCallError(name, amount, ttl_ms)
         dispatcher, now = self.dispatcher, self.dispatcher.now_ns()
         host = "{}:{}".format(*self.address)
@@ -143,19 +143,19 @@
         dispatcher.flush_later(self)
 
     def move(self, address: Address) -> None:
-        """The service is found elsewhere from now on.
+        """Changes the address of the service.
 
-        What was written to the old address may still be answered.
+        Calls that were written to the old address may still be answered.
         """
         if address != self.address:
             self.address = address
             self._no_connect_before_ns = 0
             self.dispatcher.flush_later(self)
 
-    # ---- writing, once a batch of the dispatcher
+    # ---- writing, once per batch of the dispatcher
 
     def flush(self) -> None:
-        """Writes waiting calls, spread over the connections; opens another where these are busy."""
+        """Writes waiting calls, least loaded connection first; opens another connection if calls are left."""
         waiting = self.waiting
         while waiting and waiting[0].ended:
             waiting.popleft()
@@ -174,8 +174,8 @@
                 if not call.ended:
                     connection.calls.append(call)
                     requests.setdefault(connection, []).append(call.request)
-        for connection, written in requests.items():
-            connection.transport.write(b"".join(written))
+        for connection, encoded in requests.items():
+            connection.transport.write(b"".join(encoded))
 
     def _open_connection(self) -> None:
         if self._connecting or self.dispatcher.now_ns() < self._no_connect_before_ns:
@@ -207,12 +207,12 @@
     # ---- called by connections
 
     def on_connected(self, connection: QuotaServiceConnection) -> None:
-        """A connection is up: waiting calls may be written to it."""
+        """Called when a connection is open: waiting calls can be written."""
         self.connections[connection] = None
         self.dispatcher.flush_later(self)
 
     def on_disconnected(self, connection: QuotaServiceConnection) -> None:
-        """A connection is closed: the amounts of its calls may have been added."""
+        """Called when a connection has closed: fails its calls, whose amounts may have been added."""
         self.connections.pop(connection, None)
         calls, connection.calls = connection.calls, deque()
         for call in calls:
@@ -220,10 +220,9 @@
         self.dispatcher.flush_later(self)
 
     def on_response(self, call: PendingCall, status: int, body: bytes) -> bool:
-        """Ends a call with its answer.
+        """Ends a call with its response.
 
-        Returns False where the answer brings neither a number nor a refusal: its connection is of no further
-        use.
+        Returns False if the response is neither a number nor a rejection: its connection is then unusable.
         """
         if status in UNAVAILABLE_STATUSES:
             self._finish(call, None)
@@ -242,7 +241,7 @@
         self._finish(call, None)
 
     def _finish(self, call: PendingCall, total: float | None) -> None:
-        """Tells the caller the total, once."""
+        """Passes the total to the caller, once."""
         if call.ended:
             return
         call.ended = True
@@ -252,7 +251,7 @@
         call.on_answer(self.dispatcher.now_ns(), total)
 
     def _check_connections(self) -> None:
-        """Closes connections that are idle, to an old address, or stuck behind a missing answer."""
+        """Closes connections that are idle, go to an old address, or are blocked by a missing answer."""
         now, limits = self.dispatcher.now_ns(), self.dispatcher.limits
         for connection in list(self.connections):
             if connection.calls:
