--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,4 +1,4 @@
-"""Attempts and what ends them, in the order that hurts, on real sockets; docs/crossings.md tells the rows."""
+"""Races between attempts and the events that end them, on real sockets; docs/crossings.md lists them."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
 from zincstile.net.limits import MS, SECOND, Limits
 from zincstile.net.session import AnswerKind
 
-# A dial that comes up after the client of its attempt has left
-LATE = """
+# The connection of an attempt opens after its client has left.
+LATE_CONNECTION = """
         fill_backlog a
         send c1 look 1
         wait gw connects=1
@@ -32,16 +32,16 @@
         """
 
 
-# ---- what has ended is not sent on
+# ---- ended requests are not forwarded
 
 
 @pytest.mark.parametrize("cancel", [True, False])
-def test_a_client_that_left_while_its_attempt_waited_for_a_connection_is_not_sent_on(tmp_path, cancel):
-    """Also where the settings allow no cancelling: what was never sent is nothing to cancel."""
+def test_a_request_is_not_sent_if_its_client_left_before_the_connection_opened(tmp_path, cancel):
+    """Even if the settings do not allow cancelling, as nothing was sent."""
     run_scenario(
         tmp_path,
         READY
-        + LATE
+        + LATE_CONNECTION
         + """
         send gw TERM
         expect gw exit 0
@@ -51,7 +51,7 @@
 
 
 @pytest.mark.parametrize("cancel", [True, False])
-def test_a_second_copy_that_waits_for_a_connection_is_not_sent_after_the_answer(tmp_path, cancel):
+def test_a_hedged_attempt_without_a_connection_is_not_sent_after_the_answer(tmp_path, cancel):
     run_scenario(
         tmp_path,
         READY
@@ -72,8 +72,8 @@
     )
 
 
-def test_a_request_whose_client_ended_before_it_was_read_is_not_sent_on(tmp_path):
-    """Both come while the program is stopped: the end lies behind the request, and is read after its turn."""
+def test_a_request_is_not_sent_if_its_client_left_before_it_was_read(tmp_path):
+    """Request and end-of-file arrive while the gateway is stopped; end-of-file is read after the request."""
     run_scenario(
         tmp_path,
         READY
@@ -95,8 +95,8 @@
     )
 
 
-def test_a_burst_of_clients_that_leave_is_not_sent_on(tmp_path):
-    """Forty requests wait for a connection; all their clients leave, and every dial comes up after that."""
+def test_requests_of_many_clients_that_left_are_not_sent(tmp_path):
+    """40 requests wait for connections, which open after all the clients have left."""
     numbers = range(1, 41)
     run_scenario(
         tmp_path,
@@ -117,7 +117,7 @@
     )
 
 
-def test_the_id_of_a_request_whose_client_left_is_free_as_soon_as_that_is_known(tmp_path):
+def test_the_id_of_a_request_can_be_reused_once_its_client_has_left(tmp_path):
     run_scenario(
         tmp_path,
         READY
@@ -131,15 +131,15 @@
     )
 
 
-@pytest.mark.parametrize("how", ["close", "reset"])
-def test_a_flood_whose_client_is_gone_by_then_is_not_sent_on(tmp_path, how):
-    """Three hundred commands at once, on a connection that is taken only after its end."""
+@pytest.mark.parametrize("end", ["close", "reset"])
+def test_300_commands_of_a_client_that_has_left_are_not_sent(tmp_path, end):
+    """The connection is accepted only after the client has closed it."""
     run_scenario(
         tmp_path,
         READY
         + "freeze gw\n"
         + "".join(f"send c1 look {k}\n" for k in range(1, 301))
-        + f"{how} c1\nthaw gw\n"
+        + f"{end} c1\nthaw gw\n"
         + """
         send c9 look 999
         serve c9 look 999 a1 still
@@ -147,7 +147,7 @@
     )
 
 
-def test_a_flood_of_odd_commands_is_answered_and_disturbs_nobody(tmp_path):
+def test_500_unknown_commands_get_errors_and_other_clients_are_served(tmp_path):
     run_scenario(
         tmp_path,
         READY
@@ -164,7 +164,7 @@
     )
 
 
-# ---- both in one batch
+# ---- two events in one batch
 
 
 def in_one_batch(first, second):
@@ -172,9 +172,8 @@
 
 
 @pytest.mark.parametrize("order", [0, 1])
-def test_a_request_and_the_drain_of_its_server_in_one_batch(tmp_path, order):
-    """Decided on by the old list or the new one, it is not sent to the one that drains, where a connection
-    rests."""
+def test_a_request_is_not_sent_to_a_backend_that_drains_in_the_same_batch(tmp_path, order):
+    """Whichever list the policy decides with, and despite an idle connection to the draining backend."""
     both = ["send c1 look 2", "send d1 change a=Terminating b=Ready"]
     run_scenario(
         tmp_path,
@@ -193,13 +192,13 @@
 
 @pytest.mark.parametrize("cancel", [True, False])
 @pytest.mark.parametrize("order", [0, 1])
-def test_an_answer_and_the_end_of_its_client_in_one_batch(tmp_path, order, cancel):
+def test_an_answer_and_the_close_of_its_client_in_one_batch(tmp_path, order, cancel):
     both = ["send a1 ok late", "close c1"]
-    asked = "send c1 look 1\nexpect a1 look 1\n"
+    request = "send c1 look 1\nexpect a1 look 1\n"
     run_scenario(
         tmp_path,
         READY
-        + asked
+        + request
         + in_one_batch(both[order], both[1 - order])
         + """
         send c9 look 9
@@ -212,18 +211,18 @@
     )
 
 
-def test_an_answer_and_the_deadline_in_one_batch_make_one_answer(tmp_path):
-    """The program is held up past the request's time with the answer unread: one final answer, whichever."""
+def test_an_answer_and_the_deadline_in_one_batch_give_one_answer(tmp_path):
+    """The gateway is stopped past the deadline with the answer unread: either may win, but only one does."""
     with GatewayHarness(tmp_path) as harness:
         harness.run(READY + "send c1 look 1 d=300\nexpect a1 look 1\nfreeze gw")
         harness.run("send a1 ok late")
-        time.sleep(0.31)  # past it for certain: both are due when it goes on
+        time.sleep(0.31)  # past the deadline: both are due when the gateway resumes
         harness.run("thaw gw")
         assert harness.connection("c1").read_message() in (b"late", "-ERR failed", "-BUSY", "-BUSY 700")
         harness.run("send c1 raw *1\\r\\n$4\\r\\nPING\\r\\n\nexpect c1 +PONG\nwait gw faults=0")
 
 
-def test_a_reset_and_the_next_request_in_one_turn_on_a_connection_that_rests(tmp_path):
+def test_a_reset_of_an_idle_connection_and_the_next_request_in_one_batch(tmp_path):
     run_scenario(
         tmp_path,
         READY
@@ -239,11 +238,11 @@
     )
 
 
-# ---- a keyed repeat and its window
+# ---- retries within the deduplication window
 
 
-def test_a_keyed_repeat_whose_connection_comes_up_after_its_window_is_not_sent(tmp_path):
-    """The first may have run; the second waits for its connection until it would not be dropped any more."""
+def test_a_keyed_retry_is_not_sent_after_its_window(tmp_path):
+    """The first attempt may have run. The connection of the retry opens when duplicates are not dropped."""
     classes = [c | {"window_ns": 700 * MS} for c in settings()["classes"]]
     run_scenario(
         tmp_path,
@@ -266,14 +265,13 @@
     )
 
 
-# ---- answers that nobody asked for
+# ---- unsolicited answers
 
 SECOND_ANSWER = r"*3\r\n$5\r\nwrong\r\n$-1\r\n$-1\r\n"
 
 
-def test_a_second_answer_that_comes_late_is_not_taken_for_the_next_requests(tmp_path):
-    """What comes behind an answer some milliseconds late tells on the connection only then: until that is
-    over, no other request is written to it."""
+def test_a_late_second_answer_does_not_answer_the_next_request(tmp_path):
+    """A connection is not reused until `settled_ns` after an answer, as a second answer may follow late."""
     run_scenario(
         tmp_path,
         READY
@@ -291,12 +289,12 @@
     )
 
 
-def test_a_connection_that_came_up_for_another_is_taken_at_once(tmp_path):
-    """It has carried nothing: nothing can come behind that."""
+def test_an_unused_connection_of_an_ended_attempt_is_reused_at_once(tmp_path):
+    """It has carried no request, so no unsolicited answer can follow."""
     run_scenario(
         tmp_path,
         READY
-        + LATE
+        + LATE_CONNECTION
         + """
         send c2 look 2
         serve c2 look 2 a1 hello
@@ -306,9 +304,9 @@
     )
 
 
-@pytest.mark.parametrize("what", [r"half", SECOND_ANSWER, r"-ERR failed\r\n", r"\r\n"])
-def test_what_comes_on_a_resting_connection_costs_that_connection_alone(tmp_path, what):
-    """It lies unread when the next request is decided on: both come while the program is stopped."""
+@pytest.mark.parametrize("data", [r"half", SECOND_ANSWER, r"-ERR failed\r\n", r"\r\n"])
+def test_unsolicited_data_on_an_idle_connection_closes_only_that_connection(tmp_path, data):
+    """Data and request arrive while the gateway is stopped, so the data is unread at the decision."""
     run_scenario(
         tmp_path,
         READY
@@ -316,7 +314,7 @@
         send c1 look 1
         serve c1 look 1 a1 first
         freeze gw
-        send a1 raw {what}
+        send a1 raw {data}
         send c1 book 2
         thaw gw
         serve c1 book 2 a2 second
@@ -325,11 +323,11 @@
     )
 
 
-# ---- a dial that comes up in the moment in which it is given up
+# ---- a connection that opens at its timeout
 
 
-class Asked:
-    """A module that sends its one request to its one backend server, and keeps what comes of it."""
+class SingleBackendPolicy:
+    """Forwards every request to backend 1, and records the results of the attempts."""
 
     def __init__(self):
         self.outcomes = []
@@ -341,95 +339,98 @@
         return []
 
 
-async def dialled(listening, between, connect_ns=100 * MS):
-    """One request to a backend server whose connection comes up; `between` runs once it has, in the step of
-    the loop that makes its transport."""
+async def start_attempt(listening, on_connection_created, connect_ns=100 * MS):
+    """Submits one request; `on_connection_created` runs in the step of the loop that makes the transport."""
     loop, buffer = asyncio.get_running_loop(), memoryview(bytearray(65536))
-    dispatcher = make_dispatcher(Asked(), Limits(connect_ns=connect_ns))
+    dispatcher = make_dispatcher(SingleBackendPolicy(), Limits(connect_ns=connect_ns))
     pool = ConnectionPool(dispatcher)
     attempts = Attempts(dispatcher, module_settings(), pool, buffer)
     pool.update([ListedEndpoint(backend(1), listening.getsockname())], complete=True)
-    plain = loop.create_connection
+    create_connection = loop.create_connection
 
-    async def slow(factory, *where):
-        def made():
+    async def create_and_notify(factory, *address):
+        def create():
             connection = factory()
-            between(connection)
+            on_connection_created(connection)
             return connection
 
-        return await plain(made, *where)
+        return await create_connection(create, *address)
 
-    loop.create_connection = slow
+    loop.create_connection = create_and_notify
     client = RecordingClient()
     submit_request(dispatcher, client, 1)
     return dispatcher, attempts, client
 
 
-def test_a_dial_that_comes_up_as_its_time_ends_is_kept_by_the_attempt_that_it_carries():
-    """The loop is held up past the end of the dial's time in the very step in which the connection is made:
-    the attempt is sent on it, and nothing of the dial may close it afterwards."""
+def test_a_connection_that_opens_at_its_timeout_stays_open_for_its_attempt():
+    """The loop is blocked past the connect timeout in the step in which the connection is created.
 
-    async def play(listening):
-        dispatcher, _, client = await dialled(listening, lambda _: time.sleep(0.2))
+    The attempt is sent on it, and the timeout must not close it afterwards.
+    """
+
+    async def run(listening):
+        dispatcher, _, client = await start_attempt(listening, lambda _: time.sleep(0.2))
         loop = asyncio.get_running_loop()
-        taken, _ = await loop.sock_accept(listening)
-        with taken:
-            got = await loop.sock_recv(taken, 4096)
-            if not got:
+        accepted, _ = await loop.sock_accept(listening)
+        with accepted:
+            received = await loop.sock_recv(accepted, 4096)
+            if not received:
                 return [], dispatcher.policy.outcomes, client.answers
-            await loop.sock_sendall(taken, b"*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n")
+            await loop.sock_sendall(accepted, b"*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n")
             while not dispatcher.policy.outcomes:
                 await asyncio.sleep(0)
-        return got[:4], dispatcher.policy.outcomes, client.answers
+        return received[:4], dispatcher.policy.outcomes, client.answers
 
     with socket.create_server(("127.0.0.1", 0)) as listening:
         listening.setblocking(False)
-        got, outcomes, answers = asyncio.run(asyncio.wait_for(play(listening), TIMEOUT_S))
-    assert (got, outcomes, answers) == (b"*4\r\n", [AttemptResult.OK], [(1, AnswerKind.SERVED)])
+        received, outcomes, answers = asyncio.run(asyncio.wait_for(run(listening), TIMEOUT_S))
+    assert (received, outcomes, answers) == (b"*4\r\n", [AttemptResult.OK], [(1, AnswerKind.SERVED)])
+
 
+def test_a_connection_that_opened_too_late_is_not_closed_while_the_next_attempt_uses_it():
+    """Its own attempt is cancelled in the step of the loop in which the connect timeout expires.
 
-def test_a_connection_that_came_up_too_late_is_not_closed_beneath_the_next_attempt():
-    """Its own attempt is given up by then, and it serves another, unless its dial is about to close it. Both
-    in the step of the loop in which the dial's time ends."""
+    The connection may carry the next attempt only if the timeout is not about to close it.
+    """
 
-    async def play(listening):
-        dispatcher, attempts, _ = await dialled(listening, lambda _: time.sleep(0.2))
-        loop, plain = asyncio.get_running_loop(), attempts.connector.on_connected
+    async def run(listening):
+        dispatcher, attempts, _ = await start_attempt(listening, lambda _: time.sleep(0.2))
+        loop, on_connected = asyncio.get_running_loop(), attempts.connector.on_connected
 
-        def connected(connection):  # given up in the moment before
+        def cancel_and_connect(connection):
             attempts.finish(connection.attempt, AttemptResult.CANCELLED)
-            plain(connection)
-            if attempts.pool.backends[1].idle:  # taken again in the same step
+            on_connected(connection)
+            if attempts.pool.backends[1].idle:  # reused in the same step
                 submit_request(dispatcher, RecordingClient(), 2)
 
-        attempts.connector.on_connected = connected
-        taken, _ = await loop.sock_accept(listening)
-        with taken:
-            got = await loop.sock_recv(taken, 4096)
-            if got:
-                await loop.sock_sendall(taken, b"*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n")
+        attempts.connector.on_connected = cancel_and_connect
+        accepted, _ = await loop.sock_accept(listening)
+        with accepted:
+            received = await loop.sock_recv(accepted, 4096)
+            if received:
+                await loop.sock_sendall(accepted, b"*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n")
                 while len(dispatcher.policy.outcomes) < 2:
                     await asyncio.sleep(0)
         return dispatcher.policy.outcomes
 
     with socket.create_server(("127.0.0.1", 0)) as listening:
         listening.setblocking(False)
-        outcomes = asyncio.run(asyncio.wait_for(play(listening), TIMEOUT_S))
+        outcomes = asyncio.run(asyncio.wait_for(run(listening), TIMEOUT_S))
     assert outcomes in ([AttemptResult.CANCELLED], [AttemptResult.CANCELLED, AttemptResult.OK])
 
 
-def test_an_attempt_is_not_written_to_a_connection_that_its_dial_is_about_to_close():
-    async def play(listening):
-        def given_up(connection):
+def test_an_attempt_is_not_sent_on_a_connection_whose_timeout_has_expired():
+    async def run(listening):
+        def expire(connection):
             connection.connect_timeout = SimpleNamespace(expired=lambda: True)
 
-        dispatcher, _, _ = await dialled(listening, given_up, connect_ns=9 * SECOND)
+        dispatcher, _, _ = await start_attempt(listening, expire, connect_ns=9 * SECOND)
         while not dispatcher.policy.outcomes:
             await asyncio.sleep(0)
         return dispatcher.policy.outcomes, dispatcher.counters.attempts
 
     with socket.create_server(("127.0.0.1", 0)) as listening:
-        assert asyncio.run(asyncio.wait_for(play(listening), TIMEOUT_S)) == (
+        assert asyncio.run(asyncio.wait_for(run(listening), TIMEOUT_S)) == (
             [AttemptResult.CONNECT_FAILED],
             0,
         )
--- a/tests/test_incremental.py
+++ b/tests/test_incremental.py
@@ -1,5 +1,8 @@
-"""State kept step by step (endpoints of the decisions, connection pool, endpoint table) against a plain model
-that works it out from the complete list each time; the work for a change or a tick does not grow."""
+"""Compares incrementally updated state (endpoints, connection pool, endpoint table) with a simple model.
+
+The model recomputes everything from the complete list. The work for a change or a tick is independent of the
+size of the list.
+"""
 
 from __future__ import annotations
 
@@ -36,8 +39,8 @@
 from zincstile.simulation.plan import Plan
 
 COLD = {"slow_start_share": 0.25, "slow_start_ns": 20 * SECOND, "slow_start_overload_multiple": 2.0}
-IDS = (1, 2, 3, 4, 50550, 101099, 50551)  # some have one name among the peers: 1 and two more, 2 and one
-STARTS = (0, 40 * SECOND, 85 * SECOND, 95 * SECOND, 105 * SECOND)  # the first runs are warm or unknown
+IDS = (1, 2, 3, 4, 50550, 101099, 50551)  # peer hash collisions: 1 with two others, 2 with one
+STARTS = (0, 40 * SECOND, 85 * SECOND, 95 * SECOND, 105 * SECOND)  # the first ones are warm or unknown
 ENTRIES = st.lists(
     st.builds(
         backend,
@@ -51,11 +54,11 @@
 LISTS = st.tuples(
     st.sampled_from([EndpointListKind.FULL, EndpointListKind.DELTA, EndpointListKind.DELTA]), ENTRIES
 )
-DOUBT = st.tuples(st.sampled_from(IDS), st.integers(0, 2), st.floats(0, 1))
+ERROR_SAMPLE = st.tuples(st.sampled_from(IDS), st.integers(0, 2), st.floats(0, 1))
 STEPS = st.lists(
     st.one_of(
-        st.tuples(st.just("lists"), st.lists(LISTS, min_size=1, max_size=3)),  # all in one turn
-        st.tuples(st.just("doubt"), DOUBT),
+        st.tuples(st.just("lists"), st.lists(LISTS, min_size=1, max_size=3)),  # all before the next event
+        st.tuples(st.just("error sample"), ERROR_SAMPLE),
         st.tuples(st.just("slow"), st.tuples(st.sampled_from(IDS), st.floats(0.1, 4))),
         st.tuples(st.just("tick"), st.integers(1, 6000)),
     ),
@@ -63,12 +66,12 @@
 )
 
 
-class Plain:
-    """The same from the whole list, each time. What is known of one: info, slowness, doubts."""
+class EndpointModel:
+    """Recomputes all state from the list. `known`: by id the entry, latency ratio and error scores."""
 
     def __init__(self):
-        self.known, self.ready = {}, []  # ids of the ready ones, in the order in which they came to be so
-        self.usual = [0.0] * 6
+        self.known, self.ready = {}, []  # ids of ready endpoints, in the order in which they became ready
+        self.baseline = [0.0] * 6
 
     def apply(self, kind, entries):
         if kind is EndpointListKind.FULL:
@@ -87,67 +90,67 @@
             and b.id not in [c.id for c in entries[:n]]
         ]  # fmt: skip
 
-    def fade(self, keep):
-        told = [[] for _ in self.usual]
+    def decay(self, factor):
+        scores = [[] for _ in self.baseline]
         for x in [self.known[k] for k in self.ready]:
-            x[1] += (1 - keep) * (1 - x[1])
-            x[2] = {g: bad * keep for g, bad in x[2].items() if bad > NEGLIGIBLE_SCORE}
+            x[1] += (1 - factor) * (1 - x[1])
+            x[2] = {g: bad * factor for g, bad in x[2].items() if bad > NEGLIGIBLE_SCORE}
             for g, bad in x[2].items():
-                told[g].append(bad)
+                scores[g].append(bad)
         n = len(self.ready)
-        for g, bads in enumerate(told):
+        for g, bads in enumerate(scores):
             everyone = sorted([0.0] * (n - len(bads)) + bads)
-            self.usual[g] = everyone[int(n * BASELINE_RANK)] if n else 0.0
+            self.baseline[g] = everyone[int(n * BASELINE_RANK)] if n else 0.0
 
-    def good(self, warmth):
-        fit = [
-            warmth(x) * sum(x[2].get(g, 0.0) - self.usual[g] < OUTLIER_SCORE for g in range(3)) / 3
+    def healthy_endpoints(self, warmth):
+        weights = [
+            warmth(x) * sum(x[2].get(g, 0.0) - self.baseline[g] < OUTLIER_SCORE for g in range(3)) / 3
             for x in [self.known[k] for k in self.ready]
         ]
-        return max(1.0, sum(fit))
+        return max(1.0, sum(weights))
 
 
 @effort(max_examples=150, deadline=None, derandomize=True, database=None)
 @given(STEPS)
-def test_the_endpoints_are_what_a_plain_model_works_out_from_the_complete_list(steps):
-    g, plain = PolicyHarness(COLD, backends=0, now=100 * SECOND), Plain()
+def test_endpoints_match_a_model_that_is_recomputed_from_the_complete_list(steps):
+    g, model = PolicyHarness(COLD, backends=0, now=100 * SECOND), EndpointModel()
     policy = g.policy
     healthy = policy.parts.capacity.healthy_endpoints
-    for what, about in steps:
-        if what == "lists":
-            for kind, entries in about:
+    for kind_of_step, argument in steps:
+        if kind_of_step == "lists":
+            for kind, entries in argument:
                 g.update_endpoints(entries, kind)
-                plain.apply(kind, entries)
-        elif what == "tick":
-            keep = math.exp(-about * MS / SECOND / SCORE_DECAY_S)
-            g.now += about * MS
-            policy.ticker.ticked_ns = g.now - about * MS
+                model.apply(kind, entries)
+        elif kind_of_step == "tick":
+            factor = math.exp(-argument * MS / SECOND / SCORE_DECAY_S)
+            g.now += argument * MS
+            policy.ticker.ticked_ns = g.now - argument * MS
             g.tick(0)
-            plain.fade(keep)
-        elif about[0] in plain.known and what == "doubt":
-            where, group, bad = about
+            model.decay(factor)
+        elif argument[0] in model.known and kind_of_step == "error sample":
+            where, group, bad = argument
             policy.parts.detector.apply_sample(policy.parts.endpoints.by_id[where], group, bad, 0.5)
-            doubts = plain.known[where][2]
-            if bad or group in doubts:
-                doubts[group] = doubts.get(group, 0.0) * 0.5 + 0.5 * bad
-        elif about[0] in plain.known:
-            policy.parts.endpoints.track(policy.parts.endpoints.by_id[about[0]]).latency_ratio = plain.known[
-                about[0]
-            ][1] = about[1]
-        g.feed(RequestAbandoned(-1))  # whatever comes after a change decides by the list as it is
-        ready = [plain.known[k] for k in plain.ready]
-        assert policy.parts.endpoints.by_id.keys() == plain.known.keys() and len(
+            scores = model.known[where][2]
+            if bad or group in scores:
+                scores[group] = scores.get(group, 0.0) * 0.5 + 0.5 * bad
+        elif argument[0] in model.known:
+            policy.parts.endpoints.track(
+                policy.parts.endpoints.by_id[argument[0]]
+            ).latency_ratio = model.known[argument[0]][1] = argument[1]
+        g.feed(RequestAbandoned(-1))  # the next event is decided with the changed list
+        ready = [model.known[k] for k in model.ready]
+        assert policy.parts.endpoints.by_id.keys() == model.known.keys() and len(
             policy.parts.endpoints.ready
         ) == len(ready)
         assert {s.entry.id: s.entry for s in policy.parts.endpoints.ready} == {x[0].id: x[0] for x in ready}
         assert {n: s.entry.id for n, s in policy.parts.endpoints.by_hash.items()} == {
-            peer_hash(k): k for k in plain.ready
+            peer_hash(k): k for k in model.ready
         }
         assert len(policy.parts.slow_start.cumulative_shares) == len(policy.parts.endpoints.warming) and all(
             s.started_ns for s in [c.entry for c in policy.parts.endpoints.warming]
         )
         for s in policy.parts.endpoints.by_id.values():
-            known = plain.known[s.entry.id]
+            known = model.known[s.entry.id]
             assert (
                 s.error_scores == pytest.approx(known[2])
                 and abs(s.latency_ratio - known[1]) <= NEUTRAL_RATIO_TOLERANCE
@@ -160,12 +163,13 @@
         assert all(
             policy.parts.endpoints.by_id.get(k) is s for k, s in policy.parts.endpoints.tracked.items()
         )
-        if what == "lists":  # an empty change leaves all as it was, so that nothing is worked out anew
+        if kind_of_step == "lists":  # an empty change must not cause a recomputation
             changed = any(
-                kind in (EndpointListKind.FULL, EndpointListKind.CACHED) or entries for kind, entries in about
+                kind in (EndpointListKind.FULL, EndpointListKind.CACHED) or entries
+                for kind, entries in argument
             )
             assert changed or policy.parts.capacity.healthy_endpoints == healthy
-        healthy_is_new = what == "tick" or (what == "lists" and changed)
+        healthy_is_new = kind_of_step == "tick" or (kind_of_step == "lists" and changed)
         healthy = policy.parts.capacity.healthy_endpoints
         if healthy_is_new:
 
@@ -175,20 +179,19 @@
             assert {s.entry.id for s in policy.parts.endpoints.warm} == {
                 x[0].id for x in ready if warmth(x) >= 1
             }
-            assert policy.parts.detector.baseline == pytest.approx(plain.usual)
-            assert policy.parts.capacity.healthy_endpoints == pytest.approx(plain.good(warmth))
+            assert policy.parts.detector.baseline == pytest.approx(model.baseline)
+            assert policy.parts.capacity.healthy_endpoints == pytest.approx(model.healthy_endpoints(warmth))
     for _ in range(20):
         g.tick(5 * SECOND)
-    assert not [
-        s for s in policy.parts.endpoints.tracked.values() if s.ready_list is not None
-    ]  # all has faded
+    # All scores have decayed.
+    assert not [s for s in policy.parts.endpoints.tracked.values() if s.ready_list is not None]
 
 
 # ---- the connection pool and the endpoint table
 
 
-class Wire:
-    """A connection's transport; the loop tells its end later."""
+class StubTransport:
+    """A transport that only records that it was closed."""
 
     closed = False
 
@@ -204,11 +207,11 @@
 
 
 def open_idle(pool, backend_id):
-    """A connection to a backend that came up and is idle; None where none may be opened."""
-    found = pool.ready_backend(backend_id)
-    if found is not None:
-        connection = BackendConnection(SimpleNamespace(dispatcher=pool.dispatcher), found, None)
-        connection.transport = Wire()
+    """Adds an open idle connection to a backend; None if the backend accepts no attempts."""
+    backend_ = pool.ready_backend(backend_id)
+    if backend_ is not None:
+        connection = BackendConnection(SimpleNamespace(dispatcher=pool.dispatcher), backend_, None)
+        connection.transport = StubTransport()
         pool.add(connection)
         pool.add_idle(connection, unused=True)
         return connection
@@ -221,7 +224,7 @@
 
 @effort(max_examples=150, deadline=None, derandomize=True, database=None)
 @given(st.lists(st.tuples(LISTS, st.integers(0, 1), st.sampled_from(IDS)), max_size=15))
-def test_the_pool_connects_to_what_was_listed_last_and_forgets_the_rest(steps):
+def test_the_pool_connects_only_to_the_backends_that_are_listed_as_ready(steps):
     pool, listed, opened = ConnectionPool(dispatcher_at_100_s()), {}, []
     for (kind, entries), moved, used in steps:
         complete = kind is EndpointListKind.FULL
@@ -233,14 +236,14 @@
         ready = {k: one for k, one in listed.items() if one.entry.state is EndpointState.READY}
         assert pool.listed == listed
         for connection in [c for c in opened if not c.transport.closed]:
-            found, expected = connection.backend, ready.get(connection.backend.id)
+            actual, expected = connection.backend, ready.get(connection.backend.id)
             assert expected
-            assert (found.address, found.started_ns) == (expected.address, expected.entry.started_ns)
+            assert (actual.address, actual.started_ns) == (expected.address, expected.entry.started_ns)
         for connection in [c for c in opened if c.transport.closed]:
             pool.on_connection_lost(connection)
         opened = [c for c in opened if not c.transport.closed]
         assert list(pool.idle) == opened and pool.connections == set(opened)
-        # No record of what is not connected.
+        # There is no record of a backend without a connection.
         assert pool.backends == {c.backend.id: c.backend for c in opened}
         connection = open_idle(pool, used)
         assert (connection is not None) == (used in ready)
@@ -257,7 +260,7 @@
 
 
 def table_at_0_s(update=lambda endpoints, *, complete: None):
-    """A table whose reader's clocks stand at nought."""
+    """A table whose reader's clocks are stopped at 0."""
     dispatcher = dispatcher_at_100_s()
     clocks = SimpleNamespace(unix_ns=lambda: 0, monotonic_ns=lambda: 0)
     return EndpointTable(dispatcher, EndpointReader([], [], clocks), update)
@@ -267,11 +270,11 @@
     table.apply_message(delta(1, *endpoints_), kind)
 
 
-def test_a_year_of_replaced_backends_leaves_no_trace_and_one_just_gone_may_still_get_maintenance():
+def test_removed_endpoints_are_bounded_and_recent_ones_accept_maintenance():
     table = table_at_0_s()
     for k in range(5000):
         receive(table, endpoints([f"s-{k}"]) + endpoints([f"s-{k - 10}"], "Gone"))
-    receive(table, endpoints(["s-4999"]), EndpointListKind.FULL)  # leaves out the rest
+    receive(table, endpoints(["s-4999"]), EndpointListKind.FULL)  # removes all others
     assert list(table.endpoints) == [endpoint_id("s-4999")] and len(table.removed) == 1024
     # s-17 was removed long ago.
     assert table.set_maintenance("s-4990", enter=True) and not table.set_maintenance("s-17", enter=True)
@@ -280,45 +283,45 @@
     assert table.maintenance.apply(listed).entry.state is EndpointState.DRAINING
 
 
-def test_an_endpoint_is_read_with_its_own_text_and_one_that_is_known_is_kept():
-    """Whatever else stands in an object is left alone, and a malformed endpoint raises as ever."""
+def test_endpoints_are_parsed_during_decoding_and_known_ones_are_shared():
+    """Other JSON objects stay as they are, and a malformed endpoint raises an error."""
     table = table_at_0_s()
     receive(table, endpoints(["s-a", "s-b"]), EndpointListKind.FULL)
     kept = dict(table.endpoints)
-    odd = {"note": {"name": "s-z", "status": "no such"}}
+    extra = {"note": {"name": "s-z", "status": "no such"}}
     whole = full_list(7, *endpoints(["s-a", "s-c"]))
-    whole["endpoints"][0] |= odd
+    whole["endpoints"][0] |= extra
     objects = JsonObjectParser(1 << 20, table.read_early)
     (read,) = objects.feed(json.dumps(whole).encode())
     assert read["endpoints"][0] is kept[endpoint_id("s-a")]
     table.apply_message(read, EndpointListKind.FULL)
     assert table.endpoints.keys() == {endpoint_id("s-a"), endpoint_id("s-c")}
     assert table.endpoints[endpoint_id("s-c")] == table.reader.read_endpoint(whole["endpoints"][1])
-    (read,) = objects.feed(json.dumps(delta(8, odd["note"])).encode())
+    (read,) = objects.feed(json.dumps(delta(8, extra["note"])).encode())
     with pytest.raises(KeyError):
         table.apply_message(read, EndpointListKind.DELTA)
     assert table.endpoints.keys() == {endpoint_id("s-a"), endpoint_id("s-c")}
 
 
-def test_the_list_in_the_file_is_taken_once_at_the_start_and_read_by_no_reload(tmp_path):
-    """As JSON it takes more memory than all that is made of it."""
+def test_the_configured_list_is_read_at_the_start_but_not_by_a_reload(tmp_path):
+    """As JSON it takes more memory than everything that is built from it."""
     table = traffic.configuration(
         Plan(seed=1, gateways=1), 0, "127.0.0.1:1", "127.0.0.1:2", ["127.0.0.1:3"], 1, {}
     )
-    path, told = tmp_path / "config.json", []
+    path, lists = tmp_path / "config.json", []
     path.write_text(json.dumps(table | {"known": {"index": 1, "endpoints": endpoints(["s-a", "s-b"])}}))
     started, reloaded = (read({"RELAY_CONFIG": str(path)}) for read in (config.load, config.reload))
     assert reloaded.known == {"index": 1, "endpoints": [None, None]}
     assert replace(reloaded, known=started.known) == started
-    assert begin_list(started, SimpleNamespace(begin=told.append)) and not started.known
-    assert [known["endpoints"] for known in told] == [endpoints(["s-a", "s-b"])]
+    assert begin_list(started, SimpleNamespace(begin=lists.append)) and not started.known
+    assert [known["endpoints"] for known in lists] == [endpoints(["s-a", "s-b"])]
 
 
 # ---- work
 
 
-def steps_of(action):
-    """Instructions that the interpreter carries out for it, in this program's own code."""
+def count_instructions(action):
+    """Counts the bytecode instructions of an action, without those in C code."""
     count = 0
 
     def trace(frame, event, _):
@@ -336,7 +339,7 @@
 
 
 def work(size):
-    """Of each kind of control work, at a gateway that knows so many backends, six of them in use."""
+    """Instructions for each kind of control work at a gateway with `size` backends, six of them in use."""
     g, pool = PolicyHarness(COLD, backends=0, now=100 * SECOND), ConnectionPool(dispatcher_at_100_s())
     table = table_at_0_s(pool.update)
     names = [f"s-{k}" for k in range(size)]
@@ -353,14 +356,14 @@
         g.feed(RequestAbandoned(-1))
 
     return {
-        "tick": steps_of(g.tick),
-        "change": steps_of(change),
-        "change received": steps_of(lambda: receive(table, endpoints(["s-9"], "Terminating"))),
-        "capacity": steps_of(pool.close_oldest_idle),
-        "expiry": steps_of(pool.close_expired),
+        "tick": count_instructions(g.tick),
+        "change": count_instructions(change),
+        "change received": count_instructions(lambda: receive(table, endpoints(["s-9"], "Terminating"))),
+        "capacity": count_instructions(pool.close_oldest_idle),
+        "expiry": count_instructions(pool.close_expired),
     }
 
 
-def test_the_work_for_a_tick_or_a_change_does_not_grow_with_the_list():
+def test_the_work_for_a_tick_or_a_change_is_independent_of_the_list_size():
     small, large = work(60), work(1200)
-    assert all(large[what] <= 1.05 * steps for what, steps in small.items()), (small, large)
+    assert all(large[name] <= 1.05 * count for name, count in small.items()), (small, large)
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -1,4 +1,4 @@
-"""Endpoint lists and watches, cut, malformed or in pieces, on real sockets: rows of docs/crossings.md."""
+"""Truncated, malformed and fragmented endpoint lists and watches on real sockets: see docs/crossings.md."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
     return (b"%x\r\n%b\r\n" % (len(data), data)).decode()
 
 
-def test_lists_may_come_indented_in_pieces_and_behind_each_other(tmp_path):
+def test_indented_fragmented_and_concatenated_lists_are_parsed(tmp_path):
     harness = GatewayHarness(tmp_path)
     try:
         line = harness.connection("d1")
@@ -57,8 +57,8 @@
         harness.tear_down()
 
 
-def test_a_complete_list_of_32000_endpoints_in_one_line_is_taken(tmp_path):
-    """4.6 MB, as discovery writes them: more than the 4 MiB that a line could have at any memory before."""
+def test_a_complete_list_of_32000_endpoints_in_one_line_is_accepted(tmp_path):
+    """4.6 MB, as discovery writes it. An earlier limit of 4 MiB per line rejected it."""
     entries = [
         {
             "name": f"s-{number:08x}",
@@ -87,8 +87,8 @@
         harness.tear_down()
 
 
-def test_a_list_that_stops_half_way_is_no_list(tmp_path):
-    """The last list stands; what was cut counts for nothing, and the watch is opened anew."""
+def test_a_truncated_list_is_ignored(tmp_path):
+    """The latest list stays in use, and a new watch is opened."""
     run_scenario(
         tmp_path,
         READY
@@ -116,7 +116,7 @@
     ],
     ids=["array", "closed twice", "infinite", "nonsense", "tail", "deep"],
 )
-def test_a_malformed_line_ends_the_watch_alone(tmp_path, malformed):
+def test_a_malformed_line_closes_only_the_watch(tmp_path, malformed):
     run_scenario(
         tmp_path,
         READY
@@ -137,14 +137,14 @@
 
 
 class Clock:
-    """A machine whose clock goes on when told, so that no silence has to be sat through."""
+    """A host with a manual clock, so that tests do not wait for a silence timeout."""
 
     def __init__(self):
-        self.at = HOST.monotonic_ns()
+        self.time_ns = HOST.monotonic_ns()
         self.unix_ns, self.readable, self.ended = HOST.unix_ns, HOST.readable, HOST.ended
 
     def monotonic_ns(self):
-        return self.at
+        return self.time_ns
 
 
 async def send_list(sock, entries, index, first=True):
@@ -154,11 +154,13 @@
     await loop.sock_sendall(sock, (head + chunk(body)).encode())
 
 
-def test_there_is_always_a_watch_open_while_the_list_is_silent():
-    """What discovery tells the moment it returns counts at once: the call that is out is not given up before
-    the next has come up. Here that never does, and the one that is out is answered."""
+def test_a_silent_watch_stays_open_until_its_replacement_connects():
+    """A change that discovery sends when it recovers has to arrive at once, so a call is always pending.
 
-    async def play(listening):
+    Here the connect of the replacement hangs, and the silent watch is answered.
+    """
+
+    async def run(listening):
         loop, clock, limits = asyncio.get_running_loop(), Clock(), Limits()
         dispatcher = Dispatcher(
             loop, SimpleNamespace(handle=lambda now, event: []), limits, Counters(), Log("n0"), clock
@@ -172,20 +174,20 @@
         await send_list(first, [ready], 1)
         while not watcher.has_discovery_list:
             await asyncio.sleep(0)
-        clock.at += limits.table_silence_ns
+        clock.time_ns += limits.table_silence_ns
         dispatcher.wake()
         second, _ = await loop.sock_accept(listening)
         await loop.sock_recv(second, 4096)
-        dialled = []
+        connects = []
 
         async def hangs(*_):
-            dialled.append(1)
+            connects.append(1)
             await asyncio.Event().wait()
 
         loop.create_connection = hangs
-        clock.at += limits.table_answer_ns
+        clock.time_ns += limits.table_answer_ns
         dispatcher.wake()
-        while not dialled:
+        while not connects:
             await asyncio.sleep(0)
         await send_list(second, [ready | {"status": "Terminating"}], 2)
         while table.version < 2:
@@ -196,11 +198,11 @@
 
     with socket.create_server(("127.0.0.1", 0)) as listening:
         listening.setblocking(False)
-        assert asyncio.run(asyncio.wait_for(play(listening), TIMEOUT_S)) == 2
+        assert asyncio.run(asyncio.wait_for(run(listening), TIMEOUT_S)) == 2
 
 
-def test_the_old_address_is_read_while_the_new_one_is_down(tmp_path):
-    """Discovery is moved to where nobody listens yet: the old watch stands until the new one has spoken."""
+def test_the_old_watch_is_read_while_the_new_address_is_unreachable(tmp_path):
+    """A reload changes the address of discovery to one that refuses connections."""
     run_scenario(
         tmp_path,
         READY
@@ -215,7 +217,7 @@
     )
 
 
-def test_a_silent_watch_that_goes_on_is_read_until_the_new_one_is_answered(tmp_path):
+def test_a_silent_watch_that_resumes_is_read_until_its_replacement_is_answered(tmp_path):
     run_scenario(
         tmp_path,
         """
@@ -233,8 +235,8 @@
     )
 
 
-def test_a_silent_watch_is_followed_by_one_that_gets_what_was_missed(tmp_path):
-    """Silence right after the head, before any list: the next call gets it. Never two that both count."""
+def test_the_replacement_of_an_unanswered_watch_gets_the_list(tmp_path):
+    """The first watch is silent before any list. It is closed once the second one has sent the list."""
     run_scenario(
         tmp_path,
         """
@@ -251,7 +253,7 @@
     )
 
 
-def test_a_reload_beside_a_silent_watch_moves_on_and_the_old_one_is_not_read_after(tmp_path):
+def test_a_reload_during_a_silent_watch_closes_both_watches_of_the_old_address(tmp_path):
     run_scenario(
         tmp_path,
         """
@@ -270,8 +272,8 @@
     )
 
 
-def test_a_list_without_a_length_ends_with_its_connection(tmp_path):
-    """Indented and without a last line feed: whole once the service has ended it."""
+def test_a_list_without_a_length_is_complete_at_end_of_file(tmp_path):
+    """The list is indented and has no final line feed."""
     harness = GatewayHarness(tmp_path)
     try:
         harness.run("expect d1 request")
@@ -289,8 +291,8 @@
         harness.tear_down()
 
 
-def test_a_list_without_a_length_that_is_reset_is_no_list(tmp_path):
-    """A reset is no end: what was cut counts for nothing, though its brackets may be closed so far."""
+def test_a_list_without_a_length_is_ignored_after_a_reset(tmp_path):
+    """Unlike end-of-file, a reset does not complete a list."""
     harness = GatewayHarness(tmp_path)
     try:
         harness.run("expect d1 request")
@@ -308,8 +310,8 @@
 
 
 @pytest.mark.parametrize("later", ["start", "end"])
-def test_a_start_and_an_end_of_one_name_in_one_list(tmp_path, later):
-    """The later entry is the later word, for the module and for the connections alike."""
+def test_the_later_of_two_entries_for_one_endpoint_in_a_list_applies(tmp_path, later):
+    """It applies to the policy and to the connection pool."""
     harness = GatewayHarness(tmp_path)
     try:
         harness.run("""
@@ -330,8 +332,8 @@
         harness.tear_down()
 
 
-def test_an_index_that_goes_back_is_followed(tmp_path):
-    """A service that began anew counts from the start: its word holds, and the next call names its index."""
+def test_a_list_with_a_lower_index_is_applied(tmp_path):
+    """A restarted service counts from the beginning. The next call sends the new index."""
     run_scenario(
         tmp_path,
         READY
@@ -348,10 +350,12 @@
     )
 
 
-def test_what_waits_at_backends_that_drain_together_goes_straight_to_a_ready_one(tmp_path):
-    """Told in the first line after a reset of the watch, while attempts wait for connections: what comes next
-    is decided on by the new list, not on the old one and refused at the next that drains. So few, alone and
-    with so much time that none is refused or seconded for its wait, however long the clients take to ask."""
+def test_attempts_queued_at_backends_that_drain_together_move_directly_to_a_ready_one(tmp_path):
+    """A change after a reset of the watch drains two backends while attempts wait for connections to them.
+
+    The policy has to decide with the new list: with the old one it would send withdrawn attempts to the other
+    draining backend. Few requests with long deadlines, so that none is rejected or hedged for its wait.
+    """
     count, classes = 24, [c | {"aim_ns": NEVER_NS, "deadline_ns": NEVER_NS} for c in settings()["classes"]]
     harness = GatewayHarness(
         tmp_path,
--- a/tests/test_watch_backoff.py
+++ b/tests/test_watch_backoff.py
@@ -1,4 +1,4 @@
-"""When a fleet opens watches of discovery: at drawn moments, for what changed, as often as it can bear."""
+"""How a fleet opens watches of discovery: at random times, for changes only, and at a bounded rate."""
 
 from types import SimpleNamespace
 
@@ -25,13 +25,13 @@
 
 
 def watcher_of(number, limits_):
-    """The watcher of one gateway of a fleet; the watches that it would open are noted instead."""
+    """The watcher of one gateway of a fleet; it records the watches that it would open."""
     dispatcher = stub_dispatcher(limits=limits_)
     return endpoint_watcher(dispatcher, endpoint_table(dispatcher), seed=number)
 
 
 def backoffs_ns(watcher, attempts):
-    """How long it waits before each retry, where so many attempts fail."""
+    """The waits before the retries, if `attempts` calls fail."""
     waited = []
     for _ in range(attempts):
         watcher.on_lost(watcher.address, WatchFailure("rejected"))
@@ -41,33 +41,33 @@
 
 
 @pytest.mark.parametrize("gateways", [3, 10, 40])
-def test_lost_watches_are_opened_again_apart_and_no_more_often_than_the_fleet_can_be_served(gateways):
+def test_retries_of_a_fleet_are_spread_and_their_rate_is_bounded(gateways):
     fleet = [backoffs_ns(watcher_of(number, limits(gateways)), 12) for number in range(gateways)]
     first = [waited[0] for waited in fleet]
     assert len(set(first)) == gateways and max(first) <= gateways * 50 * MS
     in_step = [sum(abs(a - b) <= 10 * MS for b in first) for a in first]
     assert max(in_step) <= 1 + gateways / 4
     late = [waited[-1] for waited in fleet]
-    assert max(late) <= max(POLL_INTERVAL_NS, SECOND)  # else lists count as told that nobody asked for
+    assert max(late) <= max(POLL_INTERVAL_NS, SECOND)  # or lists would arrive too late
     if gateways == 40:
-        assert gateways * SECOND / (sum(late) / gateways) < 12  # asks a second by all of them
+        assert gateways * SECOND / (sum(late) / gateways) < 12  # calls per second of the fleet
 
 
-def test_where_discovery_is_pushed_by_an_agent_a_lost_watch_is_opened_again_soon():
-    asked = [waited for number in range(40) for waited in backoffs_ns(watcher_of(number, limits(40, 0)), 12)]
-    assert max(asked) <= SECOND and limits(40, 0).table_answer_ns == 800 * MS
+def test_with_an_agent_as_discovery_a_lost_watch_is_reopened_within_a_second():
+    waits = [waited for number in range(40) for waited in backoffs_ns(watcher_of(number, limits(40, 0)), 12)]
+    assert max(waits) <= SECOND and limits(40, 0).table_answer_ns == 800 * MS
 
 
-def test_a_watch_asks_for_what_changed_since_the_table_it_has_but_elsewhere_for_all():
+def test_a_watch_requests_changes_but_the_complete_list_at_a_new_address():
     watcher = watcher_of(1, limits(40))
     watcher.begin(KNOWN)
-    assert watcher.opened_addresses == []  # not in the moment of its start, which many have in common
-    asked = []
+    assert watcher.opened_addresses == []  # not at the start, when many gateways may start
+    requests = []
     watch = Watch(watcher, watcher.address)
-    watch.connection_made(SimpleNamespace(write=asked.append, abort=lambda: None))
+    watch.connection_made(SimpleNamespace(write=requests.append, abort=lambda: None))
     assert watcher.current is watch
     watcher.move(("10.2.0.9", 8500))
-    watcher.on_message(watch, delta(44))  # it stands until the other is answered
+    watcher.on_message(watch, delta(44))  # it is kept until the other one is answered
     other = Watch(watcher, watcher.address)
-    other.connection_made(SimpleNamespace(write=asked.append, abort=lambda: None))
-    assert b"index=41 " in asked[0] and b"index=0 " in asked[1]
+    other.connection_made(SimpleNamespace(write=requests.append, abort=lambda: None))
+    assert b"index=41 " in requests[0] and b"index=0 " in requests[1]
