--- a/tests/test_incremental.py
+++ b/tests/test_incremental.py
@@ -34,7 +34,7 @@
 from zincstile.net.discovery.reader import EndpointReader
 from zincstile.net.discovery.table import EndpointTable
 from zincstile.net.json_objects import JsonObjectParser
-from zincstile.net.lifecycle import begin_list
+from zincstile.net.lifecycle import apply_initial_list
 from zincstile.simulation import traffic
 from zincstile.simulation.plan import Plan
 
@@ -311,9 +311,9 @@
     path, lists = tmp_path / "config.json", []
     path.write_text(json.dumps(table | {"known": {"index": 1, "endpoints": endpoints(["s-a", "s-b"])}}))
     started, reloaded = (read({"RELAY_CONFIG": str(path)}) for read in (config.load, config.reload))
-    assert reloaded.known == {"index": 1, "endpoints": [None, None]}
-    assert replace(reloaded, known=started.known) == started
-    assert begin_list(started, SimpleNamespace(begin=lists.append)) and not started.known
+    assert reloaded.initial_list == {"index": 1, "endpoints": [None, None]}
+    assert replace(reloaded, initial_list=started.initial_list) == started
+    assert apply_initial_list(started, SimpleNamespace(begin=lists.append)) and not started.initial_list
     assert [known["endpoints"] for known in lists] == [endpoints(["s-a", "s-b"])]
 
 
--- a/tests/test_list_polling.py
+++ b/tests/test_list_polling.py
@@ -19,10 +19,10 @@
     limits = limits_in_fleet(gateways, 10 * SECOND)
     return ListPolling(
         random.Random(number),
-        limits.table_again_ns,
-        limits.table_again_most_ns,
-        limits.table_patience_ns,
-        limits.table_longest_ns,
+        limits.watch_backoff_ns,
+        limits.max_watch_backoff_ns,
+        limits.list_call_timeout_ns,
+        limits.max_watch_wait_ns,
     )
 
 
@@ -30,15 +30,15 @@
 def test_the_rate_of_failed_calls_of_a_fleet_is_bounded_for_any_size(gateways):
     calls = []
     for number in range(gateways):
-        one, now = polling(number, gateways), 0
+        gateway_polling, now = polling(number, gateways), 0
         while now < 20 * SECOND:
-            now += one.record_failure()
+            now += gateway_polling.record_failure()
             calls.append(now)
     calls.sort()
     calls_in_first_second = sum(at < SECOND for at in calls)
     # Each gateway calls 2 / backoff times a second, and the backoff grows with the number of gateways.
     # But all of them have called by the end of the longest wait.
-    longest_wait_ns = Limits().table_longest_ns
+    longest_wait_ns = Limits().max_watch_wait_ns
     assert calls_in_first_second <= max(
         60 + gateways * 50 * MS / SECOND, 1.15 * gateways * SECOND / longest_wait_ns
     )
@@ -47,18 +47,18 @@
 
 
 def test_the_timeout_follows_the_response_time_and_retry_after_is_respected():
-    one = polling(1, 200)
+    fleet_polling = polling(1, 200)
     assert (
-        one.timeout_ns() == 50 * SECOND
-        and one.keeps_waiting(49 * SECOND)
-        and not one.keeps_waiting(50 * SECOND)
+        fleet_polling.timeout_ns() == 50 * SECOND
+        and fleet_polling.keeps_waiting(49 * SECOND)
+        and not fleet_polling.keeps_waiting(50 * SECOND)
     )
-    assert one.timeout_ns() == 100 * SECOND
-    one.record_answer(20 * SECOND)
-    assert one.timeout_ns() == 80 * SECOND and one.failures == one.timeouts == 0
-    assert all(one.record_failure(2 * SECOND) >= 2 * SECOND for _ in range(50))
-    single = polling(1, 1)
-    assert single.timeout_ns() == 2600 * MS and single.record_failure() <= 50 * MS
+    assert fleet_polling.timeout_ns() == 100 * SECOND
+    fleet_polling.record_answer(20 * SECOND)
+    assert fleet_polling.timeout_ns() == 80 * SECOND and fleet_polling.failures == fleet_polling.timeouts == 0
+    assert all(fleet_polling.record_failure(2 * SECOND) >= 2 * SECOND for _ in range(50))
+    single_polling = polling(1, 1)
+    assert single_polling.timeout_ns() == 2600 * MS and single_polling.record_failure() <= 50 * MS
 
 
 def test_retry_after_is_parsed_if_it_is_in_seconds_and_in_range():
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -141,7 +141,7 @@
 
     def __init__(self):
         self.time_ns = HOST.monotonic_ns()
-        self.unix_ns, self.readable, self.ended = HOST.unix_ns, HOST.readable, HOST.ended
+        self.unix_ns, self.readable, self.peer_has_ended = HOST.unix_ns, HOST.readable, HOST.peer_has_ended
 
     def monotonic_ns(self):
         return self.time_ns
@@ -174,7 +174,7 @@
         await send_list(first, [ready], 1)
         while not watcher.has_discovery_list:
             await asyncio.sleep(0)
-        clock.time_ns += limits.table_silence_ns
+        clock.time_ns += limits.watch_silence_timeout_ns
         dispatcher.wake()
         second, _ = await loop.sock_accept(listening)
         await loop.sock_recv(second, 4096)
@@ -185,7 +185,7 @@
             await asyncio.Event().wait()
 
         loop.create_connection = hangs
-        clock.time_ns += limits.table_answer_ns
+        clock.time_ns += limits.watch_answer_timeout_ns
         dispatcher.wake()
         while not connects:
             await asyncio.sleep(0)
--- a/tests/test_watch_backoff.py
+++ b/tests/test_watch_backoff.py
@@ -55,7 +55,7 @@
 
 def test_with_an_agent_as_discovery_a_lost_watch_is_reopened_within_a_second():
     waits = [waited for number in range(40) for waited in backoffs_ns(watcher_of(number, limits(40, 0)), 12)]
-    assert max(waits) <= SECOND and limits(40, 0).table_answer_ns == 800 * MS
+    assert max(waits) <= SECOND and limits(40, 0).watch_answer_timeout_ns == 800 * MS
 
 
 def test_a_watch_requests_changes_but_the_complete_list_at_a_new_address():
--- a/zincstile/net/backends/attempts.py
+++ b/zincstile/net/backends/attempts.py
@@ -68,7 +68,7 @@
             return
         number = session.attempts
         session.attempts = number + 1
-        if session.ended or session.client.has_left():
+        if session.ended or session.client.has_disconnected():
             # The client left or was answered in the same batch in which the policy decided on this attempt.
             # Report an outcome anyway, or the policy would count the attempt as in flight for ever.
             self.report(session, number, action.endpoint, AttemptResult.NOT_SENT, 0)
@@ -153,7 +153,7 @@
         count = len(self.pool.connections)
         if count >= self.dispatcher.limits.backend_connections and not self.pool.close_oldest_idle():
             # The connection limit is reached. Nothing was sent, and the backend is not at fault.
-            self.dispatcher.log.often(
+            self.dispatcher.log.line_limited(
                 "full", f"limit of backend connections reached: {count} open; attempt not sent"
             )
             self.finish(attempt, AttemptResult.NOT_SENT)
@@ -174,7 +174,7 @@
             request = HEALTH_CHECK
         else:
             session.sent_attempts.append(attempt)
-            dispatcher.trace.note(now_ns, Step.SENT, session.call.id, attempt.backend.address)
+            dispatcher.trace.record(now_ns, Step.SENT, session.call.id, attempt.backend.address)
             dispatcher.counters.attempts += 1
             request = call_command(session.call, attempt.until_ns - now_ns)
         connection.send(attempt, request, reused=reused)
@@ -203,9 +203,9 @@
             self.dispatcher.wake()
 
     def on_answer_started(self, attempt: Attempt) -> None:
-        """Called on the first part of an answer: more has to arrive every `answer_ns`."""
+        """Called on the first part of an answer: more has to arrive every `answer_stall_ns`."""
         # Otherwise an answer shorter than its stated length would block the client until its deadline.
-        at_ns = attempt.connection.last_received_ns + self.dispatcher.limits.answer_ns
+        at_ns = attempt.connection.last_received_ns + self.dispatcher.limits.answer_stall_ns
         if at_ns < attempt.until_ns:
             self.dispatcher.deadlines.cancel(attempt.deadline)
             attempt.deadline = self.dispatcher.deadlines.add(at_ns, self._check_answer, attempt)
@@ -213,7 +213,7 @@
 
     def _check_answer(self, attempt: Attempt) -> None:
         attempt.deadline = None
-        answer_ns = self.dispatcher.limits.answer_ns
+        answer_ns = self.dispatcher.limits.answer_stall_ns
         if attempt.connection.last_received_ns + answer_ns > self.dispatcher.now_ns():
             self.set_deadline(attempt, attempt.until_ns)
             self.on_answer_started(attempt)  # more data has arrived since
@@ -226,12 +226,12 @@
         self, connection: BackendConnection, attempt: Attempt, reply: resp.Reply, *, no_trailing_data: bool
     ) -> None:
         """Called with a complete reply; `no_trailing_data`: nothing was received after it."""
-        is_error = isinstance(reply, resp.ErrorLine)
+        is_error = isinstance(reply, resp.ErrorReply)
         if is_error:
             result = None
             reusable = reply.startswith(REUSABLE_ERRORS)
         else:
-            result = resp.answer(reply)
+            result = resp.parse_answer(reply)
             reusable = result is not None or attempt.session is None
         if reusable and no_trailing_data and connection.request_written:
             self.pool.add_idle(connection)
@@ -252,14 +252,14 @@
         code, _, details = error.partition(b" ")
         result = AttemptResult.REJECTED if code == BUSY else AttemptResult.ERROR
         if result is AttemptResult.ERROR and not details.startswith(b"failed"):
-            self.dispatcher.log.often(
+            self.dispatcher.log.line_limited(
                 "backend", f"{attempt.backend.address} replied with an unknown error: {bytes(error[:80])!r}"
             )
         self.finish(attempt, result, load_report=details.rpartition(b" ")[2])
 
     def on_malformed_answer(self, attempt: Attempt, reason: str) -> None:
         """Ends an attempt whose answer is malformed. The request ran; its connection is not reused."""
-        self.dispatcher.log.often("answer", f"from {attempt.backend.address} is malformed: {reason}")
+        self.dispatcher.log.line_limited("answer", f"from {attempt.backend.address} is malformed: {reason}")
         self.finish(attempt, AttemptResult.MALFORMED)
 
     def finish(
@@ -301,7 +301,7 @@
             self.dispatcher.post(HealthCheckResult(backend_id, result, latency_ns, figures))
             return
         session.last_result = result
-        self.dispatcher.trace.note(self.dispatcher.now_ns(), Step.OUTCOME, session.call.id, result)
+        self.dispatcher.trace.record(self.dispatcher.now_ns(), Step.OUTCOME, session.call.id, result)
         counters = self.dispatcher.counters
         name = RESULT_COUNTERS[result]
         setattr(counters, name, getattr(counters, name) + 1)
--- a/zincstile/net/backends/connecting.py
+++ b/zincstile/net/backends/connecting.py
@@ -61,7 +61,7 @@
         """Whether this machine lacks a resource: no gateway may count that against the backend."""
         local = is_exhaustion(err) or (isinstance(err, OSError) and err.errno == errno.EADDRNOTAVAIL)
         if local:
-            self.dispatcher.log.often("full", f"can't open a connection to a backend server: {err}")
+            self.dispatcher.log.line_limited("full", f"can't open a connection to a backend server: {err}")
         return local
 
     def on_connected(self, connection: BackendConnection) -> None:
@@ -78,7 +78,9 @@
             self.pool.add_idle(connection, unused=True)
             return
         session = attempt.session
-        ended = session is not None and (session.ended or session.client.has_left())  # since the last batch
+        ended = session is not None and (
+            session.ended or session.client.has_disconnected()
+        )  # since the last batch
         if ended or self.dispatcher.now_ns() >= attempt.write_deadline_ns:
             result = AttemptResult.CANCELLED if ended else AttemptResult.CONNECT_FAILED
             self.sender.finish(attempt, result)
--- a/zincstile/net/backends/connection.py
+++ b/zincstile/net/backends/connection.py
@@ -185,9 +185,9 @@
             owner.streams.push(self, data)
             return
         if not self._streaming_decided and attempt is not None and attempt.session is not None:
-            unparsed = parser.incomplete()
+            unparsed = parser.incomplete_bytes()
             limits = owner.dispatcher.limits
-            head = resp.stream_head(unparsed[:HEAD_BYTES] + data[:HEAD_BYTES], limits.stream_bytes)
+            head = resp.parse_stream_head(unparsed[:HEAD_BYTES] + data[:HEAD_BYTES], limits.stream_bytes)
             self._streaming_decided = head is None
             if head is not None and head[0]:
                 value_bytes, start = head
@@ -196,7 +196,7 @@
                 return
         replies = parser.feed(data)
         if attempt is None:
-            owner.dispatcher.log.often(
+            owner.dispatcher.log.line_limited(
                 "backend", f"{self.backend.address} sent data without a pending request"
             )
             self.transport.abort()
--- a/zincstile/net/backends/pool.py
+++ b/zincstile/net/backends/pool.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from ...decisions.messages import EndpointState
-from ..deadlines import every
+from ..deadlines import run_every
 from ..discovery.messages import ListedEndpoint
 from ..dispatcher import Dispatcher
 from .attempt import Attempt, Backend
@@ -32,7 +32,7 @@
         self.idle: dict[BackendConnection, None] = {}  # longest idle first
         # Called with each queued attempt that must not be sent any more.
         self.on_withdrawn: Callable[[Attempt], None] = _ignore_withdrawal
-        every(dispatcher, dispatcher.limits.idle_ns // 8, self.close_expired)
+        run_every(dispatcher, dispatcher.limits.backend_idle_timeout_ns // 8, self.close_expired)
 
     # ---- listed backends
 
@@ -137,7 +137,9 @@
             return
         now_ns = self.dispatcher.now_ns()
         connection.idle_since_ns = now_ns
-        connection.reusable_from_ns = now_ns if unused else now_ns + self.dispatcher.limits.settled_ns
+        connection.reusable_from_ns = (
+            now_ns if unused else now_ns + self.dispatcher.limits.surplus_answer_wait_ns
+        )
         backend.idle.append(connection)
         self.idle[connection] = None
 
@@ -166,6 +168,6 @@
     def close_expired(self) -> None:
         """Closes connections that are idle too long, before the backend does so while a request is sent."""
         now_ns = self.dispatcher.now_ns()
-        idle_ns = self.dispatcher.limits.idle_ns
+        idle_ns = self.dispatcher.limits.backend_idle_timeout_ns
         while (oldest := next(iter(self.idle), None)) and now_ns - oldest.idle_since_ns > idle_ns:
             self.close_idle(oldest)
--- a/zincstile/net/backends/streaming.py
+++ b/zincstile/net/backends/streaming.py
@@ -80,17 +80,17 @@
             if connection.bytes_left == 0:
                 if connection.last_two_bytes != resp.CRLF:  # the stated length was wrong
                     address = connection.backend.address
-                    self.dispatcher.log.often(
+                    self.dispatcher.log.line_limited(
                         "cut", f"a value from {address} does not end with CRLF at its stated length"
                     )
                     connection.abandon()
                     return
                 stream.end(truncated=False)
                 connection.trailer_parser = resp.ReplyParser(limits)
-            elif stream.pending_bytes > limits.written_bytes:
+            elif stream.pending_bytes > limits.unread_answer_bytes:
                 connection.wait_for_client()
-            elif len(piece) < limits.stream_piece_bytes:
-                connection.throttle(connection.last_received_ns + limits.stream_pace_ns)
+            elif len(piece) < limits.stream_small_piece_bytes:
+                connection.throttle(connection.last_received_ns + limits.stream_read_interval_ns)
         if connection.bytes_left == 0 and data:
             self._read_trailer(connection, data)
 
@@ -124,7 +124,7 @@
             attempt.deadline = self.dispatcher.deadlines.add(next_check_ns, self._check_stalled, attempt)
             return
         address = connection.backend.address
-        self.dispatcher.log.often("cut", f"a value from {address} stalled")
+        self.dispatcher.log.line_limited("cut", f"a value from {address} stalled")
         connection.transport.abort()
 
     def connection_lost(self, connection: BackendConnection) -> None:
@@ -134,7 +134,7 @@
         if not complete:
             self.dispatcher.counters.streams_truncated += 1
             address, missing = connection.backend.address, connection.bytes_left
-            self.dispatcher.log.often(
+            self.dispatcher.log.line_limited(
                 "cut", f"a value from {address} is {missing} bytes short: its connection closed"
             )
             stream.end(truncated=True)
--- a/zincstile/net/cold_start.py
+++ b/zincstile/net/cold_start.py
@@ -54,7 +54,7 @@
         self.lists = PeerLists(settings, me, gateways, intake_per_s, self.rng)
         # Without `table_patience_ns` discovery is an agent on this machine, and calls are not queued.
         self.spread_ns = (
-            gateways * settings.poll_spread_per_gateway_ns if dispatcher.limits.table_patience_ns else 0
+            gateways * settings.poll_spread_per_gateway_ns if dispatcher.limits.list_call_timeout_ns else 0
         )
         self.readiness: Readiness | None = None  # set by `begin`
         self._ready: Callable[[], None] | None = ready
--- a/zincstile/net/discovery/table.py
+++ b/zincstile/net/discovery/table.py
@@ -82,7 +82,7 @@
         if record_version:
             self.version = version
         self.dispatcher.counters.tables += 1
-        self.dispatcher.trace.note(
+        self.dispatcher.trace.record(
             self.dispatcher.now_ns(), Step.STATE, "list", (kind, version, len(endpoints))
         )
         endpoints = self._correct_starts(kind, endpoints)
@@ -101,7 +101,7 @@
         """
         if self._last_contact_ns is None or kind is EndpointListKind.CACHED:
             return endpoints
-        earliest_ns = self._last_contact_ns - self.dispatcher.limits.start_told_ns
+        earliest_ns = self._last_contact_ns - self.dispatcher.limits.listing_delay_ns
         return [
             self._with_start_now(listed)
             if listed.entry.started_ns < earliest_ns and self._has_new_start(listed.entry)
@@ -118,7 +118,7 @@
         entry, address = listed
         clock, now_ns = self.reader.clock, self.dispatcher.now_ns()
         age_s = (now_ns - entry.started_ns) / NS_PER_S
-        self.dispatcher.log.often(
+        self.dispatcher.log.line_limited(
             "clock", f"new backend has an implausible start {age_s:.0f} s ago: treated as cold"
         )
         clock.override_start(entry.id, clock.sent_start_ms(entry.id, entry.started_ns), now_ns)
@@ -160,7 +160,7 @@
         pool apply it in the same batch, before the next decision on an attempt.
         """
         now_ns = self.dispatcher.now_ns()
-        self.dispatcher.trace.note(now_ns, Step.STATE, name, "maintenance" if enter else "back")
+        self.dispatcher.trace.record(now_ns, Step.STATE, name, "maintenance" if enter else "back")
         listed = self.endpoints.get(endpoint_id(name))
         if enter:
             self.maintenance.enter(name, now_ns)
--- a/zincstile/net/discovery/watcher.py
+++ b/zincstile/net/discovery/watcher.py
@@ -41,10 +41,10 @@
         limits = dispatcher.limits
         self._polling = ListPolling(
             rng,
-            limits.table_again_ns,
-            limits.table_again_most_ns,
-            limits.table_patience_ns,
-            limits.table_longest_ns,
+            limits.watch_backoff_ns,
+            limits.max_watch_backoff_ns,
+            limits.list_call_timeout_ns,
+            limits.max_watch_wait_ns,
         )
         self._previous: Watch | None = None  # kept until the current one is answered
         self._connecting: asyncio.Task | None = None  # the event loop keeps only weak references
@@ -83,7 +83,9 @@
         try:
             self.table.apply_message(message, EndpointListKind.CACHED, record_version=True)
         except READ_ERRORS as err:
-            self.dispatcher.log.often("start", f"list from peers is malformed: {type(err).__name__}: {err}")
+            self.dispatcher.log.line_limited(
+                "start", f"list from peers is malformed: {type(err).__name__}: {err}"
+            )
             return False
         if not agreed:
             self.table.version = 0
@@ -93,7 +95,7 @@
 
     def open_after_delay(self) -> None:
         """Opens a watch after a random delay, as discovery rejects a fleet that calls all at once."""
-        wait_ns = self.rng.randint(1, self.dispatcher.limits.table_first_ask_ns)
+        wait_ns = self.rng.randint(1, self.dispatcher.limits.first_watch_delay_ns)
         self.dispatcher.deadlines.add(self.dispatcher.now_ns() + wait_ns, self.open, None)
         self.dispatcher.wake()
 
@@ -114,7 +116,7 @@
             self.open()
 
     async def _connect(self, address: Address) -> None:
-        loop, timeout_s = self.dispatcher.loop, self.dispatcher.limits.backoff_most_ns / NS_PER_S
+        loop, timeout_s = self.dispatcher.loop, self.dispatcher.limits.max_backoff_ns / NS_PER_S
         try:
             async with asyncio.timeout(timeout_s):
                 await loop.create_connection(lambda: Watch(self, address), *address)
@@ -141,11 +143,13 @@
         When discovery recovers, its changes have to arrive at once, so a call must be pending at all times.
         If discovery is one service that does work for each call, the silent watch is aborted first.
         """
-        call_is_costly = self.dispatcher.limits.table_patience_ns
+        call_is_costly = self.dispatcher.limits.list_call_timeout_ns
         if call_is_costly or watch is not self.current or watch.address != self.address:
             watch.abort("silent", watch.silent_ns())
             return
-        self.dispatcher.log.often("watch", "silent: opening a second one; the latest list stays in use")
+        self.dispatcher.log.line_limited(
+            "watch", "silent: opening a second one; the latest list stays in use"
+        )
         self.open()
 
     def check_pending_call(self, watch: Watch) -> bool:
@@ -154,7 +158,7 @@
         If discovery is one service for the whole fleet, the call may be queued there: a repeated call would
         double its work and delay all callers behind it. The check only opens a connection, without a request.
         """
-        if not self.dispatcher.limits.table_patience_ns or watch is not self.current:
+        if not self.dispatcher.limits.list_call_timeout_ns or watch is not self.current:
             return False
         task = self.dispatcher.loop.create_task(self._check_service(watch))
         self._checks[task] = None
@@ -162,7 +166,7 @@
         return True
 
     async def _check_service(self, watch: Watch) -> None:
-        loop, timeout_s = self.dispatcher.loop, self.dispatcher.limits.backoff_most_ns / NS_PER_S
+        loop, timeout_s = self.dispatcher.loop, self.dispatcher.limits.max_backoff_ns / NS_PER_S
         try:
             async with asyncio.timeout(timeout_s):
                 transport, _ = await loop.create_connection(asyncio.Protocol, *watch.address)
@@ -191,7 +195,7 @@
             return  # an old watch: another one is open or being opened
         if watch is not None:  # otherwise the current watch, if any, stays open
             self.current = None
-        self.dispatcher.log.often("watch", f"lost: {failure.reason}; the latest list stays in use")
+        self.dispatcher.log.line_limited("watch", f"lost: {failure.reason}; the latest list stays in use")
         wait_ns = self._polling.record_failure(failure.retry_after_ns, failure.silent_ns)
         self.dispatcher.deadlines.add(self.dispatcher.now_ns() + wait_ns, self.open, address)
         self.dispatcher.wake()
--- a/zincstile/net/quota_service.py
+++ b/zincstile/net/quota_service.py
@@ -15,7 +15,7 @@
 
 from . import http
 from .config import Address
-from .deadlines import DeadlineKey, every
+from .deadlines import DeadlineKey, run_every
 from .dispatcher import Dispatcher
 
 MAX_NAME_BYTES: Final = 64  # the service rejects longer names
@@ -84,11 +84,11 @@
             for status, body in self._responses.feed(bytes(self.client.buffer[:size])):
                 self._handle_response(status, body)
         except http.HttpError as err:
-            dispatcher.log.often("quota_service", f"answer from {self.address} is malformed: {err}")
+            dispatcher.log.line_limited("quota_service", f"answer from {self.address} is malformed: {err}")
             self.transport.abort()
             return
         self.idle_since_ns = dispatcher.now_ns()
-        dispatcher.flush_later(self.client)
+        dispatcher.schedule_flush(self.client)
 
     def _handle_response(self, status: int, body: bytes) -> None:
         if not self.calls:
@@ -118,7 +118,7 @@
         self._connecting = 0
         self._tasks: dict[asyncio.Task, None] = {}
         self._no_connect_before_ns = 0  # backoff after a failed connect
-        every(dispatcher, dispatcher.limits.tend_ns, self._check_connections)
+        run_every(dispatcher, dispatcher.limits.connection_check_interval_ns, self._check_connections)
 
     def call(self, name: str, amount: float, ttl_ms: int, on_answer: OnAnswer) -> None:
         """Adds `amount` to the counter `name`, which expires after `ttl_ms`.
@@ -140,7 +140,7 @@
         timeout_ns = now + dispatcher.limits.quota_service_call_ns
         call.deadline = dispatcher.deadlines.add(timeout_ns, self._on_timeout, call)
         self.waiting.append(call)
-        dispatcher.flush_later(self)
+        dispatcher.schedule_flush(self)
 
     def move(self, address: Address) -> None:
         """Changes the address of the service.
@@ -150,7 +150,7 @@
         if address != self.address:
             self.address = address
             self._no_connect_before_ns = 0
-            self.dispatcher.flush_later(self)
+            self.dispatcher.schedule_flush(self)
 
     # ---- writing, once per batch of the dispatcher
 
@@ -194,7 +194,7 @@
                 )
         except (OSError, TimeoutError) as err:
             reason = err or type(err).__name__
-            dispatcher.log.often("quota_service", f"can't connect to {address}: {reason}")
+            dispatcher.log.line_limited("quota_service", f"can't connect to {address}: {reason}")
             self._no_connect_before_ns = dispatcher.now_ns() + dispatcher.limits.backoff_ns
             dispatcher.deadlines.add(self._no_connect_before_ns, self._retry_connect)
             dispatcher.wake()
@@ -202,14 +202,14 @@
             self._connecting -= 1
 
     def _retry_connect(self, _: object) -> None:
-        self.dispatcher.flush_later(self)
+        self.dispatcher.schedule_flush(self)
 
     # ---- called by connections
 
     def on_connected(self, connection: QuotaServiceConnection) -> None:
         """Called when a connection is open: waiting calls can be written."""
         self.connections[connection] = None
-        self.dispatcher.flush_later(self)
+        self.dispatcher.schedule_flush(self)
 
     def on_disconnected(self, connection: QuotaServiceConnection) -> None:
         """Called when a connection has closed: fails its calls, whose amounts may have been added."""
@@ -217,7 +217,7 @@
         calls, connection.calls = connection.calls, deque()
         for call in calls:
             self._finish(call, None)
-        self.dispatcher.flush_later(self)
+        self.dispatcher.schedule_flush(self)
 
     def on_response(self, call: PendingCall, status: int, body: bytes) -> bool:
         """Ends a call with its response.
@@ -256,7 +256,7 @@
         for connection in list(self.connections):
             if connection.calls:
                 waited_ns = now - connection.calls[0].created_ns
-                if waited_ns > limits.quota_service_call_ns + limits.quota_service_stuck_ns:
+                if waited_ns > limits.quota_service_call_ns + limits.quota_service_stall_ns:
                     connection.transport.abort()
                 continue
             idle_ns = now - connection.idle_since_ns
