--- a/zincstile/net/cold_start.py
+++ b/zincstile/net/cold_start.py
@@ -52,7 +52,7 @@
         self.settings = settings
         self.rng = random.Random(f"start {seed}")
         self.lists = PeerLists(settings, me, gateways, intake_per_s, self.rng)
-        # Without `table_patience_ns` discovery is an agent on this machine, and calls are not queued.
+        # Without `list_call_timeout_ns` discovery is an agent on this machine, and calls are not queued.
         self.spread_ns = (
             gateways * settings.poll_spread_per_gateway_ns if dispatcher.limits.list_call_timeout_ns else 0
         )
