--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,5 @@
-"""Settings of any customer, drawn and played: by the module, in its datagrams, by the program."""
+"""Random valid settings: the policy, its datagrams, the limits and the program work with each of them;
+invalid ones give an error."""
 
 from __future__ import annotations
 
@@ -11,7 +12,7 @@
 
 import pytest
 from hypothesis import given
-from hypothesis import settings as pace
+from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 from scenario import ROOT, GatewayHarness, call_command, encode_command
 
@@ -42,16 +43,16 @@
 from zincstile.simulator import gossip_codec, settings_codec
 
 NAMES = st.text("abcdefghijklmnopqrstuvwxyz0123456789-", min_size=1, max_size=12)
-SPAN = st.sampled_from([20, 50, 80, 300, 1500, 3000, 60_000, 3_600_000])  # deadlines in ms
+DEADLINE_MS = st.sampled_from([20, 50, 80, 300, 1500, 3000, 60_000, 3_600_000])
 COST = st.sampled_from([0.0, 0.01, 0.3, 1.0, 7.5, 1000.0])
 
 
 @st.composite
 def classes(draw):
-    found = []
+    drawn = []
     for name in draw(st.lists(NAMES, min_size=1, max_size=9, unique=True)):
-        deadline = draw(SPAN)
-        found.append(
+        deadline = draw(DEADLINE_MS)
+        drawn.append(
             {
                 "name": name,
                 "deadline_ns": deadline * MS,
@@ -63,16 +64,16 @@
                 "window_ns": draw(st.sampled_from([0, 1, 200 * MS, 90 * SECOND])),
             }
         )
-    return found
+    return drawn
 
 
 @st.composite
 def plans(draw):
-    found = []
+    drawn = []
     for name in draw(st.lists(NAMES, min_size=1, max_size=16, unique=True)):
         rate = draw(st.sampled_from([0.0, 0.02, 1.0, 70.0, 5000.0]))
-        over = draw(st.booleans())
-        found.append(
+        has_hard_limit = draw(st.booleans())
+        drawn.append(
             {
                 "name": name,
                 "price": draw(COST),
@@ -81,16 +82,16 @@
                 "concurrency": draw(st.sampled_from([0, 0, 1, 30])),
                 "over_worth": draw(COST),
                 "beyond_costs": draw(COST),
-                "never_over_rate": rate * 2.5 if over else 0.0,
-                "hard_burst": rate * 4 if over else 0.0,
+                "never_over_rate": rate * 2.5 if has_hard_limit else 0.0,
+                "hard_burst": rate * 4 if has_hard_limit else 0.0,
                 "tolerance": draw(st.sampled_from([0.0, 2.0])),
             }
         )
-    return found
+    return drawn
 
 
 @st.composite
-def tables(draw):
+def settings_tables(draw):
     gateways = draw(st.sampled_from([1, 2, 3, 7, 200]))
     zones = draw(st.lists(NAMES, max_size=5, unique=True))
     return {
@@ -129,24 +130,24 @@
     }
 
 
-def decoded(table):
+def decode_settings(table):
     return settings_codec.read_settings(json.dumps(table).encode())
 
 
-# ---- the module alone
+# ---- the policy alone
 
 NEVER_RAN = (AttemptResult.REJECTED, AttemptResult.CONNECT_FAILED, AttemptResult.NOT_SENT)
 RESULTS = [*[AttemptResult.OK] * 6, *(r for r in AttemptResult if r is not AttemptResult.CANCELLED)]
 
 
-class Life:
-    """One module, fed with requests of each class and plan until all is answered; the rules are looked at by
-    what it does."""
+class PolicyRun:
+    """Feeds requests of random classes and plans to one policy until each is answered, and checks the rules
+    on its actions."""
 
     def __init__(self, settings, seed):
-        self.set, self.rng, self.module = settings, random.Random(seed), Policy(settings, seed)
-        self.now, self.heap, self.number = 10 * SECOND, [], 0
-        self.asked, self.final, self.sends, self.out = {}, {}, {}, {}
+        self.settings, self.rng, self.policy = settings, random.Random(seed), Policy(settings, seed)
+        self.now, self.events, self.event_count = 10 * SECOND, [], 0
+        self.requests, self.final_answers, self.attempts, self.open_attempts = {}, {}, {}, {}
         self.feed(Started())
         self.feed(
             EndpointList(
@@ -161,63 +162,68 @@
             )
         )
 
-    def later(self, at, event):
-        self.number += 1
-        heapq.heappush(self.heap, (at, self.number, event))
+    def schedule(self, at, event):
+        self.event_count += 1
+        heapq.heappush(self.events, (at, self.event_count, event))
 
     def feed(self, event):
-        for action in self.module.handle(self.now, event):
-            carry_out = self.carried_out.get(type(action))
-            if carry_out is not None:
-                carry_out(self, action)
+        for action in self.policy.handle(self.now, event):
+            handler = self.action_handlers.get(type(action))
+            if handler is not None:
+                handler(self, action)
 
-    def set_timer(self, a):
-        self.later(max(self.now, a.at_ns), TimerFired(a.token))
+    def set_timer(self, action):
+        self.schedule(max(self.now, action.at_ns), TimerFired(action.token))
 
-    def reject(self, a):
-        self.end(a.request, "refused")
+    def reject(self, action):
+        self.record_final(action.request, "refused")
 
-    def end(self, request, how):
-        assert request not in self.final, "two final answers"
-        assert self.now <= self.asked[request].deadline_ns, "a final answer after its time"
-        self.final[request] = how
+    def record_final(self, request, answer):
+        assert request not in self.final_answers, "two final answers"
+        assert self.now <= self.requests[request].deadline_ns, "a final answer after the deadline"
+        self.final_answers[request] = answer
 
-    def cancel(self, a):
-        self.out.pop((a.request, a.attempt), None)
+    def cancel(self, action):
+        self.open_attempts.pop((action.request, action.attempt), None)
 
-    def send_gossip(self, a):
-        for data in gossip_codec.encode_gossip(a):
+    def send_gossip(self, action):
+        for data in gossip_codec.encode_gossip(action):
             assert len(data) <= gossip_codec.MAX_DATAGRAM_BYTES
-            heard = gossip_codec.decode_gossip(
-                (self.set.gateway_index + 1) % max(2, self.set.gateway_count), data
+            received = gossip_codec.decode_gossip(
+                (self.settings.gateway_index + 1) % max(2, self.settings.gateway_count), data
             )
-            assert heard is not None
+            assert received is not None
             if self.rng.random() < 0.5:
-                self.later(self.now + 3 * MS, heard)
-
-    def forward(self, a):
-        ask = self.asked[a.request]
-        spec, before = self.set.classes[ask.class_index], self.sends.setdefault(a.request, [])
-        assert a.request not in self.final and len(before) < self.set.max_attempts
-        may_have_run = [s for s in before if s["result"] not in NEVER_RAN]
-        if spec.idempotency is Idempotency.NEVER:
-            assert not may_have_run, "sent again, though it may have run"
-        elif spec.idempotency is Idempotency.BY_KEY and may_have_run:
+                self.schedule(self.now + 3 * MS, received)
+
+    def forward(self, action):
+        request = self.requests[action.request]
+        request_class, previous = (
+            self.settings.classes[request.class_index],
+            self.attempts.setdefault(action.request, []),
+        )
+        assert action.request not in self.final_answers and len(previous) < self.settings.max_attempts
+        may_have_run = [s for s in previous if s["result"] not in NEVER_RAN]
+        if request_class.idempotency is Idempotency.NEVER:
+            assert not may_have_run, "repeated although it may have run"
+        elif request_class.idempotency is Idempotency.BY_KEY and may_have_run:
             assert (
-                0 < a.write_deadline_ns <= may_have_run[0]["at"] + spec.deduplication_window_ns
-                and self.now < a.write_deadline_ns
+                0 < action.write_deadline_ns <= may_have_run[0]["at"] + request_class.deduplication_window_ns
+                and self.now < action.write_deadline_ns
             )
-        assert len(may_have_run) < 2 or spec.idempotency is not Idempotency.NEVER
+        assert len(may_have_run) < 2 or request_class.idempotency is not Idempotency.NEVER
         sent = {"at": self.now, "result": None}
-        self.out[a.request, len(before)] = sent
+        self.open_attempts[action.request, len(previous)] = sent
         result = self.rng.choice(RESULTS)
-        took = self.rng.randint(1, max(2, int(spec.latency_objective_ns / 3)))
-        if result is AttemptResult.TIMEOUT or self.now + took > a.give_up_ns:
-            result, took = AttemptResult.TIMEOUT, max(0, a.give_up_ns - self.now)
-        self.later(self.now + took, (a.request, len(before), a.endpoint, result, took))
-        before.append(sent)
+        duration_ns = self.rng.randint(1, max(2, int(request_class.latency_objective_ns / 3)))
+        if result is AttemptResult.TIMEOUT or self.now + duration_ns > action.give_up_ns:
+            result, duration_ns = AttemptResult.TIMEOUT, max(0, action.give_up_ns - self.now)
+        self.schedule(
+            self.now + duration_ns, (action.request, len(previous), action.endpoint, result, duration_ns)
+        )
+        previous.append(sent)
 
-    carried_out = {
+    action_handlers = {
         SetTimer: set_timer,
         RejectRequest: reject,
         FailRequest: reject,
@@ -227,61 +233,73 @@
     }
 
     def step(self):
-        self.now, _, event = heapq.heappop(self.heap)
+        self.now, _, event = heapq.heappop(self.events)
         if not isinstance(event, tuple):
             self.feed(event)
             return
-        request, number, backend, result, took = event
-        sent = self.out.pop((request, number), None)
-        if sent is None:  # cancelled meanwhile
+        request, number, backend, result, duration_ns = event
+        sent = self.open_attempts.pop((request, number), None)
+        if sent is None:  # cancelled
             result = AttemptResult.CANCELLED
-        elif result is AttemptResult.OK and request not in self.final:
-            self.end(request, "served")
-        done = request in self.final
-        self.sends[request][number]["result"] = result
+        elif result is AttemptResult.OK and request not in self.final_answers:
+            self.record_final(request, "served")
+        is_final = request in self.final_answers
+        self.attempts[request][number]["result"] = result
         self.feed(
             AttemptOutcome(
-                request, number, backend, result, took, done, actual_units=self.asked[request].units
+                request,
+                number,
+                backend,
+                result,
+                duration_ns,
+                is_final,
+                actual_units=self.requests[request].units,
             )
         )
 
-    def play(self, requests=40):
+    def run(self, requests=40):
         for number in range(1, requests + 1):
-            cls, plan = (self.rng.randrange(len(x)) for x in (self.set.classes, self.set.plans))
-            wait_ns = self.set.classes[cls].deadline_ns
-            self.asked[number] = Request(
+            class_index, plan_index = (
+                self.rng.randrange(len(x)) for x in (self.settings.classes, self.settings.plans)
+            )
+            wait_ns = self.settings.classes[class_index].deadline_ns
+            self.requests[number] = Request(
                 number,
-                cls,
-                plan,
+                class_index,
+                plan_index,
                 self.rng.randrange(4),
                 self.now + wait_ns - min(2 * MS, wait_ns // 2),
-                self.rng.uniform(0.05, self.set.max_request_units),
-                self.rng.randint(1, self.set.gateway_count),
-                self.rng.randrange(self.set.gateway_count),
+                self.rng.uniform(0.05, self.settings.max_request_units),
+                self.rng.randint(1, self.settings.gateway_count),
+                self.rng.randrange(self.settings.gateway_count),
             )
-            self.feed(self.asked[number])
+            self.feed(self.requests[number])
             until = self.now + self.rng.randint(0, 30 * MS)
-            while self.heap and self.heap[0][0] <= until:
+            while self.events and self.events[0][0] <= until:
                 self.step()
             self.now = max(self.now, until)
-            if self.rng.random() < 0.05 and number not in self.final:
-                self.final[number] = "left"
+            if self.rng.random() < 0.05 and number not in self.final_answers:
+                self.final_answers[number] = "abandoned"
                 self.feed(RequestAbandoned(number))
-        last = max(ask.deadline_ns for ask in self.asked.values())
-        while set(self.final) != set(self.asked) and self.heap and self.heap[0][0] <= last:
+        last_deadline_ns = max(request.deadline_ns for request in self.requests.values())
+        while (
+            set(self.final_answers) != set(self.requests)
+            and self.events
+            and self.events[0][0] <= last_deadline_ns
+        ):
             self.step()
-        assert set(self.final) == set(self.asked), "no final answer"
+        assert set(self.final_answers) == set(self.requests), "no final answer"
 
 
-@pace(derandomize=True, max_examples=25, deadline=None)
-@given(tables(), st.integers(0, 10**6))
-def test_the_module_keeps_the_rules_at_any_settings(table, seed):
-    Life(decoded(table), seed).play()
+@hypothesis_settings(derandomize=True, max_examples=25, deadline=None)
+@given(settings_tables(), st.integers(0, 10**6))
+def test_the_policy_keeps_the_rules_with_any_settings(table, seed):
+    PolicyRun(decode_settings(table), seed).run()
 
 
-def test_what_is_told_of_many_classes_and_plans_fits_a_datagram():
-    """The figures of the groups alone would be longer; what is left out is their end."""
-    settings = decoded(
+def test_gossip_about_many_classes_and_plans_fits_into_datagrams():
+    """The estimates of all groups would be larger than a datagram, so the last ones are left out."""
+    settings = decode_settings(
         json.loads(
             json.dumps(
                 TABLE
@@ -293,25 +311,25 @@
             )
         )
     )
-    module = Policy(settings, 1)
-    module.parts.limit.limit = 3.0
-    for leaf in module.parts.budget.groups:
+    policy = Policy(settings, 1)
+    policy.parts.limit.limit = 3.0
+    for leaf in policy.parts.budget.groups:
         leaf.admission_rate, leaf.arrival_rate = 0.5, 2.0
     shares = [CustomerUsage(k, 1, 3.0, 2.0, 0) for k in range(9)]
-    doubts = [ErrorSample(1, group, 0.5) for group in (0, 11, 250, 251, 255)]
+    error_samples = [ErrorSample(1, group, 0.5) for group in (0, 11, 250, 251, 255)]
     messages = gossip_codec.encode_gossip(
-        SendGossip(1, 7, shares, module.parts.estimates.own_values(), doubts)
+        SendGossip(1, 7, shares, policy.parts.estimates.own_values(), error_samples)
     )
     assert max(map(len, messages)) <= gossip_codec.MAX_DATAGRAM_BYTES
-    heard = [gossip_codec.decode_gossip(1, data) for data in messages]
-    assert [s.customer for m in heard for s in m.usages] == list(range(9))
-    assert [d.group for m in heard for d in m.error_samples] == [0, 11, 250, 251, 255]
-    told = heard[0].estimates
-    assert told[8] == 3.0 and len(told) > 9 + len(settings.classes)
+    received = [gossip_codec.decode_gossip(1, data) for data in messages]
+    assert [s.customer for m in received for s in m.usages] == list(range(9))
+    assert [d.group for m in received for d in m.error_samples] == [0, 11, 250, 251, 255]
+    estimates = received[0].estimates
+    assert estimates[8] == 3.0 and len(estimates) > 9 + len(settings.classes)
     other = Policy(settings, 2)
     for leaf in other.parts.budget.groups:
         leaf.admission_rate = 0.5
-    other.handle(SECOND, heard[0])
+    other.handle(SECOND, received[0])
     assert (
         other.parts.budget.groups[0].arrival_rate == 1.0 and other.parts.budget.groups[-1].arrival_rate == 0.0
     )
@@ -368,9 +386,9 @@
 }
 
 
-@pace(derandomize=True, max_examples=200, deadline=None)
-@given(tables(), st.sampled_from([(64, 8), (256, 64), (1024, 192)]))
-def test_limits_fit_together_at_any_settings(table, machine):
+@hypothesis_settings(derandomize=True, max_examples=200, deadline=None)
+@given(settings_tables(), st.sampled_from([(64, 8), (256, 64), (1024, 192)]))
+def test_limits_are_consistent_with_any_settings(table, machine):
     limits = read(
         {
             "name": "n",
@@ -382,20 +400,20 @@
         },
         {},
     ).limits
-    longest = min(max(c["deadline_ns"] for c in table["classes"]), 3 * SECOND)
+    longest_ns = min(max(c["deadline_ns"] for c in table["classes"]), 3 * SECOND)
     assert all(getattr(limits, name) > 0 or name == "list_call_timeout_ns" for name in limits.__slots__)
     assert limits.frontend_connections + limits.backend_connections + limits.reserved <= machine[0]
     assert 400 * MS < limits.drain_ns <= limits.shutdown_ns - limits.drain_margin_ns
-    assert limits.shutdown_ns < longest + 700 * MS
+    assert limits.shutdown_ns < longest_ns + 700 * MS
     assert limits.backend_idle_timeout_ns * 9 / 8 < table["limits"]["idle_close_ns"]
     if table["discovery"] == "pushed":
         assert limits.watch_silence_timeout_ns + limits.max_backoff_ns < 6 * SECOND
 
 
 @pytest.mark.parametrize(
-    ("name", "over"),
+    ("name", "overrides"),
     [
-        ("one class, unsafe to repeat, nothing allowed", {}),
+        ("one class, unsafe to repeat, optional features off", {}),
         (
             "many classes and plans",
             {
@@ -438,32 +456,32 @@
                 | {"max_open": 1, "idle_close_ns": SECOND, "connect_timeout_ns": 20 * SECOND},
             },
         ),
-        ("a list that has to be asked for", {"discovery": "on_request"}),
+        ("an endpoint list that has to be polled", {"discovery": "on_request"}),
     ],
 )
-def test_the_program_serves_at_any_settings(tmp_path, name, over):
-    """A call of each class and plan goes to its backend server and comes back."""
-    settings = TABLE | over
+def test_the_program_serves_with_any_settings(tmp_path, name, overrides):
+    """A request of each class and plan is forwarded to a backend server and answered."""
+    settings = TABLE | overrides
     harness = GatewayHarness(tmp_path, {"peer_listen": None, "peers": []}, settings)
     try:
         harness.run("send d1 full a=Ready\nexpect gw ready*from discovery")
         for number, c in enumerate(settings["classes"], 1):
             plan = settings["plans"][number % len(settings["plans"])]["name"]
-            free = c["effect"] == "free"
+            is_idempotent = c["effect"] == "free"
             key = [] if c["effect"] != "guarded" else ["k=5c0f6e1a2b3d4c59"]
             words = call_command("look", number, f"c={c['name']}", f"t={plan}", "units=0.5", *key)
             harness.connection("c1").sock.sendall(
-                encode_command([words[0] if free else "CALL.POST", *words[1:]])
+                encode_command([words[0] if is_idempotent else "CALL.POST", *words[1:]])
             )
-            found = harness.connection("a1").read_message()
-            assert found[0] == (b"CALL.GET" if free else b"CALL.POST"), found
+            received = harness.connection("a1").read_message()
+            assert received[0] == (b"CALL.GET" if is_idempotent else b"CALL.POST"), received
             harness.run("send a1 ok hello\nexpect c1 ok hello")
         assert harness.counters()["faults"] == 0
     finally:
         harness.tear_down()
 
 
-SPOILT = [
+INVALID_SETTINGS = [
     ({"classes": []}, "classes: none given"),
     ({"plans": []}, "plans: none given"),
     ({"balancers": 0}, "gateways: must be at least 1"),
@@ -488,8 +506,10 @@
 ]
 
 
-@pytest.mark.parametrize(("over", "why"), SPOILT, ids=[why for _, why in SPOILT])
-def test_settings_that_cant_be_used_are_told_in_one_line(tmp_path, over, why):
+@pytest.mark.parametrize(
+    ("overrides", "error"), INVALID_SETTINGS, ids=[error for _, error in INVALID_SETTINGS]
+)
+def test_invalid_settings_give_one_line_and_exit_code_2(tmp_path, overrides, error):
     path = tmp_path / "config.json"
     path.write_text(
         json.dumps(
@@ -498,7 +518,7 @@
                 "listen": "127.0.0.1:0",
                 "discovery": "127.0.0.1:1",
                 "seed": "1",
-                "settings": TABLE | over,
+                "settings": TABLE | overrides,
             }
         )
     )
@@ -507,4 +527,6 @@
         [sys.executable, "-m", "zincstile"], cwd=ROOT, env=env, capture_output=True, text=True, timeout=60
     )
     assert done.returncode == 2, done.stderr
-    assert len(done.stderr.splitlines()) == 1 and str(path) in done.stderr and why in done.stderr, done.stderr
+    assert (
+        len(done.stderr.splitlines()) == 1 and str(path) in done.stderr and error in done.stderr
+    ), done.stderr
--- a/zincstile/net/features.py
+++ b/zincstile/net/features.py
@@ -177,9 +177,11 @@
 
 
 def _settings(path: str, row: msgspec.Struct, settings_class: Callable[..., Any]) -> Any:
-    given = {k: v for k, v in msgspec.structs.asdict(row).items() if v is not None}
-    times = {k[:-3] + "_ns": v * MS for k, v in given.items() if k.endswith("_ms")}
-    others = {k: tuple(v) if isinstance(v, list) else v for k, v in given.items() if not k.endswith("_ms")}
+    configured = {k: v for k, v in msgspec.structs.asdict(row).items() if v is not None}
+    times = {k[:-3] + "_ns": v * MS for k, v in configured.items() if k.endswith("_ms")}
+    others = {
+        k: tuple(v) if isinstance(v, list) else v for k, v in configured.items() if not k.endswith("_ms")
+    }
     try:
         return settings_class(**times, **others)
     except ValueError as err:
@@ -244,13 +246,13 @@
         within = parse_duration(row.within) if row.within is not None else None
     except ValueError as err:
         raise FileError(f"{path}: distances: {err}") from None
-    given = {
+    configured = {
         k: v
         for k, v in msgspec.structs.asdict(row).items()
         if v is not None and k not in ("regions", "distances", "within")
     }
-    times = {k[:-3] + "_ns": v * MS for k, v in given.items() if k.endswith("_ms")}
-    others = {k: v for k, v in given.items() if not k.endswith("_ms")}
+    times = {k[:-3] + "_ns": v * MS for k, v in configured.items() if k.endswith("_ms")}
+    others = {k: v for k, v in configured.items() if not k.endswith("_ms")}
     if within is not None:
         others["within_ns"] = within
     try:
@@ -286,12 +288,12 @@
     row = load(path, SubsetFile).subset
     regions = {name: tuple(zones) for name, zones in row.regions.items()}
     names = ("min_endpoints", "min_gateways", "min_usable", "max_growth")
-    given = {name: getattr(row, name) for name in names if getattr(row, name) is not None}
+    configured = {name: getattr(row, name) for name in names if getattr(row, name) is not None}
     if row.recovery_ms is not None:
-        given["recovery_ns"] = row.recovery_ms * MS
+        configured["recovery_ns"] = row.recovery_ms * MS
     try:
         return SubsetSettings(
-            ServiceBy(row.service_by), Reach(row.reach), regions, Layout(row.layout), **given
+            ServiceBy(row.service_by), Reach(row.reach), regions, Layout(row.layout), **configured
         )
     except ValueError as err:
         raise FileError(f"{path}: {_with_keys(row, str(err))}") from None
