--- a/zincstile/emulators/client_connection.py
+++ b/zincstile/emulators/client_connection.py
@@ -1,4 +1,4 @@
-"""One connection of the clients to a gateway, and what it needs of its owner."""
+"""One connection of the clients to a gateway, and the interface of its owner."""
 
 from __future__ import annotations
 
@@ -11,35 +11,35 @@
 from .client_requests import Outcome, Request
 from .observer import Observer
 
-PAYLOAD: Final = b"x" * 40  # body of a call that changes something
-ERROR_TEXT_LENGTH: Final = 60  # characters of an unexpected answer that are reported
+PAYLOAD: Final = b"x" * 40  # body of a call that is not idempotent
+ERROR_TEXT_LENGTH: Final = 60  # reported characters of an unexpected answer
 REJECTION_PREFIX: Final = "-BUSY"
 
 
 class ConnectionOwner(Protocol):
-    """What a connection needs of the load balancer that opened it."""
+    """What a connection needs from the load balancer that opened it."""
 
     loop: asyncio.AbstractEventLoop
     observer: Observer
 
     def next_connection_number(self) -> int:
-        """A number that no connection has had."""
+        """Returns a number that no other connection has."""
 
     def connection_opened(self, connection: ClientConnection) -> None:
-        """The connection is up."""
+        """Called when the connection is established."""
 
     def connection_idle(self, connection: ClientConnection) -> None:
-        """Everything on the connection is answered."""
+        """Called when the connection has no unanswered request."""
 
     def connection_closed(self, connection: ClientConnection, pending: Iterable[Request]) -> None:
-        """The connection has ended with these requests unanswered."""
+        """Called when the connection was lost; `pending` are its unanswered requests."""
 
     def finish(self, request: Request, outcome: Outcome, retry_after_ms: int = 0) -> None:
-        """A request has its outcome."""
+        """Called with the outcome of a request."""
 
 
 class Answer(NamedTuple):
-    """A gateway's answer as a client understands it."""
+    """A gateway's answer as interpreted by a client."""
 
     outcome: Outcome
     value: bytes = b""
@@ -47,10 +47,10 @@
 
 
 class ClientConnection(asyncio.Protocol):
-    """One connection to a gateway; answers come in the order of the requests."""
+    """One connection to a gateway; answers arrive in the order of the requests."""
 
     def __init__(self, owner: ConnectionOwner, gateway: str) -> None:
-        """Make the protocol of a connection to the gateway of that name."""
+        """Creates the protocol of a connection to the gateway named `gateway`."""
         self.owner = owner
         self.gateway = gateway
         self.number = owner.next_connection_number()
@@ -62,17 +62,17 @@
         self._pong: asyncio.Future | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Report to the owner."""
+        """Notifies the owner."""
         self.transport = transport  # type: ignore[assignment]
         self.owner.connection_opened(self)
 
     @property
     def usable(self) -> bool:
-        """Whether the connection is up, as far as its client knows, and its gateway has answered PING."""
+        """Whether requests can be sent: not closed, as far as the client knows, and no PING is unanswered."""
         return not self.closed and self._pong is None and not self.transport.is_closing()
 
     def ping(self, pong: asyncio.Future) -> None:
-        """Send PING; the future gets the reply, or None where the connection ends before."""
+        """Sends PING; sets `pong` to the reply, or to None if the connection is lost first."""
         self._pong = pong
         self._write(codec.encode_command(b"PING"))
 
@@ -81,7 +81,7 @@
         self.transport.write(data)
 
     def send(self, request: Request) -> None:
-        """Send a request with the time that its client has left."""
+        """Sends a request with its client's remaining time as timeout."""
         planned, sent = request.planned, request.sent
         waited_ms = int(1000 * (self.owner.loop.time() - request.started_s))
         sent.timeout_ms = max(1, planned.timeout_ms - waited_ms)
@@ -94,7 +94,7 @@
             self.owner.loop.call_later(planned.disconnect_after_s, self._disconnect, request)
 
     def _disconnect(self, request: Request) -> None:
-        """The client leaves in the middle of its request, with everything that this connection carries."""
+        """Aborts the connection if the request is still pending, and with it all requests on it."""
         if request in self.pending:
             self.transport.abort()
             pending, self.pending = self.pending, deque()
@@ -104,7 +104,7 @@
                 self.owner.finish(one, Outcome.DISCONNECTED)
 
     def data_received(self, data: bytes) -> None:
-        """Handle the replies that the data completes; reset on what is none."""
+        """Handles the replies that the data completes; resets the connection on a malformed reply."""
         try:
             for reply in self._replies.feed(data):
                 self._handle(reply)
@@ -134,11 +134,11 @@
             self.owner.connection_idle(self)
 
     def eof_received(self) -> None:
-        """Leave the end to `connection_lost`."""
+        """Lets asyncio close the transport; `connection_lost` does the cleanup."""
         return None
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Hand what is unanswered back. A reset is a gateway that died, or a path that broke."""
+        """Returns the unanswered requests to the owner, whether the gateway closed, died or was cut off."""
         self.closed = True
         if self._pong is not None and not self._pong.done():
             self._pong.set_result(None)
@@ -159,7 +159,7 @@
 
 
 def _parse_answer(reply: object) -> Answer:
-    """The answer in a reply, which may come with others in a list."""
+    """Returns the answer in a reply; in an array it is the first element."""
     if isinstance(reply, list) and reply:
         reply = reply[0]
     if isinstance(reply, bytes):
--- a/zincstile/emulators/clients.py
+++ b/zincstile/emulators/clients.py
@@ -1,9 +1,9 @@
-"""Clients behind their load balancer: which gateway they ask, how long they wait, and when they retry.
+"""Clients behind their load balancer: the choice of the gateway, timeouts and retries.
 
-The load balancer spreads a customer's requests over the gateways of its set, admits a gateway once it answers
-PING, and detects one that has died only after some seconds. Connections carry requests of many customers, are
-kept, and more are opened when each of them is busy. A client that is rejected or failed may retry under a new
-id.
+The load balancer spreads a customer's requests over the customer's set of gateways, treats a gateway as
+healthy once it answers PING, and detects a dead gateway only after some seconds. Connections are shared by
+customers and kept open; a new one is opened when all are busy. A client may retry a rejected or failed
+request under a new id.
 """
 
 from __future__ import annotations
@@ -18,16 +18,17 @@
 from .client_requests import Outcome, PlannedRequest, Request
 from .observer import ClientRequest, Observer
 
-ID_MULTIPLIER: Final = 2654435761  # Knuth's: neighbouring numbers get ids that are far apart
+# Knuth's multiplicative hash constant: consecutive numbers get ids that are far apart.
+ID_MULTIPLIER: Final = 2654435761
 CONNECT_TIMEOUT_S: Final = 1.0
-PING_INTERVAL_S: Final = 0.1  # between two attempts to reach a gateway that is down
+PING_INTERVAL_S: Final = 0.1  # between health checks of a gateway that is down
 
 
 class ClientLoadBalancer:
-    """All clients, and which gateway each of their requests goes to.
+    """All clients, and the load balancer that chooses a gateway for each of their requests.
 
-    `weigh_gateways` gives the weight of each gateway of a customer's set at present. `was_read` says whether
-    a gateway had read a request before it closed the connection.
+    `weigh_gateways` returns the current weight of each gateway of a customer's set. `was_read` returns
+    whether a gateway had read a request before it closed the connection.
     """
 
     def __init__(
@@ -38,10 +39,10 @@
         gateways: dict[str, tuple[str, int]],
         failure_detection_s: tuple[float, float] = (1.1, 3.7),
     ) -> None:
-        """Know the gateways by name with host and port, and reach none of them yet.
+        """Creates a load balancer of gateways, given by name with host and port; none is healthy yet.
 
-        `failure_detection_s`: the shortest and longest time until one that refuses connections is known to be
-        down.
+        `failure_detection_s`: minimum and maximum time until a gateway that refuses connections is
+        considered down.
         """
         self.loop = loop
         self.rng = rng
@@ -59,14 +60,16 @@
         self.in_flight = 0
         self.retries_waiting = 0
         self.outcomes: dict[tuple[str, Outcome], int] = {}  # by plan
-        self.latencies_s: list[float] = []  # of what was served
-        self._suspected: dict[str, None] = {}  # refuse connections, and are not yet known to be down
+        self.latencies_s: list[float] = []  # of served requests
+        self._suspected: dict[
+            str, None
+        ] = {}  # gateways that refused a connection and are not yet considered down
         self._requests_made = 0
         self._connections_made = 0
         self._tasks: dict[asyncio.Task, None] = {}
 
     def close(self) -> None:
-        """End all attempts to connect, and reset all connections."""
+        """Cancels all connection attempts and resets all connections."""
         for task in list(self._tasks):
             task.cancel()
         for connections in self.connections.values():
@@ -76,17 +79,17 @@
     # ---- gateways
 
     def watch_gateways(self, names: list[str] | None = None) -> None:
-        """Begin to look which gateways answer; None: all of them."""
+        """Starts health checks of the named gateways, or of all if `names` is None."""
         for name in self.names if names is None else names:
-            self._spawn(self._admit(name))
+            self._spawn(self._check_until_healthy(name))
 
     def _spawn(self, coroutine: Coroutine) -> None:
         task = self.loop.create_task(coroutine)
         self._tasks[task] = None
         task.add_done_callback(lambda done: self._tasks.pop(done, None))
 
-    async def _admit(self, name: str) -> None:
-        """Send PING until the gateway answers +PONG."""
+    async def _check_until_healthy(self, name: str) -> None:
+        """Sends PING until the gateway answers +PONG, then marks it healthy."""
         while not await self._answers_ping(name):
             await self._sleep(PING_INTERVAL_S)
         self.healthy[name] = True
@@ -114,8 +117,10 @@
         return future
 
     def _suspect(self, name: str) -> None:
-        """Note a refused connection. Only after some seconds is it known that the gateway is down; until
-        then, requests go on coming to it."""
+        """Records a failed connection to a healthy gateway, which is marked down after the detection time.
+
+        Until then it still receives requests.
+        """
         if self.healthy[name] and name not in self._suspected:
             self._suspected[name] = None
             self.loop.call_later(self.rng.uniform(*self.failure_detection_s), self._mark_down, name)
@@ -123,12 +128,12 @@
     def _mark_down(self, name: str) -> None:
         self._suspected.pop(name, None)
         self.healthy[name] = False
-        self._spawn(self._admit(name))
+        self._spawn(self._check_until_healthy(name))
 
     # ---- requests
 
     def send(self, planned: PlannedRequest) -> None:
-        """Send a request now to a gateway of its customer's set; its retries follow by themselves."""
+        """Sends a request now to a gateway of its customer's set; retries are scheduled automatically."""
         names = [
             self.names[(planned.first_gateway + offset) % len(self.names)]
             for offset in range(planned.gateway_count)
@@ -139,7 +144,7 @@
         self._dispatch(self._make_request(planned, chosen))
 
     def send_on_connection(self, connection: ClientConnection, planned: PlannedRequest) -> None:
-        """Send a request on this very connection, whatever becomes of it."""
+        """Sends a request on the given connection if it is usable; otherwise does nothing."""
         if connection.usable:
             idle = self.idle_connections[connection.gateway]
             if connection in idle:
@@ -163,7 +168,7 @@
         return Request(planned, sent, self.loop.time())
 
     def _dispatch(self, request: Request) -> None:
-        """Send a request behind others, on an idle connection or on a new one."""
+        """Sends a request on a busy connection if it is pipelined, else on an idle or a new one."""
         name = request.sent.gateway
         if request.planned.pipelined:
             busy = [c for c in self.connections[name] if c.pending and not c.closed]
@@ -189,15 +194,15 @@
         connection.send(request)
 
     def finish(self, request: Request, outcome: Outcome, retry_after_ms: int = 0) -> None:
-        """Record the outcome of a request, and plan its client's retry."""
+        """Records the outcome of a request and schedules its client's retry."""
         planned = request.planned
         self.in_flight -= 1
         self.outcomes[planned.plan, outcome] = self.outcomes.get((planned.plan, outcome), 0) + 1
         if outcome is Outcome.SERVED:
             self.latencies_s.append(self.loop.time() - request.started_s)
         elif planned.retries > 0 and outcome is not Outcome.DISCONNECTED:
-            heeds = retry_after_ms and planned.respects_retry_after
-            wait_s = retry_after_ms / 1000 if heeds else planned.retry_delay_s
+            follows_retry_after = retry_after_ms and planned.respects_retry_after
+            wait_s = retry_after_ms / 1000 if follows_retry_after else planned.retry_delay_s
             retry = replace(planned, retries=planned.retries - 1, disconnect_after_s=0.0)
             self.retries_waiting += 1
             self.loop.call_later(wait_s, self._retry, retry)
@@ -209,15 +214,15 @@
     # ---- connections (`client_connection.ConnectionOwner`)
 
     def connection_opened(self, connection: ClientConnection) -> None:
-        """Register a connection that is up."""
+        """Registers an established connection."""
         self.connections[connection.gateway][connection] = None
 
     def connection_idle(self, connection: ClientConnection) -> None:
-        """Keep a connection for the next request."""
+        """Keeps a connection for the next request."""
         self.idle_connections[connection.gateway].append(connection)
 
     def connection_closed(self, connection: ClientConnection, pending: Iterable[Request]) -> None:
-        """Forget a connection. What the gateway had read is lost; what it had not is sent once more."""
+        """Removes a connection. Requests that the gateway had read are lost; others are sent once more."""
         self.connections[connection.gateway].pop(connection, None)
         idle = self.idle_connections[connection.gateway]
         if connection in idle:
@@ -235,10 +240,10 @@
             self.finish(request, Outcome.UNREACHED)
         else:
             request.resent = True
-            self._spawn(self._send_on_new_connection(request))  # an idle one may be closing too
+            self._spawn(self._send_on_new_connection(request))  # an idle connection may be closing too
 
     def next_connection_number(self) -> int:
-        """A number that no connection has had, from 1 on."""
+        """Returns a number that no other connection has, starting at 1."""
         self._connections_made += 1
         return self._connections_made
 
--- a/zincstile/emulators/discovery.py
+++ b/zincstile/emulators/discovery.py
@@ -1,7 +1,7 @@
 """Discovery as an agent on each gateway's machine: snapshots of the endpoint list, and watches of changes.
 
-One `EndpointList` knows the backends; each gateway has a `DiscoveryAgent`, which answers at once with what it
-has received, sends nothing while discovery is silent, and may be late.
+One `EndpointList` holds the backends. Each gateway has a `DiscoveryAgent`, which answers at once from its own
+copy of the list. The copy may be delayed, and the agent sends nothing while it is silent.
 """
 
 from __future__ import annotations
@@ -15,14 +15,14 @@
 from . import codec
 from .observer import Observer
 
-HEARTBEAT_S: Final = 2.0  # an empty line after so long without a change (PROTOCOL)
-NOTHING_SENT: Final = -1  # index of a connection that was sent no list yet
+HEARTBEAT_S: Final = 2.0  # interval of empty lines while nothing changes (PROTOCOL)
+NOTHING_SENT: Final = -1  # index of a connection on which no list was sent yet
 CHUNKED_HEAD: Final = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
 @dataclass(slots=True)
 class EndpointEntry:
-    """One line of the endpoint list; the fields have the names that they have on the wire."""
+    """One entry of the endpoint list; the field names are those of the wire format."""
 
     name: str
     address: str
@@ -35,10 +35,10 @@
 
 
 class EndpointList:
-    """The list as it is, and each change of it under an index that grows."""
+    """The current endpoint list and its changes, each with an increasing index."""
 
     def __init__(self, observer: Observer) -> None:
-        """Begin with an empty list, under index 1."""
+        """Creates an empty list with index 1."""
         self.observer = observer
         self.entries: dict[str, EndpointEntry] = {}
         self.index = 1
@@ -46,7 +46,7 @@
         self.agents: list[DiscoveryAgent] = []
 
     def put(self, entry: EndpointEntry) -> None:
-        """Add or replace an entry; status `Gone` takes the backend off the list."""
+        """Adds or replaces an entry; status `Gone` removes it. Passes the change to all agents."""
         self.index += 1
         _apply(self.entries, entry)
         self.changes.append((self.index, entry))
@@ -63,21 +63,23 @@
 
 
 class DiscoveryAgent:
-    """What one gateway's machine has received of the list.
+    """The agent on one gateway's machine, with its copy of the list.
 
-    `delay_s` holds changes back; `on_request` is called with the connection once a request on it is complete;
-    `transform_entry` gives an entry as this gateway sees it.
+    `delay_s` delays changes; `on_request` is called with the connection of each complete request;
+    `transform_entry` returns an entry as this gateway sees it.
     """
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, endpoints: EndpointList, gateway: str, observer: Observer
     ) -> None:
-        """Receive the list as it is, and its changes from now on."""
+        """Copies the current list and subscribes to its changes."""
         self.loop = loop
         self.gateway = gateway
         self.observer = observer
         self.delay_s = 0.0
-        self.on_request: Callable[[DiscoveryConnection], object] = lambda connection: connection.send_news()
+        self.on_request: Callable[[DiscoveryConnection], object] = (
+            lambda connection: connection.send_updates()
+        )
         self.transform_entry: Callable[[EndpointEntry], EndpointEntry] = lambda entry: entry
         self.silent = False
         self.index = endpoints.index
@@ -85,24 +87,24 @@
         self.changes: list[tuple[int, EndpointEntry]] = []
         self.connections: dict[DiscoveryConnection, None] = {}
         self.servers: list[asyncio.AbstractServer] = []
-        self._latest_due_s = 0.0  # when the change that was received last is applied
+        self._latest_due_s = 0.0  # when the last received change is applied
         self._connections_made = 0
         endpoints.agents.append(self)
 
     async def start(self, host: str, port: int = 0) -> int:
-        """Listen there, besides where it listens already; the port that it got."""
+        """Starts listening at one more address and returns the port."""
         self.servers.append(await self.loop.create_server(lambda: DiscoveryConnection(self), host, port))
         return self.servers[-1].sockets[0].getsockname()[1]
 
     def retire_oldest_address(self, after_s: float) -> None:
-        """Take no new connection at the oldest address, and close the open ones after so many seconds."""
+        """Stops listening at the oldest address, and closes the connections open now after `after_s`."""
         server = self.servers.pop(0)
         server.close()
-        open_now = [c for c in self.connections if c.number <= self._connections_made]
-        self.loop.call_later(after_s, _close, open_now)
+        open_connections = [c for c in self.connections if c.number <= self._connections_made]
+        self.loop.call_later(after_s, _close, open_connections)
 
     def snapshot(self) -> dict[str, Any]:
-        """The list as this machine has it, in discovery's form; a gateway's `known` is the same."""
+        """Returns the agent's copy of the list in the wire format, which a gateway's `known` list has too."""
         return {
             "index": self.index,
             "snapshot": True,
@@ -110,7 +112,7 @@
         }
 
     def receive(self, index: int, entry: EndpointEntry) -> None:
-        """Receive a change, after `delay_s` and never before an older one."""
+        """Applies a change after `delay_s`, but never before an older change."""
         self._latest_due_s = max(self._latest_due_s, self.loop.time() + self.delay_s)
         if self.delay_s <= 0 and self._latest_due_s <= self.loop.time():
             self._apply_change(index, entry)
@@ -122,27 +124,27 @@
         _apply(self.entries, entry)
         self.changes.append((index, entry))
         for connection in list(self.connections):
-            if connection.served:  # else its request still waits for its turn
-                connection.send_news()
+            if connection.served:  # else its request is not handled yet
+                connection.send_updates()
 
     def silence(self) -> None:
-        """Send nothing any more, while connections stay open."""
+        """Stops sending; connections stay open."""
         self.silent = True
 
     def resume(self) -> None:
-        """Send everything that was missed, and go on."""
+        """Resumes sending, starting with all missed changes."""
         self.silent = False
         for connection in list(self.connections):
             if not connection.queued:
-                connection.send_news()
+                connection.send_updates()
 
     def stall_connections(self) -> None:
-        """Keep what is open open and send nothing more on it, as a path does that forgot it."""
+        """Sends nothing more on the open connections but keeps them open, like a path that drops packets."""
         for connection in list(self.connections):
             connection.stalled = True
 
     def next_connection_number(self) -> int:
-        """A number that no connection has had, from 1 on."""
+        """Returns a number that no other connection has, starting at 1."""
         self._connections_made += 1
         return self._connections_made
 
@@ -154,40 +156,40 @@
 
 
 class DiscoveryConnection(asyncio.Protocol):
-    """One connection of a gateway: a request for the list, or a watch."""
+    """One connection of a gateway, for single requests of the list or for a watch."""
 
     def __init__(self, agent: DiscoveryAgent) -> None:
-        """Make the protocol of a connection on which nothing was asked yet."""
+        """Creates the protocol of a connection to `agent`."""
         self.agent = agent
         self.number = agent.next_connection_number()
         self.transport: asyncio.Transport | None = None
         self.watching = False
-        self.index = NOTHING_SENT  # of the list that was sent here last
-        self.stalled = False  # nothing more is sent here
-        self.served = False  # its request has had its turn
+        self.index = NOTHING_SENT  # of the last list or change sent on this connection
+        self.stalled = False  # nothing more is sent on this connection
+        self.served = False  # its request was handled
         self.queued = False  # its request waits in a service's queue
-        self._requested_index: str | None = None  # None: no request is open
+        self._requested_index: str | None = None  # None: no open request
         self._buffer = b""
         self._heartbeat_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Register with the agent."""
+        """Registers with the agent."""
         self.transport = transport  # type: ignore[assignment]
         self.agent.connections[self] = None
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Leave the agent."""
+        """Unregisters from the agent."""
         self.agent.connections.pop(self, None)
         if self._heartbeat_timer is not None:
             self._heartbeat_timer.cancel()
 
     def data_received(self, data: bytes) -> None:
-        """Hand a complete request to the agent; answer 404 to what is none."""
+        """Passes a complete request to the agent; answers 404 to an invalid one."""
         self._buffer += data
-        head, end, rest = self._buffer.partition(b"\r\n\r\n")
+        head, end, remainder = self._buffer.partition(b"\r\n\r\n")
         if not end:
             return
-        self._buffer = rest
+        self._buffer = remainder
         try:
             self._parse(head)
         except ValueError as err:
@@ -201,13 +203,16 @@
     def _parse(self, head: bytes) -> None:
         method, path, query = codec.parse_request_head(head)
         if method != "GET" or path != "/v1/endpoints":
-            raise codec.ProtocolError(f"no such call: {method} {path}")
+            raise codec.ProtocolError(f"unknown request: {method} {path}")
         self.watching = query.get("stream") == "1"
         self._requested_index = query.get("index", "0")
         int(self._requested_index)
 
     def cost(self) -> float:
-        """Cost of the open request as a part of a snapshot's: changes cost their part of the list."""
+        """Returns the cost of the open request relative to a snapshot.
+
+        Changes cost in proportion to their share of the list.
+        """
         agent = self.agent
         if not self.watching or not self._can_send_changes():
             return 1.0
@@ -215,21 +220,21 @@
         return min(1.0, (1 + changes) / max(1, len(agent.entries)))
 
     def _can_send_changes(self) -> bool:
-        """Whether the agent still has all changes since the index that was asked for."""
+        """Returns whether the agent has all changes since the requested index."""
         agent, since = self.agent, int(self._requested_index or 0)
         return 0 < since <= agent.index and since >= (agent.changes[0][0] - 1 if agent.changes else 0)
 
-    # ---- what is sent; each method returns the bytes of the body
+    # ---- sending; each method returns the size of the body
 
-    def send_half(self) -> int:
-        """Send half of a snapshot, and nothing after it."""
+    def send_truncated_snapshot(self) -> int:
+        """Sends half of a snapshot and nothing more on this connection."""
         body = self._make_snapshot()
         self.stalled = True
         self.transport.write(CHUNKED_HEAD + b"%x\r\n%b" % (len(body) + 1, body[: len(body) // 2]))
         return len(body) // 2
 
-    def send_stale(self) -> int:
-        """Send the list under the index before, and the changes only with the next one."""
+    def send_stale_snapshot(self) -> int:
+        """Sends the current list with the previous index; later changes follow as usual."""
         agent = self.agent
         body = json.dumps(agent.snapshot() | {"index": max(1, agent.index - 1)}).encode()
         self.index = agent.index
@@ -239,8 +244,8 @@
         self._restart_heartbeat()
         return len(body)
 
-    def send_news(self) -> int:
-        """Send all that the agent has and this connection was not sent; nothing while the agent is silent."""
+    def send_updates(self) -> int:
+        """Sends what the agent has and has not sent on this connection; nothing while it is silent."""
         if self.agent.silent or self.stalled or self._requested_index is None or self.transport.is_closing():
             return 0
         self.served = True
@@ -256,7 +261,7 @@
         return size
 
     def _send_response(self) -> int:
-        """Answer a request that is no watch."""
+        """Answers a single request, which is not a watch."""
         body = self._make_snapshot()
         self._requested_index = None
         self.transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
@@ -269,7 +274,7 @@
         return len(body)
 
     def _send_changes(self) -> int:
-        """Send the latest entry of each backend that changed since what was sent last."""
+        """Sends the latest entry of each backend that changed since the last index sent."""
         agent = self.agent
         changed = [entry for index, entry in agent.changes if index > self.index]
         if not changed:
@@ -292,7 +297,7 @@
         self.index = agent.index
         self._report(agent.entries)
         removed = {entry.name for _, entry in agent.changes} - agent.entries.keys()
-        for name in sorted(removed):  # what a snapshot leaves out is gone
+        for name in sorted(removed):  # a backend missing from a snapshot is gone
             agent.observer.gateway_notified(agent.gateway, name, "Gone", 0)
         return json.dumps(agent.snapshot()).encode()
 
--- a/zincstile/emulators/list_service.py
+++ b/zincstile/emulators/list_service.py
@@ -1,9 +1,9 @@
 """Discovery as one list service for the whole fleet, which gateways poll.
 
-It serves calls one after another, also for callers that have left meanwhile. A snapshot costs its time;
-changes cost their part of it. What goes wrong: it slows down after so many calls, sends half of a list and
-stalls, sends an older version after a newer one, resets every so many calls, and rejects callers with 503 and
-Retry-After where its queue is full.
+It serves calls one at a time, including those of callers that have disconnected. A snapshot takes a fixed
+time; changes take a fraction of it. Its faults: it slows down after a number of calls, stalls after half of a
+list, sends an older version after a newer one, and resets every n-th call. It rejects calls with 503 and
+Retry-After when its queue is full.
 """
 
 from __future__ import annotations
@@ -15,31 +15,31 @@
 
 from .discovery import DiscoveryConnection
 
-SLOWDOWN: Final = 2  # by which the rate falls after `slows_after_calls`
+SLOWDOWN: Final = 2  # divides the rate after `slows_after_calls`
 
 
 @dataclass(slots=True)
 class ListServiceBehaviour:
-    """How the service behaves at present. Numbers of calls or answers; 0: never."""
+    """Current behaviour of the service. Fault settings count calls or snapshots; 0 turns a fault off."""
 
     snapshots_per_s: float = 100.0
-    queue_capacity: int = 100_000  # callers that wait; more are rejected
-    slows_after_calls: int = 0  # from then on it is half as fast
-    resets_every: int = 0  # each so-manieth call is reset
-    truncates_every: int = 0  # each so-manieth snapshot is half of one, and nothing more
-    stale_every: int = 0  # each so-manieth snapshot has an older index than one before it
-    silent: bool = False  # takes calls, and answers none
+    queue_capacity: int = 100_000  # waiting callers; further ones are rejected
+    slows_after_calls: int = 0  # it is half as fast after this many calls
+    resets_every: int = 0  # every n-th call is reset
+    truncates_every: int = 0  # every n-th snapshot is cut off in the middle, and the connection stalls
+    stale_every: int = 0  # every n-th snapshot has an older index than its entries
+    silent: bool = False  # queues calls and answers none
     retry_after_s: int = 1
 
 
 @dataclass(slots=True)
 class ListServiceCounts:
-    """What became of the calls to the service."""
+    """Counts of the calls to the service, by outcome."""
 
     calls: int = 0
     snapshots: int = 0
     changes: int = 0
-    served_after_disconnect: int = 0  # work for callers that had left
+    served_after_disconnect: int = 0  # calls served after their caller had disconnected
     rejected: int = 0
     reset: int = 0
     bytes: int = 0
@@ -47,7 +47,7 @@
 
 @dataclass(slots=True)
 class ListService:
-    """The service: its queue, and records of the calls, with the loop's time at which each came."""
+    """The service: its queue, and records of the calls. `call_times_s` are on the loop's clock."""
 
     loop: asyncio.AbstractEventLoop
     behaviour: ListServiceBehaviour
@@ -58,7 +58,7 @@
     _busy: bool = False
 
     def receive_call(self, connection: DiscoveryConnection) -> None:
-        """Queue the request of a connection, reset or reject it."""
+        """Queues, resets or rejects the request of a connection."""
         counts, behaviour = self.counts, self.behaviour
         gateway = connection.agent.gateway
         counts.calls += 1
@@ -77,22 +77,22 @@
         else:
             connection.queued = True
             self._queue.append(connection)
-            self._begin_next()
+            self._start_next()
 
     def reset_records(self) -> None:
-        """Begin to count anew."""
+        """Clears the records and counts."""
         self.call_times_s.clear()
         self.calls_by_gateway.clear()
         self.counts = ListServiceCounts()
 
-    def _begin_next(self) -> None:
+    def _start_next(self) -> None:
         if self._busy or not self._queue or self.behaviour.silent:
             return
         self._busy = True
-        per_s = self.behaviour.snapshots_per_s
+        rate_per_s = self.behaviour.snapshots_per_s
         if 0 < self.behaviour.slows_after_calls < self.counts.calls:
-            per_s /= SLOWDOWN
-        self.loop.call_later(self._queue[0].cost() / per_s, self._serve)
+            rate_per_s /= SLOWDOWN
+        self.loop.call_later(self._queue[0].cost() / rate_per_s, self._serve)
 
     def _serve(self) -> None:
         self._busy = False
@@ -106,27 +106,27 @@
             self.counts.bytes += self._send_snapshot(connection)
         else:
             self.counts.changes += 1
-            self.counts.bytes += connection.send_news()
-        self._begin_next()
+            self.counts.bytes += connection.send_updates()
+        self._start_next()
 
     def _send_snapshot(self, connection: DiscoveryConnection) -> int:
         number, behaviour = self.counts.snapshots, self.behaviour
         if behaviour.truncates_every and number % behaviour.truncates_every == 0:
-            return connection.send_half()
+            return connection.send_truncated_snapshot()
         if behaviour.stale_every and number % behaviour.stale_every == 0:
-            return connection.send_stale()
-        return connection.send_news()
+            return connection.send_stale_snapshot()
+        return connection.send_updates()
 
     def resume(self) -> None:
-        """Go on with the queue after the service was silent."""
-        self._begin_next()
+        """Resumes serving the queue after the service was silent."""
+        self._start_next()
 
     def max_calls_within(self, span_s: float) -> int:
-        """The most calls in any span of so many seconds."""
+        """Returns the maximum number of calls in any span of `span_s` seconds."""
         times = sorted(self.call_times_s)
-        most = first = 0
-        for last, time_s in enumerate(times):
-            while time_s - times[first] >= span_s:
-                first += 1
-            most = max(most, last - first + 1)
-        return most
+        max_calls = first_index = 0
+        for last_index, time_s in enumerate(times):
+            while time_s - times[first_index] >= span_s:
+                first_index += 1
+            max_calls = max(max_calls, last_index - first_index + 1)
+        return max_calls
--- a/zincstile/virtual/__init__.py
+++ b/zincstile/virtual/__init__.py
@@ -1,15 +1,15 @@
-"""Virtual time, machines and network: asyncio code runs here by seed, unchanged.
+"""Virtual time, machines and network, on which unmodified asyncio code runs deterministically from a seed.
 
-One `Scheduler` (`clock`) holds all calls that will happen, in order of time and then of being scheduled. A
-`Process` is a program on a machine of its own: it has an event loop (`loop.VirtualLoop`), descriptors,
-signals, pauses and an end. Processes meet on a `Network` of TCP (`tcp`) and UDP (`udp`), which delays,
-splits, holds back, loses and breaks what they send, by draws from one random source. `network_faults` holds
-the faults that a plan injects on the paths between named places.
+One `Scheduler` (`clock`) holds all scheduled calls, ordered by time and then by when they were scheduled. A
+`Process` is a program on a machine of its own: it has an event loop (`loop.VirtualLoop`), descriptors and
+signals, and can be paused and killed. Processes communicate over a `Network` with TCP (`tcp`) and UDP
+(`udp`), which delays, splits, blocks, loses and resets traffic; all randomness comes from one random source.
+`network_faults` holds the faults that a simulation plan injects on the paths between named participants.
 
-Imports go one way: `clock`, `network_faults`, `network`, `base_process` (a process without its loop), `tcp`,
-`tcp_listen`, `tcp_connect` and `udp`, `loop`, `process`, `host`.
+Modules import only modules before them in this order: `clock`, `network_faults`, `network`, `base_process`
+(a process without its loop), `tcp`, `tcp_listen`, `tcp_connect` and `udp`, `loop`, `process`, `host`.
 
-This package touches nothing outside it: no wall clock, no socket, no thread, no file. It imports the standard
-library, and of zincstile only `net.host` and `net.config`, whose place `host.VirtualHost` takes. It knows
-nothing of gateways, RESP or rules: those stand above it, in `simulation`.
+This package uses no wall clock, socket, thread or file. It imports the standard library, and of zincstile
+only `net.host` and `net.config`: `host.VirtualHost` is a drop-in replacement for `net.host.Host`. Gateways,
+RESP and the checked rules belong to `simulation`, which builds on this package.
 """
--- a/zincstile/virtual/base_process.py
+++ b/zincstile/virtual/base_process.py
@@ -1,4 +1,4 @@
-"""What a process has from its machine: descriptors, sockets, pauses, and its end."""
+"""A process without its event loop: descriptors, sockets, pauses and termination."""
 
 from __future__ import annotations
 
@@ -10,14 +10,15 @@
 
 from .network import Network
 
-INITIAL_DESCRIPTORS: Final = 8  # that a Python process with a loop holds before it opens anything
-DEFAULT_MAX_DESCRIPTORS: Final = 1 << 20  # none that a run would reach
+# Descriptors that a Python process with an event loop has open before it opens any of its own.
+INITIAL_DESCRIPTORS: Final = 8
+DEFAULT_MAX_DESCRIPTORS: Final = 1 << 20  # more than any run opens: effectively unlimited
 
 
 class BaseProcess:
-    """A process whose event loop is made by a function that is handed in; `process.Process` hands in its own.
+    """A process whose event loop is created by a factory; `process.Process` passes its own factory.
 
-    It starts when it is made. Its end is sudden: what it had scheduled never happens.
+    The process runs from its creation. It ends abruptly: its scheduled calls are never made.
     """
 
     def __init__(
@@ -30,7 +31,7 @@
         quantum_ns: int,
         make_loop: Callable[[Self], asyncio.AbstractEventLoop],
     ) -> None:
-        """Start a process on a machine of that address; it looks for work once in `quantum_ns`."""
+        """Starts a process on the machine with address `host`; it runs only at multiples of `quantum_ns`."""
         self.network = network
         self.scheduler = network.scheduler
         self.name = name
@@ -39,7 +40,7 @@
         self.max_descriptors = max_descriptors
         self.quantum_ns = quantum_ns
         self.alive = True
-        self.paused_until_ns = 0  # nothing happens in it before then
+        self.paused_until_ns = 0  # none of its calls is made before then
         self.open_descriptors = INITIAL_DESCRIPTORS
         self.peak_descriptors = INITIAL_DESCRIPTORS
         self.connections: dict[Any, None] = {}  # `tcp.TcpTransport`
@@ -49,12 +50,12 @@
         network.processes[self.name] = self
 
     def next_quantum_ns(self, at_ns: int) -> int:
-        """When it gets to what is ready at that time: it looks once in a quantum."""
+        """Returns when the process handles an event at `at_ns`: the next multiple of its quantum."""
         quantum_ns = self.quantum_ns
         return -(-at_ns // quantum_ns) * quantum_ns if quantum_ns > 1 else at_ns
 
     def acquire_descriptor(self) -> None:
-        """Count one more open descriptor; OSError with EMFILE where it holds as many as it may."""
+        """Counts one more open descriptor; raises OSError with EMFILE at the limit."""
         if self.open_descriptors >= self.max_descriptors:
             raise OSError(errno.EMFILE, os.strerror(errno.EMFILE))
         self.open_descriptors += 1
@@ -62,15 +63,15 @@
             self.peak_descriptors = self.open_descriptors
 
     def release_descriptor(self) -> None:
-        """Count one open descriptor less."""
+        """Counts one open descriptor less."""
         self.open_descriptors -= 1
 
     def pause(self, pause_ns: int) -> None:
-        """Give it no CPU for so long, while its machine goes on receiving."""
+        """Gives the process no CPU for `pause_ns`; its machine still receives network traffic."""
         self.paused_until_ns = max(self.paused_until_ns, self.scheduler.now_ns + pause_ns)
 
     def kill(self) -> None:
-        """End it at once: its connections are reset, its addresses refuse, and its machine forgets it."""
+        """Ends the process at once: resets its connections and closes its listeners and UDP sockets."""
         if not self.alive:
             return
         self.alive = False
--- a/zincstile/virtual/clock.py
+++ b/zincstile/virtual/clock.py
@@ -1,8 +1,8 @@
-"""Virtual time: one heap of all calls that are scheduled.
+"""Virtual time: one heap of all scheduled calls.
 
-Two calls that are scheduled for the same nanosecond happen in the order in which they were scheduled, so a
-run depends on nothing but its seed. The clock stands still during a call: code costs no virtual time, unless
-its process is paused.
+Calls scheduled for the same nanosecond are made in the order in which they were scheduled, so a run depends
+only on its seed. The clock does not advance during a call: code takes no virtual time, unless its process is
+paused.
 """
 
 from __future__ import annotations
@@ -10,30 +10,31 @@
 import asyncio
 import heapq
 import math
-from asyncio import _set_running_loop  # asyncio's own means for an event loop's implementation
+from asyncio import _set_running_loop  # asyncio provides it for implementations of event loops
 from collections.abc import Callable
 from typing import Any, Final, Protocol
 
 MICROSECOND_NS: Final = 1_000
 MS_NS: Final = 1_000_000
 SECOND_NS: Final = 1_000_000_000
-MAX_STEPS_AT_ONE_INSTANT: Final = 20_000  # code that schedules itself again and again, whatever the plan
+# More calls at one instant mean code that keeps rescheduling itself; no plan needs as many.
+MAX_STEPS_AT_ONE_INSTANT: Final = 20_000
 
 
 class LivelockError(RuntimeError):
-    """Time stands still: something asks to be called at once, for ever."""
+    """Virtual time does not advance, since some code keeps rescheduling itself for the present instant."""
 
 
 class ScheduledProcess(Protocol):
-    """What the scheduler has to know of the process in which a call happens."""
+    """The attributes of a process that the scheduler uses when it makes a call in it."""
 
     alive: bool
-    paused_until_ns: int  # nothing happens in it before then
+    paused_until_ns: int  # none of its calls is made before then
     loop: asyncio.AbstractEventLoop
 
 
 class ScheduledCall:
-    """A call that will happen. It has what asyncio's handles have, so it may stand for one."""
+    """A scheduled call, with the interface of an asyncio timer handle."""
 
     __slots__ = ("at_ns", "callback", "args", "process")
 
@@ -44,41 +45,41 @@
         args: tuple[Any, ...],
         process: ScheduledProcess | None,
     ) -> None:
-        """Plan callback(*args) for that time, in that process or in none."""
+        """Creates a call of callback(*args) at `at_ns`, in `process` or in no process."""
         self.at_ns = at_ns
         self.callback: Callable[..., Any] | None = callback
         self.args = args
         self.process = process
 
     def cancel(self) -> None:
-        """Drop the call; once it has happened, this does nothing."""
+        """Cancels the call; has no effect once it was made."""
         self.callback = None
         self.args = ()
 
     def cancelled(self) -> bool:
-        """Whether it was cancelled."""
+        """Returns whether the call was cancelled."""
         return self.callback is None
 
     def when(self) -> float:
-        """The time of the call in seconds, as asyncio's timers give it."""
+        """Returns the time of the call in seconds, as asyncio's timer handles do."""
         return self.at_ns / 1e9
 
 
 class Scheduler:
-    """The clock, and the calls that are scheduled by it."""
+    """The virtual clock and its scheduled calls."""
 
     __slots__ = ("now_ns", "steps", "_heap", "_calls_scheduled", "_running_loop")
 
     def __init__(self, start_ns: int = 0) -> None:
-        """Begin at that time, with nothing scheduled."""
+        """Creates a clock at `start_ns` with no scheduled calls."""
         self.now_ns = start_ns
-        self.steps = 0  # calls that have happened
+        self.steps = 0  # calls that were made
         self._heap: list[tuple[int, int, ScheduledCall]] = []
         self._calls_scheduled = 0
         self._running_loop: asyncio.AbstractEventLoop | None = None
 
     def __len__(self) -> int:
-        """Calls that are scheduled, cancelled ones included."""
+        """Returns the number of scheduled calls, including cancelled ones."""
         return len(self._heap)
 
     def call_at(
@@ -88,9 +89,9 @@
         *args: Any,
         process: ScheduledProcess | None = None,
     ) -> ScheduledCall:
-        """Schedule callback(*args) for that time, or for now where it has passed.
+        """Schedules callback(*args) for `at_ns`, or for now if that has passed.
 
-        A call of a process that has died by then does not happen.
+        The call is skipped if its process has died by then.
         """
         call = ScheduledCall(at_ns if at_ns > self.now_ns else self.now_ns, callback, args, process)
         self._calls_scheduled += 1
@@ -98,12 +99,15 @@
         return call
 
     @property
-    def next_ns(self) -> int | None:
-        """The time of the next call, cancelled ones included; None where there is none."""
+    def next_call_ns(self) -> int | None:
+        """The time of the next call, which may be a cancelled one; None if no call is scheduled."""
         return self._heap[0][0] if self._heap else None
 
     def step(self, until_ns: float = math.inf) -> bool:
-        """Make the next call; False where there is none by then. What a process raises goes to its loop."""
+        """Makes the next call due by `until_ns` and returns whether there was one.
+
+        An exception raised in a process is passed to the exception handler of its loop.
+        """
         heap = self._heap
         while heap and heap[0][0] <= until_ns:
             at_ns, number, call = heapq.heappop(heap)
@@ -111,7 +115,7 @@
             if call.callback is None or process is not None and not process.alive:
                 continue
             if process is not None and process.paused_until_ns > at_ns:
-                # It keeps its place among what waits for the end of the same pause.
+                # Keeping the number preserves the order of the calls that wait for the end of the same pause.
                 heapq.heappush(heap, (process.paused_until_ns, number, call))
                 continue
             self.now_ns = at_ns
@@ -135,22 +139,25 @@
             message = f"Exception in callback {getattr(callback, '__qualname__', callback)}"
             process.loop.call_exception_handler({"message": message, "exception": err})
 
-    def run(self, until_ns: int, watch: Callable[[int], bool] | None = None) -> bool:
-        """Step up to that time; True where `watch`, given the time after each step, ended the run before.
+    def run(self, until_ns: int, should_stop: Callable[[int], bool] | None = None) -> bool:
+        """Makes calls up to `until_ns`; returns True if `should_stop` ended the run early.
 
-        Raises LivelockError where so many calls happen at one instant that time will not go on.
+        `should_stop` is called with the time after each call. Raises LivelockError if more than
+        MAX_STEPS_AT_ONE_INSTANT calls are made at one instant.
         """
-        steps_before = self.steps
-        instant_ns = self.now_ns
+        steps_before_instant = self.steps
+        last_instant_ns = self.now_ns
         try:
             while self.step(until_ns):
-                if watch is not None and watch(self.now_ns):
+                if should_stop is not None and should_stop(self.now_ns):
                     return True
-                if self.now_ns != instant_ns:
-                    steps_before = self.steps
-                    instant_ns = self.now_ns
-                elif self.steps - steps_before > MAX_STEPS_AT_ONE_INSTANT:
-                    raise LivelockError(f"{MAX_STEPS_AT_ONE_INSTANT} steps at one instant")
+                if self.now_ns != last_instant_ns:
+                    steps_before_instant = self.steps
+                    last_instant_ns = self.now_ns
+                elif self.steps - steps_before_instant > MAX_STEPS_AT_ONE_INSTANT:
+                    raise LivelockError(
+                        f"virtual time did not advance during {MAX_STEPS_AT_ONE_INSTANT} calls"
+                    )
         finally:
             self._running_loop = None
             _set_running_loop(None)
--- a/zincstile/virtual/host.py
+++ b/zincstile/virtual/host.py
@@ -1,4 +1,4 @@
-"""The machine as `net` uses it, on virtual time: what `net.host.Host` is on the real one."""
+"""The interface of `net.host.Host`, implemented on virtual time and the virtual network."""
 
 from __future__ import annotations
 
@@ -12,47 +12,47 @@
 
 
 class VirtualHost:
-    """The host of one process. Its Unix clock may be wrong; what it logs is kept in `log_lines`."""
+    """The host of one process. Its Unix clock may be off; log lines are collected in `log_lines`."""
 
     def __init__(self, process: Process, config: Callable[[], Config], unix_offset_ns: int = 0) -> None:
-        """`config` gives the configuration at present; the Unix time is the virtual one and the offset."""
+        """`config` returns the current configuration; Unix time is virtual time plus `unix_offset_ns`."""
         self._process = process
         self._config = config
         self.unix_offset_ns = unix_offset_ns
         self.log_lines: list[str] = []
 
     def monotonic_ns(self) -> int:
-        """Virtual time."""
+        """Returns the virtual time."""
         return self._process.scheduler.now_ns
 
     def unix_ns(self) -> int:
-        """Unix time on this machine's clock."""
+        """Returns the Unix time of this machine's clock."""
         return self._process.scheduler.now_ns + self.unix_offset_ns
 
     def listen(self, address: Address, backlog: int) -> Listener:
-        """A listening socket."""
+        """Opens a listening socket."""
         return Listener(self._process, address, backlog)
 
     def readable(self, transport: TcpTransport) -> bool:
-        """Whether something has come on the connection that was not read."""
+        """Returns whether the connection has unread input."""
         return transport.has_unread
 
     def ended(self, transport: TcpTransport) -> bool:
-        """Whether the other side's end has come, read or not."""
-        return transport.peer_has_ended
+        """Returns whether the peer has closed its side of the connection, whether or not that was read."""
+        return transport.peer_has_closed
 
     def unread_ns(self, transport: Any) -> int:
-        """The age of what came last, which is not known here: always 0."""
+        """Returns the age of the last received bytes; always 0, as the virtual network does not track it."""
         return 0
 
     def reload_config(self) -> Config:
-        """The configuration at present, for a reload."""
+        """Returns the current configuration for a reload."""
         return self._config()
 
     def log(self, line: str) -> None:
-        """Keep the line."""
+        """Appends the line to `log_lines`."""
         self.log_lines.append(line)
 
     def usage(self) -> dict[str, int]:
-        """CPU and memory, which are not measured here: the same in every run."""
+        """Returns zero CPU and memory usage: real values would differ between runs of one seed."""
         return {"cpu_ms": 0, "memory_kb": 0}
--- a/zincstile/virtual/network_faults.py
+++ b/zincstile/virtual/network_faults.py
@@ -1,8 +1,9 @@
-"""Faults on the paths between named places: plans inject them, the networks ask for them. No I/O, no clock.
+"""Faults on the paths between named participants, injected by plans and queried by the networks.
 
-A place is a name (`g0`, `s-03`, `discovery`, `keeper`), a path an ordered pair of two, so that it may be cut
-in one direction only. Faults add up while they overlap, and each is removed by what `inject` returned.
-Virtual time and real processes ask the same object, so that one plan means the same on both.
+A participant is a name (`g0`, `s-03`, `discovery`, `keeper`). A path is an ordered pair of names, so that it
+can be cut in one direction only. Overlapping faults add up; each is removed by the function that `inject`
+returned for it. The virtual network and the testbed, which runs real processes, query the same class, so that
+a plan means the same on both. The module does no I/O and reads no clock.
 """
 
 from __future__ import annotations
@@ -17,18 +18,18 @@
 
 @dataclass(frozen=True, slots=True)
 class PathFault:
-    """What is wrong on one path. Ratios are from 0 to 1."""
+    """A fault on one path. Ratios are from 0 to 1."""
 
-    cut: bool = False  # nothing passes, and nobody learns it
-    reset: bool = False  # connections break, and new ones are closed at once
+    cut: bool = False  # traffic is dropped silently
+    reset: bool = False  # open connections are reset, and new ones are closed at once
     loss_ratio: float = 0.0
     duplicate_ratio: float = 0.0
     delay_s: float = 0.0
-    jitter_s: float = 0.0  # up to so much more for each datagram by itself: they overtake each other
-    datagrams_per_s: float = 0.0  # 0: as many as come
+    jitter_s: float = 0.0  # maximum random addition per datagram, so that datagrams are reordered
+    datagrams_per_s: float = 0.0  # 0: unlimited
 
     def __post_init__(self) -> None:
-        """Refuse values that can't be with ValueError."""
+        """Raises ValueError if a value is out of its range."""
         if not (0 <= self.loss_ratio <= 1 and 0 <= self.duplicate_ratio <= 1):
             raise ValueError("loss_ratio and duplicate_ratio must be from 0 to 1")
         if min(self.delay_s, self.jitter_s, self.datagrams_per_s) < 0:
@@ -39,34 +40,36 @@
 
 
 def combine(faults: Iterable[PathFault]) -> PathFault:
-    """Several faults at once: losses are independent, delays add up, the lowest rate holds."""
+    """Combines faults: losses and duplicates are independent, delays add up, the lowest rate applies."""
     cut = reset = False
-    passing = single = 1.0
+    delivery_ratio = single_copy_ratio = 1.0
     delay_s = jitter_s = datagrams_per_s = 0.0
     for fault in faults:
         cut = cut or fault.cut
         reset = reset or fault.reset
-        passing *= 1 - fault.loss_ratio
-        single *= 1 - fault.duplicate_ratio
+        delivery_ratio *= 1 - fault.loss_ratio
+        single_copy_ratio *= 1 - fault.duplicate_ratio
         delay_s += fault.delay_s
         jitter_s += fault.jitter_s
         datagrams_per_s = min(
             datagrams_per_s or fault.datagrams_per_s, fault.datagrams_per_s or datagrams_per_s
         )
-    return PathFault(cut, reset, 1 - passing, 1 - single, delay_s, jitter_s, datagrams_per_s)
+    return PathFault(
+        cut, reset, 1 - delivery_ratio, 1 - single_copy_ratio, delay_s, jitter_s, datagrams_per_s
+    )
 
 
 @dataclass(slots=True)
-class RateBucket:
-    """Datagrams that may still pass on a path with a rate."""
+class TokenBucket:
+    """A token bucket of datagrams that may pass on a path with a rate limit."""
 
-    level: float
-    at_s: float
+    tokens: float
+    updated_s: float
 
 
 @dataclass(slots=True)
 class DatagramCounts:
-    """What became of the datagrams on all paths."""
+    """Counts of datagrams on all paths, by outcome."""
 
     passed: int = 0
     lost: int = 0
@@ -78,7 +81,8 @@
 class NetworkFaults:
     """The faults on all paths of one run.
 
-    `on_change` is called with the paths whose faults have changed: open connections have to be told.
+    The functions in `on_change` are called with the paths whose faults have changed, so that open connections
+    can apply them.
     """
 
     rng: random.Random
@@ -86,14 +90,14 @@
     counts: DatagramCounts = field(default_factory=DatagramCounts)
     _injected: dict[NetworkPath, list[PathFault]] = field(default_factory=dict)
     _combined: dict[NetworkPath, PathFault] = field(default_factory=dict)
-    _buckets: dict[NetworkPath, RateBucket] = field(default_factory=dict)
+    _buckets: dict[NetworkPath, TokenBucket] = field(default_factory=dict)
 
     def inject(self, paths: Iterable[NetworkPath], fault: PathFault) -> Callable[[], None]:
-        """Put a fault on these paths; call the result to remove it, further calls do nothing."""
-        chosen = list(dict.fromkeys(paths))
-        for path in chosen:
+        """Adds a fault to these paths; returns a function that removes it (later calls do nothing)."""
+        faulty_paths = list(dict.fromkeys(paths))
+        for path in faulty_paths:
             self._injected.setdefault(path, []).append(fault)
-        self._update(chosen)
+        self._update(faulty_paths)
         removed = False
 
         def remove() -> None:
@@ -101,9 +105,9 @@
             if removed:
                 return
             removed = True
-            for path in chosen:
+            for path in faulty_paths:
                 self._injected[path].remove(fault)
-            self._update(chosen)
+            self._update(faulty_paths)
 
         return remove
 
@@ -120,11 +124,11 @@
             notify(paths)
 
     def fault_on(self, source: str, target: str) -> PathFault:
-        """What is wrong on this path now."""
+        """Returns the combined fault on this path at present."""
         return self._combined.get((source, target), NO_FAULT) if self._combined else NO_FAULT
 
     def copy_delays_s(self, source: str, target: str, now_s: float) -> list[float]:
-        """What becomes of one datagram: after how many seconds each copy arrives; none where it is lost."""
+        """Returns the delay in seconds of each copy of one datagram; empty if it is lost."""
         fault = self.fault_on(source, target)
         if fault is NO_FAULT:
             self.counts.passed += 1
@@ -151,19 +155,22 @@
         if not per_s:
             return True
         capacity = max(1.0, per_s)
-        bucket = self._buckets.setdefault(path, RateBucket(capacity, now_s))
-        bucket.level = min(capacity, bucket.level + per_s * (now_s - bucket.at_s))
-        bucket.at_s = now_s
-        if bucket.level < 1:
+        bucket = self._buckets.setdefault(path, TokenBucket(capacity, now_s))
+        bucket.tokens = min(capacity, bucket.tokens + per_s * (now_s - bucket.updated_s))
+        bucket.updated_s = now_s
+        if bucket.tokens < 1:
             return False
-        bucket.level -= 1
+        bucket.tokens -= 1
         return True
 
 
 def paths_between(
     sources: Iterable[str], targets: Iterable[str], direction: str = "both"
 ) -> list[NetworkPath]:
-    """The paths between two groups: `out` from the first to the second, `in` the other way, or `both`."""
-    there = [(source, target) for source in sources for target in targets if source != target]
-    back = [(target, source) for source, target in there]
-    return {"out": there, "in": back, "both": there + back}[direction]
+    """Returns the paths between two groups.
+
+    `direction` is `out` (from the first to the second), `in` (the other way) or `both`.
+    """
+    forward = [(source, target) for source in sources for target in targets if source != target]
+    reverse = [(target, source) for source, target in forward]
+    return {"out": forward, "in": reverse, "both": forward + reverse}[direction]
--- a/zincstile/virtual/process.py
+++ b/zincstile/virtual/process.py
@@ -1,4 +1,4 @@
-"""A program on a machine of its own: a process with an event loop and signals."""
+"""A program on a machine of its own: a process with an event loop on virtual time, and signals."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Process(BaseProcess):
-    """A process with its event loop on virtual time."""
+    """A process whose event loop is a `VirtualLoop`."""
 
     loop: VirtualLoop
 
@@ -21,11 +21,11 @@
         max_descriptors: int = DEFAULT_MAX_DESCRIPTORS,
         quantum_ns: int = 1,
     ) -> None:
-        """Start a process on a machine of that address; it looks for work once in `quantum_ns`."""
+        """Starts a process on the machine with address `host`; it runs only at multiples of `quantum_ns`."""
         super().__init__(network, name, host, zone, max_descriptors, quantum_ns, VirtualLoop)
 
     def signal(self, number: int) -> None:
-        """Send it a signal: its handler runs in its loop; without one the signal ends it."""
+        """Sends a signal: calls its handler in the process's loop, or kills the process if it has none."""
         if not self.alive:
             return
         handler = self.loop.signal_handlers.get(number)
--- a/zincstile/virtual/tcp_connect.py
+++ b/zincstile/virtual/tcp_connect.py
@@ -1,4 +1,4 @@
-"""TCP on the virtual network: the handshake that brings a connection up."""
+"""TCP on the virtual network: the connection handshake."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from .network import Address
 from .tcp import TcpTransport
 
-SYN_RETRY_NS: Final = SECOND_NS  # TCP's first wait before it sends a SYN again (RFC 6298)
+SYN_RETRY_NS: Final = SECOND_NS  # TCP's initial retransmission timeout of a SYN (RFC 6298)
 
 
 async def connect(process: BaseProcess, address: Address) -> TcpTransport:
-    """Open a connection and return it once it is up.
+    """Opens a connection and returns it once it is established.
 
-    Raises OSError where it is refused or no descriptor is left. Where the other machine is silent or its
-    queue is full it never comes up, and the caller has to give up by itself.
+    Raises OSError if it is refused or the process is out of descriptors. It is never established while the
+    remote host is unreachable or its accept queue is full, so the caller has to set a timeout.
     """
     process.acquire_descriptor()
     network = process.network
@@ -33,14 +33,14 @@
     except BaseException:
         process.connections.pop(transport, None)
         process.release_descriptor()
-        if transport.peer is not None:  # it came up too late
+        if transport.peer is not None:  # established after the caller gave up
             transport.send_reset()
         raise
     return transport
 
 
 def _send_syn(transport: TcpTransport, waiter: asyncio.Future) -> None:
-    """Ask the other machine; again after a second while nothing reaches it."""
+    """Sends a SYN; retries every SYN_RETRY_NS while the remote host is unreachable."""
     network, process = transport.network, transport.process
     if not process.alive or waiter.done():
         return
@@ -57,7 +57,7 @@
 
 
 def _receive_syn(transport: TcpTransport, waiter: asyncio.Future) -> None:
-    """At the other machine: refuse, drop it where the queue is full, or make its side of the connection."""
+    """Handles a SYN at the remote host: refuses it, drops it if the accept queue is full, or accepts it."""
     network, process = transport.network, transport.process
     if not process.alive or waiter.done():
         return
@@ -79,7 +79,7 @@
         network.on_connected(transport, other)
     listener.enqueue(other)
     delay_ns = network.delay_ns(listener.process, process)
-    other.hold_order(now_ns + delay_ns)
+    other.delay_arrivals_until(now_ns + delay_ns)
     network.scheduler.call_at(process.next_quantum_ns(now_ns + delay_ns), _complete, waiter, process=process)
 
 
--- a/zincstile/virtual/tcp_listen.py
+++ b/zincstile/virtual/tcp_listen.py
@@ -1,4 +1,4 @@
-"""TCP on the virtual network: listening sockets, and what `create_server` makes of one."""
+"""TCP on the virtual network: listening sockets, and the server that `create_server` returns."""
 
 from __future__ import annotations
 
@@ -13,7 +13,9 @@
 from .network import Address
 from .tcp import TcpTransport
 
-REPEATED_CALL_NS: Final = MS_NS  # until a watcher that left connections is called again: a poll would spin
+# A callback that leaves connections in the queue is called again after this long. A level-triggered poll
+# would call it again at once, and virtual time would never advance.
+CALL_RETRY_NS: Final = MS_NS
 
 
 class AcceptedSocket:
@@ -22,28 +24,31 @@
     __slots__ = ("_transport",)
 
     def __init__(self, transport: TcpTransport) -> None:
-        """Stand for the socket of that transport."""
+        """Creates the socket of `transport`."""
         self._transport = transport
 
     def setblocking(self, flag: bool) -> None:
-        """As sockets have it; ValueError where it shall block, which a virtual one never does."""
+        """Raises ValueError if `flag` is true: a virtual socket can't block."""
         if flag:
-            raise ValueError("a virtual socket never blocks")
+            raise ValueError("a virtual socket does not support blocking mode")
 
     def transport(self) -> TcpTransport:
-        """The transport of the connection."""
+        """Returns the transport of the connection."""
         return self._transport
 
     def close(self) -> None:
-        """Close the connection without a protocol."""
+        """Closes the connection; no protocol was attached."""
         self._transport.release()
 
 
 class Listener:
-    """A listening socket, with the machine's queue of connections that nobody has accepted yet."""
+    """A listening socket, with the queue of connections that have not been accepted yet."""
 
     def __init__(self, process: BaseProcess, address: Address, backlog: int) -> None:
-        """Listen there, port 0: any; OSError where it is taken or no descriptor is left."""
+        """Listens on `address`; port 0 means any free port.
+
+        Raises OSError if the address is in use or the process is out of descriptors.
+        """
         host, port = address
         self.process = process
         self.network = process.network
@@ -62,36 +67,36 @@
         process.listeners[self] = None
 
     def fileno(self) -> int:
-        """The number of its descriptor."""
+        """Returns the descriptor number."""
         return self._descriptor
 
     def getsockname(self) -> Address:
-        """Where it listens."""
+        """Returns the listening address."""
         return self.address
 
     @property
-    def has_waiting(self) -> bool:
+    def has_waiting_connections(self) -> bool:
         """Whether connections wait to be accepted."""
         return bool(self._queue)
 
     @property
     def is_full(self) -> bool:
-        """Whether the queue takes no more connections."""
+        """Whether the queue is full."""
         return len(self._queue) >= self.backlog
 
     def enqueue(self, transport: TcpTransport) -> None:
-        """Let a new connection wait."""
+        """Adds a new connection to the queue."""
         self._queue.append(transport)
         self._schedule_call(0)
 
     def accept(self) -> tuple[AcceptedSocket, Address]:
-        """Take the connection that has waited longest.
+        """Accepts the oldest connection in the queue.
 
-        Raises BlockingIOError where none waits, and OSError where no descriptor is left.
+        Raises BlockingIOError if the queue is empty, and OSError if the process is out of descriptors.
         """
         while self._queue:
             transport = self._queue[0]
-            if transport.was_reset:  # it ended while it waited
+            if transport.was_reset:  # reset while it was in the queue
                 self._queue.popleft()
                 transport.process.connections.pop(transport, None)
                 continue
@@ -101,7 +106,7 @@
         raise BlockingIOError(errno.EAGAIN, os.strerror(errno.EAGAIN))
 
     def close(self) -> None:
-        """Listen no more; what waits in the queue is reset, as the machine does."""
+        """Stops listening and resets the connections in the queue, as an operating system does."""
         if self.process.listeners.pop(self, self) is self:
             return
         self.network.listeners.pop(self.address, None)
@@ -111,7 +116,7 @@
             self._queue.popleft().reset_by_machine()
 
     def watch(self, callback: Callable[..., Any] | None, *args: Any) -> None:
-        """Call while connections wait, as a level-triggered poll does; None: no more."""
+        """Calls `callback` while connections wait, as a level-triggered poll does; None: stops calling."""
         self._callback = callback
         self._args = args
         self._schedule_call(0)
@@ -121,25 +126,25 @@
             self._call_scheduled = True
             process = self.process
             at_ns = process.next_quantum_ns(process.scheduler.now_ns + after_ns)
-            process.scheduler.call_at(at_ns, self._call, process=process)
+            process.scheduler.call_at(at_ns, self._call_callback, process=process)
 
-    def _call(self) -> None:
+    def _call_callback(self) -> None:
         self._call_scheduled = False
         if self._callback is None or not self._queue:
             return
         try:
             self._callback(*self._args)
         finally:
-            self._schedule_call(REPEATED_CALL_NS)
+            self._schedule_call(CALL_RETRY_NS)
 
 
 class VirtualServer:
-    """What `create_server` returns: takes every connection at once and makes a protocol for it."""
+    """The server that `create_server` returns: accepts every connection at once and creates its protocol."""
 
     def __init__(
         self, process: BaseProcess, address: Address, backlog: int, factory: Callable[[], Any]
     ) -> None:
-        """Listen there; OSError as `Listener` raises it."""
+        """Listens on `address`; raises OSError as `Listener` does."""
         self.process = process
         self._factory = factory
         self._listener = Listener(process, address, backlog)
@@ -151,7 +156,7 @@
         return (self._listener,)
 
     def _accept_all(self) -> None:
-        while self._listener.has_waiting:
+        while self._listener.has_waiting_connections:
             try:
                 accepted, _ = self._listener.accept()
             except OSError:
@@ -159,9 +164,9 @@
             accepted.transport().attach(self._factory())
 
     def close(self) -> None:
-        """Listen no more."""
+        """Stops listening."""
         self._listener.close()
 
     async def wait_closed(self) -> None:
-        """Return at once: there is nothing to wait for."""
+        """Returns at once: `close` has immediate effect."""
         return None
--- a/zincstile/virtual/udp.py
+++ b/zincstile/virtual/udp.py
@@ -1,4 +1,4 @@
-"""Datagrams on the virtual network: late, lost, duplicated, out of order, and limited at the receiver."""
+"""UDP on the virtual network: delay, loss, duplication, reordering, and a rate limit at the receiver."""
 
 from __future__ import annotations
 
@@ -12,15 +12,19 @@
 from .clock import SECOND_NS
 from .network import Address
 
-DEFAULT_MAX_BYTES: Final = 256 * 1024  # of a datagram that is read, as asyncio's
-DELAY_EXPONENT: Final = 3  # of the draw between the shortest and the longest delay: most are quick
+DEFAULT_MAX_BYTES: Final = 256 * 1024  # read of one datagram, as in asyncio
+# Exponent of the uniform draw between the minimum and the maximum delay: most delays are short.
+DELAY_EXPONENT: Final = 3
 
 
 class DatagramSocket(asyncio.DatagramTransport):
-    """A bound socket, and the transport on it."""
+    """A bound UDP socket, which is also its asyncio transport."""
 
     def __init__(self, process: BaseProcess, address: Address, protocol: Any) -> None:
-        """Bind to the address, port 0: any; OSError where it is taken or no descriptor is left."""
+        """Binds to `address`; port 0 means any free port.
+
+        Raises OSError if the address is in use or the process is out of descriptors.
+        """
         super().__init__()
         host, port = address
         self.process = process
@@ -34,20 +38,20 @@
         process.datagram_sockets[self] = None
         self.max_size = DEFAULT_MAX_BYTES
         self._closing = False
-        self._received_lately = 0.0  # datagrams, which decay at the rate that the process takes
-        self._counted_ns = process.scheduler.now_ns
+        self._recent_datagrams = 0.0  # count of received datagrams, which decreases at the rate limit
+        self._decayed_at_ns = process.scheduler.now_ns
         process.loop.call_soon(protocol.connection_made, self)
 
     def get_extra_info(self, name: str, default: Any = None) -> Any:
-        """The socket's own address, as asyncio's transports give it."""
+        """Returns `sockname` or `socket`, as asyncio's transports do."""
         return {"sockname": self.address, "socket": self}.get(name, default)
 
     def is_closing(self) -> bool:
-        """Whether it was closed."""
+        """Returns whether the socket was closed."""
         return self._closing
 
     def sendto(self, data: bytes, addr: Address | None = None) -> None:
-        """Send a datagram, which may be lost, duplicated or late by the network's draws."""
+        """Sends a datagram, which the network may randomly lose, duplicate or delay."""
         network = self.network
         settings, rng = network.settings, network.rng
         if self._closing or addr is None:
@@ -57,7 +61,7 @@
         for _ in range(2 if duplicate_ratio and rng.random() < duplicate_ratio else 1):
             if self._is_lost(addr):
                 continue
-            for fault_delay_s in self._outcome(addr):
+            for fault_delay_s in self._fault_delays_s(addr):
                 delay_ns = self._draw_delay_ns() + int(fault_delay_s * SECOND_NS)
                 network.scheduler.call_at(
                     network.scheduler.now_ns + delay_ns, _deliver, self, bytes(data), addr
@@ -70,11 +74,11 @@
         return self.network.is_cut(self.process.host, addr[0])
 
     def _draw_delay_ns(self) -> int:
-        shortest_ns, longest_ns = self.network.settings.datagram_delay_ns
-        return shortest_ns + int((longest_ns - shortest_ns) * self.network.rng.random() ** DELAY_EXPONENT)
+        min_ns, max_ns = self.network.settings.datagram_delay_ns
+        return min_ns + int((max_ns - min_ns) * self.network.rng.random() ** DELAY_EXPONENT)
 
-    def _outcome(self, addr: Address) -> Sequence[float]:
-        """By how many seconds each copy is late by the plan's faults; none: it is lost."""
+    def _fault_delays_s(self, addr: Address) -> Sequence[float]:
+        """Returns the delay in seconds that faults add to each copy; empty if the datagram is lost."""
         faults = self.network.faults
         target = self.network.datagram_sockets.get(addr)
         if faults is None or target is None:
@@ -83,15 +87,15 @@
         return faults.copy_delays_s(self.process.name, target.process.name, now_s)
 
     def receive(self, data: bytes, sender: Address) -> None:
-        """Take a datagram in, unless it took too many in the last second."""
+        """Receives a datagram, or drops it above the process's rate limit."""
         now_ns = self.process.scheduler.now_ns
         per_s = self.network.settings.datagrams_per_s
-        decayed = self._received_lately - per_s * (now_ns - self._counted_ns) / SECOND_NS
-        self._received_lately = max(0.0, decayed)
-        self._counted_ns = now_ns
-        if self._received_lately + 1 > per_s:
+        recent_datagrams = self._recent_datagrams - per_s * (now_ns - self._decayed_at_ns) / SECOND_NS
+        self._recent_datagrams = max(0.0, recent_datagrams)
+        self._decayed_at_ns = now_ns
+        if self._recent_datagrams + 1 > per_s:
             return
-        self._received_lately += 1
+        self._recent_datagrams += 1
         at_ns = self.process.next_quantum_ns(now_ns)
         self.process.scheduler.call_at(at_ns, self._read, data, sender, process=self.process)
 
@@ -100,7 +104,7 @@
             self.protocol.datagram_received(data[: self.max_size], sender)
 
     def close(self) -> None:
-        """Close the socket; the protocol learns it by a callback of its own."""
+        """Closes the socket and schedules the protocol's `connection_lost`."""
         if not self._closing:
             self._closing = True
             self.process.loop.call_soon(self.protocol.connection_lost, None)
@@ -108,11 +112,11 @@
             self.unbind()
 
     def abort(self) -> None:
-        """Close the socket, as `close` does."""
+        """Closes the socket, as `close` does."""
         self.close()
 
     def unbind(self) -> None:
-        """Give the address up, as the machine does when the process has died."""
+        """Releases the address; called alone when the process has died."""
         self.network.datagram_sockets.pop(self.address, None)
         self.process.datagram_sockets.pop(self, None)
 
