--- a/tests/test_emulators.py
+++ b/tests/test_emulators.py
@@ -1,4 +1,4 @@
-"""The emulators on real loopback, spoken to byte by byte: each does what PROTOCOL says."""
+"""The emulators on the real loopback interface, tested at the byte level: each follows PROTOCOL."""
 
 from __future__ import annotations
 
@@ -42,8 +42,8 @@
         return [event[0] for event in self.events]
 
 
-def play(scene):
-    return asyncio.run(asyncio.wait_for(scene(), 20))
+def run_scenario(scenario):
+    return asyncio.run(asyncio.wait_for(scenario(), 20))
 
 
 async def connect(port):
@@ -66,57 +66,57 @@
     )
 
 
-async def reply(reader, parser=None):
+async def read_reply(reader, parser=None):
     parser = parser or codec.ReplyParser()
     while True:
         data = await reader.read(4096)
         if not data:
             return "end"
-        if found := parser.feed(data):
-            return found[0]
+        if replies := parser.feed(data):
+            return replies[0]
 
 
-def test_a_backend_answers_value_and_report():
-    async def scene():
+def test_a_backend_answers_with_a_value_and_a_load_report():
+    async def scenario():
         _, observer, port = await start_backend()
         reader, writer = await connect(port)
-        for part in (call(1)[:20], call(1)[20:]):  # it begins at the last byte
+        for part in (call(1)[:20], call(1)[20:]):  # the call starts at its last byte
             assert "attempt_received" not in observer.names()
             writer.write(part)
             await asyncio.sleep(0.02)
-        value, use, report = await reply(reader)
+        value, use, report = await read_reply(reader)
         assert value.split(b":")[1] == b"1" and use is None and report.startswith(b"inflight=")
         assert observer.names() == ["attempt_received", "value_produced"]
         writer.write(codec.encode_command(b"PING") + codec.encode_command(b"INFO", b"load"))
-        assert await reply(reader) == "+PONG"
+        assert await read_reply(reader) == "+PONG"
 
-    play(scene)
+    run_scenario(scenario)
 
 
-@pytest.mark.parametrize("over", [{"queue_capacity": 0}, {"max_connections": 0}])
-def test_a_backend_that_is_full_rejects_calls(over):
-    async def scene():
-        _, observer, port = await start_backend(**over)
+@pytest.mark.parametrize("model_changes", [{"queue_capacity": 0}, {"max_connections": 0}])
+def test_a_full_backend_rejects_calls(model_changes):
+    async def scenario():
+        _, observer, port = await start_backend(**model_changes)
         reader, writer = await connect(port)
         writer.write(call(1))
-        assert await reply(reader) == "-BUSY" and "attempt_rejected" in observer.names()
+        assert await read_reply(reader) == "-BUSY" and "attempt_rejected" in observer.names()
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_a_rack_drops_the_repeat_of_a_key():
-    async def scene():
+def test_a_repeat_of_a_key_in_a_rack_gets_the_answer_of_the_first_call():
+    async def scenario():
         rack = Rack(6.0)
         first, observer, port = await start_backend(rack=rack)
-        second, more, other = await start_backend(rack=rack)
+        second, second_observer, second_port = await start_backend(rack=rack)
         values = []
-        for port_of_one in (port, other):
-            reader, writer = await connect(port_of_one)
+        for backend_port in (port, second_port):
+            reader, writer = await connect(backend_port)
             writer.write(call(1, "order", k="abc"))
-            values.append((await reply(reader))[0])
+            values.append((await read_reply(reader))[0])
         assert values[0] == values[1] and second.counts.repeats == 1
 
-    play(scene)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize(
@@ -128,18 +128,18 @@
         [b"CALL.GET", b"a", b"b", b"c=look,c=look"],
     ],
 )
-def test_a_backend_reports_what_the_protocol_does_not_have(arguments):
-    async def scene():
+def test_a_backend_reports_protocol_violations(arguments):
+    async def scenario():
         _, observer, port = await start_backend()
         reader, writer = await connect(port)
         writer.write(codec.encode_command(*arguments))
-        assert await reply(reader) == "-SYNTAX" and observer.names()[-1] == "protocol_violated"
+        assert await read_reply(reader) == "-SYNTAX" and observer.names()[-1] == "protocol_violated"
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_what_is_cold_warms_up_evenly():
-    async def scene():
+def test_the_capacity_of_a_cold_backend_grows_linearly():
+    async def scenario():
         backend, _, _ = await start_backend(cold_share=0.25, warm_up_s=10.0, cores=2, speed=1.0)
         assert backend.warmth() == 1.0 and backend.capacity() == 2.0
         backend.started_s = backend.loop.time()
@@ -147,21 +147,21 @@
         backend.started_s -= 5
         assert backend.warmth() == pytest.approx(0.625, abs=0.01)
 
-    play(scene)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("kind", CORRUPT_ANSWERS)
-def test_a_corrupt_answer_is_none_and_ends_all_on_its_connection(kind):
+def test_the_gateway_does_not_accept_a_corrupt_answer(kind):
     from zincstile.net import resp
     from zincstile.net.limits import Limits
 
     parser = resp.ReplyParser(Limits(answer_bytes=100_000))
-    found = parser.feed(CORRUPT_ANSWERS[kind])
-    assert parser.error or not found or resp.answer(found[0]) is None
+    replies = parser.feed(CORRUPT_ANSWERS[kind])
+    assert parser.error or not replies or resp.answer(replies[0]) is None
 
 
-def test_discovery_sends_the_list_then_changes_and_what_was_missed():
-    async def scene():
+def test_discovery_sends_the_list_then_changes_and_after_silence_the_missed_ones():
+    async def scenario():
         observer = RecordingObserver()
         endpoints = EndpointList(observer)
         endpoints.put(EndpointEntry("s-1", "127.0.0.1:1"))
@@ -174,7 +174,7 @@
             head = await reader.readuntil(b"\r\n\r\n")
             assert head == b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
-            async def chunk(writer=writer):  # kept open by being kept
+            async def chunk(writer=writer):  # the reference keeps the connection open
                 size = int(await reader.readline(), 16)
                 return json.loads((await reader.readexactly(size + 2))[:size].strip() or b"null")
 
@@ -191,25 +191,25 @@
         with pytest.raises(TimeoutError):
             await asyncio.wait_for(chunk(), 0.1)
         agent.resume()
-        again = await (await watch(change["index"]))()  # what was missed, as a change
-        assert not again["snapshot"] and again["endpoints"][0]["status"] == "Gone"
+        missed_change = await (await watch(change["index"]))()  # the missed change, not a snapshot
+        assert not missed_change["snapshot"] and missed_change["endpoints"][0]["status"] == "Gone"
         assert [event[3] for event in observer.events if event[0] == "gateway_notified"][:2] == [
             "Ready",
             "Terminating",
         ]
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_the_quota_service_adds_in_turn_and_rejects_what_is_no_call():
-    async def scene():
+def test_the_quota_service_adds_in_order_and_rejects_malformed_calls():
+    async def scenario():
         service = QuotaService(asyncio.get_running_loop(), call_latency_s=0.001)
         port = await service.start(HOST)
         reader, writer = await connect(port)
 
         async def ask(*calls):
-            for one in calls:
-                writer.write(b"POST /v1/count/%b HTTP/1.1\r\nHost: x\r\n\r\n" % one)
+            for call_target in calls:
+                writer.write(b"POST /v1/count/%b HTTP/1.1\r\nHost: x\r\n\r\n" % call_target)
             answers = []
             for _ in calls:
                 head = await reader.readuntil(b"\r\n\r\n")
@@ -217,38 +217,43 @@
                 answers.append((int(head.split()[1]), await reader.readexactly(size)))
             return answers
 
-        assert await ask(b"a?add=1&ttl_ms=50") == [(503, b"")]  # the run has not begun
+        assert await ask(b"a?add=1&ttl_ms=50") == [(503, b"")]  # calls are not accepted yet
         service.accepts_calls = True
         assert await ask(b"a?add=1&ttl_ms=50", b"a?add=-2.5&ttl_ms=9", b"b?add=3&ttl_ms=9000") == [
             (200, b"1"),
             (200, b"-1.5"),
             (200, b"3"),
         ]
-        wrong = [b"a?add=x&ttl_ms=1", b"?add=1&ttl_ms=1", b"a?add=2e9&ttl_ms=1", b"a?add=1&ttl_ms=0"]
-        assert await ask(*wrong) == [(400, b"")] * 4
+        malformed_calls = [
+            b"a?add=x&ttl_ms=1",
+            b"?add=1&ttl_ms=1",
+            b"a?add=2e9&ttl_ms=1",
+            b"a?add=1&ttl_ms=0",
+        ]
+        assert await ask(*malformed_calls) == [(400, b"")] * 4
         await asyncio.sleep(0.06)
-        assert await ask(b"a?add=0&ttl_ms=50") == [(200, b"0")]  # forgotten
+        assert await ask(b"a?add=0&ttl_ms=50") == [(200, b"0")]  # expired
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_the_quota_service_holds_so_many_connections_and_closes_idle_ones():
-    async def scene():
+def test_the_quota_service_limits_its_connections_and_closes_idle_ones():
+    async def scenario():
         service = QuotaService(asyncio.get_running_loop(), max_connections=2, idle_timeout_s=0.1)
         port = await service.start(HOST)
-        kept = [await connect(port) for _ in range(2)]
+        open_connections = [await connect(port) for _ in range(2)]
         await asyncio.sleep(0.02)
         reader, _ = await connect(port)
         with pytest.raises((ConnectionResetError, asyncio.IncompleteReadError)):
             await reader.readexactly(1)
-        assert [await r.read() for r, _ in kept] == [b"", b""]
+        assert [await r.read() for r, _ in open_connections] == [b"", b""]
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_clients_retry_are_answered_and_resend_what_was_not_read_before_a_close():
-    async def scene():
-        observer, loop, asked = RecordingObserver(), asyncio.get_running_loop(), []
+def test_clients_retry_rejected_requests_and_resend_those_unread_at_a_close():
+    async def scenario():
+        observer, loop, received_ids = RecordingObserver(), asyncio.get_running_loop(), []
         answers = [b"-BUSY 10\r\n", b"close", b"$2\r\nok\r\n"]
 
         async def gateway(reader, writer):
@@ -258,12 +263,12 @@
                     if arguments == [b"PING"]:
                         writer.write(b"+PONG\r\n")
                         continue
-                    asked.append(arguments[2])
-                    what = answers.pop(0)
-                    if what == b"close":
+                    received_ids.append(arguments[2])
+                    answer = answers.pop(0)
+                    if answer == b"close":
                         writer.close()
                         return
-                    writer.write(what)
+                    writer.write(answer)
 
         server = await asyncio.start_server(gateway, HOST, 0)
         balancer = ClientLoadBalancer(
@@ -291,32 +296,32 @@
         while balancer.in_flight or balancer.retries_waiting:
             await asyncio.sleep(0.01)
         assert balancer.outcomes == {("p", "denied"): 1, ("p", "served"): 1}
-        assert len(asked) == 3 and asked[0] != asked[1] == asked[2]
+        assert len(received_ids) == 3 and received_ids[0] != received_ids[1] == received_ids[2]
         server.close()
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_what_was_not_read_before_a_close_goes_out_on_a_new_connection_though_another_is_idle():
-    async def scene():
-        observer, loop, lines = RecordingObserver(), asyncio.get_running_loop(), []
-        both_asked = asyncio.Event()
+def test_requests_unread_at_a_close_are_resent_on_a_new_connection_even_if_one_is_idle():
+    async def scenario():
+        observer, loop, calls_by_connection = RecordingObserver(), asyncio.get_running_loop(), []
+        both_received = asyncio.Event()
 
         async def gateway(reader, writer):
-            parser, number = codec.CommandParser(), len(lines)
-            lines.append(0)
+            parser, number = codec.CommandParser(), len(calls_by_connection)
+            calls_by_connection.append(0)
             while data := await reader.read(4096):
                 for arguments in parser.feed(data):
                     if arguments == [b"PING"]:
                         writer.write(b"+PONG\r\n")
                         continue
-                    lines[number] += 1
-                    if sum(lines) == 2:
-                        both_asked.set()
-                    if sum(lines) == 3:  # the third request: not answered
+                    calls_by_connection[number] += 1
+                    if sum(calls_by_connection) == 2:
+                        both_received.set()
+                    if sum(calls_by_connection) == 3:  # the third request is not answered
                         writer.close()
                         return
-                    await both_asked.wait()
+                    await both_received.wait()
                     writer.write(b"$2\r\nok\r\n")
 
         server = await asyncio.start_server(gateway, HOST, 0)
@@ -333,7 +338,7 @@
             while balancer.in_flight:
                 await asyncio.sleep(0.01)
         assert balancer.outcomes == {("p", "served"): 3} and observer.names().count("request_unread") == 1
-        assert sorted(lines) == [1, 1, 2] and lines[-1] == 1
+        assert sorted(calls_by_connection) == [1, 1, 2] and calls_by_connection[-1] == 1
         server.close()
 
-    play(scene)
+    run_scenario(scenario)
--- a/tests/test_virtual.py
+++ b/tests/test_virtual.py
@@ -1,4 +1,4 @@
-"""Virtual time and network: order, what TCP and UDP do to what is sent, and asyncio's behaviour."""
+"""Virtual time and network: order of calls, behaviour of TCP and UDP, and equivalence to asyncio."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 from zincstile.virtual.process import Process
 
 
-class Net:
-    """A scheduler, a network and two machines."""
+class VirtualNetwork:
+    """A scheduler, a network and two processes, each on its own machine."""
 
     def __init__(self, **settings):
         self.scheduler = Scheduler(SECOND_NS)
@@ -24,18 +24,18 @@
         )
         self.a, self.b = self.process("a"), self.process("b")
 
-    def process(self, name, **more):
-        return Process(self.network, name, f"10.0.0.{ord(name[0])}", **more)
+    def process(self, name, **options):
+        return Process(self.network, name, f"10.0.0.{ord(name[0])}", **options)
 
     def run(self, ms=1000):
         self.scheduler.run(self.scheduler.now_ns + ms * MS_NS)
 
 
-class Side(asyncio.Protocol):
-    """Records what happens to it."""
+class RecordingProtocol(asyncio.Protocol):
+    """Records its callbacks in `log` and the bytes it received; sends `first` once connected."""
 
     def __init__(self, first=b""):
-        self.log, self.got, self.first, self.transport = [], b"", first, None
+        self.log, self.received, self.first, self.transport = [], b"", first, None
 
     def connection_made(self, transport):
         self.transport = transport
@@ -44,7 +44,7 @@
             transport.write(self.first)
 
     def data_received(self, data):
-        self.got += data
+        self.received += data
         self.log.append("data")
 
     def eof_received(self):
@@ -60,9 +60,9 @@
         self.log.append("room")
 
 
-def connected(net, server=None, client=None):
-    """A connection from a to b that is up; both protocols."""
-    server, client = server or Side(), client or Side()
+def open_connection(net, server=None, client=None):
+    """Opens a connection from a to b; returns the protocols of the client and the server."""
+    server, client = server or RecordingProtocol(), client or RecordingProtocol()
     net.b.loop.create_task(net.b.loop.create_server(lambda: server, net.b.host, 80))
     net.run(1)
     net.a.loop.create_task(net.a.loop.create_connection(lambda: client, net.b.host, 80))
@@ -70,7 +70,7 @@
     return client, server
 
 
-def test_the_same_instant_keeps_the_order_of_scheduling():
+def test_calls_at_the_same_instant_are_made_in_order_of_scheduling():
     scheduler, seen = Scheduler(), []
     for name in "abc":
         scheduler.call_at(5, seen.append, name)
@@ -80,8 +80,8 @@
     assert seen == ["a", "b", "c", "d"] and scheduler.now_ns == 10
 
 
-def test_a_pause_delays_what_a_process_does_and_keeps_its_order():
-    net, seen = Net(), []
+def test_a_pause_delays_the_calls_of_a_process_and_keeps_their_order():
+    net, seen = VirtualNetwork(), []
     loop = net.a.loop
     loop.call_later(0.010, seen.append, "first")
     loop.call_later(0.020, seen.append, "second")
@@ -93,21 +93,21 @@
     assert seen == ["other", "first", "second"]
 
 
-def test_a_dead_process_does_nothing_more():
-    net, seen = Net(), []
+def test_calls_of_a_killed_process_are_not_made():
+    net, seen = VirtualNetwork(), []
     net.a.loop.call_later(0.5, seen.append, "late")
     net.a.kill()
     net.run()
     assert not seen and not net.a.alive
 
 
-def test_what_schedules_itself_for_ever_is_named():
-    net = Net()
+def test_code_that_reschedules_itself_at_one_instant_raises_an_error():
+    net = VirtualNetwork()
 
-    def again():
-        net.a.loop.call_soon(again)
+    def reschedule():
+        net.a.loop.call_soon(reschedule)
 
-    again()
+    reschedule()
     with pytest.raises(LivelockError):
         net.run()
 
@@ -124,19 +124,19 @@
     ],
 )
 def test_bytes_arrive_complete_and_in_order_however_they_are_split(settings):
-    net = Net(**settings)
-    client, server = connected(net)
+    net = VirtualNetwork(**settings)
+    client, server = open_connection(net)
     sent = bytes(random.Random(2).randbytes(5000))
     for at in range(0, 5000, 700):
         client.transport.write(sent[at : at + 700])
     client.transport.close()
     net.run(5000)
-    assert server.got == sent and server.log[-2:] == ["eof", "lost clean"]
+    assert server.received == sent and server.log[-2:] == ["eof", "lost clean"]
 
 
-def test_a_full_window_stops_the_writer_until_the_reader_goes_on():
-    net = Net(window_bytes=100)
-    client, server = connected(net)
+def test_a_full_window_pauses_the_writer_until_the_reader_resumes():
+    net = VirtualNetwork(window_bytes=100)
+    client, server = open_connection(net)
     client.transport.set_write_buffer_limits(high=0)
     server.transport.pause_reading()
     client.transport.write(b"x" * 150)
@@ -144,12 +144,12 @@
     assert client.log == ["made", "full"] and client.transport.get_write_buffer_size() == 50
     server.transport.resume_reading()
     net.run()
-    assert client.log[-1] == "room" and server.got == b"x" * 150
+    assert client.log[-1] == "room" and server.received == b"x" * 150
 
 
-def test_a_kill_resets_and_what_is_unread_is_gone():
-    net = Net()
-    client, server = connected(net)
+def test_killing_the_peer_resets_the_connection_and_discards_unread_input():
+    net = VirtualNetwork()
+    client, server = open_connection(net)
     client.transport.pause_reading()
     server.transport.write(b"never read")
     net.run()
@@ -157,31 +157,31 @@
     net.run()
     client.transport.resume_reading()
     net.run()
-    assert client.got == b"" and client.log[-1] == "lost ConnectionResetError"
+    assert client.received == b"" and client.log[-1] == "lost ConnectionResetError"
 
 
-def test_what_is_read_after_the_end_was_sent_was_not_read_before_it():
-    net = Net(window_bytes=100)
-    client, server = connected(net)
+def test_input_read_after_the_fin_was_sent_does_not_count_as_read_before_it():
+    net = VirtualNetwork(window_bytes=100)
+    client, server = open_connection(net)
     client.transport.write(b"before")
     net.run(10)
     assert server.transport.had_read_before_fin(6) and not server.transport.had_read_before_fin(7)
     client.transport.pause_reading()
     server.transport.write(b"x" * 150)
-    server.transport.write_eof()  # decided on, but sent only behind the rest of what was written
+    server.transport.write_eof()  # the FIN is sent only after the buffered bytes
     client.transport.write(b"meanwhile")
     net.run(10)
-    assert server.got == b"beforemeanwhile" and server.transport.had_read_before_fin(15)
-    client.transport.resume_reading()  # the rest and the end are on their way
+    assert server.received == b"beforemeanwhile" and server.transport.had_read_before_fin(15)
+    client.transport.resume_reading()  # the remaining bytes and the FIN are in flight
     client.transport.write(b"after")
     net.run(10)
-    assert client.got == b"x" * 150 and client.log[-1] == "lost clean"
-    assert server.got == b"beforemeanwhileafter" and not server.transport.had_read_before_fin(16)
+    assert client.received == b"x" * 150 and client.log[-1] == "lost clean"
+    assert server.received == b"beforemeanwhileafter" and not server.transport.had_read_before_fin(16)
 
 
-def test_closing_with_bytes_unread_resets_the_other_side():
-    net = Net()
-    client, server = connected(net)
+def test_closing_with_unread_input_resets_the_peer():
+    net = VirtualNetwork()
+    client, server = open_connection(net)
     server.transport.pause_reading()
     client.transport.write(b"unread")
     net.run()
@@ -190,65 +190,65 @@
     assert server.log[-1] == "lost clean" and client.log[-1] == "lost ConnectionResetError"
 
 
-def connect(net, give_up_s=0.5):
-    """What comes of connecting from a to b."""
+def try_to_connect(net, timeout_s=0.5):
+    """Tries to connect from a to b; returns `up` or the name of the exception."""
 
-    async def try_it():
+    async def attempt():
         try:
-            async with asyncio.timeout(give_up_s):
-                await net.a.loop.create_connection(Side, net.b.host, 80)
+            async with asyncio.timeout(timeout_s):
+                await net.a.loop.create_connection(RecordingProtocol, net.b.host, 80)
         except (OSError, TimeoutError) as err:
             return type(err).__name__
         return "up"
 
-    task = net.a.loop.create_task(try_it())
+    task = net.a.loop.create_task(attempt())
     net.run(2000)
     return task.result()
 
 
-def test_connects_are_refused_or_never_come_up():
-    net = Net()
-    assert connect(net) == "ConnectionRefusedError"
+def test_connecting_is_refused_without_a_listener_and_times_out_without_a_reply():
+    net = VirtualNetwork()
+    assert try_to_connect(net) == "ConnectionRefusedError"
     net.network.isolate(net.b.host)
-    assert connect(net) == "TimeoutError"
+    assert try_to_connect(net) == "TimeoutError"
     net.network.reconnect(net.b.host)
-    net.b.loop.create_task(net.b.loop.create_server(Side, net.b.host, 80))
+    net.b.loop.create_task(net.b.loop.create_server(RecordingProtocol, net.b.host, 80))
     net.run()
-    assert connect(net) == "up"
+    assert try_to_connect(net) == "up"
     net.network.extra_delay_ns[net.b.host] = 400 * MS_NS
-    assert connect(net) == "TimeoutError"
-    assert net.a.open_descriptors == INITIAL_DESCRIPTORS + 1  # what was given up holds nothing
+    assert try_to_connect(net) == "TimeoutError"
+    assert net.a.open_descriptors == INITIAL_DESCRIPTORS + 1  # connections given up hold no descriptor
 
 
-def test_no_descriptor_left_is_an_error_and_nothing_leaks():
-    net = Net()
-    net.b.loop.create_task(net.b.loop.create_server(Side, net.b.host, 80))
+def test_connecting_without_a_free_descriptor_fails_and_leaks_none():
+    net = VirtualNetwork()
+    net.b.loop.create_task(net.b.loop.create_server(RecordingProtocol, net.b.host, 80))
     net.a.max_descriptors = INITIAL_DESCRIPTORS + 1
     net.run()
-    assert connect(net) == "up" and connect(net) == "OSError"
+    assert try_to_connect(net) == "up" and try_to_connect(net) == "OSError"
     assert net.a.peak_descriptors == INITIAL_DESCRIPTORS + 1
 
 
-def test_a_cut_holds_bytes_back_until_it_is_reconnected():
-    net = Net()
-    client, server = connected(net)
+def test_a_cut_path_delivers_its_bytes_after_reconnecting():
+    net = VirtualNetwork()
+    client, server = open_connection(net)
     net.network.disconnect(net.a.host, net.b.host)
     client.transport.write(b"held")
     net.run()
-    assert server.got == b"" and "lost" not in str(server.log)
+    assert server.received == b"" and "lost" not in str(server.log)
     net.network.reconnect(net.a.host, net.b.host)
     net.run()
-    assert server.got == b"held"
+    assert server.received == b"held"
 
 
-def test_what_a_protocol_raises_closes_its_connection_alone():
-    class Bad(Side):
+def test_an_exception_in_a_protocol_closes_only_its_connection():
+    class FailingProtocol(RecordingProtocol):
         def data_received(self, data):
             raise KeyError("bad")
 
-    net = Net()
-    client, server = connected(net, server=Bad())
-    other_client, other = Side(), Side()
+    net = VirtualNetwork()
+    client, server = open_connection(net, server=FailingProtocol())
+    other_client, other = RecordingProtocol(), RecordingProtocol()
     net.b.loop.create_task(net.b.loop.create_server(lambda: other, net.b.host, 81))
     net.run(1)
     net.a.loop.create_task(net.a.loop.create_connection(lambda: other_client, net.b.host, 81))
@@ -256,22 +256,22 @@
     client.transport.write(b"x")
     other_client.transport.write(b"y")
     net.run()
-    assert server.log[-1] == "lost KeyError" and other.got == b"y"
+    assert server.log[-1] == "lost KeyError" and other.received == b"y"
     assert net.b.loop.unhandled_errors and "KeyError" in net.b.loop.unhandled_errors[0]
 
 
 class DatagramRecorder(asyncio.DatagramProtocol):
     def __init__(self):
-        self.got, self.transport = [], None
+        self.received, self.transport = [], None
 
     def connection_made(self, transport):
         self.transport = transport
 
     def datagram_received(self, data, addr):
-        self.got.append((data, addr))
+        self.received.append((data, addr))
 
 
-def datagrams(net, count):
+def send_datagrams(net, count):
     one, two = DatagramRecorder(), DatagramRecorder()
     for process, recorder in ((net.a, one), (net.b, two)):
         process.loop.create_task(
@@ -284,30 +284,32 @@
         one.transport.sendto(b"%d" % k, (net.b.host, 7))
         net.run(20)
     net.run()
-    return [int(data) for data, _ in two.got]
+    return [int(data) for data, _ in two.received]
 
 
-def test_datagrams_are_lost_duplicated_and_reordered_by_the_draw():
-    assert datagrams(Net(datagram_loss_ratio=1.0), 20) == []
-    assert sorted(datagrams(Net(), 20)) == list(range(20))
-    assert len(datagrams(Net(datagram_duplicate_ratio=1.0), 20)) == 40
-    lossy = datagrams(Net(datagram_loss_ratio=0.5), 60)
-    assert 10 < len(lossy) < 50 and lossy == datagrams(Net(datagram_loss_ratio=0.5), 60)
-    assert (got := datagrams(Net(datagram_delay_ns=(0, 200 * MS_NS)), 60)) != sorted(got)
+def test_datagrams_are_randomly_lost_duplicated_and_reordered():
+    assert send_datagrams(VirtualNetwork(datagram_loss_ratio=1.0), 20) == []
+    assert sorted(send_datagrams(VirtualNetwork(), 20)) == list(range(20))
+    assert len(send_datagrams(VirtualNetwork(datagram_duplicate_ratio=1.0), 20)) == 40
+    lossy = send_datagrams(VirtualNetwork(datagram_loss_ratio=0.5), 60)
+    assert 10 < len(lossy) < 50 and lossy == send_datagrams(VirtualNetwork(datagram_loss_ratio=0.5), 60)
+    assert (received := send_datagrams(VirtualNetwork(datagram_delay_ns=(0, 200 * MS_NS)), 60)) != sorted(
+        received
+    )
 
 
-def test_a_process_receives_only_so_many_datagrams():
-    net = Net(datagrams_per_s=5.0)
-    assert len(datagrams(net, 40)) < 12
+def test_datagrams_above_the_rate_limit_of_a_process_are_dropped():
+    net = VirtualNetwork(datagrams_per_s=5.0)
+    assert len(send_datagrams(net, 40)) < 12
 
 
-# ---- the same play on the real loop and on the virtual one
+# ---- the same scenario on a real and on a virtual loop
 
 
-async def _play(loop, host, run_for):
-    """Echo, end of sending, abort; what each side saw."""
+async def _play_scenario(loop, host, run_for):
+    """Connects, echoes data and ends by write_eof, close and abort; returns what each side recorded."""
 
-    class Echo(Side):
+    class Echo(RecordingProtocol):
         def data_received(self, data):
             super().data_received(data)
             self.transport.write(data.upper())
@@ -318,36 +320,36 @@
 
     servers, seen = [], []
 
-    def made():
+    def new_echo():
         servers.append(Echo())
         return servers[-1]
 
-    server = await loop.create_server(made, host, 0)
+    server = await loop.create_server(new_echo, host, 0)
     port = server.sockets[0].getsockname()[1]
-    for how in ("write_eof", "close", "abort"):
-        _, client = await loop.create_connection(lambda: Side(b"hello"), host, port)
+    for ending in ("write_eof", "close", "abort"):
+        _, client = await loop.create_connection(lambda: RecordingProtocol(b"hello"), host, port)
         await run_for(0.05)
-        getattr(client.transport, how)()
+        getattr(client.transport, ending)()
         await run_for(0.05)
-        seen.append((how, client.got, client.log, servers[-1].got, servers[-1].log))
+        seen.append((ending, client.received, client.log, servers[-1].received, servers[-1].log))
     server.close()
     with contextlib.suppress(ConnectionRefusedError):
-        await loop.create_connection(Side, host, port)
+        await loop.create_connection(RecordingProtocol, host, port)
         seen.append("not refused")
     return seen
 
 
-def test_the_virtual_loop_calls_protocols_as_asyncio_does():
+def test_the_virtual_loop_calls_protocols_in_the_same_order_as_asyncio():
     async def real():
-        return await _play(asyncio.get_running_loop(), "127.0.0.1", asyncio.sleep)
+        return await _play_scenario(asyncio.get_running_loop(), "127.0.0.1", asyncio.sleep)
 
-    net = Net()
+    net = VirtualNetwork()
 
     def virtual_sleep(seconds):
         future = net.a.loop.create_future()
         net.a.loop.call_later(seconds, future.set_result, None)
         return future
 
-    task = net.a.loop.create_task(_play(net.a.loop, net.a.host, virtual_sleep))
+    task = net.a.loop.create_task(_play_scenario(net.a.loop, net.a.host, virtual_sleep))
     net.run(3000)
     assert task.result() == asyncio.run(asyncio.wait_for(real(), 20))
--- a/zincstile/emulators/clients.py
+++ b/zincstile/emulators/clients.py
@@ -61,9 +61,8 @@
         self.retries_waiting = 0
         self.outcomes: dict[tuple[str, Outcome], int] = {}  # by plan
         self.latencies_s: list[float] = []  # of served requests
-        self._suspected: dict[
-            str, None
-        ] = {}  # gateways that refused a connection and are not yet considered down
+        # Gateways that refused a connection and are not yet considered down.
+        self._suspected: dict[str, None] = {}
         self._requests_made = 0
         self._connections_made = 0
         self._tasks: dict[asyncio.Task, None] = {}
