--- a/tests/test_emulators.py
+++ b/tests/test_emulators.py
@@ -157,7 +157,7 @@
 
     parser = resp.ReplyParser(Limits(answer_bytes=100_000))
     replies = parser.feed(CORRUPT_ANSWERS[kind])
-    assert parser.error or not replies or resp.answer(replies[0]) is None
+    assert parser.error or not replies or resp.parse_answer(replies[0]) is None
 
 
 def test_discovery_sends_the_list_then_changes_and_after_silence_the_missed_ones():
--- a/zincstile/net/backends/pool.py
+++ b/zincstile/net/backends/pool.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from ...decisions.messages import EndpointState
-from ..deadlines import every
+from ..deadlines import run_every
 from ..discovery.messages import ListedEndpoint
 from ..dispatcher import Dispatcher
 from .attempt import Attempt, Backend
@@ -33,7 +33,7 @@
         self.on_withdrawn: Callable[[Attempt], None] = (
             _ignore_withdrawal  # gets what must not be sent any more
         )
-        every(dispatcher, dispatcher.limits.idle_ns // 8, self.close_expired)
+        run_every(dispatcher, dispatcher.limits.backend_idle_timeout_ns // 8, self.close_expired)
 
     # ---- listed backends
 
@@ -91,7 +91,7 @@
             self.backends[backend_id] = backend
         return backend if backend.ready else None
 
-    def release(self, backend: Backend) -> None:
+    def forget_if_unused(self, backend: Backend) -> None:
         """Forgets the record of a backend without connections, for which no attempt waits either."""
         if not backend.connections and self.backends.get(backend.id) is backend:
             del self.backends[backend.id]
@@ -108,9 +108,9 @@
         if connection in self.connections:
             self.connections.remove(connection)
             connection.backend.connections -= 1
-            self.release(connection.backend)
+            self.forget_if_unused(connection.backend)
 
-    def lost(self, connection: BackendConnection) -> None:
+    def on_connection_lost(self, connection: BackendConnection) -> None:
         """A connection that was up has ended."""
         if connection in self.idle:
             self._remove_idle(connection)
@@ -122,7 +122,7 @@
             # A second answer may come some milliseconds late: it must not be taken for the next request's.
             if connection.reusable_from_ns <= now_ns:
                 self._remove_idle(connection)
-                if connection.nothing_received:
+                if connection.has_no_unread_data:
                     return connection
                 connection.transport.abort()
         return None
@@ -138,7 +138,9 @@
             return
         now_ns = self.dispatcher.now_ns()
         connection.idle_since_ns = now_ns
-        connection.reusable_from_ns = now_ns if unused else now_ns + self.dispatcher.limits.settled_ns
+        connection.reusable_from_ns = (
+            now_ns if unused else now_ns + self.dispatcher.limits.surplus_answer_wait_ns
+        )
         backend.idle.append(connection)
         self.idle[connection] = None
 
@@ -167,6 +169,6 @@
     def close_expired(self) -> None:
         """Closes what has been idle for long, before the backend does it beneath a request."""
         now_ns = self.dispatcher.now_ns()
-        idle_ns = self.dispatcher.limits.idle_ns
+        idle_ns = self.dispatcher.limits.backend_idle_timeout_ns
         while (oldest := next(iter(self.idle), None)) and now_ns - oldest.idle_since_ns > idle_ns:
             self.close_idle(oldest)
--- a/zincstile/net/quota_service.py
+++ b/zincstile/net/quota_service.py
@@ -15,7 +15,7 @@
 
 from . import http
 from .config import Address
-from .deadlines import DeadlineKey, every
+from .deadlines import DeadlineKey, run_every
 from .dispatcher import Dispatcher
 
 MAX_NAME_BYTES: Final = 64  # the service refuses longer names
@@ -37,21 +37,21 @@
 class PendingCall:
     """One call; `on_answer(now, total)` is called once, with None where there is no total."""
 
-    __slots__ = ("request", "on_answer", "made_ns", "deadline", "over")
+    __slots__ = ("request", "on_answer", "created_ns", "deadline", "ended")
 
-    def __init__(self, request: bytes, on_answer: OnAnswer, made_ns: int) -> None:
+    def __init__(self, request: bytes, on_answer: OnAnswer, created_ns: int) -> None:
         """Takes the request as it is written, and the time at which the call was made."""
         self.request = request
         self.on_answer = on_answer
-        self.made_ns = made_ns
+        self.created_ns = created_ns
         self.deadline: DeadlineKey | None = None
-        self.over = False
+        self.ended = False
 
 
 class QuotaServiceConnection(asyncio.BufferedProtocol):
     """One connection to the quota service, with the calls on it that have no answer yet."""
 
-    __slots__ = ("client", "address", "transport", "calls", "idle_since_ns", "_answers")
+    __slots__ = ("client", "address", "transport", "calls", "idle_since_ns", "_responses")
 
     def __init__(self, client: QuotaServiceClient, address: Address) -> None:
         """Takes the client whose calls it carries, and the address that it is made to."""
@@ -60,7 +60,7 @@
         self.transport: asyncio.Transport | None = None
         self.calls: deque[PendingCall] = deque()  # written and not answered, in their order
         self.idle_since_ns = 0
-        self._answers = http.PipelinedResponses(client.dispatcher.limits)
+        self._responses = http.PipelinedResponses(client.dispatcher.limits)
 
     @property
     def usable(self) -> bool:
@@ -71,7 +71,7 @@
         """Called by asyncio when the connection is up."""
         self.transport = transport  # type: ignore[assignment]
         self.idle_since_ns = self.client.dispatcher.now_ns()
-        self.client.connected(self)
+        self.client.on_connected(self)
 
     def get_buffer(self, sizehint: int) -> memoryview:
         """Called by asyncio: the buffer that all connections share."""
@@ -81,19 +81,19 @@
         """Called by asyncio: hands answers to their calls; a malformed one ends the connection."""
         dispatcher = self.client.dispatcher
         try:
-            for status, body in self._answers.feed(bytes(self.client.buffer[:size])):
-                self._take_answer(status, body)
+            for status, body in self._responses.feed(bytes(self.client.buffer[:size])):
+                self._handle_response(status, body)
         except http.HttpError as err:
-            dispatcher.log.often("quota_service", f"answer of {self.address} malformed: {err}")
+            dispatcher.log.line_limited("quota_service", f"answer of {self.address} malformed: {err}")
             self.transport.abort()
             return
         self.idle_since_ns = dispatcher.now_ns()
-        dispatcher.flush_later(self.client)
+        dispatcher.schedule_flush(self.client)
 
-    def _take_answer(self, status: int, body: bytes) -> None:
+    def _handle_response(self, status: int, body: bytes) -> None:
         if not self.calls:
             raise http.HttpError("an answer to nothing")
-        if not self.client.answered(self.calls.popleft(), status, body):
+        if not self.client.on_response(self.calls.popleft(), status, body):
             raise http.HttpError(f"no number: {body[:LOGGED_BODY_BYTES]!r}")
 
     def eof_received(self) -> None:
@@ -102,7 +102,7 @@
 
     def connection_lost(self, err: Exception | None) -> None:
         """Called by asyncio when the connection is closed."""
-        self.client.disconnected(self)
+        self.client.on_disconnected(self)
 
 
 class QuotaServiceClient:
@@ -118,7 +118,7 @@
         self._connecting = 0
         self._tasks: dict[asyncio.Task, None] = {}
         self._no_connect_before_ns = 0  # after a connect that failed
-        every(dispatcher, dispatcher.limits.tend_ns, self._check_connections)
+        run_every(dispatcher, dispatcher.limits.connection_check_interval_ns, self._check_connections)
 
     def call(self, name: str, amount: float, ttl_ms: int, on_answer: OnAnswer) -> None:
         """Adds the amount to the counter `name`, which lives for `ttl_ms`.
@@ -138,9 +138,9 @@
             self._finish(call, None)
             return
         timeout_ns = now + dispatcher.limits.quota_service_call_ns
-        call.deadline = dispatcher.deadlines.add(timeout_ns, self._timed_out, call)
+        call.deadline = dispatcher.deadlines.add(timeout_ns, self._on_timeout, call)
         self.waiting.append(call)
-        dispatcher.flush_later(self)
+        dispatcher.schedule_flush(self)
 
     def move(self, address: Address) -> None:
         """The service is found elsewhere from now on.
@@ -150,14 +150,14 @@
         if address != self.address:
             self.address = address
             self._no_connect_before_ns = 0
-            self.dispatcher.flush_later(self)
+            self.dispatcher.schedule_flush(self)
 
     # ---- writing, once a batch of the dispatcher
 
     def flush(self) -> None:
         """Writes waiting calls, spread over the connections; opens another where these are busy."""
         waiting = self.waiting
-        while waiting and waiting[0].over:
+        while waiting and waiting[0].ended:
             waiting.popleft()
         if not waiting:
             return
@@ -171,7 +171,7 @@
         for connection in sorted(connections, key=lambda c: len(c.calls)):
             while self.waiting and len(connection.calls) < self.dispatcher.limits.quota_service_pipelined:
                 call = self.waiting.popleft()
-                if not call.over:
+                if not call.ended:
                     connection.calls.append(call)
                     requests.setdefault(connection, []).append(call.request)
         for connection, written in requests.items():
@@ -194,7 +194,7 @@
                 )
         except (OSError, TimeoutError) as err:
             reason = err or type(err).__name__
-            dispatcher.log.often("quota_service", f"can't connect to {address}: {reason}")
+            dispatcher.log.line_limited("quota_service", f"can't connect to {address}: {reason}")
             self._no_connect_before_ns = dispatcher.now_ns() + dispatcher.limits.backoff_ns
             dispatcher.deadlines.add(self._no_connect_before_ns, self._retry_connect)
             dispatcher.wake()
@@ -202,24 +202,24 @@
             self._connecting -= 1
 
     def _retry_connect(self, _: object) -> None:
-        self.dispatcher.flush_later(self)
+        self.dispatcher.schedule_flush(self)
 
     # ---- called by connections
 
-    def connected(self, connection: QuotaServiceConnection) -> None:
+    def on_connected(self, connection: QuotaServiceConnection) -> None:
         """A connection is up: waiting calls may be written to it."""
         self.connections[connection] = None
-        self.dispatcher.flush_later(self)
+        self.dispatcher.schedule_flush(self)
 
-    def disconnected(self, connection: QuotaServiceConnection) -> None:
+    def on_disconnected(self, connection: QuotaServiceConnection) -> None:
         """A connection is closed: the amounts of its calls may have been added."""
         self.connections.pop(connection, None)
         calls, connection.calls = connection.calls, deque()
         for call in calls:
             self._finish(call, None)
-        self.dispatcher.flush_later(self)
+        self.dispatcher.schedule_flush(self)
 
-    def answered(self, call: PendingCall, status: int, body: bytes) -> bool:
+    def on_response(self, call: PendingCall, status: int, body: bytes) -> bool:
         """Ends a call with its answer.
 
         Returns False where the answer brings neither a number nor a refusal: its connection is of no further
@@ -237,15 +237,15 @@
 
     # ---- ends of calls and connections
 
-    def _timed_out(self, call: PendingCall) -> None:
+    def _on_timeout(self, call: PendingCall) -> None:
         call.deadline = None
         self._finish(call, None)
 
     def _finish(self, call: PendingCall, total: float | None) -> None:
         """Tells the caller the total, once."""
-        if call.over:
+        if call.ended:
             return
-        call.over = True
+        call.ended = True
         self.dispatcher.deadlines.cancel(call.deadline)
         if total is None:
             self.dispatcher.counters.quota_service_unanswered += 1
@@ -256,8 +256,8 @@
         now, limits = self.dispatcher.now_ns(), self.dispatcher.limits
         for connection in list(self.connections):
             if connection.calls:
-                waited_ns = now - connection.calls[0].made_ns
-                if waited_ns > limits.quota_service_call_ns + limits.quota_service_stuck_ns:
+                waited_ns = now - connection.calls[0].created_ns
+                if waited_ns > limits.quota_service_call_ns + limits.quota_service_stall_ns:
                     connection.transport.abort()
                 continue
             idle_ns = now - connection.idle_since_ns
--- a/zincstile/simulation/mutants_network.py
+++ b/zincstile/simulation/mutants_network.py
@@ -55,7 +55,7 @@
 
     def answer_again(self, session, answer):
         if session not in self._answers.pending:
-            self._answers._ready.append(resp.bulk(answer.value))
+            self._answers._ready.append(resp.encode_bulk_string(answer.value))
         old(self, session, answer)
 
     return undo_all(
@@ -80,7 +80,7 @@
         if not answers.pending:
             self.idle_since_ns = self.dispatcher.now_ns()
             if self._closer.reading_ended:
-                self._end()
+                self._half_close()
             elif self.listener.closing:
                 self.transport.close()
 
@@ -92,7 +92,7 @@
 
     def lost(self, err):
         attempt, self.attempt = self.attempt, None
-        self.owner.pool.lost(self)
+        self.owner.pool.on_connection_lost(self)
         if attempt is not None:
             self.owner.finish(attempt, AttemptResult.CONNECT_FAILED)
 
@@ -155,8 +155,8 @@
 
     def add(self, at_ns, then, about=None):
         if any(item[0] == at_ns for item in self._items):
-            self._number += 1
-            return at_ns, self._number
+            self._last_number += 1
+            return at_ns, self._last_number
         return old(self, at_ns, then, about)
 
     return replace_attribute(deadlines.Deadlines, "add", add)
@@ -164,10 +164,10 @@
 
 def connection_reused_with_unread_bytes() -> Undo:
     """A connection is used again although bytes follow its answer, read or not."""
-    old = attempts.Attempts.__dict__["answered"]
+    old = attempts.Attempts.__dict__["on_reply"]
 
-    def answered(self, connection, attempt, reply, *, alone):
-        old(self, connection, attempt, reply, alone=True)
+    def on_reply(self, connection, attempt, reply, *, no_trailing_data):
+        old(self, connection, attempt, reply, no_trailing_data=True)
 
     def updated(self, size):
         if self.attempt is None:
@@ -175,13 +175,13 @@
         replies = self._parser.feed(bytes(self.owner.buffer[:size]))
         if replies:
             attempt, self.attempt = self.attempt, None
-            self.owner.answered(self, attempt, replies[0], alone=True)
+            self.owner.on_reply(self, attempt, replies[0], no_trailing_data=True)
 
-    nothing_received = property(lambda self: not self.transport.is_closing())
+    has_no_unread_data = property(lambda self: not self.transport.is_closing())
     return undo_all(
-        replace_attribute(attempts.Attempts, "answered", answered),
+        replace_attribute(attempts.Attempts, "on_reply", on_reply),
         replace_attribute(BackendConnection, "buffer_updated", updated),
-        replace_attribute(BackendConnection, "nothing_received", nothing_received),
+        replace_attribute(BackendConnection, "has_no_unread_data", has_no_unread_data),
     )
 
 
@@ -213,13 +213,13 @@
 
 def input_before_end_dropped() -> Undo:
     """Input between the decision to end a connection and its end is dropped."""
-    old = connection.ClientConnection.__dict__["_end"]
+    old = connection.ClientConnection.__dict__["_half_close"]
 
     def end(self):
         self._closer.reading_ended = True
         self.dispatcher.loop.call_later(LATE_END_S, old, self)
 
-    return replace_attribute(connection.ClientConnection, "_end", end)
+    return replace_attribute(connection.ClientConnection, "_half_close", end)
 
 
 def input_after_end_forwarded() -> Undo:
@@ -227,10 +227,10 @@
     old = connection.ClientConnection.__dict__["flush"]
 
     def buffer_updated(self, size):
-        self._read(bytes(self.listener.buffer[:size]))
+        self._process_input(bytes(self.listener.read_buffer[:size]))
 
     def flush(self):
-        if not self._closer.end_sent_ns:  # nothing can be written any more
+        if not self._closer.eof_sent_ns:  # nothing can be written any more
             old(self)
 
     return undo_all(
@@ -246,7 +246,7 @@
 
 def backend_connections_leak() -> Undo:
     """A backend connection that has ended is still counted."""
-    return replace_attribute(ConnectionPool, "lost", lambda self, connection: None)
+    return replace_attribute(ConnectionPool, "on_connection_lost", lambda self, connection: None)
 
 
 def cancelled_attempts_leak() -> Undo:
@@ -279,7 +279,7 @@
             return bytes(reply[0]), b""
         return (bytes(reply), b"") if isinstance(reply, bytes) else None
 
-    return replace_attribute(resp, "answer", answer)
+    return replace_attribute(resp, "parse_answer", answer)
 
 
 def invariant_guard_off() -> Undo:
@@ -312,7 +312,7 @@
     return undo_all(
         replace_attribute(attempts.Attempts, "forward", send),
         replace_attribute(dispatcher.Dispatcher, "abandon", abandon),
-        replace_attribute(connection.ClientConnection, "has_left", lambda self: False),
+        replace_attribute(connection.ClientConnection, "has_disconnected", lambda self: False),
         replace_attribute(attempts.Attempts, "withdraw", lambda self, session: None),
     )
 
@@ -334,7 +334,7 @@
         self._dispatcher.post(EndpointList(EndpointListKind.CACHED, 0, []))
         return True
 
-    return replace_attribute(lifecycle.Lifecycle, "_begin_list", begin)
+    return replace_attribute(lifecycle.Lifecycle, "_apply_initial_list", begin)
 
 
 def shutdown_closes_without_guard() -> Undo:
@@ -342,7 +342,7 @@
 
     def close_if_idle(self, reason):
         if self.listener.closing:
-            self._end()
+            self._half_close()
         return True
 
     def shut_at_once(self, _):
--- a/zincstile/virtual/host.py
+++ b/zincstile/virtual/host.py
@@ -37,11 +37,11 @@
         """Returns whether the connection has unread input."""
         return transport.has_unread
 
-    def ended(self, transport: TcpTransport) -> bool:
+    def peer_has_ended(self, transport: TcpTransport) -> bool:
         """Returns whether the peer has closed its side of the connection, whether or not that was read."""
         return transport.peer_has_closed
 
-    def unread_ns(self, transport: Any) -> int:
+    def last_received_age_ns(self, transport: Any) -> int:
         """Returns the age of the last received bytes; always 0, as the virtual network does not track it."""
         return 0
 
