--- a/tests/test_quota_service.py
+++ b/tests/test_quota_service.py
@@ -286,7 +286,7 @@
 
 def gateway_run(seed, *faults, **overrides):
     """Returns a run of complete gateways that enforce their quotas through a quota service."""
-    defaults = {"seed": seed, "keeper": True, "requests": 220, "last_ms": 5000, "faults": list(faults)}
+    defaults = {"seed": seed, "quota_service": True, "requests": 220, "last_ms": 5000, "faults": list(faults)}
     return Run(Plan(**(defaults | overrides)))
 
 
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -78,7 +78,7 @@
 
 def test_drawn_plans_hold_every_kind_of_fault():
     drawn = [plan.draw(seed) for seed in range(300)]
-    beside = (*plan.LINKS, *plan.REAL_ONLY)
+    beside = (*plan.SHARED_STATE_KINDS, *plan.REAL_PROCESS_KINDS)
     assert {f.kind for p in drawn for f in p.faults} == {
         k for k in plan.Kind.__args__ if "keeper" not in k and k not in beside
     }
@@ -143,7 +143,7 @@
 
 @pytest.mark.parametrize("name", QUICK)
 def test_a_deliberate_fault_is_named_by_its_rule(name):
-    row = mutants.find(name, 20)
+    row = mutants.find_violation(name, 20)
     assert row.seeds is not None and row.rule in mutants.MUTANTS[name].rules
     assert Run(plan.draw(row.seed)).play().breach is None  # and what it changed is put back
 
@@ -153,13 +153,13 @@
     try:
         big = plan.draw(1)
         assert any(f.kind in ("deploy", "drain") for f in big.faults)
-        found = shrink.smallest(big, 250, lambda text: None)
+        found = shrink.shrink_plan(big, 250, lambda text: None)
         assert found.result.breach.rule == "drain" and len(found.plan.faults) == 1
         assert len(found.plan.only) <= 15  # of 175
         assert Run(found.plan).play().breach.rule == "drain"
     finally:
         undo()
-    assert shrink.smallest(big, 10, lambda text: None) is None
+    assert shrink.shrink_plan(big, 10, lambda text: None) is None
 
 
 def test_a_plan_by_hand_is_played_as_it_stands():
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -38,7 +38,7 @@
     assert {name for seed in seeds for name in soak.groups(seed)} == set(soak.GROUPS)
     kinds = {f.kind for seed in seeds for f in soak.draw(seed, 10).faults}
     assert kinds >= {
-        *plan.REAL_ONLY,
+        *plan.REAL_PROCESS_KINDS,
         "crash",
         "roll",
         "drain",
--- a/zincstile/cli/demo.py
+++ b/zincstile/cli/demo.py
@@ -81,7 +81,7 @@
     def __init__(self, plan: Plan, folder: Path) -> None:
         """`folder`: where the configurations of the gateways are written."""
         self.plan, self.folder = plan, folder
-        self.checker = Checker(traffic.figures(), lambda: (0, time.monotonic_ns()))
+        self.checker = Checker(traffic.rule_limits(), lambda: (0, time.monotonic_ns()))
         self.witness = Arrivals(self.checker)
         self.programs: list[subprocess.Popen] = []
         self.console = Console()
@@ -100,7 +100,7 @@
     async def _start(self) -> ClientLoadBalancer | None:
         loop, plan, rng = asyncio.get_running_loop(), self.plan, random.Random(self.plan.seed)
         roster = EndpointList(self.witness)
-        racks = [Rack(traffic.KEYED_MS / 1000) for _ in range(RACKS)]
+        racks = [Rack(traffic.DEDUPLICATION_WINDOW_MS / 1000) for _ in range(RACKS)]
         work = {n: ms * 1_000_000 for n, ms in traffic.WORK_MS.items()}
         for k in range(plan.boxes):
             name = f"s-{k:02x}"
@@ -161,7 +161,9 @@
 
     async def _load(self, front: ClientLoadBalancer) -> None:
         loop = asyncio.get_running_loop()
-        wants = traffic.wants(self.plan, loop.time() + 0.5)  # the first beats of the gateways pass by then
+        wants = traffic.planned_requests(
+            self.plan, loop.time() + 0.5
+        )  # the first beats of the gateways pass by then
         for want in wants:
             loop.call_at(want.at_s, front.send, want)
         last = wants[-1].at_s + END_S
--- a/zincstile/cli/sim.py
+++ b/zincstile/cli/sim.py
@@ -139,10 +139,10 @@
 @RULE
 def shrink(seed: int | None, path: str | None, out: str, runs: int, rules: tuple[str, ...]) -> int:
     """Makes a failing plan as small as it still breaks the same rule."""
-    from ..simulation.shrink import smallest
+    from ..simulation.shrink import shrink_plan
 
     plan = _plan(seed, path)
-    found = smallest(plan, runs, lambda text: print(text, file=sys.stderr, flush=True), _rules(rules))
+    found = shrink_plan(plan, runs, lambda text: print(text, file=sys.stderr, flush=True), _rules(rules))
     if found is None:
         raise BadInputError(f"seed {plan.seed}: no rule is broken, there is nothing to shrink")
     try:
--- a/zincstile/scale/day_rules.py
+++ b/zincstile/scale/day_rules.py
@@ -16,7 +16,7 @@
 
 def thresholds():
     """The rules' thresholds, with the slack of a machine that runs everything at once."""
-    figures = traffic.figures()
+    figures = traffic.rule_limits()
     return replace(
         figures,
         answer_grace_ns=figures.answer_grace_ns + SLACK_NS,
--- a/zincstile/scale/surroundings.py
+++ b/zincstile/scale/surroundings.py
@@ -195,7 +195,7 @@
             cold_share=self._settings["start_capacity"],
             warm_up_s=self._settings["warm_up_ns"] / 1e9,
         )
-        rack = self._racks.setdefault(entry.group, Rack(traffic.KEYED_MS / 1000))
+        rack = self._racks.setdefault(entry.group, Rack(traffic.DEDUPLICATION_WINDOW_MS / 1000))
         backend = BackendEmulator(self.loop, entry.name, model, rack, self._rng, self.probe, cold=cold)
         self.by_address[_host(entry)] = backend
         checker = self.probe.checker
--- a/zincstile/simulation/environment.py
+++ b/zincstile/simulation/environment.py
@@ -151,5 +151,5 @@
     def set_knob(self, node: Any, name: str, value: float) -> None:
         """A value of the shim of its processes (`field.shim_control.Knob`)."""
 
-    def maintain(self, node: Any, name: str, out: bool) -> None:
+    def set_maintenance(self, node: Any, name: str, out: bool) -> None:
         """An operator's call: the box of that name is taken out, or put back."""
--- a/zincstile/simulation/faults.py
+++ b/zincstile/simulation/faults.py
@@ -30,19 +30,19 @@
 
 def begin(run: Environment, fault: Fault) -> None:
     """At its instant."""
-    whom = " ".join(str(n) for n in fault.who)
+    whom = " ".join(str(n) for n in fault.targets)
     run.checker.record_event(f"fault {fault.kind} {whom} for {fault.for_ms} ms".replace("  ", " "))
     run.note("fault", fault.kind)
     KINDS[fault.kind](run, fault)
 
 
 def _nodes(run: Environment, fault: Fault) -> list[Node]:
-    return [run.nodes[n % len(run.nodes)] for n in fault.who]
+    return [run.nodes[n % len(run.nodes)] for n in fault.targets]
 
 
 def _backends(run: Environment, fault: Fault) -> list[Backend]:
     """The running ones of the backends that have these numbers now."""
-    names = dict.fromkeys(run.backend_names[n % len(run.backend_names)] for n in fault.who)
+    names = dict.fromkeys(run.backend_names[n % len(run.backend_names)] for n in fault.targets)
     chosen = [run.backends[name] for name in names]
     return [backend for backend in chosen if run.backend_is_running(backend)]
 
@@ -109,7 +109,7 @@
         old.zone, cold=True, group=old.entry.group if same else None, at=old if same else None
     )
     run.backend_names[run.backend_names.index(old.entry.name)] = new.entry.name
-    run.after(run.rng.uniform(0, 800 if len(fault.who) <= 5 else 3000), _announce, run, new)
+    run.after(run.rng.uniform(0, 800 if len(fault.targets) <= 5 else 3000), _announce, run, new)
 
 
 def _publish(run: Environment, backend: Backend, status: str) -> None:
@@ -162,7 +162,7 @@
     """A value of the backends' model is `amount` for a while; none named: all backends."""
 
     def set_for_a_while(run: Environment, fault: Fault) -> None:
-        backends = _backends(run, fault) if fault.who else list(run.backends.values())
+        backends = _backends(run, fault) if fault.targets else list(run.backends.values())
         for backend in backends:
             setattr(backend.model, name, fault.amount)
             run.after(fault.for_ms, setattr, backend.model, name, calm)
@@ -230,7 +230,7 @@
 def _inject(run: Environment, fault: Fault, path_fault: PathFault) -> None:
     """On the datagrams between two groups of gateways; nobody named: between all."""
     names = [node.name for node in run.nodes]
-    ones, others = _others(run, fault) if fault.who else (names, names)
+    ones, others = _others(run, fault) if fault.targets else (names, names)
     run.after(fault.for_ms, run.links.inject(paths_between(ones, others, fault.way), path_fault))
 
 
@@ -315,20 +315,20 @@
 
 def _quota_service_gone(run: Environment, fault: Fault) -> None:
     """It vanishes, and is back with all it knew."""
-    if run.plan.keeper:
+    if run.plan.quota_service:
         run.set_quota_service_unreachable(True)
         run.after(fault.for_ms, run.set_quota_service_unreachable, False)
 
 
 def _quota_service_swapped(run: Environment, fault: Fault) -> None:
     """It dies, and one that knows nothing takes its place."""
-    if run.plan.keeper:
+    if run.plan.quota_service:
         run.kill_quota_service(0)
         run.after(fault.for_ms, run.start_quota_service, 0)
 
 
 def _quota_service_slow(run: Environment, fault: Fault) -> None:
-    if run.plan.keeper:
+    if run.plan.quota_service:
         service = run.quota_service(0)
         service.call_latency_s = SLOW_CALL_S
         service.calls_per_s = 1 / (USUAL_CALL_S + USUAL_CALL_S * fault.amount)
@@ -349,7 +349,7 @@
 
 def _quota_service_at(run: Environment, node: Node, number: int) -> None:
     node.quota_service_number = number
-    if run.plan.keeper and run.is_running(node) and not node.stopping:
+    if run.plan.quota_service and run.is_running(node) and not node.stopping:
         run.reload(node)
 
 
--- a/zincstile/simulation/fleet.py
+++ b/zincstile/simulation/fleet.py
@@ -32,7 +32,7 @@
     )
 
 
-def counts(run: Run) -> dict[str, float]:
+def counter_totals(run: Run) -> dict[str, float]:
     """Of the gateways' last processes together; `busiest` is the most messages that one of them took in."""
     counters = [node.gateway.counters for node in run.nodes]
     names = ("attempts", "connects", "watches", "messages_in", "messages_out", "messages_bad", "faults")
--- a/zincstile/simulation/machine_faults.py
+++ b/zincstile/simulation/machine_faults.py
@@ -15,7 +15,7 @@
 
 
 def _nodes(run: RealEnvironment, fault: Fault) -> list[Any]:
-    return [run.nodes[n % len(run.nodes)] for n in fault.who]
+    return [run.nodes[n % len(run.nodes)] for n in fault.targets]
 
 
 def _clock_step(run: RealEnvironment, fault: Fault) -> None:
@@ -55,11 +55,11 @@
     """Operators take these boxes out at each gateway of `to` (none: all), and put them back after its time;
     0: never."""
     nodes = [run.nodes[n % len(run.nodes)] for n in fault.to] or list(run.nodes)
-    for name in dict.fromkeys(run.backend_names[n % len(run.backend_names)] for n in fault.who):
+    for name in dict.fromkeys(run.backend_names[n % len(run.backend_names)] for n in fault.targets):
         for node in nodes:
-            run.maintain(node, name, True)
+            run.set_maintenance(node, name, True)
             if fault.for_ms:
-                run.after(fault.for_ms, run.maintain, node, name, False)
+                run.after(fault.for_ms, run.set_maintenance, node, name, False)
 
 
 def _bad_reload(run: RealEnvironment, fault: Fault) -> None:
--- a/zincstile/simulation/mutants.py
+++ b/zincstile/simulation/mutants.py
@@ -1,7 +1,8 @@
 """Deliberate faults of the gateway: each must be named by the right rule, within some seeds.
 
-A mutant that no seed names is a hole in the scenarios or in the checkers. `find` plays seed after seed with
-one fault in the code of this process; `try_all` does so for many, in processes of their own.
+A mutant that no seed detects is a gap in the scenarios or in the checkers. `find_violation` plays seed after
+seed with one fault injected into the code of this process; `try_all` does so for many, each in a separate
+worker process.
 """
 
 from __future__ import annotations
@@ -19,7 +20,7 @@
 
 
 @dataclass(slots=True)
-class Row:
+class MutantResult:
     """What came of one mutant: the rule that named it, and how many seeds that took; None: not named."""
 
     name: str
@@ -87,7 +88,7 @@
 }
 
 
-def find(name: str, max_seeds: int, first_seed: int = 1) -> Row:
+def find_violation(name: str, max_seeds: int, first_seed: int = 1) -> MutantResult:
     """Plays seeds from `first_seed` on, until one breaks a rule that names the mutant."""
     mutant = MUTANTS[name]
     undo = mutant.inject()
@@ -95,17 +96,17 @@
         for count, seed in enumerate(range(first_seed, first_seed + max_seeds), 1):
             breach = Run(plan.draw(seed)).play().breach
             if breach is not None and breach.rule in mutant.rules:
-                return Row(name, breach.rule, count, seed)
+                return MutantResult(name, breach.rule, count, seed)
     finally:
         undo()
-    return Row(name, "", None)
+    return MutantResult(name, "", None)
 
 
-def _find(job: tuple[str, int]) -> Row:
-    return find(*job)
+def _find(job: tuple[str, int]) -> MutantResult:
+    return find_violation(*job)
 
 
-def try_all(names: tuple[str, ...], max_seeds: int, jobs: int) -> Iterator[Row]:
+def try_all(names: tuple[str, ...], max_seeds: int, jobs: int) -> Iterator[MutantResult]:
     """Tries each of the named mutants; in the order of the names."""
     with multiprocessing.get_context("spawn").Pool(min(jobs, len(names))) as pool:
         yield from pool.imap(_find, [(name, max_seeds) for name in names])
--- a/zincstile/simulation/plan.py
+++ b/zincstile/simulation/plan.py
@@ -65,7 +65,7 @@
     "maintenance",
     "bad_reload",
 ]
-SHIM: tuple[str, ...] = (
+SHIM_KINDS: tuple[str, ...] = (
     "clock_step",
     "syscalls",
     "short_io",
@@ -74,21 +74,26 @@
     "disk_read",
     "kill_in_write",
 )  # of a gateway's machine: real processes play them by the shim of `field`
-REAL_ONLY: tuple[str, ...] = ("upgrade", "maintenance", "bad_reload", *SHIM)  # only real processes play these
+REAL_PROCESS_KINDS: tuple[str, ...] = (
+    "upgrade",
+    "maintenance",
+    "bad_reload",
+    *SHIM_KINDS,
+)  # only real processes play these
 
-At = Annotated[int, msgspec.Meta(ge=-1000, le=60_000)]
-For = Annotated[int, msgspec.Meta(ge=0, le=60_000)]
-Share = Annotated[float, msgspec.Meta(ge=0, le=1)]
+AtMs = Annotated[int, msgspec.Meta(ge=-1000, le=60_000)]
+DurationMs = Annotated[int, msgspec.Meta(ge=0, le=60_000)]
+Ratio = Annotated[float, msgspec.Meta(ge=0, le=1)]
 
 
 class Fault(msgspec.Struct, forbid_unknown_fields=True, omit_defaults=True):
-    """One thing that goes wrong. `who` counts gateways or boxes, round, and so does `to`, the other end of a
+    """One thing that goes wrong. `targets` counts gateways or boxes, round, and so does `to`, the other end of a
     way that is cut or slow; `way` tells in which direction; `amount` is as the kind says."""
 
     kind: Kind
-    at_ms: At
-    for_ms: For = 0
-    who: list[int] = []
+    at_ms: AtMs
+    for_ms: DurationMs = 0
+    targets: list[int] = msgspec.field(name="who", default_factory=list)
     amount: float = 0.0
     to: list[int] = []
     way: Literal["both", "out", "in"] = "both"
@@ -108,16 +113,17 @@
     window_bytes: Annotated[int, msgspec.Meta(ge=16, le=1 << 20)] = 65536
     read_bytes: Annotated[int, msgspec.Meta(ge=0, le=1 << 20)] = 0
     split: Annotated[float, msgspec.Meta(ge=0, le=0.9)] = 0.0
-    udp_loss: Share = 0.03
-    udp_twice: Share = 0.0
+    udp_loss: Ratio = 0.03
+    udp_twice: Ratio = 0.0
     drops_left: bool = True  # boxes drop waiting work whose connection ended
     connect_ms: Annotated[int, msgspec.Meta(ge=1, le=10_000)] = 250  # a gateway waits so long for one
     cancel: bool = True  # the settings let a gateway take attempts back
-    keeper: bool = False  # quotas through a count keeper, with a stated bound
+    # Quotas are enforced through a quota service, with a stated overshoot bound.
+    quota_service: bool = msgspec.field(name="keeper", default=False)
     plus_beyond: bool = False  # what `plus` asks beyond its quota is worth more than it costs
-    crossing: Share = 0.0  # part of the ends of clients' connections at which a request goes out on them
+    crossing: Ratio = 0.0  # part of the ends of clients' connections at which a request goes out on them
     sockets: Annotated[int, msgspec.Meta(ge=40, le=4096)] = 256
-    greedy: Share | None = None  # part of the customers that ask for 2.5 to 6 times their quotas; none: drawn
+    greedy: Ratio | None = None  # part of the customers that ask for 2.5 to 6 times their quotas; none: drawn
     asked: bool = False  # discovery is one service for all, which has to be asked
     lists_per_s: Annotated[float, msgspec.Meta(ge=0, le=1e6)] = 0.0  # whole lists that it tells; 0: at once
     share: bool = False  # quotas by parts and loans, with a stated bound
@@ -130,9 +136,13 @@
     faults: list[Fault] = []
 
 
-TRIO: tuple[Kind, ...] = ("crash", "deploy", "shift")  # the operators' worst: restart, cold boxes, a move
-COMMON: tuple[Kind, ...] = ("crash", "roll", "deploy", "drain", "box_crash", "shift", "surge")
-LINKS: tuple[Kind, ...] = (
+WORST_KINDS: tuple[Kind, ...] = (
+    "crash",
+    "deploy",
+    "shift",
+)  # the operators' worst: restart, cold boxes, a move
+COMMON_KINDS: tuple[Kind, ...] = ("crash", "roll", "deploy", "drain", "box_crash", "shift", "surge")
+SHARED_STATE_KINDS: tuple[Kind, ...] = (
     "peers_late",
     "peers_shuffled",
     "peers_twice",
@@ -141,7 +151,7 @@
     "away",
     "move",
 )  # drawn by `shared.draw`
-RARE: tuple[Kind, ...] = (
+RARE_KINDS: tuple[Kind, ...] = (
     "slow",
     "hang",
     "refuse",
@@ -188,8 +198,10 @@
     heart = rng.randint(700, 2200)
     plan.cancel = rng.random() < 0.8
     hearts = rng.sample(range(plan.boxes), 3)  # most faults of boxes meet here
-    kinds: list[Kind] = list(TRIO) if rng.random() < 0.35 else [rng.choice(COMMON)]
-    kinds += [rng.choice(COMMON if rng.random() < 0.4 else RARE) for _ in range(rng.randint(2, 4))]
+    kinds: list[Kind] = list(WORST_KINDS) if rng.random() < 0.35 else [rng.choice(COMMON_KINDS)]
+    kinds += [
+        rng.choice(COMMON_KINDS if rng.random() < 0.4 else RARE_KINDS) for _ in range(rng.randint(2, 4))
+    ]
     for kind in kinds:
         near = rng.random() < 0.8
         at = heart + rng.randint(-200, 700) if near else rng.randint(0, plan.last_ms)
@@ -208,8 +220,8 @@
         # connections that come up slowly, to boxes that drain meanwhile
         before = rng.randint(30, 400)
         also += [
-            Fault("reset", max(0, at - before), 0, fault.who),
-            Fault("lag", max(0, at - before), 1500, fault.who, rng.randint(100, 450)),
+            Fault("reset", max(0, at - before), 0, fault.targets),
+            Fault("lag", max(0, at - before), 1500, fault.targets, rng.randint(100, 450)),
         ]
     elif fault.kind == "hang" and rng.random() < 0.5:
         # the late answer and the second copy's come to a gateway that sleeps
--- a/zincstile/simulation/run.py
+++ b/zincstile/simulation/run.py
@@ -90,13 +90,13 @@
         self.service = ListService(lists.loop, self.list_service_behaviour)
         for number in range(plan.gateways):
             self.nodes.append(self._make_node(number))
-        if plan.keeper:
+        if plan.quota_service:
             for number in range(QUOTA_SERVICES):
                 self.start_quota_service(number)
         for node in self.nodes:
             self.start_gateway(node)
         self._start_clients()
-        self._schedule(traffic.wants(plan, self.began_ns / 1e9))
+        self._schedule(traffic.planned_requests(plan, self.began_ns / 1e9))
 
     def _make_node(self, number: int) -> Node:
         """A gateway's node, with a discovery agent that runs."""
@@ -134,7 +134,7 @@
             self.scheduler.call_at(self.began_ns + fault.at_ms * MS_NS, faults.begin, self, fault)
 
     def _weigh_gateways(self, request: PlannedRequest, names: list[str]) -> list[float]:
-        return traffic.weigh(self, request, names)
+        return traffic.gateway_weights(self, request, names)
 
     def _connection_opened(self, opener: TcpTransport, acceptor: TcpTransport) -> None:
         """Observes what a gateway sends on a new connection to a backend."""
--- a/zincstile/simulation/shared.py
+++ b/zincstile/simulation/shared.py
@@ -214,7 +214,9 @@
     found, opening = {}, {}
     for name, (_, rate, burst, *_) in traffic.PLANS.items():
         spec = next(p for p in specs if p.name == name)
-        quotas = [quota_of_plan(spec, spread, traffic.MOST_UNITS) for spread in range(1, plan.gateways + 1)]
+        quotas = [
+            quota_of_plan(spec, spread, traffic.MAX_REQUEST_UNITS) for spread in range(1, plan.gateways + 1)
+        ]
         most = max(b.units for q in quotas for b in overshoot_bounds(q, settings) if b.failure == failure)
         found[name] = rate, rate * burst, most
         opening[name] = initial_fill_ratio(quotas[0], settings)
--- a/zincstile/simulation/shared_trials.py
+++ b/zincstile/simulation/shared_trials.py
@@ -99,7 +99,9 @@
         run.checker.quotas = Quotas(traffic.quotas())
     watch = Watch(run)
     result = run.play()
-    named = {f"g{g % gateways}" for f in plan.faults for g in f.who if f.kind in ("away", "crash", "pause")}
+    named = {
+        f"g{g % gateways}" for f in plan.faults for g in f.targets if f.kind in ("away", "crash", "pause")
+    }
     spared = [g for g in (s.name for s in run.nodes) if g not in named]
     apart = 1.0
     if named and spared and not result.breach:
--- a/zincstile/simulation/shrink.py
+++ b/zincstile/simulation/shrink.py
@@ -33,7 +33,7 @@
 
 
 @dataclass(slots=True)
-class Smallest:
+class ShrunkPlan:
     """What was found: the plan, what comes of it, and the runs that it took."""
 
     plan: Plan
@@ -82,9 +82,9 @@
                 parts = min(len(items), parts * 2)
 
 
-def smallest(
+def shrink_plan(
     plan: Plan, max_runs: int, report: Callable[[str], None], rules: tuple[str, ...] = RULE_NAMES
-) -> Smallest | None:
+) -> ShrunkPlan | None:
     """A smallest plan that breaks the same rule, by `max_runs` runs at most; `report` gets a line a step.
 
     None where the plan breaks none of these rules.
@@ -100,10 +100,10 @@
         search.fewest(list(plan.faults), lambda p, faults: replace(p, faults=faults))
         report(f"{len(search.best.faults)} faults are left after {search.runs} runs")
         for at in range(len(search.best.faults)):  # and each of them concerns as few as can be
-            while len(search.best.faults[at].who) > 1:
+            while len(search.best.faults[at].targets) > 1:
                 now = search.best.faults[at]
-                for one in now.who:
-                    fewer = replace(now, who=[n for n in now.who if n != one])
+                for one in now.targets:
+                    fewer = replace(now, targets=[n for n in now.targets if n != one])
                     faults = [fewer if k == at else f for k, f in enumerate(search.best.faults)]
                     if search.holds(replace(search.best, faults=faults)):
                         break
@@ -118,4 +118,4 @@
         search.fewest(list(search.best.faults), lambda p, faults: replace(p, faults=faults))
     except _RunsSpent:
         report(f"the {max_runs} runs are spent")
-    return Smallest(search.best, search.result, search.runs)
+    return ShrunkPlan(search.best, search.result, search.runs)
--- a/zincstile/simulation/starts.py
+++ b/zincstile/simulation/starts.py
@@ -162,7 +162,7 @@
     calm = Run(msgspec.structs.replace(plan, faults=idle))
     beside = Watch(calm)
     calm.play()
-    killed = {g for f in plan.faults if f.kind == "crash" for g in f.who}
+    killed = {g for f in plan.faults if f.kind == "crash" for g in f.targets}
     back = min((f.at_ms + f.for_ms) / 1000 for f in plan.faults if f.kind == "crash")
     last = max((f.at_ms + f.for_ms) / 1000 for f in plan.faults if f.kind == "crash")
     times = [watch.ready.get(f"g{g}", -1.0) for g in killed]
--- a/zincstile/simulation/traffic.py
+++ b/zincstile/simulation/traffic.py
@@ -22,11 +22,11 @@
 
 MS = 1_000_000
 ZONES = ["zone-03", "zone-04", "zone-05"]
-WARM_MS, FALL_MS, LONGEST_MS = 6000, 3000, 3000
-KEYED_MS = 6000
+WARM_UP_MS, COLD_WINDOW_MS, MAX_DEADLINE_MS = 6000, 3000, 3000
+DEDUPLICATION_WINDOW_MS = 6000
 ASK_WITHIN_MS = 10_000  # discovery has to be asked so often, where it has to be
 WORK_MS = {"sheet-read": 80, "profiles-save": 50, "new-order": 50, "key-change": 50}  # of a unit
-MOST_UNITS = 6
+MAX_REQUEST_UNITS = 6
 
 # name: aim, deadline, effect in the settings' words, gain, worth when late, share of the requests
 CLASSES = {
@@ -44,7 +44,7 @@
 }
 
 
-def figures() -> RuleLimits:
+def rule_limits() -> RuleLimits:
     """The rules' figures of these worlds."""
     effects = {
         "free": Idempotency.ALWAYS,
@@ -53,14 +53,15 @@
     }
     return RuleLimits(
         classes={
-            n: ClassRule(effects[c[2]], DeduplicationScope.CELL, KEYED_MS * MS) for n, c in CLASSES.items()
+            n: ClassRule(effects[c[2]], DeduplicationScope.CELL, DEDUPLICATION_WINDOW_MS * MS)
+            for n, c in CLASSES.items()
         },
         plans={
-            n: PlanRule(p[1] * p[4], p[1] * p[2] * p[4], max(0.1 * p[1] * p[2] * p[4], MOST_UNITS))
+            n: PlanRule(p[1] * p[4], p[1] * p[2] * p[4], max(0.1 * p[1] * p[2] * p[4], MAX_REQUEST_UNITS))
             for n, p in PLANS.items()
         },
-        cold_window_ns=FALL_MS * MS,
-        cold_slack_ns=int(MOST_UNITS * max(WORK_MS.values()) * MS),
+        cold_window_ns=COLD_WINDOW_MS * MS,
+        cold_slack_ns=int(MAX_REQUEST_UNITS * max(WORK_MS.values()) * MS),
     )
 
 
@@ -76,7 +77,7 @@
             "gain": gain,
             "late_worth": late,
             "group": "cell",
-            "window_ns": KEYED_MS * MS,
+            "window_ns": DEDUPLICATION_WINDOW_MS * MS,
             "stream": False,
         }
         for n, (aim, deadline, effect, gain, late, _) in CLASSES.items()
@@ -92,7 +93,7 @@
             "beyond_costs": beyond.get(n, (0.0, 1.0))[1],
             "never_over_rate": rate * ceiling,
             "hard_burst": rate * burst * ceiling,
-            "tolerance": max(0.1 * rate * burst * ceiling, MOST_UNITS),
+            "tolerance": max(0.1 * rate * burst * ceiling, MAX_REQUEST_UNITS),
         }
         for n, (price, rate, burst, out, ceiling, _) in PLANS.items()
     ]
@@ -105,7 +106,7 @@
         "discovery": "on_request" if plan.asked else "pushed",
         "classes": classes,
         "plans": plans,
-        "domain": {"peer_intake": 60.0, "units_top": MOST_UNITS, "cost_after": False},
+        "domain": {"peer_intake": 60.0, "units_top": MAX_REQUEST_UNITS, "cost_after": False},
         "limits": {
             "cancel": plan.cancel,
             "connect_timeout_ns": plan.connect_ms * MS,
@@ -121,10 +122,10 @@
         "obligations": {
             "ask_within_ns": ASK_WITHIN_MS * MS,
             "drain_grace_ns": 250 * MS,
-            "fall_ns": FALL_MS * MS,
+            "fall_ns": COLD_WINDOW_MS * MS,
             "overload_factor": 2.0,
             "start_capacity": 0.25,
-            "warm_up_ns": WARM_MS * MS,
+            "warm_up_ns": WARM_UP_MS * MS,
         },
         "prices": {"cross_zone": 0.009},
         "telemetry": {"fields": ["rif", "lat_ms", "q"], "via": "piggyback"},
@@ -157,7 +158,7 @@
             max(
                 bound.units
                 for bound in overshoot_bounds(
-                    Quota(n, p[1], p[1] * p[2], plan.gateways, MOST_UNITS), settings
+                    Quota(n, p[1], p[1] * p[2], plan.gateways, MAX_REQUEST_UNITS), settings
                 )
             ),
         )
@@ -198,7 +199,7 @@
                 self.weights.append(rate * heavy)
 
 
-def wants(plan: Plan, start_s: float) -> list[PlannedRequest]:
+def planned_requests(plan: Plan, start_s: float) -> list[PlannedRequest]:
     """All first tries, in order of time. More of them fall on the instants of faults, and more deadlines."""
     customers = Customers(plan)
     instants = {a for f in plan.faults for a in (f.at_ms, f.at_ms + f.for_ms)}
@@ -252,7 +253,7 @@
     )
 
 
-def weigh(run: Environment, want: PlannedRequest, names: list[str]) -> list[float]:
+def gateway_weights(run: Environment, want: PlannedRequest, names: list[str]) -> list[float]:
     """How unevenly a customer's requests come in; `shift` draws it anew, `move` draws all to some."""
     for drawn in run.preferred_gateways[-1:]:
         if any(n in drawn for n in names):
--- a/zincstile/simulation/virtual_backends.py
+++ b/zincstile/simulation/virtual_backends.py
@@ -57,7 +57,7 @@
             queue_capacity=rng.randint(8, 24),
             work_ns={name: ms * MS_NS for name, ms in traffic.WORK_MS.items()},
             cold_share=0.25,
-            warm_up_s=traffic.WARM_MS / 1000,
+            warm_up_s=traffic.WARM_UP_MS / 1000,
             drops_on_disconnect=self.plan.drops_left,
         )
 
--- a/zincstile/simulation/virtual_environment.py
+++ b/zincstile/simulation/virtual_environment.py
@@ -62,13 +62,13 @@
         self.network = self._make_network(keep_trace=keep_trace)
         self._read_features(plan)
         self.checker = Checker(
-            traffic.figures(),
+            traffic.rule_limits(),
             lambda: (self.scheduler.steps, self.scheduler.now_ns),
             rules,
             self._stated_quotas(),
         )
         self.endpoint_list = EndpointList(self.checker)
-        self.racks = [Rack(traffic.KEYED_MS / 1000) for _ in range(GROUPS)]
+        self.racks = [Rack(traffic.DEDUPLICATION_WINDOW_MS / 1000) for _ in range(GROUPS)]
         self.backends: dict[str, Backend] = {}  # by name; one that started again stands for its older self
         self.backend_names: list[
             str
@@ -99,7 +99,7 @@
     def _read_features(self, plan: Plan) -> None:
         """The settings of the features that the plan turns on; None for the others."""
         self.quota_service_settings = (
-            QuotaServiceSettings(clock_skew_ns=1, max_overshoot_ratio=0.08) if plan.keeper else None
+            QuotaServiceSettings(clock_skew_ns=1, max_overshoot_ratio=0.08) if plan.quota_service else None
         )
         self.lease_settings = LeaseSettings() if plan.share else None
         self.cold_start_settings = ColdStartSettings(use_peer_lists=True) if plan.start else None
--- a/zincstile/simulation/virtual_gateways.py
+++ b/zincstile/simulation/virtual_gateways.py
@@ -157,4 +157,4 @@
             return  # that gateway is down
 
     def upgrade(self, node: Node) -> None:
-        """Does nothing: virtual time has no upgrades (`plan.REAL_ONLY`)."""
+        """Does nothing: virtual time has no upgrades (`plan.REAL_PROCESS_KINDS`)."""
--- a/zincstile/testbed/emulated.py
+++ b/zincstile/testbed/emulated.py
@@ -58,7 +58,7 @@
             queue_capacity=rng.randint(8, 24),
             work_ns={n: ms * MS for n, ms in traffic.WORK_MS.items()},
             cold_share=0.25,
-            warm_up_s=traffic.WARM_MS / 1000,
+            warm_up_s=traffic.WARM_UP_MS / 1000,
             drops_on_disconnect=self.plan.drops_left,
         )
         return self._start_backend(name, zone, group, model, cold, at)
--- a/zincstile/testbed/operators.py
+++ b/zincstile/testbed/operators.py
@@ -16,7 +16,7 @@
 class Operators(Testbed):
     """Takes backends out of service at gateways and puts them back."""
 
-    def maintain(self, node: Node, name: str, out: bool) -> None:
+    def set_maintenance(self, node: Node, name: str, out: bool) -> None:
         """One call, beside everything else. Where it is not confirmed nothing is obliged."""
         self.spawn(self._maintain(node, name, out))
 
--- a/zincstile/testbed/run.py
+++ b/zincstile/testbed/run.py
@@ -74,7 +74,7 @@
         if self.base.loss_ratio or self.base.duplicate_ratio:
             self.links.inject(paths_between(self.names, self.names), self.base)
         await self._build_backends()
-        for number in range(2 if plan.keeper else 0):
+        for number in range(2 if plan.quota_service else 0):
             self.start_quota_service(number)
         for number, name in enumerate(self.names):
             self.nodes.append(await self._make_node(number, name))
@@ -152,7 +152,7 @@
         plan = self.plan
         self.probe.watch_own_delay(self.loop)
         self.began_s = start = self.loop.time() + 0.1
-        for want in traffic.wants(plan, start):
+        for want in traffic.planned_requests(plan, start):
             self.loop.call_at(want.at_s, self.load_balancer.send, want)
         for fault in plan.faults:
             self.loop.call_at(start + fault.at_ms / 1000, self._begin_fault, fault)
@@ -181,7 +181,7 @@
 
     def _begin_fault(self, fault: Any) -> None:
         """Records a fault of the plan, and has it begin."""
-        text = f"{fault.kind} {' '.join(map(str, fault.who))}".strip()
+        text = f"{fault.kind} {' '.join(map(str, fault.targets))}".strip()
         self.events.append((round(self.loop.time() - self.began_s, 3), f"{text} for {fault.for_ms} ms"))
         faults.begin(self, fault)  # type: ignore[arg-type]
 
--- a/zincstile/testbed/sweep.py
+++ b/zincstile/testbed/sweep.py
@@ -38,7 +38,7 @@
     for feature in ("place", "start"):
         if getattr(plan, feature) and feature not in files:
             files[feature] = str(ROOT / "deploy" / f"{feature}.yaml")
-    if plan.keeper and "keeper" not in files:
+    if plan.quota_service and "keeper" not in files:
         path = folder / "keeper.yaml"
         path.write_text("keeper: {skew_ms: 0, most_overshoot: 0.08}\n")
         files["keeper"] = str(path)
--- a/zincstile/testbed/testbed.py
+++ b/zincstile/testbed/testbed.py
@@ -22,7 +22,7 @@
 from ..emulators.discovery import EndpointList
 from ..emulators.quota_service import QuotaService
 from ..simulation import traffic
-from ..simulation.plan import SHIM, Plan
+from ..simulation.plan import SHIM_KINDS, Plan
 from ..virtual.network_faults import NetworkFaults, PathFault
 from .datagrams import Datagrams
 from .fault_proxy import FaultProxy
@@ -67,7 +67,7 @@
         self.rng = random.Random(f"field {plan.seed}")
         self.links = NetworkFaults(random.Random(f"links {plan.seed}"))
         self.base = PathFault(loss_ratio=plan.udp_loss, duplicate_ratio=plan.udp_twice)
-        figures = traffic.figures()
+        figures = traffic.rule_limits()
         figures = replace(
             figures,
             answer_grace_ns=figures.answer_grace_ns + SLACK_NS,
@@ -84,7 +84,7 @@
         self.began_s = time.monotonic()
         self.probe = Probe(self.checker, self.series, lambda: self.began_s)
         self.endpoint_list = EndpointList(self.probe)
-        self.racks = [Rack(traffic.KEYED_MS / 1000) for _ in range(RACKS)]
+        self.racks = [Rack(traffic.DEDUPLICATION_WINDOW_MS / 1000) for _ in range(RACKS)]
         self.backends: dict[str, Backend] = {}
         self.backend_names: list[str] = []
         self.nodes: list[Node] = []
@@ -98,12 +98,12 @@
         self._tasks: dict[asyncio.Task, None] = {}
         self._active_faults: dict[Any, Any] = {}  # by key: what removes it
         kinds = {f.kind for f in plan.faults}
-        upgraded = [n for f in plan.faults if f.kind == "upgrade" for n in f.who]
+        upgraded = [n for f in plan.faults if f.kind == "upgrade" for n in f.targets]
         self.upgraded_gateways = {
             n % plan.gateways for n in upgraded
         }  # the platform holds their listening sockets
         self.has_admin_endpoint = bool(kinds & {"upgrade", "maintenance"})  # gateways have a control endpoint
-        self.uses_shim = bool(kinds & {*SHIM, "skew"})  # their processes run under the shim
+        self.uses_shim = bool(kinds & {*SHIM_KINDS, "skew"})  # their processes run under the shim
         self.first_start_s = 0.0
         self.ending = False  # every process has been asked to end
 
@@ -150,4 +150,4 @@
 
     def weigh_gateways(self, want: PlannedRequest, names: list[str]) -> list[float]:
         """How likely a client asks each of these gateways for this request."""
-        return traffic.weigh(self, want, names)  # type: ignore[arg-type]
+        return traffic.gateway_weights(self, want, names)  # type: ignore[arg-type]
