--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -260,5 +260,5 @@
 def test_simulated_starts_break_no_rule_and_all_gateways_get_ready():
     """One start of each kind of wave; `sim starts` runs more."""
     rows = list(starts.play_all(range(18, 18 + len(starts.WAVES)), 5, True, 4))
-    assert not [row.broken for row in rows if row.broken]
+    assert not [row.violation for row in rows if row.violation]
     assert min(row.ready_s for row in rows) >= 0 and len({row.wave for row in rows}) == len(starts.WAVES)
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -50,7 +50,7 @@
 @pytest.mark.parametrize("name", search.OPENINGS)
 def test_no_sequence_of_steps_exceeds_a_quota(name):
     result = search.search(3, name)
-    assert not result.broken and result.states > 400
+    assert not result.violation and result.states > 400
 
 
 class RandomSteps(RuleBasedStateMachine):
@@ -58,27 +58,27 @@
 
     @initialize()
     def begin(self):
-        self.state = search.start()
+        self.state = search.initial_state()
 
     @rule(pick=st.integers(0, 10**6))
     def step(self, pick):
-        possible = search.actions(self.state)
-        search.do(self.state, possible[pick % len(possible)])
+        possible = search.possible_actions(self.state)
+        search.apply_action(self.state, possible[pick % len(possible)])
 
     @rule(pick=st.integers(0, 10**6))
     def deliver_message(self, pick):
-        if self.state.words:
-            search.do(self.state, f"deliver {pick % len(self.state.words)}")
+        if self.state.messages:
+            search.apply_action(self.state, f"deliver {pick % len(self.state.messages)}")
 
-    @precondition(lambda self: len(self.state.words) < 2)
+    @precondition(lambda self: len(self.state.messages) < 2)
     @rule(gateway=st.integers(0, 2))
     def exhaust_own_units(self, gateway):
         for _ in range(3):
-            search.do(self.state, f"try {gateway} 0")
+            search.apply_action(self.state, f"try {gateway} 0")
 
     @invariant()
     def copy_has_the_same_key(self):
-        assert search._key(self.state) == search._key(pickle.loads(pickle.dumps(self.state)))
+        assert search._state_key(self.state) == search._state_key(pickle.loads(pickle.dumps(self.state)))
 
 
 TestRandomSteps = RandomSteps.TestCase
@@ -90,7 +90,7 @@
 def test_every_mutant_is_found_and_the_original_code_passes_the_checkers():
     findings = dict(mutants_shared.try_all(tuple(mutants_shared.MUTANTS), 8))
     assert not [name for name, finding in findings.items() if not finding]
-    assert mutants_shared.by_suspicions(7) == mutants_shared.by_concurrency_budget(7) == ""
+    assert mutants_shared.check_suspicions(7) == mutants_shared.check_concurrency_budget(7) == ""
 
 
 @pytest.mark.parametrize(
@@ -314,13 +314,15 @@
 
 
 def test_simulated_partitions_keep_every_bound_but_not_with_quotas_by_gossip():
-    results = list(shared_trials.play_all(range(len(shared.FAILURES)), 4, shared.LAST_MS, False, 4))
+    results = list(shared_trials.play_all(range(len(shared.FAILURES)), 4, shared.LOAD_MS, False, 4))
     assert {result.failure for result in results} == set(shared.FAILURES)
-    assert not [result for result in results if result.broken] and all(
-        result.of_bound <= 1 for result in results
+    assert not [result for result in results if result.violation] and all(
+        result.bound_ratio <= 1 for result in results
     )
-    worst = max(result.worst for result in shared_trials.play_all(range(1, 6), 4, shared.LAST_MS, True, 4))
-    assert worst > 10 > max(result.worst for result in results)
+    worst = max(
+        result.max_overshoot for result in shared_trials.play_all(range(1, 6), 4, shared.LOAD_MS, True, 4)
+    )
+    assert worst > 10 > max(result.max_overshoot for result in results)
     with pytest.raises(ValueError, match="no such failure"):
         shared.draw(1, 3, "rain")
 
--- a/tests/test_quota_service.py
+++ b/tests/test_quota_service.py
@@ -219,7 +219,7 @@
 @pytest.mark.parametrize("seed", range(2))
 def test_the_overshoot_of_a_random_trial_is_within_the_bound(failure, seed):
     outcome = Trial(failure, seed).play()
-    assert outcome.overshoot <= outcome.bound + 1e-6 and outcome.served > 0.4
+    assert outcome.overshoot <= outcome.bound + 1e-6 and outcome.served_ratio > 0.4
 
 
 def test_a_split_exceeds_the_bound_if_gateways_count_every_peer(monkeypatch):
--- a/tests/test_zone_failover.py
+++ b/tests/test_zone_failover.py
@@ -119,7 +119,7 @@
     """`sim place-search` searches to a greater depth."""
     for opening in place_search.OPENINGS:
         result = place_search.search(case, 2, opening, settle=20)
-        assert not result.broken and result.states > 10, result
+        assert not result.violation and result.states > 10, result
 
 
 def test_checkers_report_each_deliberate_fault_and_nothing_without_one():
--- a/zincstile/cli/sim.py
+++ b/zincstile/cli/sim.py
@@ -217,20 +217,20 @@
     exit 1 where a quota is passed."""
     from ..simulation import search as them
 
-    rows: dict[str, list[them.Found]] = {}
+    rows: dict[str, list[them.SearchResult]] = {}
     for found in them.search_all(depth, jobs):
         rows.setdefault(found.opening, []).append(found)
-        if found.broken:
-            click.echo(f"{found.opening}: {found.broken}")
+        if found.violation:
+            click.echo(f"{found.opening}: {found.violation}")
     for name in them.OPENINGS:
         mine = rows[name]
         click.echo(
             f"{name:36}{sum(f.states for f in mine):10} states"
-            f"{sum(f.steps for f in mine):11} steps{max(f.worst for f in mine):8.2f} units"
-            f"{max(f.of_bound for f in mine):6.2f} of the bound"
+            f"{sum(f.steps for f in mine):11} steps{max(f.max_overshoot for f in mine):8.2f} units"
+            f"{max(f.bound_ratio for f in mine):6.2f} of the bound"
         )
     every = [f for mine in rows.values() for f in mine]
-    broken = sum(bool(f.broken) for f in every)
+    broken = sum(bool(f.violation) for f in every)
     click.echo(
         f"search depth={depth} states={sum(f.states for f in every)} "
         f"steps={sum(f.steps for f in every)} broken={broken}"
@@ -245,11 +245,11 @@
     rows = []
     for row in them.play_all(chosen, *words):
         rows.append(row)
-        if row.broken:
-            click.echo(f"{title(row)}: {row.broken}")
+        if row.violation:
+            click.echo(f"{title(row)}: {row.violation}")
         _progress(len(rows), len(chosen))
     click.echo(them.table(rows))
-    return rows, sum(bool(row.broken) for row in rows)
+    return rows, sum(bool(row.violation) for row in rows)
 
 
 @command.command("shared")
@@ -321,7 +321,7 @@
 
     rows = [them.Model(n, zones, min(regions, zones), seed).play() for n in sizes]
     click.echo(them.table(rows))
-    return 1 if any(r.disagreed or min(r.out_s, r.back_s) < 0 for r in rows) else 0
+    return 1 if any(r.conflicting_generations or min(r.evacuated_s, r.restored_s) < 0 for r in rows) else 0
 
 
 @command.command("place-search")
@@ -336,9 +336,9 @@
     for one in sorted(found, key=lambda f: f.case):
         click.echo(
             f"{one.case:40}{one.states:10} states{one.steps:11} steps{one.tables:5} tables"
-            + (f"  broken: {one.broken}" if one.broken else "")
+            + (f"  broken: {one.violation}" if one.violation else "")
         )
-    broken = sum(bool(one.broken) for one in found)
+    broken = sum(bool(one.violation) for one in found)
     click.echo(
         f"place-search depth={depth} states={sum(f.states for f in found)} "
         f"steps={sum(f.steps for f in found)} broken={broken}"
@@ -392,15 +392,15 @@
         f"{'failure':14}{'worst units':>12}{'of its bound':>14}{'of a minute':>13}{'sent':>7}"
         f"{'calls/try':>11}"
     )
-    for name, rows in trial.try_failures(chosen, gateways, jobs):
+    for name, rows in trial.run_failures(chosen, gateways, jobs):
         over = [row for row in rows if row.overshoot > row.bound + 1e-6]
         passed += len(over)
         near = max(row.overshoot / max(row.bound, 1e-9) for row in rows)
         click.echo(
             f"{name:14}{max(row.overshoot for row in rows):12.2f}{near:14.2f}"
-            f"{100 * max(row.share for row in rows):12.2f}%"
-            f"{sum(row.served for row in rows) / len(rows):7.2f}"
-            f"{sum(row.calls_per_try for row in rows) / len(rows):11.2f}"
+            f"{100 * max(row.minute_ratio for row in rows):12.2f}%"
+            f"{sum(row.served_ratio for row in rows) / len(rows):7.2f}"
+            f"{sum(row.calls_per_attempt for row in rows) / len(rows):11.2f}"
         )
         for row in over[:3]:
             click.echo(f"  seed {row.seed}: {row.overshoot:.2f} units, over its bound of {row.bound:.2f}")
--- a/zincstile/scale/day_rules.py
+++ b/zincstile/scale/day_rules.py
@@ -33,7 +33,7 @@
     if "shared" not in features:
         return Quotas(traffic.quotas())
     widest = Plan(seed=1, gateways=fleet.tenant_sets()[0], faults=[Fault(kind="roll", at_ms=0)])
-    stated, opening = shared.stated(widest, feature_files.read_leases(features["shared"])[0])
+    stated, opening = shared.stated_bounds(widest, feature_files.read_leases(features["shared"])[0])
     return Quotas(stated, 0, opening, time.monotonic_ns())
 
 
--- a/zincstile/simulation/mutants_place.py
+++ b/zincstile/simulation/mutants_place.py
@@ -133,18 +133,18 @@
 # ---- checkers
 
 
-def by_search() -> str:
+def check_by_search() -> str:
     """Every order, to the depth; the short ways first."""
     for depth in range(1, DEPTH + 1):
         for case in place_search.CASES:
             for name in place_search.OPENINGS:
                 found = place_search.search(case, depth, name, settle=20 * (depth == DEPTH))
-                if found.broken:
-                    return f"search: {found.broken}"
+                if found.violation:
+                    return f"search: {found.violation}"
     return ""
 
 
-def by_flapping() -> str:
+def check_flapping_zone() -> str:
     """A zone whose link fails and heals each 3 s for two minutes goes and comes by hysteresis, and gets a
     tenth when it returns."""
     zone, first = ZoneTracker(SETTINGS), -1
@@ -161,7 +161,7 @@
     return ""
 
 
-def by_view() -> str:
+def check_zone_view() -> str:
     """A zone's own gateway finds it dead, then is sent elsewhere and says nothing of it: it is sent back only
     once tries have come up for long enough."""
     seen = zone_view.ZoneView(SETTINGS, 3, 2)
@@ -180,7 +180,7 @@
     return "" if found else "view: a zone is never reached again"
 
 
-def by_calls() -> str:
+def check_discovery_calls() -> str:
     """A call that a service works on is left out; a fleet that fails calls apart, at most as stated."""
     one = list_polling.ListPolling(random.Random(1), 200 * 50 * MS, 10 * SECOND, 50 * SECOND, 4500 * MS)
     if not one.keeps_waiting(20 * SECOND):
@@ -195,7 +195,7 @@
     return f"asking: {most} of 200 calls in a tenth of a second" if most > 20 else ""
 
 
-def by_opening() -> str:
+def check_admission_ramp() -> str:
     """A fleet sends no more than is stated."""
     settings, fleet, sent = ColdStartSettings(), [], 0.0
     for k in range(200):
@@ -214,7 +214,7 @@
     return ""
 
 
-def by_lists() -> str:
+def check_peer_lists() -> str:
     """Discovery's word ends what peers tell, and only it is told on."""
     model = start_model.Model(12, 3, 60, 1e-3, loss=0.0)
     late = model.gateways[-1]
@@ -222,7 +222,7 @@
     model.scheduler.run(60 * MS)
     late.lists.receive_discovery_list(model.now, 7, [], complete=True)
     for one in model.gateways[:3]:
-        one.lists.receive_discovery_list(0, start_model.VERSION, model.entries, complete=True)
+        one.lists.receive_discovery_list(0, start_model.LIST_VERSION, model.entries, complete=True)
     model.scheduler.run(3 * SECOND)
     if late.lists.search.result is not None:
         return "lists: a peer's list was taken after discovery's word"
@@ -238,18 +238,18 @@
 
 
 MUTANTS: dict[str, tuple[Callable[[], Undo], Callable[[], str]]] = {
-    "voice-counted-twice": (_twice, by_search),
-    "term-without-end": (_no_end, by_search),
-    "speaks-right-after-a-start": (_speaks_at_once, by_search),
-    "bound-to-nobody": (_bound_to_none, by_search),
-    "no-hysteresis": (_no_hysteresis, by_flapping),
-    "full-part-at-return": (_full_return, by_flapping),
-    "reach-forgotten": (_reach_forgotten, by_view),
-    "fixed-give-up": (_fixed_give_up, by_calls),
-    "calls-in-step": (_in_step, by_calls),
-    "opens-as-if-alone": (_all_for_itself, by_opening),
-    "peers-list-outlives": (_peers_outlive, by_lists),
-    "peers-list-told-on": (_tells_on, by_lists),
+    "voice-counted-twice": (_twice, check_by_search),
+    "term-without-end": (_no_end, check_by_search),
+    "speaks-right-after-a-start": (_speaks_at_once, check_by_search),
+    "bound-to-nobody": (_bound_to_none, check_by_search),
+    "no-hysteresis": (_no_hysteresis, check_flapping_zone),
+    "full-part-at-return": (_full_return, check_flapping_zone),
+    "reach-forgotten": (_reach_forgotten, check_zone_view),
+    "fixed-give-up": (_fixed_give_up, check_discovery_calls),
+    "calls-in-step": (_in_step, check_discovery_calls),
+    "opens-as-if-alone": (_all_for_itself, check_admission_ramp),
+    "peers-list-outlives": (_peers_outlive, check_peer_lists),
+    "peers-list-told-on": (_tells_on, check_peer_lists),
 }
 CHECKERS = tuple(dict.fromkeys(check for _, check in MUTANTS.values()))
 
--- a/zincstile/simulation/mutants_shared.py
+++ b/zincstile/simulation/mutants_shared.py
@@ -217,26 +217,26 @@
 # ---- checkers
 
 
-def by_search(_: int) -> str:
+def check_by_search(_: int) -> str:
     """Every opening, to the depth; the short ways first, the long ones from openings that are far on."""
     for depth in range(2, DEPTH + 1):
         for name in search.OPENINGS if depth < DEPTH else reversed(search.OPENINGS):
             found = search.search(depth, name)
-            if found.broken:
-                return f"search: {found.broken}"
+            if found.violation:
+                return f"search: {found.violation}"
     return ""
 
 
-def by_worlds(seed: int) -> str:
+def check_by_simulations(seed: int) -> str:
     """Worlds in which a part hears nothing."""
     for one in range(seed, seed + WORLDS):
-        row = shared_trials.play(one, GATEWAYS, shared.LAST_MS, False)
-        if row.broken:
-            return f"{row.failure} seed {one}: {row.broken}"
+        row = shared_trials.play(one, GATEWAYS, shared.LOAD_MS, False)
+        if row.violation:
+            return f"{row.failure} seed {one}: {row.violation}"
     return ""
 
 
-def by_suspicions(seed: int) -> str:
+def check_suspicions(seed: int) -> str:
     """A gateway for which all servers are well gets suspicions of one zone's gateways, cut off; then two
     zones agree on some; then no more suspicions come."""
     rng, settings = random.Random(f"judging {seed}"), LeaseSettings()
@@ -290,7 +290,7 @@
     return ""
 
 
-def by_concurrency_budget(seed: int) -> str:
+def check_concurrency_budget(seed: int) -> str:
     """Gateways in two sides of any sizes, killed, stopped and restarted: the sum of what all may have out."""
     rng = random.Random(f"levels {seed}")
     for _ in range(60):
@@ -345,22 +345,22 @@
 
 
 MUTANTS: dict[str, Mutant] = {
-    "loan-both-hold": Mutant(_both_hold, (by_worlds, by_search)),
-    "expiry-by-wrong-clock": Mutant(_wrong_clock, (by_search, by_worlds)),
-    "speaks-for-its-past": Mutant(_speaks_for_its_past, (by_search, by_worlds)),
-    "word-counted-twice": Mutant(_counted_twice, (by_search, by_worlds)),
-    "closed-twice": Mutant(_closed_twice, (by_search, by_worlds)),
-    "loan-never-ends": Mutant(_never_ends, (by_search, by_worlds)),
-    "store-without-end": Mutant(_no_cap, (by_search, by_worlds)),
-    "sleep-earns": Mutant(_sleep_earns, (by_search, by_worlds)),
-    "out-forgotten": Mutant(_out_forgotten, (by_search, by_worlds)),
-    "starts-full": Mutant(_starts_full, (by_worlds,)),
-    "no-witness": Mutant(_no_witness, (by_suspicions,)),
-    "words-before-own": Mutant(_words_first, (by_suspicions,)),
-    "words-never-end": Mutant(_no_end, (by_suspicions,)),
-    "all-ruled-out": Mutant(_all_ruled_out, (by_suspicions,)),
-    "old-level-speaks": Mutant(_old_level_speaks, (by_concurrency_budget,)),
-    "takes-all-at-once": Mutant(_takes_all, (by_concurrency_budget,)),
+    "loan-both-hold": Mutant(_both_hold, (check_by_simulations, check_by_search)),
+    "expiry-by-wrong-clock": Mutant(_wrong_clock, (check_by_search, check_by_simulations)),
+    "speaks-for-its-past": Mutant(_speaks_for_its_past, (check_by_search, check_by_simulations)),
+    "word-counted-twice": Mutant(_counted_twice, (check_by_search, check_by_simulations)),
+    "closed-twice": Mutant(_closed_twice, (check_by_search, check_by_simulations)),
+    "loan-never-ends": Mutant(_never_ends, (check_by_search, check_by_simulations)),
+    "store-without-end": Mutant(_no_cap, (check_by_search, check_by_simulations)),
+    "sleep-earns": Mutant(_sleep_earns, (check_by_search, check_by_simulations)),
+    "out-forgotten": Mutant(_out_forgotten, (check_by_search, check_by_simulations)),
+    "starts-full": Mutant(_starts_full, (check_by_simulations,)),
+    "no-witness": Mutant(_no_witness, (check_suspicions,)),
+    "words-before-own": Mutant(_words_first, (check_suspicions,)),
+    "words-never-end": Mutant(_no_end, (check_suspicions,)),
+    "all-ruled-out": Mutant(_all_ruled_out, (check_suspicions,)),
+    "old-level-speaks": Mutant(_old_level_speaks, (check_concurrency_budget,)),
+    "takes-all-at-once": Mutant(_takes_all, (check_concurrency_budget,)),
 }
 
 
--- a/zincstile/simulation/place_model.py
+++ b/zincstile/simulation/place_model.py
@@ -24,23 +24,23 @@
 
 
 @dataclass(slots=True)
-class Row:
+class ModelResult:
     """One fleet. Seconds; -1: never."""
 
     gateways: int
     zones: int
     regions: int
     first_s: float  # from the start to one table at all
-    out_s: float  # from the loss until nobody's table sends there
+    evacuated_s: float  # from the loss until nobody's table sends there
     one_s: float  # until all have one table again
-    back_s: float  # from the return until the zone has its whole traffic
+    restored_s: float  # from the return until the zone has its whole traffic
     sent: float  # datagrams of a gateway in a second, mean
     most_sent: int  # of the busiest in its busiest second
     most_heard: int
     bytes_: float
     changes: int  # of the table
     table_ms: float  # CPU of one table, mean
-    disagreed: int  # generations of which two tables differ
+    conflicting_generations: int  # generations of which two tables differ
 
 
 class Model:
@@ -62,7 +62,7 @@
         self.bytes = 0
         self.cpu_s, self.proposed = 0.0, 0
         self.tables: dict[object, object] = {}
-        self.disagreed = 0
+        self.conflicting_generations = 0
 
     @property
     def now(self) -> int:
@@ -92,7 +92,7 @@
             self.cpu_s, self.proposed = self.cpu_s + time.process_time() - before, self.proposed + 1
             table = seat.table(self.now)
             if table is not None and self.tables.setdefault(table.generation, table.weights) != table.weights:
-                self.disagreed += 1
+                self.conflicting_generations += 1
         self._send(k)
         self.scheduler.call_at(self.now + self.settings.heartbeat_interval_ns, self._beat, k)
 
@@ -132,7 +132,7 @@
         found = [s.table(self.now) for s in self.seats]
         return all(t is not None and t.weights[0][0] >= 245 for t in found)
 
-    def play(self) -> Row:
+    def play(self) -> ModelResult:
         for k, seat in enumerate(self.seats):
             seat.start(0)
             self.scheduler.call_at(self.rng.randrange(self.settings.heartbeat_interval_ns), self._beat, k)
@@ -146,7 +146,7 @@
         back = self._until(END_NS, self._whole)
         seconds = self.now / SECOND
         one = out + one if one >= 0 else -1.0
-        return Row(
+        return ModelResult(
             len(self.seats),
             self.zones,
             self.regions,
@@ -160,20 +160,20 @@
             self.bytes / len(self.seats) / seconds,
             max(s.table_changes for s in self.seats),
             1000 * self.cpu_s / max(1, self.proposed),
-            self.disagreed,
+            self.conflicting_generations,
         )
 
 
-def table(rows: list[Row]) -> str:
+def table(rows: list[ModelResult]) -> str:
     """One line a fleet."""
     lines = [
         f"{'n':>5}{'zones':>7}{'regions':>9}{'first':>7}{'out':>6}{'one':>6}{'back':>7}{'msg/s':>7}"
         f"{'most':>6}{'heard':>7}{'B/s':>7}{'tables':>8}{'CPU ms':>8}{'differ':>8}"
     ]
     lines += [
-        f"{r.gateways:5}{r.zones:7}{r.regions:9}{r.first_s:7.2f}{r.out_s:6.2f}{r.one_s:6.2f}"
-        f"{r.back_s:7.2f}{r.sent:7.1f}{r.most_sent:6}{r.most_heard:7}{r.bytes_:7.0f}{r.changes:8}{r.table_ms:8.2f}"
-        f"{r.disagreed:8}"
+        f"{r.gateways:5}{r.zones:7}{r.regions:9}{r.first_s:7.2f}{r.evacuated_s:6.2f}{r.one_s:6.2f}"
+        f"{r.restored_s:7.2f}{r.sent:7.1f}{r.most_sent:6}{r.most_heard:7}{r.bytes_:7.0f}{r.changes:8}{r.table_ms:8.2f}"
+        f"{r.conflicting_generations:8}"
         for r in rows
     ]
     return "\n".join(lines)
--- a/zincstile/simulation/place_search.py
+++ b/zincstile/simulation/place_search.py
@@ -18,7 +18,7 @@
 from ..zone_failover.leader_terms import Candidacy, LeaderTerms
 from ..zone_failover.messages import Generation, VoteReply
 from ..zone_failover.settings import MS, ZoneFailoverSettings
-from .search import Broken, Even
+from .search import ConstantRandom, InvariantError
 
 SETTINGS = ZoneFailoverSettings(term_ns=400 * MS, heartbeat_interval_ns=100 * MS, table_lifetime_ns=800 * MS)
 STEP_NS = 200 * MS  # two of them end a term
@@ -27,7 +27,7 @@
 CASES = {"2 zones of 2": 4, "3 zones of 1": 3}
 
 
-class Quiet(Even):
+class Quiet(ConstantRandom):
     """In place of chance, without any spread."""
 
     def randrange(self, most: int) -> int:
@@ -39,7 +39,7 @@
     now: int = 0
     seats: list[LeaderTerms] = field(default_factory=list)
     clocks: list[int] = field(default_factory=list)
-    words: list[tuple[int, int, object]] = field(default_factory=list)  # from, to, word
+    messages: list[tuple[int, int, object]] = field(default_factory=list)  # from, to, word
     made: dict[Generation, tuple] = field(default_factory=dict)
     newest: list[Generation | None] = field(default_factory=list)
     given: dict[tuple[int, int], dict[int, None]] = field(default_factory=dict)  # term, process: who promised
@@ -48,16 +48,16 @@
 
 
 @dataclass(slots=True)
-class Found:
+class SearchResult:
     case: str
     depth: int
     states: int = 0
     steps: int = 0
     tables: int = 0
-    broken: str = ""
+    violation: str = ""
 
 
-def start(count: int) -> State:
+def initial_state(count: int) -> State:
     """All have run for long: they may give their voices."""
     state = State(now=10 * SETTINGS.term_ns)
     for me in range(count):
@@ -67,7 +67,7 @@
     return state
 
 
-def actions(state: State) -> list[str]:
+def possible_actions(state: State) -> list[str]:
     """All that can happen next."""
     found, seen = [], []
     for g in range(len(state.seats)):
@@ -76,17 +76,17 @@
             found.append(f"propose {g}")
         if state.crashes < 1:
             found.append(f"crash {g}")
-    for k, one in enumerate(state.words):
+    for k, one in enumerate(state.messages):
         if repr(one) not in seen:
             seen.append(repr(one))
             found += [f"deliver {k}", f"lose {k}"]
-            if len(state.words) < FLIGHT:
+            if len(state.messages) < FLIGHT:
                 found.append(f"double {k}")
     asleep = [g for g, at in enumerate(state.clocks) if at < state.now]
     return [*found, "tick", *(f"sleep {g}" for g in asleep or range(len(state.seats)))]
 
 
-def do(state: State, action: str) -> None:
+def apply_action(state: State, action: str) -> None:
     """Carries it out."""
     what, *args = action.split()
     g = int(args[0]) if args else -1
@@ -97,13 +97,13 @@
     elif what == "propose":
         _propose(state, g)
     elif what == "deliver":
-        sender, to, word = state.words.pop(g)
+        sender, to, word = state.messages.pop(g)
         state.seats[to].receive(state.clocks[to], sender, word)  # type: ignore[arg-type]
         _flush(state, to)
     elif what == "lose":
-        state.words.pop(g)
+        state.messages.pop(g)
     elif what == "double":
-        state.words.append(state.words[g])
+        state.messages.append(state.messages[g])
     elif what == "crash":
         state.crashes += 1
         state.clocks[g] = state.now
@@ -123,10 +123,10 @@
     row = (seat.process, len(state.made) % 200)
     table = seat.propose(state.clocks[g], (row,), (0,))
     if table is None:
-        raise Broken(f"gateway {g} holds a term and may not propose")
+        raise InvariantError(f"gateway {g} holds a term and may not propose")
     before = state.made.setdefault(table.generation, table.weights)
     if before != table.weights:
-        raise Broken(f"two tables of generation {table.generation}")
+        raise InvariantError(f"two tables of generation {table.generation}")
     for to in range(len(state.seats)):
         if to != g:
             _put(state, (g, to, table))
@@ -141,8 +141,8 @@
 
 
 def _put(state: State, one: tuple[int, int, object]) -> None:
-    if len(state.words) < FLIGHT:
-        state.words.append(one)
+    if len(state.messages) < FLIGHT:
+        state.messages.append(one)
 
 
 def _check(state: State) -> None:
@@ -150,34 +150,34 @@
         g for g, seat in enumerate(state.seats) if state.clocks[g] == state.now and seat.is_leader(state.now)
     ]
     if len(holders) > 1:
-        raise Broken(f"gateways {holders} hold a term at once")
+        raise InvariantError(f"gateways {holders} hold a term at once")
     for g in holders:
         seat = state.seats[g]
         promised = len(state.given.get((seat.candidacy.term, seat.process), {})) + (g in seat.candidacy.votes)
         if promised < seat.majority:
-            raise Broken(f"gateway {g} holds a term by {promised} voices of {seat.majority}")
+            raise InvariantError(f"gateway {g} holds a term by {promised} voices of {seat.majority}")
     for g, seat in enumerate(state.seats):
         have = seat.table.generation if seat.table is not None else None
         before = state.newest[g]
         if before is not None and (have is None or have < before):
-            raise Broken(f"gateway {g} went back from {before} to {have}")
+            raise InvariantError(f"gateway {g} went back from {before} to {have}")
         if seat.table is not None and state.made.get(have) != seat.table.weights:
-            raise Broken(f"gateway {g} has a table that nobody made")
+            raise InvariantError(f"gateway {g} has a table that nobody made")
         state.newest[g] = have
 
 
 def settles(state: State) -> str:
     """All is heard from here on, and waits are drawn as they are: it ends in one table for all. What is
     wrong, or nothing."""
-    state.words = []
+    state.messages = []
     for g, seat in enumerate(state.seats):
         seat.rng = random.Random(g)
     for _ in range(SETTLED):
-        do(state, "tick")
+        apply_action(state, "tick")
         for g in range(len(state.seats)):
-            do(state, f"look {g}")
-            while state.words:
-                do(state, "deliver 0")
+            apply_action(state, f"look {g}")
+            while state.messages:
+                apply_action(state, "deliver 0")
             if state.seats[g].is_leader(state.now):
                 table = state.seats[g].propose(state.now, ((state.seats[g].process, 0),), (0,))
                 state.made.setdefault(table.generation, table.weights)
@@ -198,7 +198,7 @@
     return candidacy.term, age_ns, sorted(candidacy.votes), candidacy.proposed_tables
 
 
-def _key(state: State) -> bytes:
+def _state_key(state: State) -> bytes:
     now, seats = state.now, []
     for g, seat in enumerate(state.seats):
         granted, candidacy, renewal = seat.granted_vote, seat.candidacy, seat.renewal
@@ -222,7 +222,7 @@
                 max(0, seat.next_request_ns - now),
             )
         )
-    return pickle.dumps((seats, sorted(map(repr, state.words)), sorted(state.made.items()), state.crashes))
+    return pickle.dumps((seats, sorted(map(repr, state.messages)), sorted(state.made.items()), state.crashes))
 
 
 OPENINGS = {
@@ -240,53 +240,53 @@
 
 def opened(case: str, opening: str) -> State:
     """A state to begin with. Whoever is first elector calls; the rest of an opening is found by its kind."""
-    state = start(CASES[case])
+    state = initial_state(CASES[case])
     first = state.seats[0].electors[0]
     if OPENINGS[opening] is not None:
         for action in OPENINGS[opening]:
             if action.startswith("look 0"):
                 action = f"look {first}"
-            if action.split()[0] in ("deliver", "lose") and not state.words:
+            if action.split()[0] in ("deliver", "lose") and not state.messages:
                 continue
-            do(state, action)
+            apply_action(state, action)
         return state
-    do(state, f"look {first}")
-    while state.words and not state.seats[first].is_leader(state.now):
-        do(state, "deliver 0")
-    state.words = []
+    apply_action(state, f"look {first}")
+    while state.messages and not state.seats[first].is_leader(state.now):
+        apply_action(state, "deliver 0")
+    state.messages = []
     if opening != "a term is held":
-        do(state, f"propose {first}")
+        apply_action(state, f"propose {first}")
     if opening == "the holder is stopped":
-        do(state, f"sleep {first}")
+        apply_action(state, f"sleep {first}")
     elif opening == "the holder crashes":
-        do(state, f"crash {first}")
+        apply_action(state, f"crash {first}")
     return state
 
 
-def search(case: str, depth: int, opening: str, settle: int = 200) -> Found:
+def search(case: str, depth: int, opening: str, settle: int = 200) -> SearchResult:
     """All paths of so many steps after an opening; it ends at the first that breaks. `settle`: of so many
     states at the end it is looked whether all settle."""
-    found = Found(f"{case}: {opening}", depth)
+    found = SearchResult(f"{case}: {opening}", depth)
     try:
         state = opened(case, opening)
-    except Broken as broken:
-        found.broken = str(broken)
+    except InvariantError as broken:
+        found.violation = str(broken)
         return found
-    level, known = [pickle.dumps(state)], {_key(state): None}
+    level, known = [pickle.dumps(state)], {_state_key(state): None}
     generations: dict[Generation, None] = {}
     for _ in range(depth):
         following = []
         for packed in level:
-            for action in actions(pickle.loads(packed)):
+            for action in possible_actions(pickle.loads(packed)):
                 state = pickle.loads(packed)
                 found.steps += 1
                 try:
-                    do(state, action)
-                except Broken as broken:
-                    found.broken = f"{broken}: {'; '.join(state.path)}"
+                    apply_action(state, action)
+                except InvariantError as broken:
+                    found.violation = f"{broken}: {'; '.join(state.path)}"
                     return found
                 generations.update(dict.fromkeys(state.made))
-                key = _key(state)
+                key = _state_key(state)
                 if key not in known:
                     known[key] = None
                     following.append(pickle.dumps(state))
@@ -295,20 +295,20 @@
         state = pickle.loads(packed)
         try:
             why = settles(state)
-        except Broken as broken:
+        except InvariantError as broken:
             why = str(broken)
         if why:
-            found.broken = f"{why}: {'; '.join(state.path[:depth + 12])}"
+            found.violation = f"{why}: {'; '.join(state.path[:depth + 12])}"
             return found
     found.states, found.tables = len(known), len(generations)
     return found
 
 
-def _search(job: tuple[str, int, str]) -> Found:
+def _search(job: tuple[str, int, str]) -> SearchResult:
     return search(*job)
 
 
-def search_all(depth: int, jobs: int) -> Iterator[Found]:
+def search_all(depth: int, jobs: int) -> Iterator[SearchResult]:
     chosen = [(case, depth, opening) for case in CASES for opening in OPENINGS]
     with multiprocessing.get_context("spawn").Pool(min(jobs, len(chosen))) as pool:
         yield from pool.imap_unordered(_search, chosen)
--- a/zincstile/simulation/places.py
+++ b/zincstile/simulation/places.py
@@ -87,12 +87,12 @@
 
 
 @dataclass(slots=True)
-class Row:
+class SimulationResult:
     """What came of one world. Parts of attempts; seconds from the begin or end, -1: never."""
 
     kind: str
     seed: int
-    broken: str
+    violation: str
     served: float  # in the trouble, beside the same world without it
     failed: int
     calm: float  # that cross zones before it
@@ -144,7 +144,7 @@
         return -1.0
 
 
-def play(seed: int, gateways: int, place: bool) -> Row:
+def play(seed: int, gateways: int, place: bool) -> SimulationResult:
     """One world and the one without the trouble beside it; kinds go round by the seed."""
     kind = KINDS[seed % len(KINDS)]
     plan, zone = draw(seed, gateways, kind, place)
@@ -161,7 +161,7 @@
         if place
         else 0.0
     )
-    return Row(
+    return SimulationResult(
         kind,
         seed,
         f"{result.breach.rule}: {result.breach.text}" if result.breach else "",
@@ -176,7 +176,7 @@
     )
 
 
-def play_all(seeds: range, gateways: int, place: bool, jobs: int) -> Iterator[Row]:
+def play_all(seeds: range, gateways: int, place: bool, jobs: int) -> Iterator[SimulationResult]:
     with multiprocessing.get_context("spawn").Pool(min(jobs, len(seeds))) as pool:
         yield from pool.imap_unordered(partial(play, gateways=gateways, place=place), seeds)
 
@@ -187,7 +187,7 @@
     return (found[len(found) // 2], found[-1]) if found else (-1.0, -1.0)
 
 
-def table(rows: list[Row]) -> str:
+def table(rows: list[SimulationResult]) -> str:
     """One line a kind."""
     lines = [
         f"{'trouble':20}{'worlds':>7}{'broken':>7}{'served':>8}{'least':>7}{'failed':>8}{'calm':>7}"
@@ -199,7 +199,7 @@
             continue
         n, left, back = len(mine), _middle([r.left_s for r in mine]), _middle([r.back_s for r in mine])
         lines.append(
-            f"{kind:20}{n:7}{sum(bool(r.broken) for r in mine):7}{sum(r.served for r in mine) / n:8.3f}"
+            f"{kind:20}{n:7}{sum(bool(r.violation) for r in mine):7}{sum(r.served for r in mine) / n:8.3f}"
             f"{min(r.served for r in mine):7.2f}{sum(r.failed for r in mine):8}"
             f"{100 * sum(r.calm for r in mine) / n:6.2f}%{100 * sum(r.trouble for r in mine) / n:8.1f}%"
             f"{left[0]:6.2f}{left[1]:6.2f}{back[0]:6.2f}{back[1]:6.2f}"
--- a/zincstile/simulation/search.py
+++ b/zincstile/simulation/search.py
@@ -39,7 +39,7 @@
 ROWS = ((0, 1, 2), (1, 2))
 
 
-class Even:
+class ConstantRandom:
     """In place of chance: the same each time."""
 
     def __init__(self, number: int) -> None:
@@ -68,7 +68,7 @@
     now: int = 0
     seats: list[LeaseManager] = field(default_factory=list)
     clocks: list[int] = field(default_factory=list)  # what each takes for now: a stopped one's stands
-    words: list[Sent] = field(default_factory=list)
+    messages: list[Sent] = field(default_factory=list)
     levels: list[float] = field(default_factory=list)  # of the store that each quota is
     allowed: list[float] = field(default_factory=list)  # below nothing, by crashes and stops
     crashes: int = 0
@@ -76,24 +76,24 @@
     path: tuple[str, ...] = ()
 
 
-class Broken(Exception):  # noqa: N818 - it is what was found, and no error of the search
+class InvariantError(Exception):
     """What may not be: a quota was passed, or could be; two hold one term, or tables differ."""
 
 
 @dataclass(slots=True)
-class Found:
+class SearchResult:
     """What came of a search."""
 
     depth: int
     opening: str = "nothing"
     states: int = 0
     steps: int = 0
-    broken: str = ""
-    worst: float = 0.0  # units beyond a quota, at most
-    of_bound: float = 0.0
+    violation: str = ""
+    max_overshoot: float = 0.0  # units beyond a quota, at most
+    bound_ratio: float = 0.0
 
 
-def start() -> State:
+def initial_state() -> State:
     state = State(levels=[q.burst for q in QUOTAS], allowed=[0.0] * CUSTOMERS)
     for me in range(GATEWAYS):
         state.clocks.append(0)
@@ -103,7 +103,7 @@
 
 def _seat(state: State, me: int) -> LeaseManager:
     state.processes += 1
-    made = LeaseManager(SETTINGS, me, state.processes, state.now, Even(1000 * state.processes))  # type: ignore
+    made = LeaseManager(SETTINGS, me, state.processes, state.now, ConstantRandom(1000 * state.processes))  # type: ignore
     for c in range(CUSTOMERS):
         if me in ROWS[c]:
             _account(made, state.now, c)
@@ -114,17 +114,17 @@
     return leases.account(now, c + 1, c, QUOTAS[c], ROWS[c])
 
 
-def actions(state: State) -> list[str]:
+def possible_actions(state: State) -> list[str]:
     """All that can happen next."""
     found = [f"try {g} {c}" for c in range(CUSTOMERS) for g in ROWS[c]]
     seen: list[str] = []
-    for k, one in enumerate(state.words):
+    for k, one in enumerate(state.messages):
         key = repr((one.sender, one.process, one.word))
         if key in seen:
             continue
         seen.append(key)
         found += [f"deliver {k}", f"lose {k}"]
-        if len(state.words) < FLIGHT:
+        if len(state.messages) < FLIGHT:
             found.append(f"double {k}")
     found += ["tick", "pass"]
     found += [f"crash {g}" for g in range(GATEWAYS) if state.crashes < 1]
@@ -133,7 +133,7 @@
     return found
 
 
-def do(state: State, action: str) -> None:
+def apply_action(state: State, action: str) -> None:
     """Carries it out. Broken where a quota was passed by it."""
     what, *args = action.split()
     numbers = [int(a) for a in args]
@@ -141,11 +141,11 @@
     if what == "try":
         _try(state, *numbers)
     elif what == "deliver":
-        _deliver(state, state.words.pop(numbers[0]))
+        _deliver(state, state.messages.pop(numbers[0]))
     elif what == "lose":
-        state.words.pop(numbers[0])
+        state.messages.pop(numbers[0])
     elif what == "double":
-        state.words.append(state.words[numbers[0]])
+        state.messages.append(state.messages[numbers[0]])
     elif what == "crash":
         _crash(state, numbers[0])
     else:
@@ -155,8 +155,8 @@
 
 def _flush(state: State, g: int) -> None:
     for word in state.seats[g].drain_messages():
-        if len(state.words) < FLIGHT:
-            state.words.append(Sent(g, state.seats[g].state.process, word))
+        if len(state.messages) < FLIGHT:
+            state.messages.append(Sent(g, state.seats[g].state.process, word))
 
 
 def _try(state: State, g: int, c: int) -> None:
@@ -217,7 +217,7 @@
     awake = all(c == state.now for c in state.clocks)
     for c in range(CUSTOMERS):
         if state.levels[c] < -state.allowed[c] - DIGITS:
-            raise Broken(
+            raise InvariantError(
                 f"customer {c}: {-state.levels[c]:.3f} units beyond the quota, "
                 f"{state.allowed[c]:.3f} allowed"
             )
@@ -227,7 +227,7 @@
             if account is not None:
                 held += leases.available_units(state.clocks[g], account)
         if awake and held > state.levels[c] + state.allowed[c] + DIGITS:
-            raise Broken(
+            raise InvariantError(
                 f"customer {c}: stores and loans hold {held:.3f}, the quota {state.levels[c]:.3f}, "
                 f"{state.allowed[c]:.3f} allowed"
             )
@@ -265,7 +265,7 @@
     )
 
 
-def _key(state: State) -> bytes:
+def _state_key(state: State) -> bytes:
     """Equal for states from which the same can happen."""
     now = state.now
     seats = []
@@ -283,7 +283,7 @@
                 [(x.recipient, x.request_id, x.unused_units) for x in leases.state.outbox.releases],
             )
         )
-    words = sorted(repr((w.sender, w.process, w.word)) for w in state.words)
+    words = sorted(repr((w.sender, w.process, w.word)) for w in state.messages)
     return pickle.dumps(
         (
             seats,
@@ -312,33 +312,33 @@
 }
 
 
-def search(depth: int, opening: str = "nothing", first: str = "") -> Found:
+def search(depth: int, opening: str = "nothing", first: str = "") -> SearchResult:
     """All paths of so many steps after an opening, beginning with `first` where that is named. It ends at the
     first that breaks."""
-    found, state = Found(depth, opening), start()
+    found, state = SearchResult(depth, opening), initial_state()
     try:
         for action in (*OPENINGS[opening], *([first] if first else [])):
-            do(state, action)
-    except Broken as broken:
-        found.broken = f"{broken}: {'; '.join(state.path)}"
+            apply_action(state, action)
+    except InvariantError as broken:
+        found.violation = f"{broken}: {'; '.join(state.path)}"
         return found
-    level, known = [pickle.dumps(state)], {_key(state): None}
+    level, known = [pickle.dumps(state)], {_state_key(state): None}
     worst = [max(b.units for b in overshoot_bounds(q, SETTINGS)) for q in QUOTAS]
     for _ in range(depth - bool(first)):
         following = []
         for packed in level:
-            for action in actions(pickle.loads(packed)):
+            for action in possible_actions(pickle.loads(packed)):
                 state = pickle.loads(packed)
                 found.steps += 1
                 try:
-                    do(state, action)
-                except Broken as broken:
-                    found.broken = f"{broken}: {'; '.join(state.path)}"
+                    apply_action(state, action)
+                except InvariantError as broken:
+                    found.violation = f"{broken}: {'; '.join(state.path)}"
                     return found
                 for c, lowest in enumerate(state.levels):
-                    found.worst = max(found.worst, -lowest)
-                    found.of_bound = max(found.of_bound, -lowest / worst[c])
-                key = _key(state)
+                    found.max_overshoot = max(found.max_overshoot, -lowest)
+                    found.bound_ratio = max(found.bound_ratio, -lowest / worst[c])
+                key = _state_key(state)
                 if key not in known:
                     known[key] = None
                     following.append(pickle.dumps(state))
@@ -347,19 +347,19 @@
     return found
 
 
-def _search(job: tuple[int, str, str]) -> Found:
+def _search(job: tuple[int, str, str]) -> SearchResult:
     return search(*job)
 
 
 def firsts(opening: str) -> list[str]:
     """What can happen right after an opening."""
-    state = start()
+    state = initial_state()
     for action in OPENINGS[opening]:
-        do(state, action)
-    return actions(state)
+        apply_action(state, action)
+    return possible_actions(state)
 
 
-def search_all(depth: int, jobs: int) -> Iterator[Found]:
+def search_all(depth: int, jobs: int) -> Iterator[SearchResult]:
     """Every opening, one search for each first step after it, over many processes. States that are reached by
     several first steps are counted for each."""
     chosen = [(depth, name, first) for name in OPENINGS for first in firsts(name)]
--- a/zincstile/simulation/shared.py
+++ b/zincstile/simulation/shared.py
@@ -35,7 +35,7 @@
     "mass-kill",
     "mixed",
 )
-CALM_MS, LAST_MS = 1200, 8000  # before the failure; the load, unless told otherwise
+FAILURE_START_MS, LOAD_MS = 1200, 8000  # before the failure; the load, unless told otherwise
 ZONES = len(traffic.ZONES)
 HEALED = 5  # the load goes on after the failure for one part in so many of its length
 
@@ -176,19 +176,19 @@
 }
 
 
-def draw(seed: int, gateways: int, failure: str, last_ms: int = LAST_MS) -> Plan:
+def draw(seed: int, gateways: int, failure: str, last_ms: int = LOAD_MS) -> Plan:
     """The plan of a seed, a size and a failure. ValueError where there is no such failure."""
     if failure not in MADE:
         raise ValueError(f"no such failure: {failure}")
     rng = random.Random(f"shared {seed} {gateways} {failure}")
-    length = last_ms - CALM_MS - last_ms // HEALED
-    faults = MADE[failure](rng, gateways, CALM_MS, length)
+    length = last_ms - FAILURE_START_MS - last_ms // HEALED
+    faults = MADE[failure](rng, gateways, FAILURE_START_MS, length)
     return Plan(
         seed=seed,
         gateways=gateways,
         wide=rng.random() < 0.5,
         boxes=max(10, gateways * 3 // 2),
-        requests=max(400, 50 * gateways) * last_ms // LAST_MS,
+        requests=max(400, 50 * gateways) * last_ms // LOAD_MS,
         last_ms=last_ms,
         udp_loss=rng.choice((0.0, 0.03, 0.073)),
         udp_twice=rng.choice((0.0, 0.05)),
@@ -202,7 +202,7 @@
 STARTS, STOPS = ("crash", "roll", "skew", "upgrade"), ("pause",)
 
 
-def stated(
+def stated_bounds(
     plan: Plan, settings: LeaseSettings
 ) -> tuple[dict[str, tuple[float, float, float]], dict[str, float]]:
     """By plan of the customers: rate, burst and the bound under this plan's faults, in units; and the part of
--- a/zincstile/simulation/shared_trials.py
+++ b/zincstile/simulation/shared_trials.py
@@ -18,14 +18,14 @@
 
 
 @dataclass(slots=True)
-class Row:
+class SimulationResult:
     """What came of one world."""
 
     failure: str
     seed: int
-    broken: str
-    worst: float  # units beyond a quota, at most
-    of_bound: float
+    violation: str
+    max_overshoot: float  # units beyond a quota, at most
+    bound_ratio: float
     sent: float
     best: float  # what one store that sees every try would let in
     served: int
@@ -89,7 +89,7 @@
         return -1.0
 
 
-def play(seed: int, gateways: int, last_ms: int, gossip: bool) -> Row:
+def play(seed: int, gateways: int, last_ms: int, gossip: bool) -> SimulationResult:
     """One world; failures go round by the seed."""
     failure = shared.FAILURES[seed % len(shared.FAILURES)]
     plan = shared.draw(seed, gateways, failure, last_ms)
@@ -116,7 +116,7 @@
         default=0.0,
     )
     sent = sum(s.gateway.counters.messages_out for s in run.nodes) / len(run.nodes) / result.seconds
-    return Row(
+    return SimulationResult(
         failure,
         seed,
         f"{result.breach.rule}: {result.breach.text}" if result.breach else "",
@@ -130,18 +130,20 @@
         watch.out,
         apart,
         watch.open,
-        watch.back_s(shared.CALM_MS / 1000) if plan.faults else 0.0,
+        watch.back_s(shared.FAILURE_START_MS / 1000) if plan.faults else 0.0,
     )
 
 
-def play_all(seeds: range, gateways: int, last_ms: int, gossip: bool, jobs: int) -> Iterator[Row]:
+def play_all(
+    seeds: range, gateways: int, last_ms: int, gossip: bool, jobs: int
+) -> Iterator[SimulationResult]:
     with multiprocessing.get_context("spawn").Pool(min(jobs, len(seeds))) as pool:
         yield from pool.imap_unordered(
             partial(play, gateways=gateways, last_ms=last_ms, gossip=gossip), seeds
         )
 
 
-def table(rows: list[Row]) -> str:
+def table(rows: list[SimulationResult]) -> str:
     """One line a failure."""
     lines = [
         f"{'failure':12}{'worlds':>7}{'worst units':>13}{'of a minute':>13}{'of its bound':>14}"
@@ -152,8 +154,8 @@
         mine = [r for r in rows if r.failure == failure]
         if mine:
             lines.append(
-                f"{failure:12}{len(mine):7}{max(r.worst for r in mine):13.2f}"
-                f"{100 * max(r.over_minute for r in mine):12.2f}%{max(r.of_bound for r in mine):14.2f}"
+                f"{failure:12}{len(mine):7}{max(r.max_overshoot for r in mine):13.2f}"
+                f"{100 * max(r.over_minute for r in mine):12.2f}%{max(r.bound_ratio for r in mine):14.2f}"
                 f"{sum(r.sent for r in mine) / max(1e-9, sum(r.best for r in mine)):9.3f}"
                 f"{sum(r.served for r in mine):8}{sum(r.messages for r in mine) / len(mine):7.1f}"
                 f"{max(r.out for r in mine):12.1f}{sum(r.apart for r in mine) / len(mine):8.3f}"
--- a/zincstile/simulation/start_model.py
+++ b/zincstile/simulation/start_model.py
@@ -19,11 +19,11 @@
 
 LOOK_NS, NEAR_NS, FAR_NS = 30 * MS, 1.9 * MS, 30 * MS  # looks while seeking; a datagram's way
 INTAKE = 60.0
-VERSION = 41
+LIST_VERSION = 41
 
 
 @dataclass(slots=True)
-class Row:
+class ModelResult:
     """One start. Seconds from its begin; -1: not within the time."""
 
     gateways: int
@@ -75,7 +75,7 @@
 
     def answered(self) -> None:
         now = self.model.now
-        self.lists.receive_discovery_list(now, VERSION, self.model.entries, complete=True)
+        self.lists.receive_discovery_list(now, LIST_VERSION, self.model.entries, complete=True)
         self._has(ListTrust.DISCOVERY)
         self.send()
 
@@ -201,10 +201,10 @@
         if self.queue:
             self._begin()
 
-    def play(self, patience_s: float = 120.0, apart_s: float = 0.5) -> Row:
+    def play(self, patience_s: float = 120.0, apart_s: float = 0.5) -> ModelResult:
         for one in self.gateways:
             if one.runs:
-                one.lists.receive_discovery_list(0, VERSION, self.entries, complete=True)
+                one.lists.receive_discovery_list(0, LIST_VERSION, self.entries, complete=True)
             else:
                 self.at(self.rng.uniform(0, apart_s) * SECOND, one.start)
         starting = [g for g in self.gateways if not g.runs]
@@ -221,7 +221,7 @@
             need = max(1, -(-int(len(starting) * part * 1000) // 1000))
             return round(ready[need - 1], 2) if len(ready) >= need else -1.0
 
-        return Row(
+        return ModelResult(
             self.count,
             self.alive,
             self.per_s,
@@ -237,7 +237,7 @@
         )
 
 
-def table(rows: list[Row]) -> str:
+def table(rows: list[ModelResult]) -> str:
     """One line a start."""
     lines = [
         f"{'n':>6}{'alive':>7}{'lists/s':>9}{'half':>7}{'99%':>7}{'all':>7}{'calls':>7}{'whole':>7}"
--- a/zincstile/simulation/starts.py
+++ b/zincstile/simulation/starts.py
@@ -83,12 +83,12 @@
 
 
 @dataclass(slots=True)
-class Row:
+class SimulationResult:
     """What came of one world. Seconds from the moment at which the first came back."""
 
     wave: str
     seed: int
-    broken: str
+    violation: str
     ready_s: float  # all that were killed; -1: never
     calls: float  # of the list service, for each that was killed
     whole: float  # whole lists
@@ -150,7 +150,7 @@
     return most
 
 
-def play(seed: int, gateways: int, start: bool) -> Row:
+def play(seed: int, gateways: int, start: bool) -> SimulationResult:
     """One world and the calm one beside it; waves go round by the seed."""
     wave = WAVES[seed % len(WAVES)]
     plan = draw(seed, gateways, wave, start)
@@ -175,7 +175,7 @@
         for span in SPANS_S
     )
     opened = most_in([(t, 1.0) for t in watch.opened], back, back + 2)
-    return Row(
+    return SimulationResult(
         wave,
         seed,
         f"{result.breach.rule}: {result.breach.text}" if result.breach else "",
@@ -190,12 +190,12 @@
     )
 
 
-def play_all(seeds: range, gateways: int, start: bool, jobs: int) -> Iterator[Row]:
+def play_all(seeds: range, gateways: int, start: bool, jobs: int) -> Iterator[SimulationResult]:
     with multiprocessing.get_context("spawn").Pool(min(jobs, len(seeds))) as pool:
         yield from pool.imap_unordered(partial(play, gateways=gateways, start=start), seeds)
 
 
-def table(rows: list[Row]) -> str:
+def table(rows: list[SimulationResult]) -> str:
     """One line a wave: worlds, broken, ready at the median and at most, calls, the most sent, service."""
     lines = [
         f"{'wave':14}{'worlds':>7}{'broken':>7}{'ready':>7}{'most':>7}{'late':>6}{'calls':>7}"
@@ -211,7 +211,7 @@
         n = len(mine)
         service = "".join(f"{sum(r.served[k] for r in mine) / n:7.3f}" for k in range(len(SPANS_S)))
         lines.append(
-            f"{wave:14}{n:7}{sum(bool(r.broken) for r in mine):7}"
+            f"{wave:14}{n:7}{sum(bool(r.violation) for r in mine):7}"
             f"{times[len(times) // 2] if times else -1:7.2f}{times[-1] if times else -1:7.2f}"
             f"{n - len(times):6}{sum(r.calls for r in mine) / n:7.2f}{sum(r.whole for r in mine) / n:7.2f}"
             f"{max(r.most for r in mine):11.2f}{max(r.opened for r in mine):9.2f}"
--- a/zincstile/simulation/trial.py
+++ b/zincstile/simulation/trial.py
@@ -34,9 +34,9 @@
     seed: int
     overshoot: float
     bound: float
-    share: float  # overshoot in what the quota gives in a minute
-    served: float  # units sent, in what one gateway that sees every try would have sent
-    calls_per_try: float
+    minute_ratio: float  # overshoot in what the quota gives in a minute
+    served_ratio: float  # units sent, in what one gateway that sees every try would have sent
+    calls_per_attempt: float
     states: int  # changes of what gateways believe
 
 
@@ -289,7 +289,7 @@
                     sum(len(s.detector.state_changes) for s in self.seats),
                 )
         ideals = [ideal for _, _, ideal in self.customers.values()]
-        outcome.served = sum(i.sent for i in ideals) / max(1e-9, sum(i.best for i in ideals))
+        outcome.served_ratio = sum(i.sent for i in ideals) / max(1e-9, sum(i.best for i in ideals))
         return outcome
 
 
@@ -297,7 +297,7 @@
     return Trial(*job).play()
 
 
-def try_failures(seeds: range, gateways: int, jobs: int) -> Iterator[tuple[str, list[Outcome]]]:
+def run_failures(seeds: range, gateways: int, jobs: int) -> Iterator[tuple[str, list[Outcome]]]:
     """Every failure by every seed, failure by failure."""
     with multiprocessing.get_context("spawn").Pool(jobs) as pool:
         for name in FAILURES:
--- a/zincstile/simulation/virtual_environment.py
+++ b/zincstile/simulation/virtual_environment.py
@@ -114,7 +114,7 @@
     def _stated_quotas(self) -> Quotas | None:
         """What the checker holds quotas to; None where the plan's features state no bound."""
         if self.lease_settings:
-            stated, initial_fill = shared.stated(self.plan, self.lease_settings)
+            stated, initial_fill = shared.stated_bounds(self.plan, self.lease_settings)
             return Quotas(stated, 0, initial_fill, START_NS)
         if self.quota_service_settings:
             stated = traffic.stated_bounds(self.plan, self.quota_service_settings)
--- a/zincstile/testbed/sweep.py
+++ b/zincstile/testbed/sweep.py
@@ -45,7 +45,7 @@
     stated: dict[str, tuple[float, float, float]] = {}
     initial_ratio: dict[str, float] = {}
     if "shared" in files:
-        stated, initial_ratio = shared.stated(plan, features_files.read_leases(files["shared"])[0])
+        stated, initial_ratio = shared.stated_bounds(plan, features_files.read_leases(files["shared"])[0])
     elif "keeper" in files:
         stated = traffic.stated_bounds(plan, features_files.read_quota_service(files["keeper"])[0])
     return run.play(plan, folder, name=name, features=files, stated=stated, initial_ratio=initial_ratio)
