--- a/tests/test_zone_failover.py
+++ b/tests/test_zone_failover.py
@@ -118,7 +118,7 @@
 def test_no_message_order_gives_two_leaders_or_different_tables_of_one_generation(case):
     """`sim place-search` searches to a greater depth."""
     for opening in place_search.OPENINGS:
-        result = place_search.search(case, 2, opening, settle=20)
+        result = place_search.search(case, 2, opening, states_to_settle=20)
         assert not result.violation and result.states > 10, result
 
 
--- a/zincstile/simulation/mutants_shared.py
+++ b/zincstile/simulation/mutants_shared.py
@@ -1,8 +1,8 @@
-"""Deliberate faults of the shared state: each must be named by one of its checkers.
+"""Mutants: deliberate faults in the state that gateways share. Each must be detected by one of its checkers.
 
-Checkers are the search over small cases, worlds in which messages do not reach a part of the fleet, a trial
-of suspicions in which one zone lies, and a trial of the concurrency budget. A fault that none of them names
-is a hole in the checkers.
+The checkers are the exhaustive search over a small model, simulations of failures between gateways, a test
+of suspicions where the gateways of one zone are wrong, and a test of the concurrency budget. A mutant that
+none of them detects shows a gap in the checkers.
 """
 
 from __future__ import annotations
@@ -26,11 +26,11 @@
 from .mutation import Undo, replace_attribute
 
 DEPTH = 4
-WORLDS, GATEWAYS = 39, 4
+SIMULATION_COUNT, GATEWAYS = 39, 4
 
 
-def _both_hold() -> Undo:
-    """The lessor keeps in its token bucket what it lends."""
+def _keep_leased_units() -> Undo:
+    """The lessor keeps the units that it leases in its token bucket."""
     old = Lessor.on_request
 
     def on_request(self, now, sender, process, request, account):
@@ -41,8 +41,8 @@
     return replace_attribute(Lessor, "on_request", on_request)
 
 
-def _wrong_clock() -> Undo:
-    """The lessee counts a lease's time from the moment it came, and not from its own request."""
+def _count_lease_from_arrival() -> Undo:
+    """The lessee counts a lease's time from the grant's arrival, and not from its own request."""
     old = Lessee.on_grant
 
     def on_grant(self, now, sender, process, grant):
@@ -55,8 +55,8 @@
     return replace_attribute(Lessee, "on_grant", on_grant)
 
 
-def _speaks_for_its_past() -> Undo:
-    """A process that starts takes the answers to the one before it for its own, and releases its leases."""
+def _accept_grants_to_predecessor() -> Undo:
+    """A process takes grants to its predecessor for its own, and so releases the predecessor's leases."""
     old = Lessee.on_grant
 
     def on_grant(self, now, sender, process, grant):
@@ -76,23 +76,23 @@
     return replace_attribute(Lessee, "on_grant", on_grant)
 
 
-def _counted_twice() -> Undo:
-    """An answer that comes twice is two leases."""
+def _count_repeated_grants() -> Undo:
+    """A grant that is received twice counts as two leases."""
     old = Lessee.on_grant
 
     def on_grant(self, now, sender, process, grant):
         account = self.state.accounts.get(grant.customer)
         pending = account.pending.get(grant.request_id) if account else None
-        found = old(self, now, sender, process, grant)
+        result = old(self, now, sender, process, grant)
         if pending is not None:
             account.pending[grant.request_id] = pending
-        return found
+        return result
 
     return replace_attribute(Lessee, "on_grant", on_grant)
 
 
-def _closed_twice() -> Undo:
-    """What is released is taken each time that it comes."""
+def _apply_repeated_releases() -> Undo:
+    """A release that is received twice is applied twice."""
 
     def end_grant(self, granted):
         self.leased_out_units = max(0.0, self.leased_out_units - granted.units)
@@ -100,13 +100,13 @@
     return replace_attribute(QuotaAccount, "end_grant", end_grant)
 
 
-def _never_ends() -> Undo:
-    """A lessee goes on using a lease after its end."""
+def _use_expired_leases() -> Undo:
+    """A lessee continues to use a lease after its end."""
     return replace_attribute(QuotaAccount, "drop_expired_leases", lambda self, now: None)
 
 
-def _no_cap() -> Undo:
-    """A token bucket holds more than its part."""
+def _fill_beyond_capacity() -> Undo:
+    """A token bucket fills beyond its capacity."""
 
     def refill(self, running_ns):
         self.own_units += self.rate_per_s * (running_ns - self.filled_ns) / SECOND_NS
@@ -115,8 +115,8 @@
     return replace_attribute(QuotaAccount, "refill", refill)
 
 
-def _sleep_earns() -> Undo:
-    """A token bucket fills by the time that passed, also while its process was stopped."""
+def _fill_while_suspended() -> Undo:
+    """A token bucket also fills while its process is suspended."""
 
     def observe(self, now):
         self.running_ns += max(0, now - self.observed_ns) if self.observed_ns >= 0 else 0
@@ -126,8 +126,8 @@
     return replace_attribute(RunningClock, "observe", observe)
 
 
-def _out_forgotten() -> Undo:
-    """The lessor's token bucket fills up again while its lease runs."""
+def _refill_leased_units() -> Undo:
+    """The lessor's token bucket fills up to its full capacity during the lease, at four times its rate."""
 
     def refill(self, running_ns):
         gained = self.rate_per_s * (running_ns - self.filled_ns) / SECOND_NS
@@ -137,32 +137,32 @@
     return replace_attribute(QuotaAccount, "refill", refill)
 
 
-def _starts_full() -> Undo:
-    """A start that knows no past opens with a full token bucket, and with all of the quota."""
+def _start_full() -> Undo:
+    """A gateway starts with a full token bucket of the whole quota."""
     old = LeaseManager.account
 
     def account(self, now, customer, plan, quota, gateways):
-        new = customer not in self.accounts
-        found = old(self, now, customer, plan, quota, gateways)
-        if new:
-            found.own_units = found.capacity_units = quota.burst
-        return found
+        is_new = customer not in self.accounts
+        quota_account = old(self, now, customer, plan, quota, gateways)
+        if is_new:
+            quota_account.own_units = quota_account.capacity_units = quota.burst
+        return quota_account
 
     return replace_attribute(LeaseManager, "account", account)
 
 
-def _no_witness() -> Undo:
-    """The suspicions of one zone are enough."""
+def _accept_single_zone() -> Undo:
+    """Suspicions from a single zone are sufficient."""
     return replace_attribute(FailureDetector, "zones_needed", lambda self, now: 1)
 
 
-def _words_first() -> Undo:
-    """Suspicions of others go before own attempts."""
+def _ignore_own_attempts() -> Undo:
+    """Suspicions of others have priority over own attempts."""
     return replace_attribute(FailureDetector, "recent_samples", lambda self, now, endpoint, group: None)
 
 
-def _no_end() -> Undo:
-    """Suspicions do not age."""
+def _never_expire_suspicions() -> Undo:
+    """Suspicions do not expire."""
     old = FailureDetector.merge
 
     def merge(self, now, suspicion):
@@ -172,8 +172,8 @@
     return replace_attribute(FailureDetector, "merge", merge)
 
 
-def _all_ruled_out() -> Undo:
-    """Suspicions of others may rule out every endpoint."""
+def _suspect_all_endpoints() -> Undo:
+    """Suspicions of others may exclude every endpoint."""
     old = FailureDetector.suspected_scores
 
     def suspected_scores(self, now, endpoints, groups):
@@ -188,8 +188,8 @@
     return replace_attribute(FailureDetector, "suspected_scores", suspected_scores)
 
 
-def _old_level_speaks() -> Undo:
-    """A report of a process that was followed by another counts."""
+def _accept_old_reports() -> Undo:
+    """A report of a process counts even after its successor has reported."""
 
     def merge(self, now, report):
         self.known_reports[report.origin] = KnownReport(
@@ -204,8 +204,8 @@
     return replace_attribute(ConcurrencyBudget, "merge", merge)
 
 
-def _takes_all() -> Undo:
-    """A gateway that hears of no other takes over the parts of all, at once."""
+def _take_over_at_once() -> Undo:
+    """A gateway takes over the parts of all silent gateways at once, and without a maximum."""
 
     def tick(self, now):
         self.factor = self.gateway_count / self.live_gateways(now)
@@ -218,167 +218,173 @@
 
 
 def check_by_search(_: int) -> str:
-    """Every opening, to the depth; the short ways first, the long ones from openings that are far on."""
+    """Searches from every opening, with small depths first; at the full depth in the reverse order."""
     for depth in range(2, DEPTH + 1):
         for name in search.OPENINGS if depth < DEPTH else reversed(search.OPENINGS):
-            found = search.search(depth, name)
-            if found.violation:
-                return f"search: {found.violation}"
+            result = search.search(depth, name)
+            if result.violation:
+                return f"search: {result.violation}"
     return ""
 
 
 def check_by_simulations(seed: int) -> str:
-    """Worlds in which a part hears nothing."""
-    for one in range(seed, seed + WORLDS):
-        row = shared_trials.play(one, GATEWAYS, shared.LOAD_MS, False)
-        if row.violation:
-            return f"{row.failure} seed {one}: {row.violation}"
+    """Runs simulations of failures between gateways."""
+    for simulation_seed in range(seed, seed + SIMULATION_COUNT):
+        result = shared_trials.play(simulation_seed, GATEWAYS, shared.LOAD_MS, False)
+        if result.violation:
+            return f"{result.failure} seed {simulation_seed}: {result.violation}"
     return ""
 
 
 def check_suspicions(seed: int) -> str:
-    """A gateway for which all servers are well gets suspicions of one zone's gateways, cut off; then two
-    zones agree on some; then no more suspicions come."""
+    """Sends a gateway suspicions of all endpoints from one zone, then from all zones, then expired ones."""
     rng, settings = random.Random(f"judging {seed}"), LeaseSettings()
     for _ in range(200):
         detector = FailureDetector(settings, 0, 0)
-        servers = list(range(1, rng.randint(4, 13)))
+        endpoints = list(range(1, rng.randint(4, 13)))
         now = 10 * SECOND_NS
         for peer in range(1, 7):
             detector.record_observer(now, peer, peer % 3)
-        liars = rng.choice((1, 2))
-        lies = [
+        wrong_zone = rng.choice((1, 2))
+        wrong_suspicions = [
             Suspicion(s, ALL_CLASSES, 1.0, peer, peer % 3, rng.randrange(500) * MILLISECOND_NS)
-            for s in servers
+            for s in endpoints
             for peer in range(1, 7)
-            if peer % 3 == liars
+            if peer % 3 == wrong_zone
         ]
-        rng.shuffle(lies)
-        for suspicion in lies:
+        rng.shuffle(wrong_suspicions)
+        for suspicion in wrong_suspicions:
             detector.merge(now, suspicion)
-        if detector.suspected_scores(now, servers, range(256)):
-            return "suspicions: one zone alone ruled endpoints out"
-        seen = rng.choice(servers)
+        if detector.suspected_scores(now, endpoints, range(256)):
+            return "suspicions: one zone alone excluded endpoints"
+        tried_endpoint = rng.choice(endpoints)
         for _ in range(3):
-            detector.record_attempt(now, seen, ALL_CLASSES, 0.0, 0.4)
-        shared_by_zones = [
+            detector.record_attempt(now, tried_endpoint, ALL_CLASSES, 0.0, 0.4)
+        suspicions_of_all_zones = [
             Suspicion(s, ALL_CLASSES, 1.0, peer, peer % 3, rng.randrange(900) * MILLISECOND_NS)
-            for s in servers
+            for s in endpoints
             for peer in range(1, 7)
         ]
-        rng.shuffle(shared_by_zones)
-        for suspicion in shared_by_zones:
+        rng.shuffle(suspicions_of_all_zones)
+        for suspicion in suspicions_of_all_zones:
             detector.merge(now, suspicion)
-        found = detector.suspected_scores(now, servers, range(256))
-        out = [s for s, by in found.items() if max(by.values()) >= SUSPECT_ERROR_SCORE]
-        if seen in out:
-            return "suspicions: those of others went before own attempts"
-        if len(out) > (1 - settings.min_unsuspected_ratio) * len(servers):
-            return f"suspicions: those of others ruled out {len(out)} of {len(servers)}"
-        if not out and len(servers) > 3:
-            return "suspicions: what two zones agree on did not count"
-        late = Suspicion(servers[0], ALL_CLASSES, 1.0, 3, 0, settings.suspicion_ns)
-        detector.merge(now, late)
+        result = detector.suspected_scores(now, endpoints, range(256))
+        excluded = [s for s, by in result.items() if max(by.values()) >= SUSPECT_ERROR_SCORE]
+        if tried_endpoint in excluded:
+            return "suspicions: those of others had priority over own attempts"
+        if len(excluded) > (1 - settings.min_unsuspected_ratio) * len(endpoints):
+            return f"suspicions: those of others excluded {len(excluded)} of {len(endpoints)} endpoints"
+        if not excluded and len(endpoints) > 3:
+            return "suspicions: those shared by two zones did not count"
+        expired = Suspicion(endpoints[0], ALL_CLASSES, 1.0, 3, 0, settings.suspicion_ns)
+        detector.merge(now, expired)
         now += settings.suspicion_ns
-        detector.merge(now, Suspicion(servers[0], ALL_CLASSES, 1.0, 4, 1, settings.suspicion_ns))
+        detector.merge(now, Suspicion(endpoints[0], ALL_CLASSES, 1.0, 4, 1, settings.suspicion_ns))
         detector.merge(
-            now, Suspicion(servers[0], ALL_CLASSES, 1.0, 5, 2, settings.suspicion_ns + MILLISECOND_NS)
+            now, Suspicion(endpoints[0], ALL_CLASSES, 1.0, 5, 2, settings.suspicion_ns + MILLISECOND_NS)
         )
-        detector.tick(now, servers)
-        if detector.suspected_scores(now, servers, range(256)):
-            return "suspicions: they did not end"
+        detector.tick(now, endpoints)
+        if detector.suspected_scores(now, endpoints, range(256)):
+            return "suspicions: they did not expire"
     return ""
 
 
 def check_concurrency_budget(seed: int) -> str:
-    """Gateways in two sides of any sizes, killed, stopped and restarted: the sum of what all may have out."""
+    """Checks the sum of all gateways' limits while they are partitioned, killed, suspended and restarted."""
     rng = random.Random(f"levels {seed}")
     for _ in range(60):
         count = rng.randint(2, 12)
-        all_ = [ConcurrencyBudget(k, count, 1000 + k, 40.0) for k in range(count)]
-        sides, now, ready = [rng.randrange(rng.randint(1, 3)) for _ in range(count)], 0, 10.0
-        doomed, dead, past = rng.sample(range(count), count * 7 // 10), set[int](), list[ConcurrencyReport]()
-        newest: dict[tuple[int, int, int], int] = {}  # who knows of whom: the newest process
-        asleep = {k: rng.randint(20, 60) for k in range(count) if rng.random() < 0.3}
+        budgets = [ConcurrencyBudget(k, count, 1000 + k, 40.0) for k in range(count)]
+        side_of, now, ready = [rng.randrange(rng.randint(1, 3)) for _ in range(count)], 0, 10.0
+        crashing, crashed, sent_reports = (
+            rng.sample(range(count), count * 7 // 10),
+            set[int](),
+            list[ConcurrencyReport](),
+        )
+        # By gateway, its incarnation and the origin: the latest known incarnation of the origin.
+        latest_incarnations: dict[tuple[int, int, int], int] = {}
+        suspended_from = {k: rng.randint(20, 60) for k in range(count) if rng.random() < 0.3}
         for step in range(140):
             now += 100 * MILLISECOND_NS
-            for k, one in enumerate(all_):
-                if k in dead or 0 < asleep.get(k, 0) - step < 15:
+            for k, budget in enumerate(budgets):
+                if k in crashed or 0 < suspended_from.get(k, 0) - step < 15:
                     continue
-                one.tick(now)
-                reports = one.reports_to_send(now, 1.0, 1.0, rng)
-                past.append(reports[0])
-                for other in one.draw_recipients(rng):
-                    if sides[other] == sides[k] and other not in dead:
+                budget.tick(now)
+                reports = budget.reports_to_send(now, 1.0, 1.0, rng)
+                sent_reports.append(reports[0])
+                for other in budget.draw_recipients(rng):
+                    if side_of[other] == side_of[k] and other not in crashed:
                         for report in reports:
-                            all_[other].merge(now, replace(report))
-                if rng.random() < 0.05:  # an old report comes late
-                    old = rng.choice(past)
-                    all_[k].merge(
+                            budgets[other].merge(now, replace(report))
+                if rng.random() < 0.05:  # a delayed old report arrives
+                    old = rng.choice(sent_reports)
+                    budgets[k].merge(
                         now, ConcurrencyReport(old.origin, old.incarnation, old.sequence, 9e3, 9e3, 0)
                     )
             if step == 30:
-                dead.update(doomed)
+                crashed.update(crashing)
             if step == 70:
-                for k in list(dead)[:2]:
-                    dead.discard(k)
-                    all_[k] = ConcurrencyBudget(k, count, 2000 + k, 40.0)
-            alive = [x for k, x in enumerate(all_) if k not in dead]
+                for k in list(crashed)[:2]:
+                    crashed.discard(k)
+                    budgets[k] = ConcurrencyBudget(k, count, 2000 + k, 40.0)
+            alive = [x for k, x in enumerate(budgets) if k not in crashed]
             total = sum(x.limit_units(ready) for x in alive)
             stated = alive[0].total_limit_units(ready)
             if total > stated + 1e-6:
-                return f"concurrency budget: {total:.1f} units in flight, {stated:.1f} stated"
-            for one in alive:
-                for origin, known in one.known_reports.items():
-                    if known.incarnation < newest.get((one.gateway, one.incarnation, origin), 0):
-                        return "concurrency budget: an old report counted again"
-                    newest[one.gateway, one.incarnation, origin] = known.incarnation
+                return f"concurrency budget: limits of {total:.1f} units in total, {stated:.1f} stated"
+            for budget in alive:
+                for origin, known in budget.known_reports.items():
+                    if known.incarnation < latest_incarnations.get(
+                        (budget.gateway, budget.incarnation, origin), 0
+                    ):
+                        return "concurrency budget: a report of an earlier incarnation was accepted"
+                    latest_incarnations[budget.gateway, budget.incarnation, origin] = known.incarnation
     return ""
 
 
 @dataclass(slots=True)
 class Mutant:
-    """A fault, and the checkers that may name it, in this order."""
+    """A deliberate fault, and the checkers that may detect it, in the order in which they run."""
 
-    put: Callable[[], Undo]
+    inject: Callable[[], Undo]
     checkers: tuple[Callable[[int], str], ...]
 
 
 MUTANTS: dict[str, Mutant] = {
-    "loan-both-hold": Mutant(_both_hold, (check_by_simulations, check_by_search)),
-    "expiry-by-wrong-clock": Mutant(_wrong_clock, (check_by_search, check_by_simulations)),
-    "speaks-for-its-past": Mutant(_speaks_for_its_past, (check_by_search, check_by_simulations)),
-    "word-counted-twice": Mutant(_counted_twice, (check_by_search, check_by_simulations)),
-    "closed-twice": Mutant(_closed_twice, (check_by_search, check_by_simulations)),
-    "loan-never-ends": Mutant(_never_ends, (check_by_search, check_by_simulations)),
-    "store-without-end": Mutant(_no_cap, (check_by_search, check_by_simulations)),
-    "sleep-earns": Mutant(_sleep_earns, (check_by_search, check_by_simulations)),
-    "out-forgotten": Mutant(_out_forgotten, (check_by_search, check_by_simulations)),
-    "starts-full": Mutant(_starts_full, (check_by_simulations,)),
-    "no-witness": Mutant(_no_witness, (check_suspicions,)),
-    "words-before-own": Mutant(_words_first, (check_suspicions,)),
-    "words-never-end": Mutant(_no_end, (check_suspicions,)),
-    "all-ruled-out": Mutant(_all_ruled_out, (check_suspicions,)),
-    "old-level-speaks": Mutant(_old_level_speaks, (check_concurrency_budget,)),
-    "takes-all-at-once": Mutant(_takes_all, (check_concurrency_budget,)),
+    "loan-both-hold": Mutant(_keep_leased_units, (check_by_simulations, check_by_search)),
+    "expiry-by-wrong-clock": Mutant(_count_lease_from_arrival, (check_by_search, check_by_simulations)),
+    "speaks-for-its-past": Mutant(_accept_grants_to_predecessor, (check_by_search, check_by_simulations)),
+    "word-counted-twice": Mutant(_count_repeated_grants, (check_by_search, check_by_simulations)),
+    "closed-twice": Mutant(_apply_repeated_releases, (check_by_search, check_by_simulations)),
+    "loan-never-ends": Mutant(_use_expired_leases, (check_by_search, check_by_simulations)),
+    "store-without-end": Mutant(_fill_beyond_capacity, (check_by_search, check_by_simulations)),
+    "sleep-earns": Mutant(_fill_while_suspended, (check_by_search, check_by_simulations)),
+    "out-forgotten": Mutant(_refill_leased_units, (check_by_search, check_by_simulations)),
+    "starts-full": Mutant(_start_full, (check_by_simulations,)),
+    "no-witness": Mutant(_accept_single_zone, (check_suspicions,)),
+    "words-before-own": Mutant(_ignore_own_attempts, (check_suspicions,)),
+    "words-never-end": Mutant(_never_expire_suspicions, (check_suspicions,)),
+    "all-ruled-out": Mutant(_suspect_all_endpoints, (check_suspicions,)),
+    "old-level-speaks": Mutant(_accept_old_reports, (check_concurrency_budget,)),
+    "takes-all-at-once": Mutant(_take_over_at_once, (check_concurrency_budget,)),
 }
 
 
 def find(name: str) -> tuple[str, str]:
-    """The mutant's name, and what named it; empty: nothing did."""
+    """Returns the mutant's name, and the finding of the checker that detected it; empty if none did."""
     mutant = MUTANTS[name]
-    undo = mutant.put()
+    undo = mutant.inject()
     try:
         for checker in mutant.checkers:
-            said = checker(1)
-            if said:
-                return name, said
+            finding = checker(1)
+            if finding:
+                return name, finding
     finally:
         undo()
     return name, ""
 
 
 def try_all(names: tuple[str, ...], jobs: int) -> Iterator[tuple[str, str]]:
-    """In the order of the names."""
+    """Runs the checkers on each mutant in parallel; yields the findings in the order of `names`."""
     with multiprocessing.get_context("spawn").Pool(min(jobs, len(names)), maxtasksperchild=1) as pool:
         yield from pool.imap(find, names, chunksize=1)
--- a/zincstile/simulation/place_model.py
+++ b/zincstile/simulation/place_model.py
@@ -1,6 +1,8 @@
-"""Zones chosen in common by any number of gateways, zones and regions: `zone_failover.agreement` of each on
-virtual time, with words that are late and lost, and servers that are no more than figures. A zone is lost,
-then comes back. No sockets and no requests; `simulation/places` plays whole gateways.
+"""Model of zone failover for any number of gateways, zones and regions.
+
+Runs each gateway's `zone_failover.agreement` on virtual time, with messages that are delayed and lost, and
+with backends that are just numbers. One zone is lost and returns later. There are no sockets and no requests;
+`simulation/places` simulates whole gateways.
 """
 
 from __future__ import annotations
@@ -17,50 +19,54 @@
 from ..zone_failover.settings import MS, SECOND, ZoneFailoverSettings
 from ..zone_failover.zone_states import ZoneState
 
-NEAR_NS, FAR_NS = 1.9 * MS, 30 * MS
-SERVERS, DEMAND, ROOM = 8, 50.0, 100.0  # of a zone: ready servers; units a second asked, and borne
-LOSS_NS, BACK_NS, END_NS = 12 * SECOND, 30 * SECOND, 50 * SECOND
-TRIED = 0.25  # of its beats, in which a gateway tries a zone that is left
+MIN_DELAY_NS, MAX_DELAY_NS = 1.9 * MS, 30 * MS
+# Ready servers of a zone, and its demand and capacity in units a second.
+SERVERS_PER_ZONE, ZONE_DEMAND, ZONE_CAPACITY = 8, 50.0, 100.0
+LOSS_START_NS, LOSS_END_NS, END_NS = 12 * SECOND, 30 * SECOND, 50 * SECOND
+# In this ratio of its heartbeats a gateway has tried a zone that gets no regular traffic.
+PROBE_RATIO = 0.25
 
 
 @dataclass(slots=True)
 class ModelResult:
-    """One fleet. Seconds; -1: never."""
+    """Result for one fleet. Times are in seconds; -1: never."""
 
     gateways: int
     zones: int
     regions: int
-    first_s: float  # from the start to one table at all
-    evacuated_s: float  # from the loss until nobody's table sends there
-    one_s: float  # until all have one table again
-    restored_s: float  # from the return until the zone has its whole traffic
-    sent: float  # datagrams of a gateway in a second, mean
-    most_sent: int  # of the busiest in its busiest second
-    most_heard: int
-    bytes_: float
-    changes: int  # of the table
-    table_ms: float  # CPU of one table, mean
-    conflicting_generations: int  # generations of which two tables differ
+    first_table_s: float  # from the start until all gateways have the same table
+    evacuated_s: float  # from the loss until no gateway's table sends to the zone
+    agreed_s: float  # from the loss until all have the same table again
+    restored_s: float  # from the return until the zone has its full traffic
+    sent_per_s: float  # datagrams of one gateway, mean
+    max_sent_per_s: int  # of the busiest gateway in its busiest second
+    max_received_per_s: int
+    bytes_per_s: float
+    table_changes: int  # of the routing table
+    table_cpu_ms: float  # CPU time to compute one table, mean
+    conflicting_generations: int  # generations with two different tables
 
 
 class Model:
     def __init__(self, gateways: int, zones: int, regions: int, seed: int = 1, loss: float = 0.03) -> None:
         names = [f"z{k}" for k in range(zones)]
-        grouped = {f"r{r}": tuple(names[r::regions]) for r in range(regions)}
-        far = {(f"r{a}", f"r{b}"): 40 * MS * (b - a) for a in range(regions) for b in range(a + 1, regions)}
-        self.settings = ZoneFailoverSettings(grouped, far)
+        zones_by_region = {f"r{r}": tuple(names[r::regions]) for r in range(regions)}
+        inter_region_ns = {
+            (f"r{a}", f"r{b}"): 40 * MS * (b - a) for a in range(regions) for b in range(a + 1, regions)
+        }
+        self.settings = ZoneFailoverSettings(zones_by_region, inter_region_ns)
         self.scheduler, self.rng, self.loss = Scheduler(), random.Random(f"place model {seed}"), loss
         distance = self.settings.distance_matrix(names)
         self.zones, self.regions = zones, regions
-        self.seats = [
+        self.agreements = [
             Agreement(self.settings, k, gateways, k % zones, distance, 1 + k, random.Random(f"{seed} {k}"))
             for k in range(gateways)
         ]
-        self.dead = False
+        self.zone_lost = False
         self.sent: Counter[tuple[int, int]] = Counter()
-        self.heard: Counter[tuple[int, int]] = Counter()
+        self.received: Counter[tuple[int, int]] = Counter()
         self.bytes = 0
-        self.cpu_s, self.proposed = 0.0, 0
+        self.cpu_s, self.proposals = 0.0, 0
         self.tables: dict[object, object] = {}
         self.conflicting_generations = 0
 
@@ -68,112 +74,123 @@
     def now(self) -> int:
         return self.scheduler.now_ns
 
-    def _beat(self, k: int) -> None:
-        seat = self.seats[k]
-        table, sights = seat.table(self.now), []
-        for z in range(self.zones):
-            uses = seat.own_zone == z if table is None else table.weights[seat.own_zone][z] > 0
-            left = table is not None and (table.states[z] == ZoneState.LOST or z == seat.own_zone)
-            tried = uses or left and self.rng.random() < TRIED
-            lost = self.dead and z == 0
-            sights.append(
+    def _send_heartbeat(self, gateway: int) -> None:
+        agreement = self.agreements[gateway]
+        table, observations = agreement.table(self.now), []
+        for zone in range(self.zones):
+            used = (
+                agreement.own_zone == zone if table is None else table.weights[agreement.own_zone][zone] > 0
+            )
+            may_probe = table is not None and (
+                table.states[zone] == ZoneState.LOST or zone == agreement.own_zone
+            )
+            observed = used or may_probe and self.rng.random() < PROBE_RATIO
+            unreachable = self.zone_lost and zone == 0
+            observations.append(
                 ZoneObservation(
-                    SERVERS,
-                    0.0 if lost else float(SERVERS),
-                    float(lost) if tried else -1.0,
-                    ROOM / len(self.seats),
+                    SERVERS_PER_ZONE,
+                    0.0 if unreachable else float(SERVERS_PER_ZONE),
+                    float(unreachable) if observed else -1.0,
+                    ZONE_CAPACITY / len(self.agreements),
                 )
             )
-        members = sum(s.own_zone == seat.own_zone for s in self.seats)
-        held = seat.terms.is_leader(self.now)
-        before = time.process_time()
-        seat.observe(self.now, DEMAND / members, sights)
-        if held:
-            self.cpu_s, self.proposed = self.cpu_s + time.process_time() - before, self.proposed + 1
-            table = seat.table(self.now)
+        zone_gateways = sum(s.own_zone == agreement.own_zone for s in self.agreements)
+        is_leader = agreement.terms.is_leader(self.now)
+        cpu_before_s = time.process_time()
+        agreement.observe(self.now, ZONE_DEMAND / zone_gateways, observations)
+        if is_leader:
+            self.cpu_s, self.proposals = self.cpu_s + time.process_time() - cpu_before_s, self.proposals + 1
+            table = agreement.table(self.now)
             if table is not None and self.tables.setdefault(table.generation, table.weights) != table.weights:
                 self.conflicting_generations += 1
-        self._send(k)
-        self.scheduler.call_at(self.now + self.settings.heartbeat_interval_ns, self._beat, k)
+        self._send(gateway)
+        self.scheduler.call_at(self.now + self.settings.heartbeat_interval_ns, self._send_heartbeat, gateway)
 
-    def _send(self, k: int) -> None:
-        for to, message in self.seats[k].take_messages():
+    def _send(self, gateway: int) -> None:
+        for recipient, message in self.agreements[gateway].take_messages():
             data = pack(message)
-            self.sent[k, self.now // SECOND] += 1
+            self.sent[gateway, self.now // SECOND] += 1
             self.bytes += len(data)
             if self.rng.random() >= self.loss:
                 self.scheduler.call_at(
-                    self.now + int(self.rng.uniform(NEAR_NS, FAR_NS)), self._hear, k, to, unpack(data)
+                    self.now + int(self.rng.uniform(MIN_DELAY_NS, MAX_DELAY_NS)),
+                    self._receive,
+                    gateway,
+                    recipient,
+                    unpack(data),
                 )
 
-    def _hear(self, sender: int, to: int, message: ZoneMessage) -> None:
-        self.heard[to, self.now // SECOND] += 1
-        self.seats[to].receive(self.now, sender, message)
-        self._send(to)
+    def _receive(self, sender: int, recipient: int, message: ZoneMessage) -> None:
+        self.received[recipient, self.now // SECOND] += 1
+        self.agreements[recipient].receive(self.now, sender, message)
+        self._send(recipient)
 
-    def _until(self, end_ns: int, so) -> float:
-        """Seconds from now until that is so; -1: not by then."""
+    def _seconds_until(self, end_ns: int, condition) -> float:
+        """Returns the seconds from now until the condition holds; -1 if it does not hold by `end_ns`."""
         begin = self.now
         while self.now < end_ns:
             self.scheduler.run(self.now + 50 * MS)
-            if so():
+            if condition():
                 return (self.now - begin) / SECOND
         return -1.0
 
-    def _one(self) -> bool:
-        found = [s.table(self.now) for s in self.seats]
-        return None not in found and len({t.weights for t in found}) == 1
+    def _all_agree(self) -> bool:
+        tables = [s.table(self.now) for s in self.agreements]
+        return None not in tables and len({t.weights for t in tables}) == 1
 
-    def _left(self) -> bool:
-        found = [s.table(self.now) for s in self.seats]
-        return all(t is not None and not any(row[0] for row in t.weights) for t in found)
+    def _zone_left(self) -> bool:
+        tables = [s.table(self.now) for s in self.agreements]
+        return all(t is not None and not any(row[0] for row in t.weights) for t in tables)
 
-    def _whole(self) -> bool:
-        found = [s.table(self.now) for s in self.seats]
-        return all(t is not None and t.weights[0][0] >= 245 for t in found)
+    def _zone_restored(self) -> bool:
+        tables = [s.table(self.now) for s in self.agreements]
+        return all(t is not None and t.weights[0][0] >= 245 for t in tables)
 
     def play(self) -> ModelResult:
-        for k, seat in enumerate(self.seats):
-            seat.start(0)
-            self.scheduler.call_at(self.rng.randrange(self.settings.heartbeat_interval_ns), self._beat, k)
-        first = self._until(LOSS_NS, self._one)
-        self.scheduler.run(LOSS_NS)
-        self.dead = True
-        out = self._until(BACK_NS, self._left)
-        one = self._until(BACK_NS, self._one)
-        self.scheduler.run(BACK_NS)
-        self.dead = False
-        back = self._until(END_NS, self._whole)
+        for k, agreement in enumerate(self.agreements):
+            agreement.start(0)
+            self.scheduler.call_at(
+                self.rng.randrange(self.settings.heartbeat_interval_ns), self._send_heartbeat, k
+            )
+        first_table_s = self._seconds_until(LOSS_START_NS, self._all_agree)
+        self.scheduler.run(LOSS_START_NS)
+        self.zone_lost = True
+        evacuated_s = self._seconds_until(LOSS_END_NS, self._zone_left)
+        agreed_s = self._seconds_until(LOSS_END_NS, self._all_agree)
+        self.scheduler.run(LOSS_END_NS)
+        self.zone_lost = False
+        restored_s = self._seconds_until(END_NS, self._zone_restored)
         seconds = self.now / SECOND
-        one = out + one if one >= 0 else -1.0
+        agreed_s = evacuated_s + agreed_s if agreed_s >= 0 else -1.0
         return ModelResult(
-            len(self.seats),
+            len(self.agreements),
             self.zones,
             self.regions,
-            first,
-            out,
-            one,
-            back,
-            sum(self.sent.values()) / len(self.seats) / seconds,
+            first_table_s,
+            evacuated_s,
+            agreed_s,
+            restored_s,
+            sum(self.sent.values()) / len(self.agreements) / seconds,
             max(self.sent.values()),
-            max(self.heard.values()),
-            self.bytes / len(self.seats) / seconds,
-            max(s.table_changes for s in self.seats),
-            1000 * self.cpu_s / max(1, self.proposed),
+            max(self.received.values()),
+            self.bytes / len(self.agreements) / seconds,
+            max(s.table_changes for s in self.agreements),
+            1000 * self.cpu_s / max(1, self.proposals),
             self.conflicting_generations,
         )
 
 
-def table(rows: list[ModelResult]) -> str:
-    """One line a fleet."""
+def table(results: list[ModelResult]) -> str:
+    """Formats the results with one line per fleet."""
     lines = [
         f"{'n':>5}{'zones':>7}{'regions':>9}{'first':>7}{'out':>6}{'one':>6}{'back':>7}{'msg/s':>7}"
         f"{'most':>6}{'heard':>7}{'B/s':>7}{'tables':>8}{'CPU ms':>8}{'differ':>8}"
     ]
     lines += [
-        f"{r.gateways:5}{r.zones:7}{r.regions:9}{r.first_s:7.2f}{r.evacuated_s:6.2f}{r.one_s:6.2f}"
-        f"{r.restored_s:7.2f}{r.sent:7.1f}{r.most_sent:6}{r.most_heard:7}{r.bytes_:7.0f}{r.changes:8}{r.table_ms:8.2f}"
+        f"{r.gateways:5}{r.zones:7}{r.regions:9}{r.first_table_s:7.2f}{r.evacuated_s:6.2f}{r.agreed_s:6.2f}"
+        f"{r.restored_s:7.2f}{r.sent_per_s:7.1f}{r.max_sent_per_s:6}{r.max_received_per_s:7}"
+        f"{r.bytes_per_s:7.0f}{r.table_changes:8}{r.table_cpu_ms:8.2f}"
         f"{r.conflicting_generations:8}"
-        for r in rows
+        for r in results
     ]
     return "\n".join(lines)
--- a/zincstile/simulation/place_search.py
+++ b/zincstile/simulation/place_search.py
@@ -1,10 +1,12 @@
-"""Every order of a small case of the agreement on a table: gateways that call terms, give their voices and
-propose, with words delivered in any order, lost and doubled, processes that crash and start anew, and
-processes that are stopped and wake with their old time. No clock, no chance; equal states once.
+"""Exhaustive search over a small model of the agreement on a routing table.
 
-After each step: no two processes hold a term by what their own running clocks say, who holds one was
-given the voices of more than half, no two tables of one generation differ, and nobody goes back to an
-older one. A run in which all is heard again ends in one table (`settles`).
+Gateways request votes, grant them and propose tables. Messages are delivered in any order, lost and
+duplicated; processes crash and restart; processes are suspended and resume with their old time. There is
+neither a clock nor randomness. Equal states are expanded once.
+
+Invariants after each step: at most one process is the leader by its own running clock, every leader was
+granted the votes of a majority, tables of one generation are equal, and no gateway returns to an older table.
+From any state, once messages arrive again, all gateways agree on one table (`settling_error`).
 """
 
 from __future__ import annotations
@@ -21,28 +23,29 @@
 from .search import ConstantRandom, InvariantError
 
 SETTINGS = ZoneFailoverSettings(term_ns=400 * MS, heartbeat_interval_ns=100 * MS, table_lifetime_ns=800 * MS)
-STEP_NS = 200 * MS  # two of them end a term
-FLIGHT = 3
-SETTLED = 30  # ticks in which all has to end in one table
+STEP_NS = 200 * MS  # length of a tick: two ticks end a term
+MAX_MESSAGES = 3
+SETTLE_TICKS = 30  # ticks within which all gateways have to agree on one table
 CASES = {"2 zones of 2": 4, "3 zones of 1": 3}
 
 
-class Quiet(ConstantRandom):
-    """In place of chance, without any spread."""
+class ZeroRandom(ConstantRandom):
+    """Replaces a random generator by constants, so that random delays are 0."""
 
-    def randrange(self, most: int) -> int:
+    def randrange(self, stop: int) -> int:
         return 0
 
 
 @dataclass(slots=True)
 class State:
     now: int = 0
-    seats: list[LeaderTerms] = field(default_factory=list)
+    terms: list[LeaderTerms] = field(default_factory=list)
     clocks: list[int] = field(default_factory=list)
-    messages: list[tuple[int, int, object]] = field(default_factory=list)  # from, to, word
-    made: dict[Generation, tuple] = field(default_factory=dict)
-    newest: list[Generation | None] = field(default_factory=list)
-    given: dict[tuple[int, int], dict[int, None]] = field(default_factory=dict)  # term, process: who promised
+    messages: list[tuple[int, int, object]] = field(default_factory=list)  # sender, recipient, message
+    tables_by_generation: dict[Generation, tuple] = field(default_factory=dict)
+    newest_generations: list[Generation | None] = field(default_factory=list)
+    # By term and process of the candidate: the electors that granted their votes.
+    granted_votes: dict[tuple[int, int], dict[int, None]] = field(default_factory=dict)
     crashes: int = 0
     path: tuple[str, ...] = ()
 
@@ -58,137 +61,156 @@
 
 
 def initial_state(count: int) -> State:
-    """All have run for long: they may give their voices."""
+    """Returns a state in which all gateways have run for long enough to grant votes."""
     state = State(now=10 * SETTINGS.term_ns)
-    for me in range(count):
-        state.seats.append(LeaderTerms(SETTINGS, me, count, me + 1, 0, Quiet(me)))  # type: ignore[arg-type]
+    for gateway in range(count):
+        state.terms.append(LeaderTerms(SETTINGS, gateway, count, gateway + 1, 0, ZeroRandom(gateway)))  # type: ignore[arg-type]
         state.clocks.append(state.now)
-        state.newest.append(None)
+        state.newest_generations.append(None)
     return state
 
 
 def possible_actions(state: State) -> list[str]:
-    """All that can happen next."""
-    found, seen = [], []
-    for g in range(len(state.seats)):
-        found += [f"look {g}"]
-        if state.seats[g].is_leader(state.clocks[g]):
-            found.append(f"propose {g}")
+    """Returns all actions that are possible in a state."""
+    actions, seen = [], []
+    for gateway in range(len(state.terms)):
+        actions += [f"look {gateway}"]
+        if state.terms[gateway].is_leader(state.clocks[gateway]):
+            actions.append(f"propose {gateway}")
         if state.crashes < 1:
-            found.append(f"crash {g}")
-    for k, one in enumerate(state.messages):
-        if repr(one) not in seen:
-            seen.append(repr(one))
-            found += [f"deliver {k}", f"lose {k}"]
-            if len(state.messages) < FLIGHT:
-                found.append(f"double {k}")
-    asleep = [g for g, at in enumerate(state.clocks) if at < state.now]
-    return [*found, "tick", *(f"sleep {g}" for g in asleep or range(len(state.seats)))]
+            actions.append(f"crash {gateway}")
+    for k, message in enumerate(state.messages):
+        if repr(message) not in seen:
+            seen.append(repr(message))
+            actions += [f"deliver {k}", f"lose {k}"]
+            if len(state.messages) < MAX_MESSAGES:
+                actions.append(f"double {k}")
+    suspended = [gateway for gateway, clock in enumerate(state.clocks) if clock < state.now]
+    return [*actions, "tick", *(f"sleep {gateway}" for gateway in suspended or range(len(state.terms)))]
 
 
 def apply_action(state: State, action: str) -> None:
-    """Carries it out."""
-    what, *args = action.split()
-    g = int(args[0]) if args else -1
+    """Applies an action to the state. InvariantError if an invariant does not hold then."""
+    kind, *arguments = action.split()
+    argument = int(arguments[0]) if arguments else -1
     state.path = (*state.path, action)
-    if what == "look":
-        state.seats[g].update(state.clocks[g], set(range(len(state.seats))))
-        _flush(state, g)
-    elif what == "propose":
-        _propose(state, g)
-    elif what == "deliver":
-        sender, to, word = state.messages.pop(g)
-        state.seats[to].receive(state.clocks[to], sender, word)  # type: ignore[arg-type]
-        _flush(state, to)
-    elif what == "lose":
-        state.messages.pop(g)
-    elif what == "double":
-        state.messages.append(state.messages[g])
-    elif what == "crash":
+    if kind == "look":
+        state.terms[argument].update(state.clocks[argument], set(range(len(state.terms))))
+        _flush(state, argument)
+    elif kind == "propose":
+        _propose(state, argument)
+    elif kind == "deliver":
+        sender, recipient, message = state.messages.pop(argument)
+        state.terms[recipient].receive(state.clocks[recipient], sender, message)  # type: ignore[arg-type]
+        _flush(state, recipient)
+    elif kind == "lose":
+        state.messages.pop(argument)
+    elif kind == "double":
+        state.messages.append(state.messages[argument])
+    elif kind == "crash":
         state.crashes += 1
-        state.clocks[g] = state.now
-        state.seats[g] = LeaderTerms(SETTINGS, g, len(state.seats), 100 + g, state.now, Quiet(g))  # type: ignore
-        state.newest[g] = None
+        state.clocks[argument] = state.now
+        state.terms[argument] = LeaderTerms(
+            SETTINGS,
+            argument,
+            len(state.terms),
+            100 + argument,
+            state.now,
+            ZeroRandom(argument),  # type: ignore
+        )
+        state.newest_generations[argument] = None
     else:
         state.now += STEP_NS
-        for k in range(len(state.seats)):
-            if k != g:
+        for k in range(len(state.terms)):
+            if k != argument:
                 state.clocks[k] = state.now
     _check(state)
 
 
-def _propose(state: State, g: int) -> None:
-    """What it proposes differs each time and for each process: a generation that is used twice shows."""
-    seat = state.seats[g]
-    row = (seat.process, len(state.made) % 200)
-    table = seat.propose(state.clocks[g], (row,), (0,))
+def _propose(state: State, gateway: int) -> None:
+    """Proposes a table that differs for each process and each time, to reveal a generation used twice."""
+    terms = state.terms[gateway]
+    weights = (terms.process, len(state.tables_by_generation) % 200)
+    table = terms.propose(state.clocks[gateway], (weights,), (0,))
     if table is None:
-        raise InvariantError(f"gateway {g} holds a term and may not propose")
-    before = state.made.setdefault(table.generation, table.weights)
-    if before != table.weights:
-        raise InvariantError(f"two tables of generation {table.generation}")
-    for to in range(len(state.seats)):
-        if to != g:
-            _put(state, (g, to, table))
-    _flush(state, g)
+        raise InvariantError(f"gateway {gateway} is the leader but may not propose")
+    previous = state.tables_by_generation.setdefault(table.generation, table.weights)
+    if previous != table.weights:
+        raise InvariantError(f"two different tables of generation {table.generation}")
+    for recipient in range(len(state.terms)):
+        if recipient != gateway:
+            _send(state, (gateway, recipient, table))
+    _flush(state, gateway)
 
 
-def _flush(state: State, g: int) -> None:
-    for to, word in state.seats[g].take_messages():
-        if isinstance(word, VoteReply) and word.granted:
-            state.given.setdefault((word.term, word.process), {})[g] = None
-        _put(state, (g, to, word))
+def _flush(state: State, gateway: int) -> None:
+    for recipient, message in state.terms[gateway].take_messages():
+        if isinstance(message, VoteReply) and message.granted:
+            state.granted_votes.setdefault((message.term, message.process), {})[gateway] = None
+        _send(state, (gateway, recipient, message))
 
 
-def _put(state: State, one: tuple[int, int, object]) -> None:
-    if len(state.messages) < FLIGHT:
-        state.messages.append(one)
+def _send(state: State, message: tuple[int, int, object]) -> None:
+    if len(state.messages) < MAX_MESSAGES:
+        state.messages.append(message)
 
 
 def _check(state: State) -> None:
-    holders = [
-        g for g, seat in enumerate(state.seats) if state.clocks[g] == state.now and seat.is_leader(state.now)
+    leaders = [
+        gateway
+        for gateway, terms in enumerate(state.terms)
+        if state.clocks[gateway] == state.now and terms.is_leader(state.now)
     ]
-    if len(holders) > 1:
-        raise InvariantError(f"gateways {holders} hold a term at once")
-    for g in holders:
-        seat = state.seats[g]
-        promised = len(state.given.get((seat.candidacy.term, seat.process), {})) + (g in seat.candidacy.votes)
-        if promised < seat.majority:
-            raise InvariantError(f"gateway {g} holds a term by {promised} voices of {seat.majority}")
-    for g, seat in enumerate(state.seats):
-        have = seat.table.generation if seat.table is not None else None
-        before = state.newest[g]
-        if before is not None and (have is None or have < before):
-            raise InvariantError(f"gateway {g} went back from {before} to {have}")
-        if seat.table is not None and state.made.get(have) != seat.table.weights:
-            raise InvariantError(f"gateway {g} has a table that nobody made")
-        state.newest[g] = have
-
-
-def settles(state: State) -> str:
-    """All is heard from here on, and waits are drawn as they are: it ends in one table for all. What is
-    wrong, or nothing."""
+    if len(leaders) > 1:
+        raise InvariantError(f"gateways {leaders} are leaders at the same time")
+    for gateway in leaders:
+        terms = state.terms[gateway]
+        granted_count = len(state.granted_votes.get((terms.candidacy.term, terms.process), {})) + (
+            gateway in terms.candidacy.votes
+        )
+        if granted_count < terms.majority:
+            raise InvariantError(
+                f"gateway {gateway} is the leader with {granted_count} votes of {terms.majority}"
+            )
+    for gateway, terms in enumerate(state.terms):
+        generation = terms.table.generation if terms.table is not None else None
+        previous = state.newest_generations[gateway]
+        if previous is not None and (generation is None or generation < previous):
+            raise InvariantError(f"gateway {gateway} returned from generation {previous} to {generation}")
+        if terms.table is not None and state.tables_by_generation.get(generation) != terms.table.weights:
+            raise InvariantError(f"gateway {gateway} has a table that no gateway proposed")
+        state.newest_generations[gateway] = generation
+
+
+def settling_error(state: State) -> str:
+    """Delivers all messages from now on, with random delays, until all gateways should have one table.
+
+    Returns an error message, or an empty text if they have.
+    """
     state.messages = []
-    for g, seat in enumerate(state.seats):
-        seat.rng = random.Random(g)
-    for _ in range(SETTLED):
+    for gateway, terms in enumerate(state.terms):
+        terms.rng = random.Random(gateway)
+    for _ in range(SETTLE_TICKS):
         apply_action(state, "tick")
-        for g in range(len(state.seats)):
-            apply_action(state, f"look {g}")
+        for gateway in range(len(state.terms)):
+            apply_action(state, f"look {gateway}")
             while state.messages:
                 apply_action(state, "deliver 0")
-            if state.seats[g].is_leader(state.now):
-                table = state.seats[g].propose(state.now, ((state.seats[g].process, 0),), (0,))
-                state.made.setdefault(table.generation, table.weights)
-                for to in range(len(state.seats)):
-                    if to != g:
-                        state.seats[to].receive(state.now, g, table)
+            if state.terms[gateway].is_leader(state.now):
+                table = state.terms[gateway].propose(state.now, ((state.terms[gateway].process, 0),), (0,))
+                state.tables_by_generation.setdefault(table.generation, table.weights)
+                for recipient in range(len(state.terms)):
+                    if recipient != gateway:
+                        state.terms[recipient].receive(state.now, gateway, table)
                 _check(state)
-    found = {
-        seat.current_table(state.now) and seat.current_table(state.now).generation for seat in state.seats
+    generations = {
+        terms.current_table(state.now) and terms.current_table(state.now).generation for terms in state.terms
     }
-    return "" if len(found) == 1 and None not in found else f"it ends in {found}"
+    return (
+        ""
+        if len(generations) == 1 and None not in generations
+        else f"the gateways end with tables {generations}"
+    )
 
 
 def _candidacy_key(candidacy: Candidacy | None, now: int) -> tuple | None:
@@ -199,15 +221,15 @@
 
 
 def _state_key(state: State) -> bytes:
-    now, seats = state.now, []
-    for g, seat in enumerate(state.seats):
-        granted, candidacy, renewal = seat.granted_vote, seat.candidacy, seat.renewal
-        seats.append(
+    now, terms_keys = state.now, []
+    for gateway, terms in enumerate(state.terms):
+        granted, candidacy, renewal = terms.granted_vote, terms.candidacy, terms.renewal
+        terms_keys.append(
             (
-                state.clocks[g] - now,
-                seat.process,
-                seat.latest_term,
-                max(0, seat.no_vote_before_ns - now),
+                state.clocks[gateway] - now,
+                terms.process,
+                terms.latest_term,
+                max(0, terms.no_vote_before_ns - now),
                 granted
                 and (
                     granted.term,
@@ -217,12 +239,19 @@
                 ),
                 _candidacy_key(candidacy, now),
                 _candidacy_key(renewal, now),
-                seat.table and seat.table.generation,
-                max(-SETTINGS.table_lifetime_ns, seat.table_renewed_ns - now),
-                max(0, seat.next_request_ns - now),
+                terms.table and terms.table.generation,
+                max(-SETTINGS.table_lifetime_ns, terms.table_renewed_ns - now),
+                max(0, terms.next_request_ns - now),
             )
         )
-    return pickle.dumps((seats, sorted(map(repr, state.messages)), sorted(state.made.items()), state.crashes))
+    return pickle.dumps(
+        (
+            terms_keys,
+            sorted(map(repr, state.messages)),
+            sorted(state.tables_by_generation.items()),
+            state.crashes,
+        )
+    )
 
 
 OPENINGS = {
@@ -238,70 +267,72 @@
 }
 
 
-def opened(case: str, opening: str) -> State:
-    """A state to begin with. Whoever is first elector calls; the rest of an opening is found by its kind."""
+def opening_state(case: str, opening: str) -> State:
+    """Returns the state after an opening; the first elector requests the votes in it."""
     state = initial_state(CASES[case])
-    first = state.seats[0].electors[0]
+    first_elector = state.terms[0].electors[0]
     if OPENINGS[opening] is not None:
         for action in OPENINGS[opening]:
             if action.startswith("look 0"):
-                action = f"look {first}"
+                action = f"look {first_elector}"
             if action.split()[0] in ("deliver", "lose") and not state.messages:
                 continue
             apply_action(state, action)
         return state
-    apply_action(state, f"look {first}")
-    while state.messages and not state.seats[first].is_leader(state.now):
+    apply_action(state, f"look {first_elector}")
+    while state.messages and not state.terms[first_elector].is_leader(state.now):
         apply_action(state, "deliver 0")
     state.messages = []
     if opening != "a term is held":
-        apply_action(state, f"propose {first}")
+        apply_action(state, f"propose {first_elector}")
     if opening == "the holder is stopped":
-        apply_action(state, f"sleep {first}")
+        apply_action(state, f"sleep {first_elector}")
     elif opening == "the holder crashes":
-        apply_action(state, f"crash {first}")
+        apply_action(state, f"crash {first_elector}")
     return state
 
 
-def search(case: str, depth: int, opening: str, settle: int = 200) -> SearchResult:
-    """All paths of so many steps after an opening; it ends at the first that breaks. `settle`: of so many
-    states at the end it is looked whether all settle."""
-    found = SearchResult(f"{case}: {opening}", depth)
+def search(case: str, depth: int, opening: str, states_to_settle: int = 200) -> SearchResult:
+    """Searches all paths of `depth` steps after an opening, and stops at the first violation.
+
+    For about `states_to_settle` of the last states it also checks that the gateways agree on one table.
+    """
+    result = SearchResult(f"{case}: {opening}", depth)
     try:
-        state = opened(case, opening)
-    except InvariantError as broken:
-        found.violation = str(broken)
-        return found
-    level, known = [pickle.dumps(state)], {_state_key(state): None}
+        state = opening_state(case, opening)
+    except InvariantError as error:
+        result.violation = str(error)
+        return result
+    frontier, known_keys = [pickle.dumps(state)], {_state_key(state): None}
     generations: dict[Generation, None] = {}
     for _ in range(depth):
-        following = []
-        for packed in level:
+        next_frontier = []
+        for packed in frontier:
             for action in possible_actions(pickle.loads(packed)):
                 state = pickle.loads(packed)
-                found.steps += 1
+                result.steps += 1
                 try:
                     apply_action(state, action)
-                except InvariantError as broken:
-                    found.violation = f"{broken}: {'; '.join(state.path)}"
-                    return found
-                generations.update(dict.fromkeys(state.made))
+                except InvariantError as error:
+                    result.violation = f"{error}: {'; '.join(state.path)}"
+                    return result
+                generations.update(dict.fromkeys(state.tables_by_generation))
                 key = _state_key(state)
-                if key not in known:
-                    known[key] = None
-                    following.append(pickle.dumps(state))
-        level = following
-    for packed in level[:: max(1, len(level) // settle)] if settle else ():
+                if key not in known_keys:
+                    known_keys[key] = None
+                    next_frontier.append(pickle.dumps(state))
+        frontier = next_frontier
+    for packed in frontier[:: max(1, len(frontier) // states_to_settle)] if states_to_settle else ():
         state = pickle.loads(packed)
         try:
-            why = settles(state)
-        except InvariantError as broken:
-            why = str(broken)
-        if why:
-            found.violation = f"{why}: {'; '.join(state.path[:depth + 12])}"
-            return found
-    found.states, found.tables = len(known), len(generations)
-    return found
+            reason = settling_error(state)
+        except InvariantError as error:
+            reason = str(error)
+        if reason:
+            result.violation = f"{reason}: {'; '.join(state.path[:depth + 12])}"
+            return result
+    result.states, result.tables = len(known_keys), len(generations)
+    return result
 
 
 def _search(job: tuple[str, int, str]) -> SearchResult:
@@ -309,6 +340,6 @@
 
 
 def search_all(depth: int, jobs: int) -> Iterator[SearchResult]:
-    chosen = [(case, depth, opening) for case in CASES for opening in OPENINGS]
-    with multiprocessing.get_context("spawn").Pool(min(jobs, len(chosen))) as pool:
-        yield from pool.imap_unordered(_search, chosen)
+    searches = [(case, depth, opening) for case in CASES for opening in OPENINGS]
+    with multiprocessing.get_context("spawn").Pool(min(jobs, len(searches))) as pool:
+        yield from pool.imap_unordered(_search, searches)
--- a/zincstile/simulation/search.py
+++ b/zincstile/simulation/search.py
@@ -1,11 +1,12 @@
-"""Every order of a small case: three gateways that lend each other units of two customers' quotas, with
-words delivered in any order, lost and doubled, processes that crash and processes that are stopped in
-the middle of a turn, up to a depth. No clock, no chance: all that can happen next is tried, and equal
-states once.
-
-After each step every customer's quota is looked at in two ways: what has been sent, against the store
-that the quota is; and what may still be sent, stores and loans together, against what that store still
-holds. The second names a unit that two gateways have before anybody has sent it.
+"""Exhaustive search over a small model of leases: three gateways and the quotas of two customers.
+
+Tries every possible sequence of actions up to a depth: messages are delivered in any order, lost and
+duplicated, processes crash, and processes are suspended between a decision and its sending. There is neither
+a clock nor randomness. Equal states are expanded once.
+
+After each step two invariants are checked for every customer. The units sent must not exceed an ideal token
+bucket of the quota. The units that gateways may still send, from their token buckets and leases, must not
+exceed the level of that bucket. The second invariant reveals a unit with two owners before it is sent.
 """
 
 from __future__ import annotations
@@ -24,8 +25,8 @@
 from ..leases.settings import MILLISECOND_NS, LeaseSettings
 
 GATEWAYS, CUSTOMERS = 3, 2
-FLIGHT = 3  # words on their way at once at most; what would be more is lost
-DIGITS = 1e-6
+MAX_MESSAGES = 3  # messages in flight; further ones are lost
+TOLERANCE_UNITS = 1e-6
 SETTINGS = LeaseSettings(
     lease_ns=400 * MILLISECOND_NS,
     answer_timeout_ns=100 * MILLISECOND_NS,
@@ -34,13 +35,14 @@
     backoff_ns=100 * MILLISECOND_NS,
     max_initial_fill_ratio=1.0,
 )
-STEP_NS = 150 * MILLISECOND_NS  # a tick: three of them end a loan, two are a sleep
-QUOTAS = (Quota("a", 20.0, 6.0, GATEWAYS, 2.0), Quota("b", 2.0, 3.0, 2, 1.0))  # quick to fill, and slow
-ROWS = ((0, 1, 2), (1, 2))
+STEP_NS = 150 * MILLISECOND_NS  # length of a tick: three ticks end a lease, two count as a suspension
+# One quota that fills fast, and one that fills slowly.
+QUOTAS = (Quota("a", 20.0, 6.0, GATEWAYS, 2.0), Quota("b", 2.0, 3.0, 2, 1.0))
+CUSTOMER_GATEWAYS = ((0, 1, 2), (1, 2))
 
 
 class ConstantRandom:
-    """In place of chance: the same each time."""
+    """Replaces a random generator by one that returns constants."""
 
     def __init__(self, number: int) -> None:
         self.number = number
@@ -53,187 +55,212 @@
 
 
 @dataclass(slots=True)
-class Sent:
-    """A word on its way: from whom, by which process."""
+class MessageInFlight:
+    """A message in flight, with its sender and the sender's process."""
 
     sender: int
     process: int
-    word: LeaseMessage
+    message: LeaseMessage
 
 
 @dataclass(slots=True)
 class State:
-    """One moment."""
+    """A state of the model."""
 
     now: int = 0
-    seats: list[LeaseManager] = field(default_factory=list)
-    clocks: list[int] = field(default_factory=list)  # what each takes for now: a stopped one's stands
-    messages: list[Sent] = field(default_factory=list)
-    levels: list[float] = field(default_factory=list)  # of the store that each quota is
-    allowed: list[float] = field(default_factory=list)  # below nothing, by crashes and stops
+    managers: list[LeaseManager] = field(default_factory=list)
+    clocks: list[int] = field(default_factory=list)  # by gateway; stops while the gateway is suspended
+    messages: list[MessageInFlight] = field(default_factory=list)
+    levels: list[float] = field(default_factory=list)  # of each customer's ideal token bucket
+    # How far below 0 crashes and suspensions may bring each level.
+    allowed_overshoot: list[float] = field(default_factory=list)
     crashes: int = 0
     processes: int = 0
     path: tuple[str, ...] = ()
 
 
 class InvariantError(Exception):
-    """What may not be: a quota was passed, or could be; two hold one term, or tables differ."""
+    """An invariant does not hold in a state of the model."""
 
 
 @dataclass(slots=True)
 class SearchResult:
-    """What came of a search."""
+    """Result of a search."""
 
     depth: int
     opening: str = "nothing"
     states: int = 0
     steps: int = 0
     violation: str = ""
-    max_overshoot: float = 0.0  # units beyond a quota, at most
+    max_overshoot: float = 0.0  # units beyond a quota
     bound_ratio: float = 0.0
 
 
 def initial_state() -> State:
-    state = State(levels=[q.burst for q in QUOTAS], allowed=[0.0] * CUSTOMERS)
-    for me in range(GATEWAYS):
+    state = State(levels=[q.burst for q in QUOTAS], allowed_overshoot=[0.0] * CUSTOMERS)
+    for gateway in range(GATEWAYS):
         state.clocks.append(0)
-        state.seats.append(_seat(state, me))
+        state.managers.append(_new_manager(state, gateway))
     return state
 
 
-def _seat(state: State, me: int) -> LeaseManager:
+def _new_manager(state: State, gateway: int) -> LeaseManager:
     state.processes += 1
-    made = LeaseManager(SETTINGS, me, state.processes, state.now, ConstantRandom(1000 * state.processes))  # type: ignore
-    for c in range(CUSTOMERS):
-        if me in ROWS[c]:
-            _account(made, state.now, c)
-    return made
+    manager = LeaseManager(
+        SETTINGS,
+        gateway,
+        state.processes,
+        state.now,
+        ConstantRandom(1000 * state.processes),  # type: ignore
+    )
+    for customer in range(CUSTOMERS):
+        if gateway in CUSTOMER_GATEWAYS[customer]:
+            _account(manager, state.now, customer)
+    return manager
 
 
-def _account(leases: LeaseManager, now: int, c: int) -> QuotaAccount:
-    return leases.account(now, c + 1, c, QUOTAS[c], ROWS[c])
+def _account(leases: LeaseManager, now: int, customer: int) -> QuotaAccount:
+    return leases.account(now, customer + 1, customer, QUOTAS[customer], CUSTOMER_GATEWAYS[customer])
 
 
 def possible_actions(state: State) -> list[str]:
-    """All that can happen next."""
-    found = [f"try {g} {c}" for c in range(CUSTOMERS) for g in ROWS[c]]
+    """Returns all actions that are possible in a state."""
+    actions = [
+        f"try {gateway} {customer}"
+        for customer in range(CUSTOMERS)
+        for gateway in CUSTOMER_GATEWAYS[customer]
+    ]
     seen: list[str] = []
-    for k, one in enumerate(state.messages):
-        key = repr((one.sender, one.process, one.word))
+    for k, in_flight in enumerate(state.messages):
+        key = repr((in_flight.sender, in_flight.process, in_flight.message))
         if key in seen:
             continue
         seen.append(key)
-        found += [f"deliver {k}", f"lose {k}"]
-        if len(state.messages) < FLIGHT:
-            found.append(f"double {k}")
-    found += ["tick", "pass"]
-    found += [f"crash {g}" for g in range(GATEWAYS) if state.crashes < 1]
-    asleep = [g for g in range(GATEWAYS) if state.clocks[g] < state.now]
-    found += [f"sleep {g}" for g in asleep or range(GATEWAYS)]
-    return found
+        actions += [f"deliver {k}", f"lose {k}"]
+        if len(state.messages) < MAX_MESSAGES:
+            actions.append(f"double {k}")
+    actions += ["tick", "pass"]
+    actions += [f"crash {gateway}" for gateway in range(GATEWAYS) if state.crashes < 1]
+    suspended = [gateway for gateway in range(GATEWAYS) if state.clocks[gateway] < state.now]
+    actions += [f"sleep {gateway}" for gateway in suspended or range(GATEWAYS)]
+    return actions
 
 
 def apply_action(state: State, action: str) -> None:
-    """Carries it out. Broken where a quota was passed by it."""
-    what, *args = action.split()
-    numbers = [int(a) for a in args]
+    """Applies an action to the state. InvariantError if the result exceeds a quota, or may exceed it."""
+    kind, *arguments_text = action.split()
+    arguments = [int(a) for a in arguments_text]
     state.path = (*state.path, action)
-    if what == "try":
-        _try(state, *numbers)
-    elif what == "deliver":
-        _deliver(state, state.messages.pop(numbers[0]))
-    elif what == "lose":
-        state.messages.pop(numbers[0])
-    elif what == "double":
-        state.messages.append(state.messages[numbers[0]])
-    elif what == "crash":
-        _crash(state, numbers[0])
+    if kind == "try":
+        _try(state, *arguments)
+    elif kind == "deliver":
+        _deliver(state, state.messages.pop(arguments[0]))
+    elif kind == "lose":
+        state.messages.pop(arguments[0])
+    elif kind == "double":
+        state.messages.append(state.messages[arguments[0]])
+    elif kind == "crash":
+        _crash(state, arguments[0])
     else:
-        _tick(state, numbers[0] if numbers else -1, look=what != "pass")
+        _tick(state, arguments[0] if arguments else -1, run_timers=kind != "pass")
     _check(state)
 
 
-def _flush(state: State, g: int) -> None:
-    for word in state.seats[g].drain_messages():
-        if len(state.messages) < FLIGHT:
-            state.messages.append(Sent(g, state.seats[g].state.process, word))
+def _flush(state: State, gateway: int) -> None:
+    for message in state.managers[gateway].drain_messages():
+        if len(state.messages) < MAX_MESSAGES:
+            state.messages.append(MessageInFlight(gateway, state.managers[gateway].state.process, message))
 
 
-def _try(state: State, g: int, c: int) -> None:
-    leases, now = state.seats[g], state.clocks[g]
-    units, account = QUOTAS[c].max_request_units, _account(leases, now, c)
-    borrowed = account.leased_units()
+def _try(state: State, gateway: int, customer: int) -> None:
+    leases, now = state.managers[gateway], state.clocks[gateway]
+    units, account = QUOTAS[customer].max_request_units, _account(leases, now, customer)
+    leased_units = account.leased_units()
     if leases.reserve(now, account, units):
-        state.levels[c] -= units
-        if now < state.now:  # stopped between decision and sending: what it borrowed may be lent anew by now
-            state.allowed[c] += max(0.0, borrowed - account.leased_units())
+        state.levels[customer] -= units
+        # Suspended between decision and sending: the lessor may have leased the units again by now.
+        if now < state.now:
+            state.allowed_overshoot[customer] += max(0.0, leased_units - account.leased_units())
     else:
         leases.lessee.request_missing(now, account, units)
-    _flush(state, g)
+    _flush(state, gateway)
+
 
+def _deliver(state: State, in_flight: MessageInFlight) -> None:
+    message = in_flight.message
+    leases, now = state.managers[message.recipient], state.clocks[message.recipient]
+    if isinstance(message, LeaseRequest):
+        account = _account(leases, now, message.customer - 1)
+        leases.lessor.on_request(now, in_flight.sender, in_flight.process, message, account)
+    elif isinstance(message, LeaseGrant):
+        leases.lessee.on_grant(now, in_flight.sender, in_flight.process, message)
+    elif isinstance(message, LeaseRelease):
+        leases.lessor.on_release(now, in_flight.sender, in_flight.process, message)
+    _flush(state, message.recipient)
 
-def _deliver(state: State, one: Sent) -> None:
-    word = one.word
-    leases, now = state.seats[word.recipient], state.clocks[word.recipient]
-    if isinstance(word, LeaseRequest):
-        account = _account(leases, now, word.customer - 1)
-        leases.lessor.on_request(now, one.sender, one.process, word, account)
-    elif isinstance(word, LeaseGrant):
-        leases.lessee.on_grant(now, one.sender, one.process, word)
-    elif isinstance(word, LeaseRelease):
-        leases.lessor.on_release(now, one.sender, one.process, word)
-    _flush(state, word.recipient)
 
+def _tick(state: State, suspended: int, run_timers: bool) -> None:
+    """Advances the time by one tick, except for a suspended process, which keeps its old time.
 
-def _tick(state: State, asleep: int, look: bool) -> None:
-    """Time passes; a process that sleeps takes its old time for now until it wakes. Without a look: its
-    timers come after whatever comes next."""
+    If `run_timers` is false, the timers of this tick are delayed until after the next action.
+    """
     state.now += STEP_NS
-    for c, quota in enumerate(QUOTAS):
-        state.levels[c] = min(quota.burst, state.levels[c] + quota.rate * STEP_NS / 1e9)
-    for g, leases in enumerate(state.seats):
-        if g == asleep:
-            if state.clocks[g] == state.now - STEP_NS:  # its sleep begins
-                for c in range(CUSTOMERS):
-                    if g in ROWS[c]:
-                        state.allowed[c] += QUOTAS[c].rate / len(ROWS[c]) * SETTINGS.max_tick_gap_ns / 1e9
+    for customer, quota in enumerate(QUOTAS):
+        state.levels[customer] = min(quota.burst, state.levels[customer] + quota.rate * STEP_NS / 1e9)
+    for gateway, leases in enumerate(state.managers):
+        if gateway == suspended:
+            if state.clocks[gateway] == state.now - STEP_NS:  # the suspension begins
+                for customer in range(CUSTOMERS):
+                    if gateway in CUSTOMER_GATEWAYS[customer]:
+                        state.allowed_overshoot[customer] += (
+                            QUOTAS[customer].rate
+                            / len(CUSTOMER_GATEWAYS[customer])
+                            * SETTINGS.max_tick_gap_ns
+                            / 1e9
+                        )
             continue
-        state.clocks[g] = state.now
-        if look:
+        state.clocks[gateway] = state.now
+        if run_timers:
             leases.tick(state.now)
-            _flush(state, g)
+            _flush(state, gateway)
 
 
-def _crash(state: State, g: int) -> None:
+def _crash(state: State, gateway: int) -> None:
     state.crashes += 1
-    state.clocks[g] = state.now
-    state.seats[g] = _seat(state, g)
-    for c, quota in enumerate(QUOTAS):
-        if g in ROWS[c]:
-            state.allowed[c] += initial_fill_ratio(quota, SETTINGS) * quota.burst / len(ROWS[c])
+    state.clocks[gateway] = state.now
+    state.managers[gateway] = _new_manager(state, gateway)
+    for customer, quota in enumerate(QUOTAS):
+        if gateway in CUSTOMER_GATEWAYS[customer]:
+            state.allowed_overshoot[customer] += (
+                initial_fill_ratio(quota, SETTINGS) * quota.burst / len(CUSTOMER_GATEWAYS[customer])
+            )
 
 
 def _check(state: State) -> None:
-    awake = all(c == state.now for c in state.clocks)
-    for c in range(CUSTOMERS):
-        if state.levels[c] < -state.allowed[c] - DIGITS:
+    none_suspended = all(clock == state.now for clock in state.clocks)
+    for customer in range(CUSTOMERS):
+        if state.levels[customer] < -state.allowed_overshoot[customer] - TOLERANCE_UNITS:
             raise InvariantError(
-                f"customer {c}: {-state.levels[c]:.3f} units beyond the quota, "
-                f"{state.allowed[c]:.3f} allowed"
+                f"customer {customer}: {-state.levels[customer]:.3f} units beyond the quota, "
+                f"{state.allowed_overshoot[customer]:.3f} allowed"
             )
-        held = 0.0
-        for g, leases in enumerate(state.seats):
-            account = leases.accounts.get(c + 1)
+        available_units = 0.0
+        for gateway, leases in enumerate(state.managers):
+            account = leases.accounts.get(customer + 1)
             if account is not None:
-                held += leases.available_units(state.clocks[g], account)
-        if awake and held > state.levels[c] + state.allowed[c] + DIGITS:
+                available_units += leases.available_units(state.clocks[gateway], account)
+        if (
+            none_suspended
+            and available_units > state.levels[customer] + state.allowed_overshoot[customer] + TOLERANCE_UNITS
+        ):
             raise InvariantError(
-                f"customer {c}: stores and loans hold {held:.3f}, the quota {state.levels[c]:.3f}, "
-                f"{state.allowed[c]:.3f} allowed"
+                f"customer {customer}: buckets and leases hold {available_units:.3f}, "
+                f"the quota {state.levels[customer]:.3f}, "
+                f"{state.allowed_overshoot[customer]:.3f} allowed"
             )
 
 
-def _account_key(account: QuotaAccount, at: int, now: int) -> tuple[object, ...]:
+def _account_key(account: QuotaAccount, clock: int, now: int) -> tuple[object, ...]:
     return (
         account.customer,
         round(account.own_units, 6),
@@ -248,7 +275,7 @@
             for holder, x in account.availability.items()
         ],
         [(k, round(x.units, 6), x.granted_ns - now, x.active) for k, x in account.granted_leases.items()],
-        round(account.batch_leased_units, 6) if account.batch_ns == at else 0,
+        round(account.batch_leased_units, 6) if account.batch_ns == clock else 0,
     )
 
 
@@ -266,93 +293,102 @@
 
 
 def _state_key(state: State) -> bytes:
-    """Equal for states from which the same can happen."""
+    """Returns a key that is equal for states with the same future."""
     now = state.now
-    seats = []
-    for g, leases in enumerate(state.seats):
-        at = state.clocks[g]
-        accounts = [_account_key(account, at, now) for account in leases.accounts.values()]
+    manager_keys = []
+    for gateway, leases in enumerate(state.managers):
+        clock = state.clocks[gateway]
+        accounts = [_account_key(account, clock, now) for account in leases.accounts.values()]
         peers = [_peer_key(number, peer, now) for number, peer in leases.state.peers.items()]
-        seats.append(
+        manager_keys.append(
             (
                 leases.state.process,
-                at - now,
+                clock - now,
                 accounts,
                 peers,
                 leases.lessee.last_request_id,
                 [(x.recipient, x.request_id, x.unused_units) for x in leases.state.outbox.releases],
             )
         )
-    words = sorted(repr((w.sender, w.process, w.word)) for w in state.messages)
+    message_keys = sorted(repr((w.sender, w.process, w.message)) for w in state.messages)
     return pickle.dumps(
         (
-            seats,
-            words,
+            manager_keys,
+            message_keys,
             [round(x, 6) for x in state.levels],
-            [round(x, 6) for x in state.allowed],
+            [round(x, 6) for x in state.allowed_overshoot],
             state.crashes,
         )
     )
 
 
-ASKED = ("try 0 0", "try 0 0")  # the own part is spent, and a loan asked for
+LEASE_REQUESTED = ("try 0 0", "try 0 0")  # spends the gateway's own part, then requests a lease
 OPENINGS = {
     "nothing": (),
-    "an ask on its way": (*ASKED,),
-    "a grant on its way": (*ASKED, "deliver 0"),
-    "a grant that came twice": (*ASKED, "deliver 0", "double 0", "deliver 0"),
-    "a loan in hand": (*ASKED, "deliver 0", "deliver 0"),
-    "a borrower that starts anew": (*ASKED, "deliver 0", "crash 0"),
-    "a loan in hand, its lender stopped": (*ASKED, "deliver 0", "deliver 0", "sleep 1"),
+    "an ask on its way": (*LEASE_REQUESTED,),
+    "a grant on its way": (*LEASE_REQUESTED, "deliver 0"),
+    "a grant that came twice": (*LEASE_REQUESTED, "deliver 0", "double 0", "deliver 0"),
+    "a loan in hand": (*LEASE_REQUESTED, "deliver 0", "deliver 0"),
+    "a borrower that starts anew": (*LEASE_REQUESTED, "deliver 0", "crash 0"),
+    "a loan in hand, its lender stopped": (*LEASE_REQUESTED, "deliver 0", "deliver 0", "sleep 1"),
     "a gateway long stopped": ("sleep 1", "sleep 1", "sleep 1"),
-    "a loan at its end, and no timer yet": (*ASKED, "deliver 0", "deliver 0", "pass", "pass", "pass"),
-    "a loan about to end": (*ASKED, "deliver 0", "deliver 0", "tick", "tick"),
-    "a grant that came late": (*ASKED, "deliver 0", "tick", "tick", "deliver 0"),
-    "a loan given back, on its way": (*ASKED, "deliver 0", "deliver 0", "tick", "tick", "tick"),
+    "a loan at its end, and no timer yet": (
+        *LEASE_REQUESTED,
+        "deliver 0",
+        "deliver 0",
+        "pass",
+        "pass",
+        "pass",
+    ),
+    "a loan about to end": (*LEASE_REQUESTED, "deliver 0", "deliver 0", "tick", "tick"),
+    "a grant that came late": (*LEASE_REQUESTED, "deliver 0", "tick", "tick", "deliver 0"),
+    "a loan given back, on its way": (*LEASE_REQUESTED, "deliver 0", "deliver 0", "tick", "tick", "tick"),
 }
 
 
-def search(depth: int, opening: str = "nothing", first: str = "") -> SearchResult:
-    """All paths of so many steps after an opening, beginning with `first` where that is named. It ends at the
-    first that breaks."""
-    found, state = SearchResult(depth, opening), initial_state()
+def search(depth: int, opening: str = "nothing", first_action: str = "") -> SearchResult:
+    """Searches all paths of `depth` steps after an opening, and stops at the first violation.
+
+    If `first_action` is given, only paths that begin with it are searched.
+    """
+    result, state = SearchResult(depth, opening), initial_state()
     try:
-        for action in (*OPENINGS[opening], *([first] if first else [])):
+        for action in (*OPENINGS[opening], *([first_action] if first_action else [])):
             apply_action(state, action)
-    except InvariantError as broken:
-        found.violation = f"{broken}: {'; '.join(state.path)}"
-        return found
-    level, known = [pickle.dumps(state)], {_state_key(state): None}
-    worst = [max(b.units for b in overshoot_bounds(q, SETTINGS)) for q in QUOTAS]
-    for _ in range(depth - bool(first)):
-        following = []
-        for packed in level:
+    except InvariantError as error:
+        result.violation = f"{error}: {'; '.join(state.path)}"
+        return result
+    frontier, known_keys = [pickle.dumps(state)], {_state_key(state): None}
+    bounds = [max(b.units for b in overshoot_bounds(q, SETTINGS)) for q in QUOTAS]
+    for _ in range(depth - bool(first_action)):
+        next_frontier = []
+        for packed in frontier:
             for action in possible_actions(pickle.loads(packed)):
                 state = pickle.loads(packed)
-                found.steps += 1
+                result.steps += 1
                 try:
                     apply_action(state, action)
-                except InvariantError as broken:
-                    found.violation = f"{broken}: {'; '.join(state.path)}"
-                    return found
-                for c, lowest in enumerate(state.levels):
-                    found.max_overshoot = max(found.max_overshoot, -lowest)
-                    found.bound_ratio = max(found.bound_ratio, -lowest / worst[c])
+                except InvariantError as error:
+                    result.violation = f"{error}: {'; '.join(state.path)}"
+                    return result
+                for customer, level in enumerate(state.levels):
+                    result.max_overshoot = max(result.max_overshoot, -level)
+                    result.bound_ratio = max(result.bound_ratio, -level / bounds[customer])
                 key = _state_key(state)
-                if key not in known:
-                    known[key] = None
-                    following.append(pickle.dumps(state))
-        level = following
-    found.states = len(known)
-    return found
+                if key not in known_keys:
+                    known_keys[key] = None
+                    next_frontier.append(pickle.dumps(state))
+        frontier = next_frontier
+    result.states = len(known_keys)
+    return result
 
 
 def _search(job: tuple[int, str, str]) -> SearchResult:
     return search(*job)
 
 
-def firsts(opening: str) -> list[str]:
-    """What can happen right after an opening."""
+def first_actions(opening: str) -> list[str]:
+    """Returns the actions that are possible right after an opening."""
     state = initial_state()
     for action in OPENINGS[opening]:
         apply_action(state, action)
@@ -360,8 +396,10 @@
 
 
 def search_all(depth: int, jobs: int) -> Iterator[SearchResult]:
-    """Every opening, one search for each first step after it, over many processes. States that are reached by
-    several first steps are counted for each."""
-    chosen = [(depth, name, first) for name in OPENINGS for first in firsts(name)]
-    with multiprocessing.get_context("spawn").Pool(min(jobs, len(chosen))) as pool:
-        yield from pool.imap_unordered(_search, chosen)
+    """Searches from every opening in parallel, with one search for each first action after it.
+
+    A state that is reached by several first actions is counted for each of them.
+    """
+    searches = [(depth, name, first_action) for name in OPENINGS for first_action in first_actions(name)]
+    with multiprocessing.get_context("spawn").Pool(min(jobs, len(searches))) as pool:
+        yield from pool.imap_unordered(_search, searches)
--- a/zincstile/simulation/shared_trials.py
+++ b/zincstile/simulation/shared_trials.py
@@ -1,5 +1,7 @@
-"""Many worlds in which a part of the fleet hears nothing, and what came of them: quotas beside their
-bounds, what is out at the back end, who is served.
+"""Simulations of failures between gateways that share quotas, and their results.
+
+Measures the overshoot of quotas against the stated bounds, the units in flight at the back end, and the
+requests served during a failure.
 """
 
 from __future__ import annotations
@@ -19,103 +21,110 @@
 
 @dataclass(slots=True)
 class SimulationResult:
-    """What came of one world."""
+    """Result of one simulation."""
 
     failure: str
     seed: int
     violation: str
-    max_overshoot: float  # units beyond a quota, at most
+    max_overshoot: float  # units beyond a quota, maximum over all customers
     bound_ratio: float
-    sent: float
-    best: float  # what one store that sees every try would let in
+    sent_units: float
+    ideal_units: float  # units that one token bucket which sees every request would admit
     served: int
-    messages: float  # sent by a gateway in a second
-    over_minute: float  # worst, in what its quota gives in a minute
-    out: float  # units out over all gateways, at most, for each ready server
-    apart: float  # served by gateways that no fault names, in what they served in the same world without one
-    open: float  # requests out at once of a customer, in its plan's limit on that, at most
-    back_s: float  # from the failure's begin until as much is served as before; -1: never
+    messages_per_s: float  # sent by one gateway, mean
+    minute_ratio: float  # max_overshoot as a ratio of the units that the quota allows in a minute
+    max_units_per_backend: float  # units in flight of all gateways per ready backend
+    unaffected_ratio: float  # served by gateways without a fault, relative to a run without faults
+    max_limit_ratio: float  # a customer's requests in flight, relative to its plan's limit
+    recover_s: float  # from the start of the failure until service is back to normal; -1: never
 
 
-class Watch:
-    """What the checker does not look at: units out over all gateways, and what is served when and by whom."""
+class Observer:
+    """Records what the checker does not: units in flight, and when and where requests are served."""
 
-    EVERY_NS, SECOND = 20 * traffic.MS, 1_000_000_000
+    INTERVAL_NS, SECOND = 20 * traffic.MS, 1_000_000_000
 
     def __init__(self, run: Run) -> None:
-        self.run, self.out, self.open = run, 0.0, 0.0
+        self.run, self.max_units_per_backend, self.max_limit_ratio = run, 0.0, 0.0
         self.served: list[tuple[float, str]] = []  # seconds since the first request, gateway
-        answered = run.checker.request_answered
+        forward_answer = run.checker.request_answered
 
-        def heard(request: bytes, kind: str, value: bytes) -> None:
+        def record_answer(request: bytes, kind: str, value: bytes) -> None:
             if kind == "served":
                 at = (run.scheduler.now_ns - run.began_ns) / self.SECOND
                 self.served.append((at, run.checker.histories[request].gateway))
-            answered(request, kind, value)
+            forward_answer(request, kind, value)
+
+        run.checker.request_answered = record_answer  # type: ignore[method-assign]
+        run.scheduler.call_at(run.began_ns, self._sample)
 
-        run.checker.request_answered = heard  # type: ignore[method-assign]
-        run.scheduler.call_at(run.began_ns, self._look)
+    def _sample(self) -> None:
+        """Takes a sample of the attempts in flight.
 
-    def _look(self) -> None:
-        """Attempts of processes that are dead run on at the servers and are not theirs any more."""
+        Attempts of dead processes may still run at the backends, but are not counted.
+        """
         nodes = [s for s in self.run.nodes if s.process is not None and s.process.alive]
-        out = sum(
+        units_in_flight = sum(
             a.units for s in nodes for a in s.gateway.dispatcher.policy.parts.attempts.in_flight.values()
         )
-        self._count_open([s.gateway.dispatcher.policy for s in nodes])
+        self._sample_requests([s.gateway.dispatcher.policy for s in nodes])
         ready = sum(p.process.alive for p in self.run.backends.values())
-        self.out = max(self.out, out / max(1, ready))
+        self.max_units_per_backend = max(self.max_units_per_backend, units_in_flight / max(1, ready))
         if self.run.scheduler.now_ns < self.run.began_ns + self.run.plan.last_ms * traffic.MS:
-            self.run.scheduler.call_at(self.run.scheduler.now_ns + self.EVERY_NS, self._look)
+            self.run.scheduler.call_at(self.run.scheduler.now_ns + self.INTERVAL_NS, self._sample)
 
-    def _count_open(self, modules: list[Policy]) -> None:
-        """Requests out at once for a customer whose plan has a limit, over all gateways, in that limit."""
-        found: dict[int, int] = {}
-        for module in modules:
-            for pending in module.parts.requests.pending.values():
+    def _sample_requests(self, policies: list[Policy]) -> None:
+        """Updates the maximum of a customer's requests in flight over all gateways, relative to its limit."""
+        in_flight_by_customer: dict[int, int] = {}
+        for policy in policies:
+            for pending in policy.parts.requests.pending.values():
                 limit, key = pending.plan.max_in_flight, pending.customer.key
                 if limit and pending.in_flight and pending.inside_quota:
-                    found[key] = found.get(key, 0) + 1
-                    self.open = max(self.open, found[key] / limit)
+                    in_flight_by_customer[key] = in_flight_by_customer.get(key, 0) + 1
+                    self.max_limit_ratio = max(self.max_limit_ratio, in_flight_by_customer[key] / limit)
 
-    def back_s(self, at_s: float) -> float:
-        """Seconds from a failure until 0.95 of a second's usual service, by the mean before it."""
-        usual = sum(0.2 <= t < at_s for t, _ in self.served) / (at_s - 0.2)
-        times = sorted(t for t, _ in self.served)
+    def recover_s(self, failure_s: float) -> float:
+        """Returns the seconds from a failure until service is at 95 % of its mean before it; -1: never."""
+        usual_per_s = sum(0.2 <= t < failure_s for t, _ in self.served) / (failure_s - 0.2)
+        served_s = sorted(t for t, _ in self.served)
         for step in range(0, 400):
-            begin = at_s + 0.25 + step * 0.05
-            if sum(begin <= t < begin + 1 for t in times) >= 0.95 * usual:
-                return begin - at_s
+            window_begin_s = failure_s + 0.25 + step * 0.05
+            if sum(window_begin_s <= t < window_begin_s + 1 for t in served_s) >= 0.95 * usual_per_s:
+                return window_begin_s - failure_s
         return -1.0
 
 
 def play(seed: int, gateways: int, last_ms: int, gossip: bool) -> SimulationResult:
-    """One world; failures go round by the seed."""
+    """Runs one simulation; the seed also selects the failure."""
     failure = shared.FAILURES[seed % len(shared.FAILURES)]
     plan = shared.draw(seed, gateways, failure, last_ms)
     plan.share = not gossip
     run = Run(plan)
     if gossip:
         run.checker.quotas = Quotas(traffic.quotas())
-    watch = Watch(run)
+    observer = Observer(run)
     result = run.play()
-    named = {f"g{g % gateways}" for f in plan.faults for g in f.who if f.kind in ("away", "crash", "pause")}
-    spared = [g for g in (s.name for s in run.nodes) if g not in named]
-    apart = 1.0
-    if named and spared and not result.breach:
-        calm = Run(msgspec.structs.replace(plan, faults=[]))
-        beside = Watch(calm)
-        calm.play()
-        apart = sum(g in spared for _, g in watch.served) / max(1, sum(g in spared for _, g in beside.served))
+    affected = {
+        f"g{g % gateways}" for f in plan.faults for g in f.who if f.kind in ("away", "crash", "pause")
+    }
+    unaffected = [g for g in (s.name for s in run.nodes) if g not in affected]
+    unaffected_ratio = 1.0
+    if affected and unaffected and not result.breach:
+        baseline_run = Run(msgspec.structs.replace(plan, faults=[]))
+        baseline = Observer(baseline_run)
+        baseline_run.play()
+        unaffected_ratio = sum(g in unaffected for _, g in observer.served) / max(
+            1, sum(g in unaffected for _, g in baseline.served)
+        )
     quotas = run.checker.quotas
-    minute = max(
+    max_minute_ratio = max(
         (
             -s.lowest_level / (quotas.stated[plan].burst + 60 * quotas.stated[plan].rate)
             for (plan, _), s in quotas.customers.items()
         ),
         default=0.0,
     )
-    sent = sum(s.gateway.counters.messages_out for s in run.nodes) / len(run.nodes) / result.seconds
+    messages_per_s = sum(s.gateway.counters.messages_out for s in run.nodes) / len(run.nodes) / result.seconds
     return SimulationResult(
         failure,
         seed,
@@ -125,12 +134,12 @@
         quotas.sent,
         quotas.ideal,
         result.tally.get("served", 0),
-        sent,
-        minute,
-        watch.out,
-        apart,
-        watch.open,
-        watch.back_s(shared.FAILURE_START_MS / 1000) if plan.faults else 0.0,
+        messages_per_s,
+        max_minute_ratio,
+        observer.max_units_per_backend,
+        unaffected_ratio,
+        observer.max_limit_ratio,
+        observer.recover_s(shared.FAILURE_START_MS / 1000) if plan.faults else 0.0,
     )
 
 
@@ -143,23 +152,26 @@
         )
 
 
-def table(rows: list[SimulationResult]) -> str:
-    """One line a failure."""
+def table(results: list[SimulationResult]) -> str:
+    """Formats the results with one line per failure."""
     lines = [
         f"{'failure':12}{'worlds':>7}{'worst units':>13}{'of a minute':>13}{'of its bound':>14}"
         f"{'goodput':>9}{'served':>8}{'msg/s':>7}{'out/server':>12}{'spared':>8}{'open':>6}"
         f"{'back, s':>9}"
     ]
     for failure in shared.FAILURES:
-        mine = [r for r in rows if r.failure == failure]
-        if mine:
+        runs = [r for r in results if r.failure == failure]
+        if runs:
             lines.append(
-                f"{failure:12}{len(mine):7}{max(r.max_overshoot for r in mine):13.2f}"
-                f"{100 * max(r.over_minute for r in mine):12.2f}%{max(r.bound_ratio for r in mine):14.2f}"
-                f"{sum(r.sent for r in mine) / max(1e-9, sum(r.best for r in mine)):9.3f}"
-                f"{sum(r.served for r in mine):8}{sum(r.messages for r in mine) / len(mine):7.1f}"
-                f"{max(r.out for r in mine):12.1f}{sum(r.apart for r in mine) / len(mine):8.3f}"
-                f"{max(r.open for r in mine):6.2f}"
-                f"{sorted(r.back_s if r.back_s >= 0 else 99.0 for r in mine)[len(mine) // 2]:9.2f}"
+                f"{failure:12}{len(runs):7}{max(r.max_overshoot for r in runs):13.2f}"
+                f"{100 * max(r.minute_ratio for r in runs):12.2f}%"
+                f"{max(r.bound_ratio for r in runs):14.2f}"
+                f"{sum(r.sent_units for r in runs) / max(1e-9, sum(r.ideal_units for r in runs)):9.3f}"
+                f"{sum(r.served for r in runs):8}"
+                f"{sum(r.messages_per_s for r in runs) / len(runs):7.1f}"
+                f"{max(r.max_units_per_backend for r in runs):12.1f}"
+                f"{sum(r.unaffected_ratio for r in runs) / len(runs):8.3f}"
+                f"{max(r.max_limit_ratio for r in runs):6.2f}"
+                f"{sorted(r.recover_s if r.recover_s >= 0 else 99.0 for r in runs)[len(runs) // 2]:9.2f}"
             )
     return "\n".join(lines)
--- a/zincstile/simulation/trial.py
+++ b/zincstile/simulation/trial.py
@@ -1,8 +1,9 @@
-"""Accounts of several gateways against a keeper that fails: what all send, beside what each quota gives.
+"""Trials of quota accounts on several gateways while their quota service fails.
 
-Only `zincstile/quota_service` runs here, on virtual time: calls and words travel late, are lost, or reach the
-wrong keeper, while customers ask for far more than their quotas. What was sent is put to the ideal store
-(burst, rate): how far it falls below nothing, at any moment, is the overshoot over every window at once.
+Only `zincstile/quota_service` runs here, on virtual time. Calls and heartbeats are delayed, lost, or reach
+the wrong quota service, while customers request far more than their quotas. All units sent are taken from an
+ideal token bucket of the quota's rate and burst. The lowest level below 0 that the bucket reaches is the
+maximum overshoot over all time windows.
 """
 
 from __future__ import annotations
@@ -22,55 +23,57 @@
 from ..virtual.clock import MS_NS, SECOND_NS, Scheduler
 
 START_NS = 1000 * SECOND_NS
-CALM_NS, FAIL_NS, AFTER_NS = 6 * SECOND_NS, 12 * SECOND_NS, 12 * SECOND_NS
-HELD_NS = 90 * MS_NS  # a try waits so long for a lease
+BEFORE_NS, FAILURE_NS, RECOVERY_NS = 6 * SECOND_NS, 12 * SECOND_NS, 12 * SECOND_NS
+MAX_WAIT_NS = 90 * MS_NS  # how long a request may wait for a lease
 
 
 @dataclass(slots=True)
 class Outcome:
-    """Of one trial: overshoot and bound of the customer that came nearest to it, and what all cost."""
+    """Result of one trial: the customer nearest to its bound, and figures of the whole trial."""
 
     failure: str
     seed: int
     overshoot: float
     bound: float
-    minute_ratio: float  # overshoot in what the quota gives in a minute
-    served_ratio: float  # units sent, in what one gateway that sees every try would have sent
+    minute_ratio: float  # overshoot as a ratio of the units that the quota allows in a minute
+    served_ratio: float  # units sent, relative to those that one gateway which sees every request would send
     calls_per_attempt: float
-    states: int  # changes of what gateways believe
+    state_changes: int  # of all gateways' failure detectors
 
 
 @dataclass(slots=True)
-class Ideal:
-    """The store that a quota is."""
+class CustomerUsage:
+    """One customer's units: a bucket for what was sent, and an ideal one that sees every request."""
 
     quota: Quota
     level: float
     at_ns: int
-    lowest: float = 0.0
+    lowest_level: float = 0.0
     sent: float = 0.0
-    best: float = 0.0  # what one gateway that sees every try would have sent
-    best_level: float = 0.0
-    best_ns: int = 0
+    ideal_units: float = 0.0  # admitted by the ideal bucket
+    ideal_level: float = 0.0
+    ideal_at_ns: int = 0
 
-    def ask(self, now: int, units: float) -> None:
+    def request(self, now: int, units: float) -> None:
         quota = self.quota
-        self.best_level = min(quota.burst, self.best_level + quota.rate * (now - self.best_ns) / SECOND_NS)
-        self.best_ns = now
-        if self.best_level >= units:
-            self.best_level -= units
-            self.best += units
+        self.ideal_level = min(
+            quota.burst, self.ideal_level + quota.rate * (now - self.ideal_at_ns) / SECOND_NS
+        )
+        self.ideal_at_ns = now
+        if self.ideal_level >= units:
+            self.ideal_level -= units
+            self.ideal_units += units
 
-    def take(self, now: int, units: float) -> None:
+    def record_sent(self, now: int, units: float) -> None:
         quota = self.quota
         self.level = min(quota.burst, self.level + quota.rate * (now - self.at_ns) / SECOND_NS) - units
         self.at_ns, self.sent = now, self.sent + units
-        self.lowest = min(self.lowest, self.level)
+        self.lowest_level = min(self.lowest_level, self.level)
 
 
 @dataclass(slots=True)
-class Keeper:
-    """Numbers by name, where they are kept."""
+class QuotaService:
+    """A quota service: counters by name."""
 
     totals: dict[str, float] = field(default_factory=dict)
 
@@ -79,8 +82,8 @@
         return self.totals[name]
 
 
-class Seat:
-    """A gateway: its view, its accounts, its clock's error."""
+class Gateway:
+    """A simulated gateway: its failure detector, its accounts and the error of its clock."""
 
     def __init__(self, trial: Trial, number: int) -> None:
         self.trial, self.number = trial, number
@@ -91,66 +94,68 @@
         now = self.now()
         self.detector = FailureDetector(self.trial.settings, self.number, now)
         self.accounts = Accounts(self.trial.settings, self.detector)
-        self.life = self.life + 1 if hasattr(self, "life") else 0
-        self.held: list[tuple[int, Account, float, Ideal]] = []
+        self.incarnation = self.incarnation + 1 if hasattr(self, "incarnation") else 0
+        self.waiting: list[tuple[int, Account, float, CustomerUsage]] = []
         self.trial.after(
-            self.trial.rng.randrange(self.trial.settings.heartbeat_interval_ns), self.beat, self.life
+            self.trial.rng.randrange(self.trial.settings.heartbeat_interval_ns),
+            self.send_heartbeats,
+            self.incarnation,
         )
 
     def now(self) -> int:
         return self.trial.scheduler.now_ns + self.skew_ns
 
-    def beat(self, life: int) -> None:
-        if life != self.life:
+    def send_heartbeats(self, incarnation: int) -> None:
+        if incarnation != self.incarnation:
             return
         trial, detector = self.trial, self.detector
-        due = detector.heartbeat_call(self.now())
+        heartbeat = detector.heartbeat_call(self.now())
 
-        def answered(at: int, total: float | None) -> None:
-            detector.heartbeat_answered(at, due.counter_number, total)
+        def on_heartbeat_answer(at: int, total: float | None) -> None:
+            detector.heartbeat_answered(at, heartbeat.counter_number, total)
 
-        trial.call(self, CounterCall(due.name, 1.0, answered))
+        trial.call(self, CounterCall(heartbeat.name, 1.0, on_heartbeat_answer))
         message = detector.peer_heartbeat(self.now())
-        for other in trial.seats:
-            if other is not self:
-                trial.send(self, other, message)
-        trial.after(trial.settings.heartbeat_interval_ns, self.beat, life)
-
-    def ask(self, key: int, units: float) -> None:
-        quota, row, ideal = self.trial.customers[key]
-        account = self.accounts.account(key, quota, row, self.now())
-        ideal.ask(self.trial.scheduler.now_ns, units)
+        for peer in trial.gateways:
+            if peer is not self:
+                trial.send(self, peer, message)
+        trial.after(trial.settings.heartbeat_interval_ns, self.send_heartbeats, incarnation)
+
+    def request(self, key: int, units: float) -> None:
+        quota, customer_gateways, usage = self.trial.customers[key]
+        account = self.accounts.account(key, quota, customer_gateways, self.now())
+        usage.request(self.trial.scheduler.now_ns, units)
         if self.accounts.reserve(self.now(), account, units):
-            ideal.take(self.trial.scheduler.now_ns, units)
+            usage.record_sent(self.trial.scheduler.now_ns, units)
         elif self.accounts.awaits_answer(account):
-            self.held.append((self.now() + HELD_NS, account, units, ideal))
+            self.waiting.append((self.now() + MAX_WAIT_NS, account, units, usage))
         self.flush()
 
     def flush(self) -> None:
         for call in self.accounts.calls():
             self.trial.call(self, call)
 
-    def answered(self) -> None:
-        """What waited is tried again, in its order."""
-        now, held = self.now(), self.held
-        self.held = []
-        for until, account, units, ideal in held:
-            if now < until:
+    def retry_waiting(self) -> None:
+        """Retries the waiting requests in their order, after an answer has arrived."""
+        now, waiting = self.now(), self.waiting
+        self.waiting = []
+        for deadline_ns, account, units, usage in waiting:
+            if now < deadline_ns:
                 if self.accounts.reserve(now, account, units, waited=True):
-                    ideal.take(self.trial.scheduler.now_ns, units)
+                    usage.record_sent(self.trial.scheduler.now_ns, units)
                 elif self.accounts.awaits_answer(account):
-                    self.held.append((until, account, units, ideal))
+                    self.waiting.append((deadline_ns, account, units, usage))
         self.flush()
 
 
 class Trial:
-    """One run of one failure."""
+    """One trial of one failure."""
 
     def __init__(
         self,
         failure: str,
         seed: int,
-        gateways: int = 3,
+        gateway_count: int = 3,
         settings: QuotaServiceSettings | None = None,
         quotas: list[Quota] | None = None,
     ) -> None:
@@ -161,60 +166,65 @@
         )
         self.scheduler = Scheduler(START_NS + self.rng.randrange(30 * SECOND_NS))
         self.began_ns = self.scheduler.now_ns
-        self.keepers = [Keeper()]
-        self.loss = self.rng.choice((0.0, 0.03, 0.08))  # of words
-        self.calls = self.tries = 0
-        self.seats: list[Seat] = []
-        self.where = [0] * gateways  # each one's keeper
-        self.deaf: dict[tuple[int, int], None] = {}  # pairs whose words pass no more
-        self.gone = False
-        self.slow = self.lost = 0.0
-        spread = min(gateways, 3)
+        self.services = [QuotaService()]
+        self.heartbeat_loss_ratio = self.rng.choice((0.0, 0.03, 0.08))  # of heartbeats between gateways
+        self.calls = self.attempts = 0
+        self.gateways: list[Gateway] = []
+        self.service_of = [0] * gateway_count  # by gateway: index of its quota service
+        # Pairs of sender and receiver whose heartbeats are lost.
+        self.blocked_pairs: dict[tuple[int, int], None] = {}
+        self.unreachable = False
+        self.slow_ratio = self.call_loss_ratio = 0.0
+        spread = min(gateway_count, 3)
         quotas = quotas or [
             Quota("plus", 6.0, 6.0 * self.rng.choice((1.5, 3, 4)), spread, 3.0),
             Quota("premium", 40.0, 40.0 * self.rng.choice((1.3, 2.3)), spread, 3.0),
         ]
-        self.customers: dict[int, tuple[Quota, list[int], Ideal]] = {}
+        self.customers: dict[int, tuple[Quota, list[int], CustomerUsage]] = {}
         for key in range(6):
-            quota, first = quotas[key % len(quotas)], self.rng.randrange(gateways)
-            row = [(first + k) % gateways for k in range(quota.spread)]
-            self.customers[key] = quota, row, Ideal(quota, quota.burst, self.began_ns)
-        for number in range(gateways):
-            self.seats.append(Seat(self, number))
+            quota, first_gateway = quotas[key % len(quotas)], self.rng.randrange(gateway_count)
+            customer_gateways = [(first_gateway + k) % gateway_count for k in range(quota.spread)]
+            self.customers[key] = quota, customer_gateways, CustomerUsage(quota, quota.burst, self.began_ns)
+        for number in range(gateway_count):
+            self.gateways.append(Gateway(self, number))
 
-    def after(self, ns: int, then, *args) -> None:
-        self.scheduler.call_at(self.scheduler.now_ns + ns, then, *args)
+    def after(self, ns: int, callback, *args) -> None:
+        self.scheduler.call_at(self.scheduler.now_ns + ns, callback, *args)
 
-    # ---- what travels
+    # ---- messages
 
-    def call(self, seat: Seat, call: CounterCall) -> None:
-        """One call: there and back, or not."""
+    def call(self, gateway: Gateway, call: CounterCall) -> None:
+        """Sends a call to the quota service; the request or the response may be delayed or lost."""
         self.calls += 1
-        rng, life = self.rng, seat.life
-        there, back = rng.uniform(0.3, 2) * MS_NS, rng.uniform(0.3, 2) * MS_NS
-        if self.slow and rng.random() < self.slow:
-            there += rng.uniform(20, 400) * MS_NS
+        rng, incarnation = self.rng, gateway.incarnation
+        request_ns, response_ns = rng.uniform(0.3, 2) * MS_NS, rng.uniform(0.3, 2) * MS_NS
+        if self.slow_ratio and rng.random() < self.slow_ratio:
+            request_ns += rng.uniform(20, 400) * MS_NS
         done = [False]
 
-        def end(total: float | None) -> None:
+        def finish(total: float | None) -> None:
             if not done[0]:
                 done[0] = True
-                if seat.life == life:
-                    call.on_answer(seat.now(), total)
-                    seat.answered()
+                if gateway.incarnation == incarnation:
+                    call.on_answer(gateway.now(), total)
+                    gateway.retry_waiting()
 
         def arrive() -> None:
-            if self.gone or rng.random() < self.lost / 2:
+            if self.unreachable or rng.random() < self.call_loss_ratio / 2:
                 return
-            total = self.keepers[self.where[seat.number]].add(call.name, call.amount)
-            if rng.random() >= self.lost / 2:  # else it was added, and nothing tells
-                self.after(int(back), end, total)
-
-        self.after(int(there), arrive)
-        self.after(self.settings.call_timeout_ns, end, None)
-
-    def send(self, source: Seat, target: Seat, message: PeerHeartbeat) -> None:
-        if (source.number, target.number) in self.deaf or self.rng.random() < self.loss:
+            total = self.services[self.service_of[gateway.number]].add(call.name, call.amount)
+            # Otherwise the amount was added, but the response is lost.
+            if rng.random() >= self.call_loss_ratio / 2:
+                self.after(int(response_ns), finish, total)
+
+        self.after(int(request_ns), arrive)
+        self.after(self.settings.call_timeout_ns, finish, None)
+
+    def send(self, source: Gateway, target: Gateway, message: PeerHeartbeat) -> None:
+        if (
+            source.number,
+            target.number,
+        ) in self.blocked_pairs or self.rng.random() < self.heartbeat_loss_ratio:
             return
         self.after(
             int(self.rng.uniform(1.9, 30) * MS_NS),
@@ -223,73 +233,73 @@
 
     # ---- failures
 
-    def fail(self) -> None:
-        rng, count = self.rng, len(self.seats)
+    def begin_failure(self) -> None:
+        rng, count = self.rng, len(self.gateways)
         if self.failure == "gone":
-            self.gone = True
+            self.unreachable = True
         elif self.failure == "slow":
-            self.slow = rng.uniform(0.1, 0.9)
+            self.slow_ratio = rng.uniform(0.1, 0.9)
         elif self.failure == "calls lost":
-            self.lost = rng.uniform(0.05, 0.7)
+            self.call_loss_ratio = rng.uniform(0.05, 0.7)
         elif self.failure == "split":
-            copy = rng.random() < 0.5
-            self.keepers.append(Keeper(dict(self.keepers[0].totals) if copy else {}))
-            far = rng.sample(range(count), rng.randint(1, count - 1))
-            for number in far:
-                self.where[number] = 1
-            if rng.random() < 0.7:  # words pass no more either, from one half to the other
+            copies_totals = rng.random() < 0.5
+            self.services.append(QuotaService(dict(self.services[0].totals) if copies_totals else {}))
+            moved = rng.sample(range(count), rng.randint(1, count - 1))
+            for number in moved:
+                self.service_of[number] = 1
+            if rng.random() < 0.7:  # heartbeats between the two halves are lost too
                 for a in range(count):
                     for b in range(count):
-                        if (a in far) != (b in far):
-                            self.deaf[a, b] = None
+                        if (a in moved) != (b in moved):
+                            self.blocked_pairs[a, b] = None
         elif self.failure == "swapped":
-            self.keepers[0].totals.clear()
+            self.services[0].totals.clear()
         elif self.failure == "gateway dead":
-            seat = self.seats[rng.randrange(count)]
-            seat.life += 1
-            self.after(rng.randrange(3 * SECOND_NS), seat.start)
-
-    def heal(self) -> None:
-        self.gone, self.slow, self.lost = False, 0.0, 0.0
-        self.deaf.clear()
-        self.where = [0] * len(self.seats)
-
-    def _ask(self, key: int, per_s: float) -> None:
-        quota, row, _ = self.customers[key]
-        if self.scheduler.now_ns > self.began_ns + CALM_NS + FAIL_NS + AFTER_NS:
+            gateway = self.gateways[rng.randrange(count)]
+            gateway.incarnation += 1
+            self.after(rng.randrange(3 * SECOND_NS), gateway.start)
+
+    def end_failure(self) -> None:
+        self.unreachable, self.slow_ratio, self.call_loss_ratio = False, 0.0, 0.0
+        self.blocked_pairs.clear()
+        self.service_of = [0] * len(self.gateways)
+
+    def _request(self, key: int, requests_per_s: float) -> None:
+        quota, customer_gateways, _ = self.customers[key]
+        if self.scheduler.now_ns > self.began_ns + BEFORE_NS + FAILURE_NS + RECOVERY_NS:
             return
-        self.tries += 1
+        self.attempts += 1
         units = self.rng.choice((1.0, 1.0, 2.0, 3.0))
-        self.seats[self.rng.choice(row)].ask(key, units)
-        rate = per_s * (0.1 if self.rng.random() < 0.002 else 1.0)
-        self.after(int(self.rng.expovariate(rate) * SECOND_NS), self._ask, key, per_s)
+        self.gateways[self.rng.choice(customer_gateways)].request(key, units)
+        current_per_s = requests_per_s * (0.1 if self.rng.random() < 0.002 else 1.0)
+        self.after(int(self.rng.expovariate(current_per_s) * SECOND_NS), self._request, key, requests_per_s)
 
     def play(self) -> Outcome:
         for key, (quota, _, _) in self.customers.items():
-            asked = self.rng.choice((0.6, 1.5, 4.0)) * quota.rate / 1.75
-            self.after(int(self.rng.random() * SECOND_NS), self._ask, key, asked)
-        self.after(CALM_NS + self.rng.randrange(SECOND_NS), self.fail)
-        self.after(CALM_NS + FAIL_NS, self.heal)
-        self.scheduler.run(self.began_ns + CALM_NS + FAIL_NS + AFTER_NS + SECOND_NS)
-        worst, outcome = -1.0, None
-        for quota, _, ideal in self.customers.values():
+            requests_per_s = self.rng.choice((0.6, 1.5, 4.0)) * quota.rate / 1.75
+            self.after(int(self.rng.random() * SECOND_NS), self._request, key, requests_per_s)
+        self.after(BEFORE_NS + self.rng.randrange(SECOND_NS), self.begin_failure)
+        self.after(BEFORE_NS + FAILURE_NS, self.end_failure)
+        self.scheduler.run(self.began_ns + BEFORE_NS + FAILURE_NS + RECOVERY_NS + SECOND_NS)
+        max_ratio, outcome = -1.0, None
+        for quota, _, usage in self.customers.values():
             bound = next(b for b in overshoot_bounds(quota, self.settings) if b.failure == self.failure)
-            over = max(0.0, -ideal.lowest)
-            near = over / max(bound.units, 1e-9) if over > 1e-6 else 0.0
-            if near > worst:
-                worst = near
+            overshoot = max(0.0, -usage.lowest_level)
+            ratio = overshoot / max(bound.units, 1e-9) if overshoot > 1e-6 else 0.0
+            if ratio > max_ratio:
+                max_ratio = ratio
                 outcome = Outcome(
                     self.failure,
                     self.seed,
-                    over,
+                    overshoot,
                     bound.units,
-                    over / bound.units_per_minute,
+                    overshoot / bound.units_per_minute,
                     0.0,
-                    self.calls / max(1, self.tries),
-                    sum(len(s.detector.state_changes) for s in self.seats),
+                    self.calls / max(1, self.attempts),
+                    sum(len(s.detector.state_changes) for s in self.gateways),
                 )
-        ideals = [ideal for _, _, ideal in self.customers.values()]
-        outcome.served_ratio = sum(i.sent for i in ideals) / max(1e-9, sum(i.best for i in ideals))
+        usages = [usage for _, _, usage in self.customers.values()]
+        outcome.served_ratio = sum(i.sent for i in usages) / max(1e-9, sum(i.ideal_units for i in usages))
         return outcome
 
 
@@ -297,8 +307,8 @@
     return Trial(*job).play()
 
 
-def run_failures(seeds: range, gateways: int, jobs: int) -> Iterator[tuple[str, list[Outcome]]]:
-    """Every failure by every seed, failure by failure."""
+def run_failures(seeds: range, gateway_count: int, jobs: int) -> Iterator[tuple[str, list[Outcome]]]:
+    """Runs a trial of every failure with every seed; yields the results of one failure at a time."""
     with multiprocessing.get_context("spawn").Pool(jobs) as pool:
         for name in FAILURES:
-            yield name, pool.map(_play, [(name, seed, gateways) for seed in seeds])
+            yield name, pool.map(_play, [(name, seed, gateway_count) for seed in seeds])
