--- a/zincstile/admin/http.py
+++ b/zincstile/admin/http.py
@@ -131,7 +131,7 @@
         length = end if end >= 0 else len(self._buffer)
         if length > self.limits.max_line_bytes:
             status = Status.HEADERS_TOO_LARGE if self._method else Status.BAD_REQUEST
-            raise RequestError(status, "a line exceeds the length limit")
+            raise RequestError(status, "too long a line")
         if end < 0:
             return None
         line = bytes(self._buffer[:end])
@@ -152,16 +152,16 @@
     def _parse_request_line(self, line: bytes) -> None:
         parts = line.split(b" ")
         if len(parts) != 3:
-            raise RequestError(Status.BAD_REQUEST, "malformed request line")
+            raise RequestError(Status.BAD_REQUEST, "not a request line")
         method, path, version = parts
         if not method or not set(method) <= TOKEN_BYTES or not path.startswith(b"/"):
-            raise RequestError(Status.BAD_REQUEST, "malformed request line")
+            raise RequestError(Status.BAD_REQUEST, "not a request line")
         if version not in SUPPORTED_VERSIONS:
             is_http = version.startswith(b"HTTP/")
             status = Status.VERSION_NOT_SUPPORTED if is_http else Status.BAD_REQUEST
-            raise RequestError(status, "unsupported HTTP version; expected HTTP/1.0 or HTTP/1.1")
+            raise RequestError(status, "not HTTP/1.1")
         if any(not FIRST_VISIBLE_BYTE <= byte <= LAST_VISIBLE_BYTE for byte in path):
-            raise RequestError(Status.BAD_REQUEST, "the path contains an invalid byte")
+            raise RequestError(Status.BAD_REQUEST, "a path with a byte that no path has")
         self._method = method.decode()
         self._path = path.decode()
 
@@ -171,25 +171,23 @@
             raise RequestError(Status.HEADERS_TOO_LARGE, "too many header lines")
         name, colon, value = line.partition(b":")
         if not colon or not name or not set(name) <= TOKEN_BYTES:
-            raise RequestError(Status.BAD_REQUEST, "malformed header line")
+            raise RequestError(Status.BAD_REQUEST, "not a header line")
         name = name.lower()
         if name == b"transfer-encoding":
-            raise RequestError(
-                Status.LENGTH_REQUIRED, "Transfer-Encoding is not supported; send Content-Length"
-            )
+            raise RequestError(Status.LENGTH_REQUIRED, "a body in chunks")
         if name == b"content-length":
             self._parse_content_length(value.strip(b" \t"))
 
     def _parse_content_length(self, value: bytes) -> None:
         """Parses Content-Length; a repeated header must have the same value."""
         if not value.isdigit() or len(value) > MAX_LENGTH_DIGITS:
-            raise RequestError(Status.BAD_REQUEST, "invalid Content-Length")
+            raise RequestError(Status.BAD_REQUEST, "a length that is no length")
         length = int(value)
         if self._content_length is not None and length != self._content_length:
-            raise RequestError(Status.BAD_REQUEST, "conflicting Content-Length headers")
+            raise RequestError(Status.BAD_REQUEST, "a length that is no length")
         self._content_length = length
         if length > self.limits.max_body_bytes:
-            raise RequestError(Status.CONTENT_TOO_LARGE, "the body exceeds the length limit")
+            raise RequestError(Status.CONTENT_TOO_LARGE, "too long a body")
 
 
 def encode_response(status: Status, text: str = "") -> bytes:
--- a/zincstile/admin/operator_state.py
+++ b/zincstile/admin/operator_state.py
@@ -99,9 +99,9 @@
         methods = METHODS | ZONE_METHODS if self.zones else METHODS
         method = methods.get(path)
         if method is None:
-            return OperatorReply(Status.NOT_FOUND, "no such path")
+            return OperatorReply(Status.NOT_FOUND, "no such call")
         if request.method != method:
-            return OperatorReply(Status.METHOD_NOT_ALLOWED, f"{path} requires the method {method}")
+            return OperatorReply(Status.METHOD_NOT_ALLOWED, f"{path} takes {method}")
         if path == STATUS_PATH:
             return self._status(ready=ready)
         if path == ZONES_PATH:
@@ -133,14 +133,14 @@
 
     def _change_zone(self, path: str, name: str) -> OperatorReply:
         if name not in self.zones:
-            return OperatorReply(Status.NOT_FOUND, f"unknown zone {name}")
+            return OperatorReply(Status.NOT_FOUND, f"no zone is called {name}")
         verb = path.rpartition("/")[2]
         return OperatorReply(Status.OK, f"{name} {verb}", ZONE_CHANGES[path], name)
 
     def _change_maintenance(self, name: str, *, enter: bool) -> OperatorReply:
         """Enters or exits maintenance; a repeated request succeeds and leaves the version as it is."""
         if name not in self.listed_names and name not in self.under_maintenance:
-            return OperatorReply(Status.NOT_FOUND, f"{name} was never in the endpoint list of discovery")
+            return OperatorReply(Status.NOT_FOUND, f"{name} was never listed")
         if enter != (name in self.under_maintenance):
             self.version += 1
         if enter:
@@ -173,7 +173,7 @@
     try:
         name = body.decode("ascii").strip()
     except UnicodeDecodeError:
-        raise InvalidNameError("the name must be ASCII") from None
+        raise InvalidNameError("an id that is not ASCII") from None
     if not name or any(char.isspace() for char in name):
-        raise InvalidNameError("the body must hold exactly one name")
+        raise InvalidNameError("no id, or more than one")
     return name
--- a/zincstile/net/admin_endpoint.py
+++ b/zincstile/net/admin_endpoint.py
@@ -92,7 +92,7 @@
     def eof_received(self) -> bool:
         """Answers an incomplete request with an error (asyncio.BufferedProtocol)."""
         if not self._finished and not self.request_complete:
-            self.finish(Status.BAD_REQUEST, "the connection was closed before the request was complete")
+            self.finish(Status.BAD_REQUEST, "the call ended before it was whole")
         return False
 
     def connection_lost(self, err: Exception | None) -> None:
@@ -191,7 +191,7 @@
         self._connections[connection] = None
         if len(self._connections) > self.dispatcher.limits.admin_connections:
             oldest = next(iter(self._connections))
-            oldest.finish(Status.SERVICE_UNAVAILABLE, "too many connections to the admin endpoint")
+            oldest.finish(Status.SERVICE_UNAVAILABLE, "too many callers at once")
 
     def remove(self, connection: AdminConnection) -> None:
         """Removes a closed connection."""
@@ -204,7 +204,7 @@
             age_ns = now_ns - connection.opened_ns
             if age_ns >= self.dispatcher.limits.admin_request_timeout_ns and not connection.request_complete:
                 self.dispatcher.counters.control_malformed += 1
-                connection.finish(Status.REQUEST_TIMEOUT, "request was not complete before the timeout")
+                connection.finish(Status.REQUEST_TIMEOUT, "no whole call in time")
 
     # ---- requests
 
@@ -217,7 +217,7 @@
         except Exception as err:
             self.dispatcher.counters.faults += 1
             self.dispatcher.log.line_limited("control", f"unexpected {type(err).__name__}: {err}")
-            return OperatorReply(Status.INTERNAL_SERVER_ERROR, "internal error")
+            return OperatorReply(Status.INTERNAL_SERVER_ERROR, "fault")
         return reply
 
     def wait_until_saved(self, connection: AdminConnection, reply: OperatorReply) -> None:
@@ -239,5 +239,5 @@
     def _fail_unsaved(self, connection: AdminConnection) -> None:
         reply = self._unsaved.pop(connection, None)
         if reply is not None:
-            text = f"{reply.text}, but a restart would lose it: the handover file can't be written"
+            text = f"{reply.text}, but not kept over a restart: it can't be written for now"
             connection.finish(Status.SERVICE_UNAVAILABLE, text)
--- a/zincstile/simulator/codec.py
+++ b/zincstile/simulator/codec.py
@@ -304,7 +304,7 @@
             return
         encode = ACTION_ENCODERS.get(type(action))
         if encode is None:
-            raise TypeError(f"the simulator has no record for the action {action!r}")
+            raise TypeError(f"no such action: {action!r}")
         self._append_record(encode(action))
 
     def encode(self) -> bytes:
