--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -183,7 +183,7 @@
         Fault("short_io", 700, 900, [0, 1, 2], 0.3),
         Fault("crash", 1200, 200, [1]),
     ]
-    found = sweep.one(Plan(seed=91, faults=faults, **SMALL), tmp_path, "small", {})
+    found = sweep.play_plan(Plan(seed=91, faults=faults, **SMALL), tmp_path, "small", {})
     assert found.ok, found.breaches[:1]
     assert sum(row.counters["reloads"] for row in found.rows) >= 6
     assert found.tally["served"] > 30
@@ -202,7 +202,7 @@
 
     monkeypatch.setattr(Run, "start_gateway", start)
     faults = [Fault("maintenance", 200, 0, [0, 1, 2]), Fault("crash", 900, 100, [1])]
-    found = sweep.one(Plan(seed=92, faults=faults, **SMALL | {"last_ms": 5000}), tmp_path, "small", {})
+    found = sweep.play_plan(Plan(seed=92, faults=faults, **SMALL | {"last_ms": 5000}), tmp_path, "small", {})
     assert [b.rule for b in found.breaches][:1] == ["maintenance"], found.breaches[:1]
 
 
@@ -217,7 +217,7 @@
     faults = [Fault("discovery_silent", 500, 20_000, [1]), Fault("crash", 900, 100, [1])]
     small = SMALL | {"last_ms": 1500, "requests": 90}
     monkeypatch.setattr(runs, "END_S", -18.0)  # the run ends while discovery is still silent
-    found = sweep.one(Plan(seed=93, faults=faults, **small), tmp_path, "small", {})
+    found = sweep.play_plan(Plan(seed=93, faults=faults, **small), tmp_path, "small", {})
     assert "ready" in [b.rule for b in found.breaches], found.breaches[:1]
 
 
@@ -235,19 +235,19 @@
     probe = probes.Probe(None, None, lambda: 0.0)
     for _ in range(3):
         now[0] += probes.TICK_NS
-        probe.watch_own_delay(Loop())
-        assert probe.delay_ns() == 0
+        probe.measure_loop_delay(Loop())
+        assert probe.loop_delay_ns() == 0
     now[0] += 500_000_000
-    assert probe.delay_ns() == 500_000_000 - 2 * probes.TICK_NS
-    probe.watch_own_delay(Loop())
+    assert probe.loop_delay_ns() == 500_000_000 - 2 * probes.TICK_NS
+    probe.measure_loop_delay(Loop())
     now[0] += probes.CATCH_UP_NS - 1
-    assert probe.delay_ns() >= 500_000_000 - 2 * probes.TICK_NS
+    assert probe.loop_delay_ns() >= 500_000_000 - 2 * probes.TICK_NS
     for _ in range(2):
         now[0] += probes.TICK_NS
-        probe.watch_own_delay(Loop())
+        probe.measure_loop_delay(Loop())
         now[0] += probes.CATCH_UP_NS
-        probe.watch_own_delay(Loop())
+        probe.measure_loop_delay(Loop())
     for _ in range(probes.CATCH_UP_NS // probes.TICK_NS + 1):
         now[0] += probes.TICK_NS
-        probe.watch_own_delay(Loop())
-    assert probe.delay_ns() == 0
+        probe.measure_loop_delay(Loop())
+    assert probe.loop_delay_ns() == 0
--- a/tests/test_testbed.py
+++ b/tests/test_testbed.py
@@ -38,7 +38,7 @@
 def play(job):
     path, folder = job
     Path(folder).mkdir()
-    return sweep.one(plan.load(path), Path(folder), Path(path).stem, {})
+    return sweep.play_plan(plan.load(path), Path(folder), Path(path).stem, {})
 
 
 @pytest.fixture(scope="module")
@@ -76,7 +76,7 @@
     monkeypatch.setattr(traffic, "quotas", lambda: bounds)
     bare = plan.load(PLANS[[p.stem for p in PLANS].index("halves")])
     bare.share = False
-    found = sweep.one(bare, tmp_path, "bare", {})
+    found = sweep.play_plan(bare, tmp_path, "bare", {})
     assert not found.ok and found.breaches[0].rule == "quota" and found.breaches[0].history
     assert "quota" in report.page([("x", found)])
 
@@ -166,12 +166,16 @@
 
 
 def test_addresses_name_sender_and_receiver_and_a_black_hole_takes_no_connection():
-    assert places.who(places.seen(places.BOX, 199, 7)) == (places.BOX, 199, 7)
-    with places.block() as one, places.block() as other:
+    assert places.parse_address(places.address_for_gateway(places.BACKEND, 199, 7)) == (
+        places.BACKEND,
+        199,
+        7,
+    )
+    with places.reserve_block() as one, places.reserve_block() as other:
         assert one != other
 
     async def play():
-        sock = places.on_loopback(1, reuse=True)  # SOCK_STREAM
+        sock = places.loopback_socket(1, reuse=True)  # SOCK_STREAM
         server = await asyncio.get_running_loop().create_server(asyncio.Protocol, sock=sock)
         port = sock.getsockname()[1]
         hole = places.BlackHole("127.102.9.1", port)
@@ -206,9 +210,9 @@
                 heard.append(transport.gateway)
 
         loop = asyncio.get_running_loop()
-        proxy = FaultProxy(loop, NetworkFaults(random.Random(1)), "s-01", places.BOX, 0, ["g0"])
+        proxy = FaultProxy(loop, NetworkFaults(random.Random(1)), "s-01", places.BACKEND, 0, ["g0"])
         server = await proxy.create_server(Emulator)
-        host = places.seen(places.DISCOVERY, 0, 0)
+        host = places.address_for_gateway(places.DISCOVERY, 0, 0)
         reader, _ = await asyncio.open_connection(host, proxy.port)
         assert await reader.read() == b""
         own, _, port = proxy.address(0).partition(":")
--- a/zincstile/cli/testbed.py
+++ b/zincstile/cli/testbed.py
@@ -31,8 +31,8 @@
     except FileError as err:
         raise BadInputError(str(err)) from None
     for name in ("gateways", "boxes"):
-        if getattr(plan, name) > places.MOST:
-            raise BadInputError(f"{path}: $.{name}: {places.MOST} at most")
+        if getattr(plan, name) > places.MAX_NUMBER:
+            raise BadInputError(f"{path}: $.{name}: {places.MAX_NUMBER} at most")
     if seed is not None:
         plan.seed = seed
     return plan
@@ -74,7 +74,7 @@
     from ..testbed import report as pages
     from ..testbed import result as results
     from ..testbed import sweep as sweeps
-    from ..testbed.places import PlaceError
+    from ..testbed.places import AddressError
     from ..testbed.run import NotReadyError
 
     plan = _plan(plan_file, seed, gateways)
@@ -82,13 +82,13 @@
         with tempfile.TemporaryDirectory(prefix="zincstile-testbed-") as folder:
             if keep is not None:
                 Path(keep).mkdir(parents=True, exist_ok=True)
-            name, files = Path(plan_file or "soak").stem, sweeps.features(features)
-            found = sweeps.one(plan, Path(keep or folder), name, files)
+            name, files = Path(plan_file or "soak").stem, sweeps.parse_features(features)
+            found = sweeps.play_plan(plan, Path(keep or folder), name, files)
         if out is not None:
             results.write(found, Path(out))
         if page is not None:
             pages.write([(found.plan, found)], Path(page))
-    except (FileError, PlaceError, NotReadyError) as err:
+    except (FileError, AddressError, NotReadyError) as err:
         raise BadInputError(f"testbed: {err}") from None
     for row in found.plans:
         click.echo(
@@ -143,10 +143,10 @@
             raise BadInputError(f"--kind {kind}: no such failure; there are {', '.join(known)}")
     chosen, began, done = seed_range(span), time.monotonic(), []
     try:
-        files = sweeps.features(features)
+        files = sweeps.parse_features(features)
         if out is not None:
             Path(out).mkdir(parents=True, exist_ok=True)
-        for found in sweeps.many(chosen, gateways, kinds or known, jobs, files, gossip):
+        for found in sweeps.play_many(chosen, gateways, kinds or known, jobs, files, gossip):
             done.append(found)
             if out is not None:
                 results.write(found, Path(out) / f"{found.plan.replace(' ', '-')}-{found.seed}.json")
@@ -225,7 +225,7 @@
     from ..emulators.list_service import ListServiceBehaviour
     from ..testbed import start as starts
     from ..testbed import sweep as sweeps
-    from ..testbed.places import PlaceError
+    from ..testbed.places import AddressError
     from ..testbed.run import NotReadyError
 
     for wave in waves:
@@ -243,11 +243,11 @@
                 ListServiceBehaviour(per_s, **wrong),
                 names,
                 patience,
-                sweeps.features(features),
+                sweeps.parse_features(features),
             )
     except FileError as err:
         raise BadInputError(f"testbed: {err}") from None
-    except (PlaceError, NotReadyError, OSError) as err:
+    except (AddressError, NotReadyError, OSError) as err:
         raise BadInputError(f"testbed: {err}") from None
     click.echo(starts.table(rows))
     return 0 if all(r.ready == r.gateways for r in rows) else 1
--- a/zincstile/scale/crowd.py
+++ b/zincstile/scale/crowd.py
@@ -23,7 +23,7 @@
 from .verdicts import Incarnation, Seen, Use
 
 NS: Final = 1e-9
-GATEWAYS_OF_BLOCK: Final = places.MOST
+GATEWAYS_OF_BLOCK: Final = places.MAX_NUMBER
 
 
 class GatewayProcess:
@@ -145,7 +145,7 @@
 
 def place_of(blocks: list[int], number: int) -> str:
     """A gateway's address, on blocks of addresses that no other run uses."""
-    return places.gateway(blocks[number // GATEWAYS_OF_BLOCK], number % GATEWAYS_OF_BLOCK)
+    return places.gateway_address(blocks[number // GATEWAYS_OF_BLOCK], number % GATEWAYS_OF_BLOCK)
 
 
 def write_configuration(fleet: Topology, spec: GatewaySpec, settings: dict[str, Any], path: Path) -> None:
--- a/zincstile/scale/day.py
+++ b/zincstile/scale/day.py
@@ -91,8 +91,8 @@
         self.loop = asyncio.get_running_loop()
         raise_descriptor_limit()
         with contextlib.ExitStack() as stack:
-            count = -(-self.fleet.gateways // places.MOST)
-            blocks = [stack.enter_context(places.block()) for _ in range(count)]
+            count = -(-self.fleet.gateways // places.MAX_NUMBER)
+            blocks = [stack.enter_context(places.reserve_block()) for _ in range(count)]
             try:
                 await self._build(blocks)
                 await self._start()
--- a/zincstile/scale/day_result.py
+++ b/zincstile/scale/day_result.py
@@ -6,7 +6,7 @@
 from typing import Final
 
 from ..checkers.history import Violation
-from ..testbed.result import BreachRow
+from ..testbed.result import ViolationRow
 from . import judge
 from .emulators import Traffic
 from .outcome import DayResult
@@ -35,10 +35,10 @@
         row.datagrams = relayed.datagrams_in + relayed.datagrams_out
 
 
-def violation_rows(violations: list[Violation], began_s: float) -> list[BreachRow]:
+def violation_rows(violations: list[Violation], began_s: float) -> list[ViolationRow]:
     """The first violations, timed from `began_s`, in seconds of the monotonic clock."""
     return [
-        BreachRow(
+        ViolationRow(
             violation.rule,
             round(violation.at_ns / 1e9 - began_s, 3),
             violation.request,
--- a/zincstile/scale/emulators.py
+++ b/zincstile/scale/emulators.py
@@ -23,7 +23,7 @@
 from ..emulators.discovery import HEARTBEAT_S, EndpointEntry
 from ..simulator import gossip_codec
 from ..testbed.datagrams import INFO, PKTINFO
-from ..testbed.places import on_loopback
+from ..testbed.places import loopback_socket
 from .topology import Topology, shares
 
 BACKENDS_NETWORK: Final = 120  # second byte of 127.x.x.x, as of the next two
@@ -155,7 +155,7 @@
 
     async def start(self) -> None:
         """Listens on all addresses of the loopback interface."""
-        sock = on_loopback(socket.SOCK_STREAM)
+        sock = loopback_socket(socket.SOCK_STREAM)
         self.port = sock.getsockname()[1]
         await self.loop.create_server(lambda: WatchConnection(self), sock=sock)
 
@@ -266,7 +266,7 @@
 
     async def start(self) -> None:
         """Listens on all addresses of the loopback interface."""
-        sock = on_loopback(socket.SOCK_STREAM)
+        sock = loopback_socket(socket.SOCK_STREAM)
         self.port = sock.getsockname()[1]
         await self.loop.create_server(lambda: BackendConnection(self), sock=sock, backlog=1024)
 
@@ -325,7 +325,7 @@
         self.strange = 0  # datagrams of another layout: not answered
         self._rng = random.Random(seed)
         self._starts: dict[int, int] = {}
-        self._sock = on_loopback(socket.SOCK_DGRAM)
+        self._sock = loopback_socket(socket.SOCK_DGRAM)
         self._sock.setsockopt(socket.IPPROTO_IP, PKTINFO, 1)
         self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
         self.port = self._sock.getsockname()[1]
--- a/zincstile/scale/outcome.py
+++ b/zincstile/scale/outcome.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from ..serialization import typed_json
-from ..testbed.result import BreachRow
+from ..testbed.result import ViolationRow
 from .records import Kind, Machine
 
 
@@ -101,7 +101,7 @@
     verdicts: list[Verdict] = []
     delays: list[DelayRow] = []
     gateways: list[GatewayRow] = []
-    breaches: list[BreachRow] = []  # the first rules that broke, with what led there
+    breaches: list[ViolationRow] = []  # the first rules that broke, with what led there
     notes: list[str] = []
 
     @property
--- a/zincstile/scale/point.py
+++ b/zincstile/scale/point.py
@@ -95,7 +95,7 @@
     async def run(self) -> Sample:
         """Starts all, measures, ends all."""
         self.loop = asyncio.get_running_loop()
-        with places.block() as block, contextlib.ExitStack() as stack:
+        with places.reserve_block() as block, contextlib.ExitStack() as stack:
             await self._start(block, stack)
             await self._measure()
         p = self.point
@@ -115,7 +115,7 @@
         self.discovery.table = EndpointTable(self.fleet, self.backends.port)
         files = [self._write(block, number) for number in range(self.count)]
         self.clients = [
-            load.Clients(places.gateway(block, n), places.CLIENTS_PORT) for n in range(self.count)
+            load.Clients(places.gateway_address(block, n), places.CLIENTS_PORT) for n in range(self.count)
         ]
         began_s = self.loop.time()
         self.subject = Subject(self.point.kind, files, self.point.tree, self.folder)
@@ -128,7 +128,7 @@
 
     def _write(self, block: int, number: int) -> Path:
         """The configuration of one gateway."""
-        own = f"{places.gateway(block, number)}:{places.PEERS_PORT}"
+        own = f"{places.gateway_address(block, number)}:{places.PEERS_PORT}"
         me = number % self.gateways
         host, port = own.rsplit(":", 1)
         self.peers.places[host, int(port)] = number
@@ -386,5 +386,5 @@
     folder.mkdir(parents=True)
     try:
         return asyncio.run(Measurement(point, folder).run())
-    except (load.UnreachableError, places.PlaceError, OSError) as err:
+    except (load.UnreachableError, places.AddressError, OSError) as err:
         raise SubjectError(str(err)) from None
--- a/zincstile/scale/surroundings.py
+++ b/zincstile/scale/surroundings.py
@@ -18,7 +18,7 @@
 from ..emulators.backend import GatewayConnection as BackendGatewayConnection
 from ..emulators.discovery import EndpointEntry
 from ..simulation import traffic
-from ..testbed.places import on_loopback
+from ..testbed.places import loopback_socket
 from ..testbed.probe import CommandTap, Probe
 from .emulators import (
     BACKENDS_NETWORK,
@@ -99,7 +99,7 @@
 
     async def start(self) -> None:
         """Listens on all addresses of the loopback interface."""
-        sock = on_loopback(socket.SOCK_STREAM)
+        sock = loopback_socket(socket.SOCK_STREAM)
         self.port = sock.getsockname()[1]
         await self.loop.create_server(lambda: DayWatch(self), sock=sock, backlog=1024)
 
@@ -182,7 +182,7 @@
 
     async def start(self) -> None:
         """Listens on all addresses of the loopback interface."""
-        sock = on_loopback(socket.SOCK_STREAM)
+        sock = loopback_socket(socket.SOCK_STREAM)
         self.port = sock.getsockname()[1]
         await self.loop.create_server(lambda: BackendConnection(self), sock=sock, backlog=1024)
 
--- a/zincstile/testbed/datagrams.py
+++ b/zincstile/testbed/datagrams.py
@@ -36,7 +36,7 @@
         self.sent = [0] * len(names)
         self.bytes = [0] * len(names)
         self.unknown_senders = 0  # datagrams that no gateway sent to another
-        self.sock = places.on_loopback(socket.SOCK_DGRAM)
+        self.sock = places.loopback_socket(socket.SOCK_DGRAM)
         self.sock.setsockopt(socket.IPPROTO_IP, PKTINFO, 1)
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4 << 20)
         self.port = self.sock.getsockname()[1]
@@ -45,9 +45,9 @@
     def peers(self, number: int) -> list[str]:
         """The `peers` of a gateway's file: its own address, and the relay's for each other one."""
         return [
-            f"{places.gateway(self.block, k)}:{places.PEERS_PORT}"
+            f"{places.gateway_address(self.block, k)}:{places.PEERS_PORT}"
             if k == number
-            else f"{places.seen(places.PEER, number, k)}:{self.port}"
+            else f"{places.address_for_gateway(places.PEER, number, k)}:{self.port}"
             for k in range(len(self.names))
         ]
 
@@ -67,10 +67,10 @@
                 ),
                 b"\x7f\0\0\1",
             )
-            kind, source, target = places.who(socket.inet_ntoa(own))
+            kind, source, target = places.parse_address(socket.inet_ntoa(own))
             if (
                 kind != places.PEER
-                or sender[0] != places.gateway(self.block, source)
+                or sender[0] != places.gateway_address(self.block, source)
                 or not 0 <= target < len(self.names)
             ):
                 self.unknown_senders += 1
@@ -86,13 +86,13 @@
     def _forward(self, data: bytes, source: int, target: int) -> None:
         if self.sock.fileno() < 0:
             return
-        own = socket.inet_aton(places.seen(places.PEER, target, source))
+        own = socket.inet_aton(places.address_for_gateway(places.PEER, target, source))
         with contextlib.suppress(OSError):  # a full buffer, or nobody there: lost, as datagrams are
             self.sock.sendmsg(
                 [data],
                 [(socket.IPPROTO_IP, PKTINFO, INFO.pack(0, own, b"\0" * 4))],
                 0,
-                (places.gateway(self.block, target), places.PEERS_PORT),
+                (places.gateway_address(self.block, target), places.PEERS_PORT),
             )
 
     def close(self) -> None:
--- a/zincstile/testbed/emulated.py
+++ b/zincstile/testbed/emulated.py
@@ -41,7 +41,7 @@
     def entry_for(self, entry: EndpointEntry, gateway: int) -> EndpointEntry:
         """With the address by which that gateway finds it, on its clock."""
         backend = self.backends.get(entry.name)
-        seer = places.ALL if self.plan.one_address else gateway
+        seer = places.ALL_GATEWAYS if self.plan.one_address else gateway
         return entry if backend is None else replace(entry, address=backend.proxy.address(seer))
 
     def add_backend(
@@ -67,8 +67,8 @@
         self, name: str, zone: int, group: int, model: BackendModel, cold: bool, at: Backend | None
     ) -> Backend:
         """A backend begins to listen, and its invariants begin to be watched."""
-        number = at.number if at else (self.backends_made - 1) % places.MOST
-        proxy = FaultProxy(self.loop, self.links, name, places.BOX, number, self.names)
+        number = at.number if at else (self.backends_made - 1) % places.MAX_NUMBER
+        proxy = FaultProxy(self.loop, self.links, name, places.BACKEND, number, self.names)
         proxy.make_connection, proxy.probe, proxy.keeps_port = _BackendConnection, self.probe, True
         if at is not None:
             proxy.port = at.proxy.port
@@ -135,7 +135,7 @@
 
     def start_quota_service(self, number: int) -> None:
         """Starts a quota service that knows nothing yet, at the address of the one before it."""
-        proxy = FaultProxy(self.loop, self.links, "keeper", places.KEEPER, number, self.names)
+        proxy = FaultProxy(self.loop, self.links, "keeper", places.QUOTA_SERVICE, number, self.names)
         proxy.keeps_port = True
         if number in self.quota_services:
             proxy.port = self.quota_services[number][1].port
--- a/zincstile/testbed/fault_proxy.py
+++ b/zincstile/testbed/fault_proxy.py
@@ -189,23 +189,23 @@
 
     def is_known_by(self, address: str) -> bool:
         """Not where a gateway of another run meant something else, which had this port before."""
-        return places.who(address)[0] == self.kind
+        return places.parse_address(address)[0] == self.kind
 
     def gateway_at(self, address: str) -> str:
         """Who knows this place by that address."""
-        kind, gateway_number, number = places.who(address)
+        kind, gateway_number, number = places.parse_address(address)
         fits = kind == self.kind and number == self.number and 0 <= gateway_number < len(self.gateways)
         return self.gateways[gateway_number] if fits else "?"
 
     def address(self, gateway_number: int) -> str:
         """Where that gateway finds this place."""
-        return f"{places.seen(self.kind, gateway_number, self.number)}:{self.port}"
+        return f"{places.address_for_gateway(self.kind, gateway_number, self.number)}:{self.port}"
 
     async def create_server(
         self, factory: Callable[[], asyncio.Protocol], host: str = "", port: int = 0
     ) -> asyncio.AbstractServer:
         """As the loop's, on all addresses of this place."""
-        sock = places.on_loopback(socket.SOCK_STREAM, True, self.port if self.keeps_port else 0)
+        sock = places.loopback_socket(socket.SOCK_STREAM, True, self.port if self.keeps_port else 0)
         self.port = sock.getsockname()[1]
         self._server = await self.loop.create_server(
             lambda: self.make_connection(self, factory()), sock=sock, backlog=BACKLOG
@@ -232,7 +232,7 @@
             return
         cut = self.links.fault_on(gateway, self.place).cut or self.links.fault_on(self.place, gateway).cut
         if cut and gateway not in self._black_holes:
-            host = places.seen(self.kind, self.gateways.index(gateway), self.number)
+            host = places.address_for_gateway(self.kind, self.gateways.index(gateway), self.number)
             self._black_holes[gateway] = places.BlackHole(host, self.port)
         elif not cut and gateway in self._black_holes:
             self._black_holes.pop(gateway).close()
--- a/zincstile/testbed/gateways.py
+++ b/zincstile/testbed/gateways.py
@@ -32,7 +32,7 @@
         """The clients' socket, held here for all versions of a gateway."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        sock.bind((places.gateway(self.block, node.number), places.CLIENTS_PORT))
+        sock.bind((places.gateway_address(self.block, node.number), places.CLIENTS_PORT))
         sock.listen(1024)
         return sock
 
@@ -54,7 +54,9 @@
         if self.quota_services:
             table["counter"] = self.quota_services[node.quota_service_number][1].address(number)
         if self.has_admin_endpoint:
-            node.operators = f"{places.gateway(self.block, number)}:{places.CONTROL_PORT + node.starts}"
+            node.operators = (
+                f"{places.gateway_address(self.block, number)}:{places.CONTROL_PORT + node.starts}"
+            )
             table["control"] = node.operators
         path = node.folder / "config.json"
         text = json.dumps(table)
--- a/zincstile/testbed/places.py
+++ b/zincstile/testbed/places.py
@@ -11,38 +11,38 @@
 import socket
 from collections.abc import Iterator
 
-GATEWAY, PEER, BOX, DISCOVERY, KEEPER = 100, 101, 102, 103, 104
-MOST = 250  # gateways, boxes: what a byte holds
-ALL = 252  # in a gateway's place: the address of a box that is the same for all
+GATEWAY, PEER, BACKEND, DISCOVERY, QUOTA_SERVICE = 100, 101, 102, 103, 104
+MAX_NUMBER = 250  # gateways, boxes: what a byte holds
+ALL_GATEWAYS = 252  # in a gateway's place: the address of a box that is the same for all
 CLIENTS_PORT, PEERS_PORT, CONTROL_PORT, LOCK_PORT = 6379, 7946, 7070, 40999
-RUNS = 200  # runs beside each other on one machine
-LOOPBACK = b"lo\0"
+MAX_RUNS = 200  # runs beside each other on one machine
+LOOPBACK_INTERFACE = b"lo\0"
 
 
-class PlaceError(OSError):
+class AddressError(OSError):
     """No block of addresses is free, or the system refuses what this needs."""
 
 
-def gateway(block: int, number: int) -> str:
+def gateway_address(block: int, number: int) -> str:
     """Where a gateway listens."""
     return f"127.{GATEWAY}.{block}.{number + 1}"
 
 
-def seen(kind: int, gateway_number: int, number: int = 0) -> str:
+def address_for_gateway(kind: int, gateway_number: int, number: int = 0) -> str:
     """The address by which a gateway knows a peer, a box or a service."""
     return f"127.{kind}.{gateway_number + 1}.{number + 1}"
 
 
-def who(address: str) -> tuple[int, int, int]:
+def parse_address(address: str) -> tuple[int, int, int]:
     """Of such an address: the kind, the gateway that knows it, and which one it is."""
-    _, kind, seer, number = (int(x) for x in address.split("."))
-    return kind, seer - 1, number - 1
+    _, kind, gateway_number, number = (int(x) for x in address.split("."))
+    return kind, gateway_number - 1, number - 1
 
 
 @contextlib.contextmanager
-def block() -> Iterator[int]:
-    """A block of gateways' addresses that no other run on this machine uses meanwhile. PlaceError."""
-    for number in range(1, RUNS + 1):
+def reserve_block() -> Iterator[int]:
+    """A block of gateways' addresses that no other run on this machine uses meanwhile. AddressError."""
+    for number in range(1, MAX_RUNS + 1):
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as lock:
             try:
                 lock.bind((f"127.{GATEWAY}.{number}.254", LOCK_PORT))
@@ -50,15 +50,15 @@
                 continue
             yield number
             return
-    raise PlaceError(f"{RUNS} runs use this machine's loopback addresses already")
+    raise AddressError(f"{MAX_RUNS} runs use this machine's loopback addresses already")
 
 
-def on_loopback(kind: int, reuse: bool = False, port: int = 0) -> socket.socket:
+def loopback_socket(kind: int, reuse: bool = False, port: int = 0) -> socket.socket:
     """A socket that the loopback interface alone reaches, bound to all of its addresses; at a free port, or
     at one again that it had before."""
     sock = socket.socket(socket.AF_INET, kind)
     try:
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_BINDTODEVICE, LOOPBACK)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_BINDTODEVICE, LOOPBACK_INTERFACE)
         if reuse:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -66,7 +66,7 @@
         sock.bind(("0.0.0.0", port))
     except OSError as err:
         sock.close()
-        raise PlaceError(f"no socket on the loopback interface alone: {err.strerror}") from None
+        raise AddressError(f"no socket on the loopback interface alone: {err.strerror}") from None
     return sock
 
 
--- a/zincstile/testbed/probe.py
+++ b/zincstile/testbed/probe.py
@@ -75,22 +75,22 @@
         self._began_s = began_s
         self.died_as_planned: Callable[[str], bool] = lambda gateway: False
         self._ticked_ns = time.monotonic_ns()
-        self._delay_ns = self._delayed_until_ns = 0
+        self._loop_delay_ns = self._delayed_until_ns = 0
         self.arrivals: list[tuple[float, str, int]] = []  # time, backend, work in ns
 
-    def watch_own_delay(self, loop: asyncio.AbstractEventLoop) -> None:
+    def measure_loop_delay(self, loop: asyncio.AbstractEventLoop) -> None:
         """From now on it is known how long the testbed's own loop was held up."""
         now_ns = time.monotonic_ns()
         delay_ns = now_ns - self._ticked_ns - 2 * TICK_NS
-        if now_ns >= self._delayed_until_ns or delay_ns > self._delay_ns:
-            self._delay_ns, self._delayed_until_ns = max(0, delay_ns), now_ns + CATCH_UP_NS
+        if now_ns >= self._delayed_until_ns or delay_ns > self._loop_delay_ns:
+            self._loop_delay_ns, self._delayed_until_ns = max(0, delay_ns), now_ns + CATCH_UP_NS
         self._ticked_ns = now_ns
-        loop.call_later(TICK_NS / 1e9, self.watch_own_delay, loop)
+        loop.call_later(TICK_NS / 1e9, self.measure_loop_delay, loop)
 
-    def delay_ns(self) -> int:
+    def loop_delay_ns(self) -> int:
         """What is read now may have come so long ago, as the testbed was busy, or has still to catch up with
         what came meanwhile: no gateway is to blame."""
-        return max(self._delay_ns, time.monotonic_ns() - self._ticked_ns - 2 * TICK_NS)
+        return max(self._loop_delay_ns, time.monotonic_ns() - self._ticked_ns - 2 * TICK_NS)
 
     def _sender(self, gateway: str, request_id: bytes) -> str:
         """The gateway; where a backend has one address for all, the one that received this request."""
@@ -202,7 +202,7 @@
         if self._malformed:
             return
         if self._commands.idle:
-            self._first_ns = time.monotonic_ns() - self.probe.delay_ns()
+            self._first_ns = time.monotonic_ns() - self.probe.loop_delay_ns()
         try:
             complete = self._commands.feed(data)
         except codec.ProtocolError:
--- a/zincstile/testbed/report.py
+++ b/zincstile/testbed/report.py
@@ -13,7 +13,7 @@
 from pygal.style import CleanStyle
 
 from ..serialization.errors import FileError
-from .result import BreachRow, GatewayRow, RunResult
+from .result import GatewayRow, RunResult, ViolationRow
 
 STYLE = CleanStyle(title_font_size=15, legend_font_size=11, label_font_size=11, major_label_font_size=11)
 PAGE = """<!doctype html><html lang="en"><meta charset="utf-8"><title>zincstile field report</title><style>
@@ -26,7 +26,7 @@
 figure {{ margin: 0; max-width: 46em }}
 </style><h1>{title}</h1>{body}</html>
 """
-MANY = 12  # lines in one chart; of more gateways, the extremes and the mean
+MAX_CHART_LINES = 12  # lines in one chart; of more gateways, the extremes and the mean
 ANSWERS = ("served", "denied", "failed", "unreached")
 
 
@@ -86,7 +86,7 @@
             values = [self.cells.get((s, name), {}).get(figure) for s in self.seconds]
             numbers = [None if v is None else float(v) for v in values]
             found[name] = _growth(numbers) if rate else numbers
-        if len(found) <= MANY:
+        if len(found) <= MAX_CHART_LINES:
             return found
         columns = [[v for v in column if v is not None] for column in zip(*found.values(), strict=True)]
         return {
@@ -176,7 +176,7 @@
     return rows
 
 
-def one(result: RunResult) -> str:
+def result_html(result: RunResult) -> str:
     """What there is to say of one run."""
     parts = [_head(result), *(_breach(breach) for breach in result.breaches)]
     if result.plans:
@@ -198,7 +198,7 @@
     )
 
 
-def _breach(breach: BreachRow) -> str:
+def _breach(breach: ViolationRow) -> str:
     """A broken rule, with what led to it."""
     past = "\n".join(breach.history)
     return (
@@ -225,7 +225,7 @@
     )
 
 
-FIGURES: dict[str, Callable[[RunResult], float]] = {
+COMPARED_FIGURES: dict[str, Callable[[RunResult], float]] = {
     "served": lambda r: float(r.tally.get("served", 0)),
     "denied": lambda r: float(r.tally.get("denied", 0)),
     "failed": lambda r: float(r.tally.get("failed", 0)),
@@ -248,12 +248,12 @@
     """The HTML of one run, or of several side by side under a table that compares them."""
     title = "zincstile field: " + ", ".join(name for name, _ in results)
     if len(results) == 1:
-        return PAGE.format(title=html.escape(title), body=one(results[0][1]))
+        return PAGE.format(title=html.escape(title), body=result_html(results[0][1]))
     compared = table(
         ["", *(name for name, _ in results)],
-        [[what, *(take(r) for _, r in results)] for what, take in FIGURES.items()],
+        [[what, *(take(r) for _, r in results)] for what, take in COMPARED_FIGURES.items()],
     )
-    columns = "".join(f"<div><h2>{html.escape(name)}</h2>{one(r)}</div>" for name, r in results)
+    columns = "".join(f"<div><h2>{html.escape(name)}</h2>{result_html(r)}</div>" for name, r in results)
     return PAGE.format(title=html.escape(title), body=compared + f'<div class="side">{columns}</div>')
 
 
--- a/zincstile/testbed/result.py
+++ b/zincstile/testbed/result.py
@@ -36,7 +36,7 @@
     memory_kb: int
 
 
-class BreachRow(msgspec.Struct):
+class ViolationRow(msgspec.Struct):
     """One broken rule."""
 
     rule: str
@@ -62,7 +62,7 @@
     plans: list[PlanRow]
     nearest: dict[str, float]  # to the rules that have a measure: 1 is at it
     rows: list[GatewayRow]
-    breaches: list[BreachRow]
+    breaches: list[ViolationRow]
     latency_ms: dict[str, float]
     links: dict[str, int]
     series: list[dict[str, float | str]]
@@ -88,7 +88,7 @@
         return f"field seed={self.seed} {said}"
 
 
-def latencies(seconds: list[float]) -> dict[str, float]:
+def latency_percentiles(seconds: list[float]) -> dict[str, float]:
     """Milliseconds at some percentiles, by a histogram of three digits."""
     if not seconds:
         return {}
--- a/zincstile/testbed/run.py
+++ b/zincstile/testbed/run.py
@@ -57,7 +57,7 @@
         """NotReadyError where the gateways don't start; OSError where the machine gives no sockets."""
         self.loop = asyncio.get_running_loop()
         self.loop.set_exception_handler(self.report_loop_error)
-        with places.block() as self.block:
+        with places.reserve_block() as self.block:
             try:
                 await self.build()
                 await self._wait_until_ready()
@@ -107,7 +107,7 @@
             name=name,
             agent=agent,
             proxy=proxy,
-            listen=f"{places.gateway(self.block, number)}:{places.CLIENTS_PORT}",
+            listen=f"{places.gateway_address(self.block, number)}:{places.CLIENTS_PORT}",
             folder=folder,
             shim=ShimControl(folder / "shim"),
             discovery=proxy.address(number),
@@ -123,7 +123,7 @@
             self.loop,
             random.Random(f"front {self.plan.seed}"),
             self.probe,
-            {s.name: (places.gateway(self.block, s.number), places.CLIENTS_PORT) for s in self.nodes},
+            {s.name: (places.gateway_address(self.block, s.number), places.CLIENTS_PORT) for s in self.nodes},
             failure_detection_s=(0.3, 1.5),
         )
         front.weigh_gateways = self.weigh_gateways
@@ -150,7 +150,7 @@
     async def _play_load(self) -> None:
         """Plays requests and faults at their times, and watches until all is answered."""
         plan = self.plan
-        self.probe.watch_own_delay(self.loop)
+        self.probe.measure_loop_delay(self.loop)
         self.began_s = start = self.loop.time() + 0.1
         for want in traffic.wants(plan, start):
             self.loop.call_at(want.at_s, self.load_balancer.send, want)
@@ -259,7 +259,7 @@
 
 
 def play(plan: Plan, folder: Path, **options: Any) -> RunResult:
-    """Play one run; `options`: those of `Testbed`. PlaceError where the system isn't Linux."""
+    """Play one run; `options`: those of `Testbed`. AddressError where the system isn't Linux."""
     if sys.platform != "linux":
-        raise places.PlaceError("field runs need Linux's loopback interface")
+        raise places.AddressError("field runs need Linux's loopback interface")
     return asyncio.run(Run(plan, folder, **options).play())
--- a/zincstile/testbed/start.py
+++ b/zincstile/testbed/start.py
@@ -94,10 +94,10 @@
         self.wave: Wave | None = None
 
     async def waves(self, names: list[str]) -> list[StartRow]:
-        """Plays them one after another, on one fleet. PlaceError, OSError."""
+        """Plays them one after another, on one fleet. AddressError, OSError."""
         self.loop = asyncio.get_running_loop()
         self.loop.set_exception_handler(self.report_loop_error)
-        with places.block() as self.block:
+        with places.reserve_block() as self.block:
             try:
                 await self._build_services()
                 for name in names:
--- a/zincstile/testbed/summary.py
+++ b/zincstile/testbed/summary.py
@@ -7,7 +7,7 @@
 from ..simulation import traffic
 from ..virtual.network_faults import DatagramCounts
 from .members import Node
-from .result import BreachRow, GatewayRow, PlanRow, RunResult, latencies
+from .result import GatewayRow, PlanRow, RunResult, ViolationRow, latency_percentiles
 from .testbed import Testbed
 
 
@@ -34,7 +34,7 @@
         },
         rows=[_gateway(run, node) for node in run.nodes],
         breaches=breaches,
-        latency_ms=latencies(run.load_balancer.latencies_s),
+        latency_ms=latency_percentiles(run.load_balancer.latencies_s),
         links=_datagram_counts(run.links.counts),
         series=run.series.rows(run.names),
         events=run.events,
@@ -88,10 +88,10 @@
     ]
 
 
-def _breaches(run: Testbed) -> list[BreachRow]:
+def _breaches(run: Testbed) -> list[ViolationRow]:
     """Broken rules, by the seconds since the load began."""
     return [
-        BreachRow(
+        ViolationRow(
             rule=breach.rule,
             at_s=round(breach.at_ns / 1e9 - run.began_s, 3),
             request=breach.request,
--- a/zincstile/testbed/sweep.py
+++ b/zincstile/testbed/sweep.py
@@ -13,12 +13,12 @@
 from ..simulation import places, shared, soak, traffic
 from ..simulation.plan import Plan
 from . import run
-from .places import PlaceError
+from .places import AddressError
 from .programs import ROOT
-from .result import BreachRow, RunResult
+from .result import RunResult, ViolationRow
 
 
-def features(arguments: tuple[str, ...]) -> dict[str, str]:
+def parse_features(arguments: tuple[str, ...]) -> dict[str, str]:
     """The files by name, of `NAME=FILE` arguments. FileError where one is none, or names no file."""
     found = {}
     for argument in arguments:
@@ -29,8 +29,8 @@
     return found
 
 
-def one(plan: Plan, folder: Path, name: str, files: dict[str, str]) -> RunResult:
-    """Plays a plan, with the bound that its gateways state for themselves. FileError, PlaceError,
+def play_plan(plan: Plan, folder: Path, name: str, files: dict[str, str]) -> RunResult:
+    """Plays a plan, with the bound that its gateways state for themselves. FileError, AddressError,
     NotReadyError."""
     files = dict(files)
     if plan.share and "shared" not in files:
@@ -51,7 +51,7 @@
     return run.play(plan, folder, name=name, features=files, stated=stated, initial_ratio=initial_ratio)
 
 
-def draw(seed: int, gateways: int, kind: str, gossip: bool) -> Plan:
+def draw_plan(seed: int, gateways: int, kind: str, gossip: bool) -> Plan:
     """A failure of the shared state, a trouble of a zone, or several troubles at once."""
     if kind == soak.KIND:
         return soak.draw(seed, gateways)
@@ -62,15 +62,15 @@
     return plan
 
 
-def _drawn(
+def _play_drawn(
     gateways: int, kinds: tuple[str, ...], files: dict[str, str], gossip: bool, seed: int
 ) -> RunResult:
     kind = kinds[seed % len(kinds)]
-    plan = draw(seed, gateways, kind, gossip)
+    plan = draw_plan(seed, gateways, kind, gossip)
     try:
         with tempfile.TemporaryDirectory(prefix="zincstile-field-") as folder:
-            return one(plan, Path(folder), kind, files)
-    except (PlaceError, run.NotReadyError) as err:  # told as a run that is not all right
+            return play_plan(plan, Path(folder), kind, files)
+    except (AddressError, run.NotReadyError) as err:  # told as a run that is not all right
         return RunResult(
             plan=kind,
             seed=seed,
@@ -85,7 +85,7 @@
             plans=[],
             nearest={},
             rows=[],
-            breaches=[BreachRow("start", 0.0, "-", str(err))],
+            breaches=[ViolationRow("start", 0.0, "-", str(err))],
             latency_ms={},
             links={},
             series=[],
@@ -93,7 +93,7 @@
         )
 
 
-def many(
+def play_many(
     seeds: range,
     gateways: int,
     kinds: tuple[str, ...],
@@ -103,7 +103,7 @@
 ) -> Iterator[RunResult]:
     """In the order in which they end. Failures go round by the seed."""
     with multiprocessing.get_context("spawn").Pool(min(jobs, len(seeds)), maxtasksperchild=8) as pool:
-        yield from pool.imap_unordered(partial(_drawn, gateways, kinds, files, gossip), seeds)
+        yield from pool.imap_unordered(partial(_play_drawn, gateways, kinds, files, gossip), seeds)
 
 
 def _cpu(rows: list[RunResult]) -> float:
