--- a/zincstile/simulation/place_model.py
+++ b/zincstile/simulation/place_model.py
@@ -20,8 +20,8 @@
 from ..zone_failover.zone_states import ZoneState
 
 MIN_DELAY_NS, MAX_DELAY_NS = 1.9 * MS, 30 * MS
-# Ready servers of a zone, and its demand and capacity in units a second.
-SERVERS_PER_ZONE, ZONE_DEMAND, ZONE_CAPACITY = 8, 50.0, 100.0
+# Ready backends of a zone, and its demand and capacity in units a second.
+BACKENDS_PER_ZONE, ZONE_DEMAND, ZONE_CAPACITY = 8, 50.0, 100.0
 LOSS_START_NS, LOSS_END_NS, END_NS = 12 * SECOND, 30 * SECOND, 50 * SECOND
 # In this ratio of its heartbeats a gateway has tried a zone that gets no regular traffic.
 PROBE_RATIO = 0.25
@@ -88,8 +88,8 @@
             unreachable = self.zone_lost and zone == 0
             observations.append(
                 ZoneObservation(
-                    SERVERS_PER_ZONE,
-                    0.0 if unreachable else float(SERVERS_PER_ZONE),
+                    BACKENDS_PER_ZONE,
+                    0.0 if unreachable else float(BACKENDS_PER_ZONE),
                     float(unreachable) if observed else -1.0,
                     ZONE_CAPACITY / len(self.agreements),
                 )
--- a/zincstile/simulation/start_model.py
+++ b/zincstile/simulation/start_model.py
@@ -40,7 +40,7 @@
     max_calls_per_100ms: int  # calls to the list service in its busiest tenth of a second
     max_received_per_s: int  # datagrams received by the busiest gateway in its busiest second
     max_sent_per_s: int  # datagrams sent by the busiest gateway in its busiest second
-    max_units_per_server: float  # units per backend in the busiest tenth of a second
+    max_units_per_backend: float  # units per backend in the busiest tenth of a second
 
 
 class Gateway:
@@ -264,7 +264,7 @@
     lines += [
         f"{r.gateways:6}{r.alive:7}{r.lists_per_s:9.0f}{r.half_s:7.1f}{r.p99_s:7.1f}{r.all_s:7.1f}"
         f"{r.calls_per_gateway:7.2f}{r.full_lists:7}{r.max_calls_per_100ms:9}{r.max_received_per_s:9}"
-        f"{r.max_sent_per_s:8}{r.max_units_per_server:11.2f}"
+        f"{r.max_sent_per_s:8}{r.max_units_per_backend:11.2f}"
         for r in results
     ]
     return "\n".join(lines)
--- a/zincstile/simulation/starts.py
+++ b/zincstile/simulation/starts.py
@@ -95,10 +95,8 @@
     ready_s: float  # until all killed gateways are ready; -1: never
     calls: float  # to the list service, per killed gateway
     full_lists: float  # requested from the list service, per killed gateway
-    max_units_per_server: float  # units in any tenth of a second of the first 2 s, mean over the backends
-    max_connections_per_server: (
-        int  # new connections in the busiest tenth of a second, mean over the backends
-    )
+    max_units_per_backend: float  # units in any tenth of a second of the first 2 s, mean over the backends
+    max_connections_per_backend: int  # new ones in the busiest tenth of a second, mean over the backends
     cold_start_ratio: float  # load of a cold backend relative to the limit of the rule on cold starts
     served_ratios: tuple[float, ...]  # within each of WINDOWS_S, relative to the baseline
     failed: int
@@ -223,8 +221,8 @@
             f"{ready_times[-1] if ready_times else -1:7.2f}"
             f"{n - len(ready_times):6}{sum(r.calls for r in runs) / n:7.2f}"
             f"{sum(r.full_lists for r in runs) / n:7.2f}"
-            f"{max(r.max_units_per_server for r in runs):11.2f}"
-            f"{max(r.max_connections_per_server for r in runs):9.2f}"
+            f"{max(r.max_units_per_backend for r in runs):11.2f}"
+            f"{max(r.max_connections_per_backend for r in runs):9.2f}"
             f"{max(r.cold_start_ratio for r in runs):6.2f}{service}{sum(r.failed for r in runs):8}"
         )
     return "\n".join(lines)
