--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -159,7 +159,7 @@
 def test_two_programs_stand_side_by_side_in_the_order_that_is_asked_for(tmp_path, capsys):
     first, second = written(tmp_path, slopes()), written(tmp_path, slopes(scale=0.1), "second.json")
     assert run(["scale", "capacity", first, str(TARGET), "--also", second]) == 2
-    assert "program before is there already" in capsys.readouterr().err
+    assert "duplicate program before; give it another label: --also LABEL=" in capsys.readouterr().err
     words = ["scale", "capacity", first, str(TARGET), "--also", f"after={second}"]
     assert run([*words, "--program", "after", "--program", "before"]) == 0
     lines = [x for x in capsys.readouterr().out.splitlines() if x.startswith("| endpoint table |")]
@@ -171,7 +171,7 @@
     lines = [x for x in capsys.readouterr().out.splitlines() if x.startswith("| endpoint table |")]
     assert [x.split(" | ")[1] for x in lines] == ["zeta", "alpha"]
     assert run([*words, "--program", "never"]) == 2
-    assert "--program never: there are before, after" in capsys.readouterr().err
+    assert "--program never: no such program; there are before, after" in capsys.readouterr().err
 
 
 @pytest.mark.parametrize(
@@ -203,7 +203,7 @@
     empty = written(tmp_path, msgspec.structs.replace(slopes(), samples=[]))
     good = written(tmp_path, slopes(), "good.json")
     for words, why in (
-        ([empty, str(TARGET)], "$.samples: there are none"),
+        ([empty, str(TARGET)], "$.samples: must not be empty"),
         (["never.json", str(TARGET)], "never.json: No such file"),
         ([good, "never.yaml"], "never.yaml: No such file"),
         ([good, str(TARGET), "--write", str(tmp_path / "never.md")], "never.md: No such file"),
--- a/tests/test_command_names.py
+++ b/tests/test_command_names.py
@@ -1,15 +1,15 @@
-"""Old names of commands still work, but are not listed in the help."""
+"""Former names of commands still work but are not listed in the help."""
 
 from __future__ import annotations
 
 import pytest
 
 from zincstile.cli import main
-from zincstile.cli.commands import GROUPS, HIDDEN_ALIASES
+from zincstile.cli.commands import COMMANDS, HIDDEN_ALIASES
 
 
 @pytest.mark.parametrize(("old", "new"), sorted(HIDDEN_ALIASES.items()))
-def test_an_old_name_runs_the_same_command_and_is_not_listed(old, new, capsys):
+def test_a_former_name_runs_the_same_command_and_is_not_listed(old, new, capsys):
     help_texts = []
     for name in (old, new):
         assert main([name, "--help"]) == 0
@@ -20,5 +20,5 @@
     assert new in listed and old not in listed
 
 
-def test_an_unknown_command_is_refused():
-    assert "fields" not in GROUPS and main(["fields"]) == 2
+def test_an_unknown_command_gives_exit_code_2():
+    assert "fields" not in COMMANDS and main(["fields"]) == 2
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -61,7 +61,7 @@
     known_modules = module_paths()
     graph = {name: imported_modules(name, path, known_modules) for name, path in known_modules.items()}
     commands = importlib.import_module(f"{PACKAGE}.cli.commands")
-    graph[commands.__name__] |= {f"{PACKAGE}.cli.{module}" for module, _ in commands.GROUPS.values()}
+    graph[commands.__name__] |= {f"{PACKAGE}.cli.{module}" for module, _ in commands.COMMANDS.values()}
     return graph
 
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -183,9 +183,9 @@
 @pytest.mark.parametrize(("option", "chosen"), [("--mass-failure", True), ("--stroke", True), (None, False)])
 def test_a_mass_failure_is_chosen_by_the_option_or_its_former_name(option, chosen):
     words = ["--out", os.devnull, *([option] if option else [])]
-    given = scale_slopes.command.make_context("slopes", words).params
-    del given["out"], given["charts"]
-    assert scale_slopes.read(**given).mass_failure is chosen
+    options = scale_slopes.command.make_context("slopes", words).params
+    del options["out"], options["charts"]
+    assert scale_slopes.read_settings(**options).mass_failure is chosen
 
 
 @pytest.fixture(scope="module")
--- a/zincstile/cli/__init__.py
+++ b/zincstile/cli/__init__.py
@@ -1,19 +1,19 @@
-"""The command line: one file a command, loaded when it is named.
+"""The command line: one module per command, imported when the command is called.
 
-`python -m zincstile` without words never comes here: it is the platform's gateway, on the standard library
-alone. The commands stand on click; each loads what it needs besides (`pip install '.[all]'`). Bad input of
-any kind is told in one line, with exit code 2.
+`python -m zincstile` without arguments doesn't import this package: it runs the gateway, which uses the
+standard library only. The commands use click and further libraries (`pip install '.[all]'`). Invalid input
+is reported in one line, with exit code 2.
 """
 
 from __future__ import annotations
 
-from .libraries import missing
+from .libraries import report_missing_library
 
 
-def main(words: list[str]) -> int:
-    """Runs the command that the words name; returns its exit code."""
+def main(arguments: list[str]) -> int:
+    """Runs the command that the arguments name; returns its exit code."""
     try:
         from .commands import run
     except ModuleNotFoundError as err:
-        return missing(err)
-    return run(words)
+        return report_missing_library(err)
+    return run(arguments)
--- a/zincstile/cli/bound.py
+++ b/zincstile/cli/bound.py
@@ -1,4 +1,4 @@
-"""`bound`: how far quotas can be passed by all gateways together, before anything fails."""
+"""`bound`: how far all gateways together can exceed a quota, computed from the settings alone."""
 
 from __future__ import annotations
 
@@ -7,17 +7,18 @@
 from rich.table import Table
 
 from ..decisions.quota_bounds import Bound, Quota
-from ..leases import overshoot_bound as by_leases
+from ..leases import overshoot_bound as lease_bounds
 from ..leases.concurrency_budget import MAX_FACTOR
 from ..net import features
 from ..quota_service.overshoot_bound import max_carry_units, max_lease_units, overshoot_bounds
 from ..serialization.errors import FileError
 from .errors import BadInputError
 
-WAYS, CUT_S = 2, 10.0  # of the cut that today's gossip is stated for, beside the loans
+# the partition for which the bound of quotas by gossip is printed, for comparison with leases
+PARTITION_PARTS, PARTITION_S = 2, 10.0
 
 
-def _shown(console: Console, title: str, bounds: list[Bound]) -> None:
+def _print_bounds(console: Console, title: str, bounds: list[Bound]) -> None:
     table = Table(title=title)
     for name in ("failure", "units", "of a minute", "terms"):
         table.add_column(name, justify="left" if name in ("failure", "terms") else "right")
@@ -29,37 +30,37 @@
     console.print(table)
 
 
-def _title(quota: Quota, more: str) -> str:
+def _title(quota: Quota, details: str) -> str:
     return (
         f"plan {quota.name}: {quota.rate:g} units a second, {quota.burst:g} at once, over {quota.spread} "
-        f"gateways; {more}"
+        f"gateways; {details}"
     )
 
 
 @click.command("bound")
 @click.argument("file", type=click.Path())
 def command(file: str) -> int:
-    """Prints how far each plan's quota can be passed by all gateways together, for each failure that the
-    file's way of holding quotas has to endure.
+    """Prints how far all gateways together can exceed each plan's quota, for each failure that the quota
+    method of the file must tolerate.
 
-    Exit 2 where a bound is over what the file allows."""
+    Exit code 2 if a bound exceeds the limit in the file."""
     console = Console()
     try:
         if features.feature_of_file(file) == "shared":
             settings, quotas = features.read_leases(file)
-            most_overshoot = settings.max_overshoot_ratio
+            max_overshoot_ratio = settings.max_overshoot_ratio
             for quota in quotas:
-                more = (
-                    f"{by_leases.holder_count(quota, settings)} hold a part, a start opens with "
-                    f"{100 * by_leases.initial_fill_ratio(quota, settings):.0f}% of it, "
-                    f"{by_leases.batch_limit_units(quota, settings):.1f} borrowed units a turn"
+                details = (
+                    f"{lease_bounds.holder_count(quota, settings)} hold a part, a start opens with "
+                    f"{100 * lease_bounds.initial_fill_ratio(quota, settings):.0f}% of it, "
+                    f"{lease_bounds.batch_limit_units(quota, settings):.1f} borrowed units a turn"
                 )
-                _shown(
+                _print_bounds(
                     console,
-                    _title(quota, more),
+                    _title(quota, details),
                     [
-                        *by_leases.overshoot_bounds(quota, settings),
-                        by_leases.gossip_bound(quota, WAYS, CUT_S),
+                        *lease_bounds.overshoot_bounds(quota, settings),
+                        lease_bounds.gossip_bound(quota, PARTITION_PARTS, PARTITION_S),
                     ],
                 )
             console.print(
@@ -70,10 +71,10 @@
             features.check_leases(file, settings, quotas)
         else:
             settings, quotas = features.read_quota_service(file)
-            most_overshoot = settings.max_overshoot_ratio
+            max_overshoot_ratio = settings.max_overshoot_ratio
             for quota in quotas:
                 carry, lease = max_carry_units(quota, settings), max_lease_units(quota, settings)
-                _shown(
+                _print_bounds(
                     console,
                     _title(quota, f"carries over {carry:.2f}, leases {lease:.2f} at most"),
                     overshoot_bounds(quota, settings),
@@ -81,5 +82,5 @@
             features.check_quota_service(file, settings, quotas)
     except FileError as err:
         raise BadInputError(str(err)) from None
-    console.print(f"every bound to be endured is under {100 * most_overshoot:g}% of a quota's " "minute")
+    console.print(f"every bound to be endured is under {100 * max_overshoot_ratio:g}% of a quota's " "minute")
     return 0
--- a/zincstile/cli/commands.py
+++ b/zincstile/cli/commands.py
@@ -1,4 +1,4 @@
-"""The tree of commands, each found by its name in a module of its own when it is asked for."""
+"""The top-level commands; the module of each is imported when the command is called."""
 
 from __future__ import annotations
 
@@ -9,52 +9,52 @@
 import click
 
 from .errors import BadInputError
-from .libraries import missing
+from .libraries import report_missing_library
 
-# word: module beside this one, and what it is for
-GROUPS = {
-    "sim": ("sim", "Simulations by seed: run one, sweep many, shrink a failing one."),
-    "bound": ("bound", "How far quotas held through a quota service can be passed, failure by failure."),
-    "testbed": ("testbed", "Several real processes, and faults between them: run, sweep, report."),
-    "zones": ("zones", "Zones and regions: where traffic goes when a zone is lost."),
-    "scale": ("scale", "How cost grows with the size of the fleet: sizes, and slopes by dimension."),
-    "demo": ("demo", "Three real gateways and all they speak with, on loopback, for a short load."),
+# command name: (module in this package, help text)
+COMMANDS = {
+    "sim": ("sim", "Simulations by seed: run one, sweep many, shrink a failing plan."),
+    "bound": ("bound", "How far all gateways together can exceed a quota, for each kind of failure."),
+    "testbed": ("testbed", "Several real processes with injected faults: run, sweep, report."),
+    "zones": ("zones", "Zones and regions: where traffic is routed when a zone fails."),
+    "scale": ("scale", "How cost grows with the size of the fleet, by dimension."),
+    "demo": ("demo", "Three real gateways with emulated backends and services, under a short load."),
 }
 
-HIDDEN_ALIASES: Final = {"field": "testbed", "place": "zones"}  # names of before: commands
+HIDDEN_ALIASES: Final = {"field": "testbed", "place": "zones"}  # former name: command
 
 
 class LazyGroup(click.Group):
-    """Loads a command's module when it is named, and not before."""
+    """Imports the module of a command only when the command is called."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        """The names of all commands, in their order."""
-        return list(GROUPS)
+        """The names of all commands, in the order of the help."""
+        return list(COMMANDS)
 
     def get_command(self, ctx: click.Context, name: str) -> click.Command | None:
-        """The command of that name, from its module; None where there is none."""
+        """Imports and returns the command with this name or alias; None if there is none."""
         name = HIDDEN_ALIASES.get(name, name)
-        if name not in GROUPS:
+        if name not in COMMANDS:
             return None
-        module = importlib.import_module(f".{GROUPS[name][0]}", __package__)
+        module = importlib.import_module(f".{COMMANDS[name][0]}", __package__)
         command: click.Command = module.command
         return command
 
     def format_commands(self, ctx: click.Context, formatter: click.HelpFormatter) -> None:
-        """Lists the commands from the table above, so that help loads none of them."""
+        """Lists the commands from COMMANDS, so that the help imports none of their modules."""
         with formatter.section("Commands"):
-            formatter.write_dl([(name, text) for name, (_, text) in GROUPS.items()])
+            formatter.write_dl([(name, text) for name, (_, text) in COMMANDS.items()])
 
 
 @click.command(cls=LazyGroup, context_settings={"help_option_names": ["-h", "--help"]})
 def zincstile() -> None:
-    """An admission gateway. Without words it serves, as RELAY_CONFIG says."""
+    """An admission gateway. Without arguments, runs the gateway with the file in RELAY_CONFIG."""
 
 
-def run(words: list[str]) -> int:
-    """Exit code: 0 all well, 1 a rule is broken or a run failed, 2 bad input."""
+def run(arguments: list[str]) -> int:
+    """Runs a command. Exit code: 0 success, 1 a rule was broken or a run failed, 2 invalid input."""
     try:
-        return int(zincstile.main(args=words, prog_name="zincstile", standalone_mode=False) or 0)
+        return int(zincstile.main(args=arguments, prog_name="zincstile", standalone_mode=False) or 0)
     except click.exceptions.Exit as err:
         return err.exit_code
     except click.UsageError as err:
@@ -67,4 +67,4 @@
         print("zincstile: interrupted", file=sys.stderr)
         return 130
     except ModuleNotFoundError as err:
-        return missing(err)
+        return report_missing_library(err)
--- a/zincstile/cli/demo.py
+++ b/zincstile/cli/demo.py
@@ -1,4 +1,4 @@
-"""`demo`: the real program three times over, and the stand-ins, on loopback ports that the system chose."""
+"""`demo`: three real gateway processes with emulated services, on free loopback ports."""
 
 from __future__ import annotations
 
@@ -28,46 +28,49 @@
 from ..simulation.plan import Plan
 
 HOST = "127.0.0.1"
-GATEWAYS, BOXES, RACKS = 3, 10, 3
-READY_S, END_S = 15.0, 6.0  # how long the gateways may take to start, and what is open to end
+GATEWAYS, BACKENDS, RACKS = 3, 10, 3
+# timeouts for the start of the gateways, and for requests in flight after the last one is sent
+READY_TIMEOUT_S, DRAIN_TIMEOUT_S = 15.0, 6.0
 
 
-class Arrivals:
-    """The checker's ears on real sockets: an attempt is seen when it arrives, not when it leaves a
-    gateway."""
+class ArrivalObserver:
+    """Notifies the checker of events on real sockets, where an attempt is visible only when it arrives at
+    a backend, not when a gateway sends it."""
 
     def __init__(self, checker: Checker) -> None:
-        """`checker`: which sees everything else as it is."""
+        """`checker`: gets every other notification unchanged."""
         self.checker = checker
 
     def __getattr__(self, name: str) -> Any:
-        """All else is the checker's."""
+        """Delegates everything else to the checker."""
         return getattr(self.checker, name)
 
-    def attempt_received(self, box: str, request: bytes, key: bytes, gateway: str, work_ns: int) -> None:
-        """An attempt has come to a backend: it counts as sent and as read whole at that moment."""
-        one = self.checker.attempt_started(gateway, box, request, time.monotonic_ns())
-        if one is not None:
-            self.checker.attempt_completed(request, one)
-        self.checker.attempt_received(box, request, key, gateway, work_ns)
+    def attempt_received(
+        self, backend: str, request_id: bytes, key: bytes, gateway: str, work_ns: int
+    ) -> None:
+        """Reports an attempt that arrived at a backend as started and completely sent at this moment."""
+        attempt = self.checker.attempt_started(gateway, backend, request_id, time.monotonic_ns())
+        if attempt is not None:
+            self.checker.attempt_completed(request_id, attempt)
+        self.checker.attempt_received(backend, request_id, key, gateway, work_ns)
 
 
 @click.command("demo")
 @click.option(
-    "--seconds", type=click.IntRange(1, 60), default=4, show_default=True, help="Length of the load."
+    "--seconds", type=click.IntRange(1, 60), default=4, show_default=True, help="Duration of the load."
 )
 @click.option("--seed", type=click.IntRange(min=0), default=1, show_default=True)
 def command(seconds: int, seed: int) -> int:
-    """Starts three gateways and all they speak with, plays a short calm load, and checks the rules.
+    """Starts three gateways with emulated services, plays a short load without faults, and checks the rules.
 
-    Exit 0 only where every rule held."""
-    plan = Plan(seed=seed, gateways=GATEWAYS, boxes=BOXES, requests=45 * seconds, last_ms=1000 * seconds)
+    Exit code 0 only if every rule held."""
+    plan = Plan(seed=seed, gateways=GATEWAYS, boxes=BACKENDS, requests=45 * seconds, last_ms=1000 * seconds)
     with tempfile.TemporaryDirectory(prefix="zincstile-demo-") as folder:
         return asyncio.run(Demo(plan, Path(folder)).play())
 
 
 def free_ports(count: int, kind: int) -> list[int]:
-    """Ports that the system gave and that are free again."""
+    """Free ports, chosen by binding sockets to port 0 and closing them."""
     with contextlib.ExitStack() as stack:
         socks = [stack.enter_context(socket.socket(socket.AF_INET, kind)) for _ in range(count)]
         for sock in socks:
@@ -76,81 +79,84 @@
 
 
 class Demo:
-    """One run."""
+    """One run of the demo."""
 
     def __init__(self, plan: Plan, folder: Path) -> None:
-        """`folder`: where the configurations of the gateways are written."""
+        """`folder`: for the configurations and logs of the gateways."""
         self.plan, self.folder = plan, folder
         self.checker = Checker(traffic.figures(), lambda: (0, time.monotonic_ns()))
-        self.witness = Arrivals(self.checker)
-        self.programs: list[subprocess.Popen] = []
+        self.observer = ArrivalObserver(self.checker)
+        self.processes: list[subprocess.Popen] = []
         self.console = Console()
 
     async def play(self) -> int:
-        """Starts everything, plays the load and prints the table; returns the exit code."""
+        """Starts all processes, plays the load and prints the table; returns the exit code."""
         try:
-            front = await self._start()
-            if front is None:
+            load_balancer = await self._start()
+            if load_balancer is None:
                 return 1
-            await self._load(front)
-            return self._tell(front)
+            await self._play_load(load_balancer)
+            return self._report(load_balancer)
         finally:
             self._stop()
 
     async def _start(self) -> ClientLoadBalancer | None:
         loop, plan, rng = asyncio.get_running_loop(), self.plan, random.Random(self.plan.seed)
-        roster = EndpointList(self.witness)
+        endpoint_list = EndpointList(self.observer)
         racks = [Rack(traffic.KEYED_MS / 1000) for _ in range(RACKS)]
         work = {n: ms * 1_000_000 for n, ms in traffic.WORK_MS.items()}
         for k in range(plan.boxes):
             name = f"s-{k:02x}"
             model = BackendModel(cores=2, speed=rng.uniform(0.8, 1.3), work_ns=work)
-            box = BackendEmulator(
-                loop, name, model, racks[k % RACKS], random.Random(k), self.witness, cold=False
+            backend = BackendEmulator(
+                loop, name, model, racks[k % RACKS], random.Random(k), self.observer, cold=False
             )
-            port = await box.start(HOST)
+            port = await backend.start(HOST)
             zone = traffic.ZONES[k % len(traffic.ZONES)]
             self.checker.add_backend(name, k % len(traffic.ZONES), k % RACKS)
-            roster.put(EndpointEntry(name, f"{HOST}:{port}", zone, "std", k % RACKS))
-        listens = free_ports(plan.gateways, socket.SOCK_STREAM)
+            endpoint_list.put(EndpointEntry(name, f"{HOST}:{port}", zone, "std", k % RACKS))
+        listen_ports = free_ports(plan.gateways, socket.SOCK_STREAM)
         peers = [f"{HOST}:{p}" for p in free_ports(plan.gateways, socket.SOCK_DGRAM)]
-        for k, port in enumerate(listens):
-            agent = DiscoveryAgent(loop, roster, f"g{k}", self.witness)
-            discovery = await agent.start(HOST)
-            self._gateway(
+        for k, port in enumerate(listen_ports):
+            agent = DiscoveryAgent(loop, endpoint_list, f"g{k}", self.observer)
+            discovery_port = await agent.start(HOST)
+            self._start_gateway(
                 traffic.configuration(
                     plan,
                     k,
                     f"{HOST}:{port}",
-                    f"{HOST}:{discovery}",
+                    f"{HOST}:{discovery_port}",
                     peers,
                     rng.getrandbits(64),
                     agent.snapshot(),
                 )
             )
-        front = ClientLoadBalancer(
-            loop, rng, self.witness, {f"g{k}": (HOST, p) for k, p in enumerate(listens)}
+        load_balancer = ClientLoadBalancer(
+            loop, rng, self.observer, {f"g{k}": (HOST, p) for k, p in enumerate(listen_ports)}
         )
-        front.watch_gateways()
-        until = time.monotonic() + READY_S
-        while not all(front.healthy.values()):
-            if time.monotonic() > until or any(p.poll() is not None for p in self.programs):
-                down = [n for n, up in front.healthy.items() if not up]
-                print(f"zincstile: demo: not ready: {', '.join(down)}; their logs say:", file=sys.stderr)
+        load_balancer.watch_gateways()
+        deadline = time.monotonic() + READY_TIMEOUT_S
+        while not all(load_balancer.healthy.values()):
+            if time.monotonic() > deadline or any(p.poll() is not None for p in self.processes):
+                down = [n for n, up in load_balancer.healthy.items() if not up]
+                print(
+                    f"zincstile: demo: gateways not ready: {', '.join(down)}; ends of their logs:",
+                    file=sys.stderr,
+                )
                 for path in sorted(self.folder.glob("*.log")):
                     sys.stderr.write(path.read_text()[-2000:])
                 return None
             await asyncio.sleep(0.05)
-        return front
+        return load_balancer
 
-    def _gateway(self, table: dict) -> None:
-        """The program as the platform starts it, without words."""
+    def _start_gateway(self, table: dict) -> None:
+        """Starts the program as a service manager does, without arguments."""
         path = self.folder / f"{table['name']}.json"
         path.write_text(json.dumps(table), encoding="utf-8")
         env = {k: v for k, v in os.environ.items() if not k.startswith("RELAY_")}
         env["PYTHONPATH"] = str(Path(__file__).resolve().parents[2])
         with open(path.with_suffix(".log"), "w", encoding="utf-8") as log:
-            self.programs.append(
+            self.processes.append(
                 subprocess.Popen(
                     [sys.executable, "-m", "zincstile"],
                     stderr=log,
@@ -159,50 +165,55 @@
                 )
             )
 
-    async def _load(self, front: ClientLoadBalancer) -> None:
+    async def _play_load(self, load_balancer: ClientLoadBalancer) -> None:
         loop = asyncio.get_running_loop()
-        wants = traffic.wants(self.plan, loop.time() + 0.5)  # the first beats of the gateways pass by then
-        for want in wants:
-            loop.call_at(want.at_s, front.send, want)
-        last = wants[-1].at_s + END_S
-        while loop.time() < last and (
-            loop.time() < wants[-1].at_s or front.in_flight or front.retries_waiting
+        # the gateways exchange their first heartbeats before the load begins
+        requests = traffic.wants(self.plan, loop.time() + 0.5)
+        for request in requests:
+            loop.call_at(request.at_s, load_balancer.send, request)
+        deadline = requests[-1].at_s + DRAIN_TIMEOUT_S
+        while loop.time() < deadline and (
+            loop.time() < requests[-1].at_s or load_balancer.in_flight or load_balancer.retries_waiting
         ):
             await asyncio.sleep(0.05)
             self.checker.check_due(time.monotonic_ns())
 
-    def _tell(self, front: ClientLoadBalancer) -> int:
-        kinds = ("served", "denied", "failed", "unreached")
-        table = Table(title=f"{front.requests_sent} tries by {GATEWAYS} gateways to {BOXES} guide boxes")
-        for name in ("plan", *kinds):
-            table.add_column(name, justify="left" if name == "plan" else "right")
+    def _report(self, load_balancer: ClientLoadBalancer) -> int:
+        outcomes = ("served", "denied", "failed", "unreached")
+        table = Table(
+            title=f"{load_balancer.requests_sent} tries by {GATEWAYS} gateways to {BACKENDS} guide boxes"
+        )
+        for column in ("plan", *outcomes):
+            table.add_column(column, justify="left" if column == "plan" else "right")
         for plan in traffic.PLANS:
-            table.add_row(plan, *(str(front.outcomes.get((plan, kind), 0)) for kind in kinds))
+            table.add_row(
+                plan, *(str(load_balancer.outcomes.get((plan, outcome), 0)) for outcome in outcomes)
+            )
         self.console.print(table)
-        waits = sorted(front.latencies_s)
-        if waits:
-            half, most = (1000 * waits[int(len(waits) * share)] for share in (0.5, 0.99))
+        latencies = sorted(load_balancer.latencies_s)
+        if latencies:
+            median, p99 = (1000 * latencies[int(len(latencies) * share)] for share in (0.5, 0.99))
             self.console.print(
-                f"half of the served had their answer within {half:.0f} ms, 99 in 100 within "
-                f"{most:.0f} ms"
+                f"half of the served had their answer within {median:.0f} ms, 99 in 100 within "
+                f"{p99:.0f} ms"
             )
         for breach in self.checker.violations:
             self.console.print(f"rule {breach.rule} broken: {breach.text}")
             for line in breach.history:
                 self.console.print(f"  {line}")
-        if front.in_flight:
-            self.console.print(f"{front.in_flight} requests were never answered")
-        ok = not self.checker.violations and not front.in_flight and bool(waits)
+        if load_balancer.in_flight:
+            self.console.print(f"{load_balancer.in_flight} requests were never answered")
+        ok = not self.checker.violations and not load_balancer.in_flight and bool(latencies)
         self.console.print("every rule held" if ok else "not every rule held")
         return 0 if ok else 1
 
     def _stop(self) -> None:
-        for program in self.programs:
-            if program.poll() is None:
-                program.send_signal(signal.SIGTERM)
-        for program in self.programs:
+        for process in self.processes:
+            if process.poll() is None:
+                process.send_signal(signal.SIGTERM)
+        for process in self.processes:
             try:
-                program.wait(10)
+                process.wait(10)
             except subprocess.TimeoutExpired:
-                program.kill()
-                program.wait()
+                process.kill()
+                process.wait()
--- a/zincstile/cli/errors.py
+++ b/zincstile/cli/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the command line: each is shown in one line, with exit code 2."""
+"""Errors of the command line: each is printed in one line, with exit code 2."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 class BadInputError(click.ClickException):
-    """What the user gave can't be used; the text names the place and the reason."""
+    """An argument or input file is invalid; the message says where and why."""
 
     exit_code = 2
 
     def show(self, file=None) -> None:
-        """Prints the error as one line on stderr, in place of click's own layout."""
+        """Prints the error as one line on stderr, in place of click's several lines."""
         print(f"zincstile: {' '.join(self.format_message().split())}", file=sys.stderr)
--- a/zincstile/cli/libraries.py
+++ b/zincstile/cli/libraries.py
@@ -1,16 +1,19 @@
-"""Tells which library a command needs; loads nothing but the standard library itself."""
+"""Reports a missing optional library; imports only the standard library."""
 
 from __future__ import annotations
 
 import sys
 
 
-def missing(err: ModuleNotFoundError) -> int:
-    """Prints which library a command needs; returns the exit code.
+def report_missing_library(err: ModuleNotFoundError) -> int:
+    """Prints which library to install; returns the exit code.
 
-    Raises `err` again where what is missing is a module of this package: that is a fault, not a library.
+    Raises `err` again if the missing module belongs to this package: that is a defect in the program.
     """
     if (err.name or "").startswith("zincstile"):
         raise err
-    print(f"zincstile: this command needs {err.name}: pip install 'zincstile[all]'", file=sys.stderr)
+    print(
+        f"zincstile: this command requires the library {err.name}: pip install 'zincstile[all]'",
+        file=sys.stderr,
+    )
     return 2
--- a/zincstile/cli/scale.py
+++ b/zincstile/cli/scale.py
@@ -5,7 +5,7 @@
 import click
 
 from .scale_capacity import command as capacity
-from .scale_fleet import TARGET, fleet, sizes
+from .scale_fleet import DEFAULT_TOPOLOGY, load_fleet, size_options
 from .scale_run import command as run
 from .scale_slopes import command as slopes
 
@@ -16,13 +16,13 @@
 
 
 @command.command("topology")
-@click.argument("path", metavar="FILE", default=TARGET, type=click.Path())
-@sizes
-def show(path: str, factor: str, **given: float | None) -> int:
+@click.argument("path", metavar="FILE", default=DEFAULT_TOPOLOGY, type=click.Path())
+@size_options
+def topology(path: str, factor: str, **sizes: float | None) -> int:
     """Checks a topology file and prints its sizes."""
     from ..scale import tables
 
-    click.echo(tables.topology(fleet(path, factor, given)), nl=False)
+    click.echo(tables.topology(load_fleet(path, factor, sizes)), nl=False)
     return 0
 
 
--- a/zincstile/cli/scale_capacity.py
+++ b/zincstile/cli/scale_capacity.py
@@ -1,4 +1,4 @@
-"""`scale capacity`: what each role would spend at a topology's sizes, worked out from measured slopes."""
+"""`scale capacity`: resource use of each role at a topology's sizes, computed from measured slopes."""
 
 from __future__ import annotations
 
@@ -17,23 +17,23 @@
     "--also",
     multiple=True,
     metavar="[LABEL=]FILE",
-    help="Further slopes beside the first, such as those with a feature on; LABEL in place of the file's.",
+    help="Further slopes, such as those with a feature on; LABEL replaces the label in the file.",
 )
-@click.option("--program", multiple=True, metavar="LABEL", help="Only these programs, in this order.")
+@click.option("--program", multiple=True, metavar="LABEL", help="Print only these programs, in this order.")
 @click.option(
-    "--write", type=click.Path(), metavar="PAGE.md", help="Put the tables between the page's markers."
+    "--write", type=click.Path(), metavar="PAGE.md", help="Write the tables between the markers of this page."
 )
 def command(
     slopes: str, topology: str, also: tuple[str, ...], program: tuple[str, ...], write: str | None
 ) -> int:
-    """Prints the capacity tables as Markdown: the same input gives the same text."""
+    """Prints the capacity tables as Markdown. The same input always gives the same text."""
     from ..scale import capacity_page
     from ..scale import topology as topologies
 
     try:
         fleet = topologies.load(topology)
-        found = _programs([("", slopes), *(_labelled(text) for text in also)], program)
-        text = capacity_page.tables(found, fleet)
+        programs = _programs([("", slopes), *(_labelled(text) for text in also)], program)
+        text = capacity_page.tables(programs, fleet)
         if write is None:
             click.echo(text, nl=False)
         else:
@@ -44,42 +44,44 @@
 
 
 def _labelled(text: str) -> tuple[str, str]:
-    label, sign, path = text.partition("=")
-    return (label, path) if sign else ("", text)
+    label, separator, path = text.partition("=")
+    return (label, path) if separator else ("", text)
 
 
-def _programs(files: list[tuple[str, str]], wanted: tuple[str, ...]):
-    """The programs of all files in their order. FileError where a label is there twice, or not at all."""
+def _programs(files: list[tuple[str, str]], selected: tuple[str, ...]):
+    """The programs of all files, in order. Raises FileError for a duplicate or unknown label."""
     from ..scale.capacity import Measured
 
-    found: dict[str, Measured] = {}
+    programs: dict[str, Measured] = {}
     for label, path in files:
         result = _read(path, label)
         measured = {s.program for s in result.samples}
         for name in [*(n for n in result.commits if n in measured), *sorted(measured - set(result.commits))]:
-            if name in found:
-                raise FileError(f"{path}: program {name} is there already: --also LABEL={path}")
-            found[name] = Measured(result, name)
-    unknown = next((name for name in wanted if name not in found), None)
+            if name in programs:
+                raise FileError(
+                    f"{path}: duplicate program {name}; give it another label: --also LABEL={path}"
+                )
+            programs[name] = Measured(result, name)
+    unknown = next((name for name in selected if name not in programs), None)
     if unknown is not None:
-        raise FileError(f"--program {unknown}: there are {', '.join(found)}")
-    return [found[name] for name in wanted or found]
+        raise FileError(f"--program {unknown}: no such program; there are {', '.join(programs)}")
+    return [programs[name] for name in selected or programs]
 
 
 def _read(path: str, label: str):
-    """A file's result, under that label if one is given."""
+    """The result of a file, with its program renamed to the label if there is one."""
     import msgspec
 
     from ..scale import records
 
     result = records.read(path)
     if not result.samples:
-        raise FileError(f"{path}: $.samples: there are none")
+        raise FileError(f"{path}: $.samples: must not be empty")
     if not label:
         return result
     names = sorted({s.program for s in result.samples})
     if len(names) > 1:
-        raise FileError(f"{path}: {len(names)} programs, but one label {label}")
+        raise FileError(f"{path}: {len(names)} programs can't share the label {label}")
     samples = [msgspec.structs.replace(s, program=label) for s in result.samples]
     commits = {label: result.commits.get(names[0], "")}
     return msgspec.structs.replace(result, samples=samples, commits=commits)
--- a/zincstile/cli/scale_fleet.py
+++ b/zincstile/cli/scale_fleet.py
@@ -1,4 +1,4 @@
-"""The options that scale commands share: a fleet from a topology file, a factor, and sizes set apart."""
+"""Options shared by the scale commands: a topology file, a factor on all sizes, and single sizes."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 from ..serialization.errors import FileError
 from .errors import BadInputError
 
-TARGET = "deploy/scale/target.yaml"
+DEFAULT_TOPOLOGY = "deploy/scale/target.yaml"
 
 
-def sizes(function):
-    """Options that set dimensions of a topology apart from its factor."""
-    for name, kind in (
+def size_options(function):
+    """Adds the option for the factor and those that replace single sizes of a topology."""
+    for name, type_ in (
         ("requests-per-s", click.FloatRange(0.001, 1e9)),
         ("tenants", click.IntRange(1, 10_000_000)),
         ("routes", click.IntRange(0, 10_000_000)),
@@ -20,23 +20,25 @@
         ("backends", click.IntRange(1, 10_000_000)),
         ("gateways", click.IntRange(1, 10_000_000)),
     ):
-        function = click.option(f"--{name}", type=kind, help="In place of the file's, after the factor.")(
-            function
-        )
-    return click.option("--factor", default="1", show_default=True, help="Every size by it, such as 1/16.")(
-        function
-    )
+        function = click.option(
+            f"--{name}", type=type_, help="Replaces the size in the file; the factor doesn't apply to it."
+        )(function)
+    return click.option(
+        "--factor", default="1", show_default=True, help="Factor for every size, such as 1/16."
+    )(function)
 
 
-def fleet(path: str, factor: str, given: dict[str, float | None]):
-    """The file's topology by the factor and with the sizes given; one line and exit 2 else."""
+def load_fleet(path: str, factor: str, sizes: dict[str, float | None]):
+    """Loads a topology, multiplies its sizes by the factor and replaces single sizes.
+
+    Raises BadInputError if the file or a size is invalid."""
     from ..scale import topology
 
     try:
-        found = topology.load(path)
+        loaded = topology.load(path)
     except FileError as err:
         raise BadInputError(str(err)) from None
     try:
-        return topology.with_sizes(topology.scaled(found, topology.parse_factor(factor)), **given)
+        return topology.with_sizes(topology.scaled(loaded, topology.parse_factor(factor)), **sizes)
     except topology.TopologyError as err:
         raise BadInputError(f"{path}: {err}") from None
--- a/zincstile/cli/scale_run.py
+++ b/zincstile/cli/scale_run.py
@@ -1,4 +1,4 @@
-"""`scale run`: a day in short, real gateways in a crowd of hollow ones."""
+"""`scale run`: a shortened day, with real gateways among many hollow ones."""
 
 from __future__ import annotations
 
@@ -11,22 +11,24 @@
 
 from ..serialization.errors import FileError
 from .errors import BadInputError
-from .scale_fleet import TARGET, fleet, sizes
+from .scale_fleet import DEFAULT_TOPOLOGY, load_fleet, size_options
 
-PLAN = "deploy/scale/day.yaml"
-INTERRUPTED = 130
+DEFAULT_PLAN = "deploy/scale/day.yaml"
+INTERRUPTED_EXIT_CODE = 130
 
 
 @click.command("run")
-@click.argument("path", metavar="[TOPOLOGY]", default=TARGET, type=click.Path())
-@click.option("--plan", "plan_path", default=PLAN, show_default=True, type=click.Path(), help="The day.")
-@sizes
+@click.argument("path", metavar="[TOPOLOGY]", default=DEFAULT_TOPOLOGY, type=click.Path())
+@click.option(
+    "--plan", "plan_path", default=DEFAULT_PLAN, show_default=True, type=click.Path(), help="Plan of the day."
+)
+@size_options
 @click.option(
     "--feature",
     "features",
     multiple=True,
     metavar="NAME=FILE",
-    help="A file under deploy/ that every gateway is configured with.",
+    help="Feature settings for every gateway: a file under deploy/.",
 )
 @click.option("--out", type=click.Path(dir_okay=False), help="Write the result as JSON.")
 @click.option("--keep", type=click.Path(file_okay=False), help="Keep configurations and logs in this folder.")
@@ -37,19 +39,19 @@
     features: tuple[str, ...],
     out: str | None,
     keep: str | None,
-    **given: float | None,
+    **sizes: float | None,
 ) -> int:
-    """Plays the events of a plan and judges what was seen.
+    """Plays the events of a plan and evaluates the checks.
 
-    Exit 1 where a verdict broke or the gateways did not start. Interrupted, it ends all that it started,
-    keeps what it measured and exits with 130."""
+    Exit code 1 if a check failed or the gateways did not start. On an interrupt it ends its processes, keeps
+    the results so far and exits with 130."""
     from ..scale import day, outcome, report, slopes
 
-    chosen = fleet(path, factor, given)
+    topology = load_fleet(path, factor, sizes)
     try:
-        plan, result = prepare(chosen, path, plan_path, factor, features)
+        plan, result = prepare(topology, path, plan_path, factor, features)
         if out is not None:
-            outcome.write(result, out)  # a path that can't be written is reported now
+            outcome.write(result, out)  # reports a path that can't be written before the run
     except FileError as err:
         raise BadInputError(str(err)) from None
     with tempfile.TemporaryDirectory(prefix="zincstile-day-", ignore_cleanup_errors=True) as scratch:
@@ -57,13 +59,13 @@
         try:
             folder.mkdir(parents=True, exist_ok=True)
             files = {name: str(slopes.ROOT / file) for name, file in result.features.items()}
-            one = day.Day(chosen, plan, folder, result, progress, features=files)
-            finished = day.play(one)
+            run = day.Day(topology, plan, folder, result, progress, features=files)
+            finished = day.play(run)
         except day.NotReadyError as err:
-            print(f"zincstile: broken: {err}", file=sys.stderr)
+            print(f"zincstile: scale run: {err}", file=sys.stderr)
             return 1
         except OSError as err:
-            raise BadInputError(f"{plan_path}: can't be played here: {err}") from None
+            raise BadInputError(f"{plan_path}: can't be played on this machine: {err}") from None
         finally:
             result.notes += [note for note in [report.loaded_beside_unloaded(result)] if note]
             if out is not None:
@@ -73,23 +75,24 @@
     click.echo(report.text(result), nl=False)
     if not finished:
         print("zincstile: interrupted", file=sys.stderr)
-        return INTERRUPTED
+        return INTERRUPTED_EXIT_CODE
     return 0 if result.ok else 1
 
 
-def prepare(chosen, path: str, plan_path: str, factor: str, features: tuple[str, ...] = ()):
-    """The plan, and the result before anything is measured. FileError; BadInputError where it doesn't fit the
-    machine."""
+def prepare(topology, path: str, plan_path: str, factor: str, features: tuple[str, ...] = ()):
+    """The plan, and the result before anything is measured.
+
+    Raises FileError for an invalid file, BadInputError if the machine is too small for the plan."""
     from ..scale import estimate, outcome, slopes
     from ..scale import plan as plans
 
-    plan = plans.load(plan_path, chosen)
+    plan = plans.load(plan_path, topology)
     tree = slopes.this_tree()
-    named = [slopes.feature(text, [tree]) for text in features]
-    needed = estimate.estimate(chosen, plan)
-    why = estimate.refused(needed)
-    if why is not None:
-        raise BadInputError(f"{path}: {why}")
+    chosen_features = [slopes.feature(text, [tree]) for text in features]
+    estimated = estimate.estimate(topology, plan)
+    reason = estimate.refused(estimated)
+    if reason is not None:
+        raise BadInputError(f"{path}: {reason}")
     result = outcome.DayResult(
         commit=slopes.commit(slopes.ROOT),
         machine=slopes.machine(),
@@ -97,23 +100,23 @@
         topology=path,
         factor=factor,
         sizes={
-            "gateways": chosen.gateways,
+            "gateways": topology.gateways,
             "real": plan.real.loaded + plan.real.unloaded,
-            "backends": chosen.backends,
-            "services": chosen.services.count,
-            "requests_per_s": round(chosen.requests_of_gateway() * plan.real.loaded, 1),
+            "backends": topology.backends,
+            "services": topology.services.count,
+            "requests_per_s": round(topology.requests_of_gateway() * plan.real.loaded, 1),
         },
         plan=plan_path,
         events=[plans.text(event) for event in plan.events],
-        estimated_bytes=needed.memory_bytes,
-        estimated_rest_cores=round(needed.rest_cores, 2),
-        features={one.name: one.path for one in named},
-        processes=needed.processes,
+        estimated_bytes=estimated.memory_bytes,
+        estimated_rest_cores=round(estimated.rest_cores, 2),
+        features={feature.name: feature.path for feature in chosen_features},
+        processes=estimated.processes,
     )
     return plan, result
 
 
-def progress(at_s: float, of_s: float, what: str) -> None:
-    """A line that is written over, on a terminal only."""
+def progress(at_s: float, total_s: float, event: str) -> None:
+    """Prints the progress on a line that the next call overwrites, on a terminal only."""
     if sys.stderr.isatty():
-        print(f"\r{at_s:.0f} of {of_s:.0f} s: {what[:80]:<80}", end="", file=sys.stderr, flush=True)
+        print(f"\r{at_s:.0f} of {total_s:.0f} s: {event[:80]:<80}", end="", file=sys.stderr, flush=True)
--- a/zincstile/cli/scale_slopes.py
+++ b/zincstile/cli/scale_slopes.py
@@ -1,4 +1,4 @@
-"""`scale slopes`: what each dimension of the fleet costs a gateway, measured size by size."""
+"""`scale slopes`: what a gateway costs as each dimension of the fleet grows, measured at several sizes."""
 
 from __future__ import annotations
 
@@ -12,59 +12,92 @@
 from ..serialization.errors import FileError
 from .errors import BadInputError
 
-TARGET = "deploy/scale/target.yaml"
+DEFAULT_TOPOLOGY = "deploy/scale/target.yaml"
 
 
 @click.command("slopes")
-@click.argument("path", metavar="[TOPOLOGY]", default=TARGET, type=click.Path())
-@click.option("--dimension", "names", multiple=True, help="What to vary; all six where none is named.")
-@click.option("--sizes", help="Sizes in place of the usual five, such as 320,1000,3200; of one dimension.")
+@click.argument("path", metavar="[TOPOLOGY]", default=DEFAULT_TOPOLOGY, type=click.Path())
+@click.option("--dimension", "names", multiple=True, help="Dimension to vary; default: all six.")
+@click.option(
+    "--sizes", help="Sizes to measure, such as 320,1000,3200; default: five; needs exactly one --dimension."
+)
 @click.option("--repeats", type=click.IntRange(1, 100), default=3, show_default=True)
 @click.option(
-    "--program", "programs", multiple=True, metavar="LABEL=DIR", help="A measured tree; this one else."
+    "--program",
+    "programs",
+    multiple=True,
+    metavar="LABEL=DIR",
+    help="Source tree to measure; default: this one.",
+)
+@click.option(
+    "--kind",
+    "kinds",
+    multiple=True,
+    type=click.Choice(["real", "hollow"]),
+    help="Kind of gateway; default: both.",
+)
+@click.option(
+    "--hold",
+    "holds",
+    multiple=True,
+    metavar="DIMENSION=SIZE",
+    help="Size of a dimension while it is not varied.",
+)
+@click.option(
+    "--feature",
+    "features",
+    multiple=True,
+    metavar="[LABEL:]NAME=FILE",
+    help="Feature settings: a file in the measured tree.",
 )
 @click.option(
-    "--kind", "kinds", multiple=True, type=click.Choice(["real", "hollow"]), help="Both where not named."
+    "--seed",
+    type=click.IntRange(min=0),
+    default=1,
+    show_default=True,
+    help="Seed of the order in which points are measured.",
 )
-@click.option("--hold", "holds", multiple=True, metavar="DIMENSION=SIZE", help="Size of what is not varied.")
 @click.option(
-    "--feature", "features", multiple=True, metavar="[LABEL:]NAME=FILE", help="File in the measured tree."
+    "--jobs",
+    type=click.IntRange(1, 64),
+    default=3,
+    show_default=True,
+    help="Points measured at the same time.",
 )
 @click.option(
-    "--seed", type=click.IntRange(min=0), default=1, show_default=True, help="Of the shuffled order."
+    "--window", type=click.FloatRange(0.2, 60), default=3.0, show_default=True, help="Seconds per sample."
 )
 @click.option(
-    "--jobs", type=click.IntRange(1, 64), default=3, show_default=True, help="Points beside each other."
+    "--mass-failure",
+    is_flag=True,
+    help="Also measure the loss of a zone at each number of backends; takes minutes.",
 )
-@click.option("--window", type=click.FloatRange(0.2, 60), default=3.0, show_default=True, help="Seconds.")
-@click.option("--mass-failure", is_flag=True, help="Also, over backends: a zone lost at once; takes minutes.")
 @click.option("--stroke", is_flag=True, hidden=True)  # the former name of --mass-failure
-@click.option("--out", required=True, type=click.Path(dir_okay=False), help="The samples, as JSON.")
+@click.option("--out", required=True, type=click.Path(dir_okay=False), help="Write the samples as JSON.")
 @click.option("--charts", type=click.Path(file_okay=False), help="Write charts into this folder.")
 def command(path: str, out: str, charts: str | None, **options) -> int:
-    """Measures memory, processor time, traffic and delays of gateways, one dimension at a time.
+    """Measures memory, CPU time, traffic and delays of gateways, one dimension at a time.
 
-    Exit 1 where some points gave no sample. Interrupted, it keeps what it measured."""
-    from ..scale import charts as drawing
+    Exit code 1 if a point gave no sample. On an interrupt it keeps the samples so far."""
+    from ..scale import charts as chart_files
     from ..scale import records, slopes
 
     try:
-        settings = read(path, **options)
+        settings = read_settings(path, **options)
         result = slopes.describe(settings)
-        records.write(
-            result, out
-        )  # before anything is measured: a path that can't be written is reported now
+        # reports a path that can't be written before the measurements
+        records.write(result, out)
     except FileError as err:
         raise BadInputError(str(err)) from None
     began, interrupted = time.monotonic(), False
     signal.signal(signal.SIGINT, signal.default_int_handler)
 
-    def measured(done: int, of: int) -> None:
-        records.write(result, out)  # what was measured stays, however this ends
-        progress(done, of)
+    def on_point_measured(done: int, total: int) -> None:
+        records.write(result, out)  # keeps the samples if the program is killed
+        progress(done, total)
 
     try:
-        slopes.run(settings, result, measured)
+        slopes.run(settings, result, on_point_measured)
     except KeyboardInterrupt:
         interrupted = True
     except FileError as err:
@@ -72,17 +105,17 @@
     try:
         records.write(result, out)
         if charts is not None:
-            drawing.draw(result, Path(charts))
+            chart_files.draw(result, Path(charts))
     except FileError as err:
         raise BadInputError(str(err)) from None
-    show(result, time.monotonic() - began, out)
+    print_result(result, time.monotonic() - began, out)
     if interrupted:
         print("zincstile: interrupted", file=sys.stderr)
         return 130
     return 1 if result.failures else 0
 
 
-def read(
+def read_settings(
     path: str,
     names: tuple[str, ...],
     sizes: str | None,
@@ -97,33 +130,35 @@
     mass_failure: bool,
     stroke: bool,
 ):
-    """The command's options as settings. FileError, or BadInputError, where they can't be used."""
+    """The settings from the command's options. Raises FileError or BadInputError for invalid ones."""
     from ..scale import slopes, topology
     from ..scale.records import Kind
 
     fleet = topology.load(path)
-    dimensions = [dimension("--dimension", name) for name in dict.fromkeys(names)] or list(slopes.SIZES)
+    dimensions = [parse_dimension("--dimension", name) for name in dict.fromkeys(names)] or list(slopes.SIZES)
     if sizes is not None and len(dimensions) != 1:
-        raise BadInputError("--sizes: name the one --dimension that they are of")
-    chosen = {d: list(slopes.SIZES[d]) for d in dimensions}
+        raise BadInputError("--sizes: needs exactly one --dimension")
+    sizes_by_dimension = {d: list(slopes.SIZES[d]) for d in dimensions}
     if sizes is not None:
-        chosen[dimensions[0]] = [number("--sizes", text, dimensions[0]) for text in sizes.split(",")]
-    held = dict(slopes.HELD)
-    for word in holds:
-        name, _, size = word.partition("=")
-        one = dimension("--hold", name)
-        held[one] = number("--hold", size, one)
-    trees = [slopes.program(word) for word in programs] or [slopes.this_tree()]
+        sizes_by_dimension[dimensions[0]] = [
+            parse_size("--sizes", text, dimensions[0]) for text in sizes.split(",")
+        ]
+    held_sizes = dict(slopes.HELD)
+    for value in holds:
+        name, _, size = value.partition("=")
+        held_dimension = parse_dimension("--hold", name)
+        held_sizes[held_dimension] = parse_size("--hold", size, held_dimension)
+    trees = [slopes.program(value) for value in programs] or [slopes.this_tree()]
     if len({tree.label for tree in trees}) < len(trees):
-        raise BadInputError("--program: a label stands twice")
+        raise BadInputError("--program: duplicate label")
     return slopes.Settings(
         fleet,
         dimensions,
-        chosen,
+        sizes_by_dimension,
         trees,
         [Kind(kind) for kind in dict.fromkeys(kinds)] or list(Kind),
-        held,
-        [slopes.feature(word, trees) for word in features],
+        held_sizes,
+        [slopes.feature(value, trees) for value in features],
         repeats,
         seed,
         jobs,
@@ -132,8 +167,8 @@
     )
 
 
-def dimension(option: str, name: str):
-    """A dimension by its name."""
+def parse_dimension(option: str, name: str):
+    """The dimension with this name. Raises BadInputError if there is none."""
     from ..scale.records import Dimension
 
     try:
@@ -144,36 +179,38 @@
         ) from None
 
 
-def number(option: str, text: str, of) -> float:
-    """A size of that dimension: counts are whole."""
+def parse_size(option: str, text: str, dimension) -> float:
+    """The size in `text`, which is an integer if the dimension is a count."""
     from ..scale.records import Dimension
 
-    counted = of in (Dimension.BACKENDS, Dimension.GATEWAYS, Dimension.TENANTS)
+    is_count = dimension in (Dimension.BACKENDS, Dimension.GATEWAYS, Dimension.TENANTS)
     try:
         size = float(text)
     except ValueError:
         size = 0.0
-    least = 2 if of is Dimension.GATEWAYS else 1 if counted else 0.001  # a gateway and a peer of it
-    if not least <= size <= 65_000 or (counted and size != int(size)):
-        raise BadInputError(f"{option} {text}: not a size of {of.value}, from {least:g} up to 65000")
+    minimum = 2 if dimension is Dimension.GATEWAYS else 1 if is_count else 0.001  # one gateway and one peer
+    if not minimum <= size <= 65_000 or (is_count and size != int(size)):
+        raise BadInputError(
+            f"{option} {text}: not a size of {dimension.value}; must be from {minimum:g} to 65000"
+        )
     return size
 
 
-def progress(done: int, of: int) -> None:
-    """A line that is written over, on a terminal only."""
+def progress(done: int, total: int) -> None:
+    """Prints the progress on a line that the next call overwrites, on a terminal only."""
     if sys.stderr.isatty():
-        print(f"\r{done} of {of} points", end="" if done < of else "\n", file=sys.stderr, flush=True)
+        print(f"\r{done} of {total} points", end="" if done < total else "\n", file=sys.stderr, flush=True)
 
 
-def show(result, seconds: float, out: str) -> None:
-    """Tables of medians, and of the laws that the samples show."""
+def print_result(result, seconds: float, out: str) -> None:
+    """Prints tables of the medians and of the laws fitted to the samples."""
     from ..scale import tables
     from ..scale.records import Dimension
 
     for program in result.commits:
-        for one in Dimension:
-            if any(s.dimension is one and s.program == program for s in result.samples):
-                click.echo(tables.samples(result, one, program), nl=False)
+        for dimension in Dimension:
+            if any(s.dimension is dimension and s.program == program for s in result.samples):
+                click.echo(tables.samples(result, dimension, program), nl=False)
         click.echo(tables.laws(result, program), nl=False)
     for failure in result.failures:
         click.echo(f"no sample: {failure}")
--- a/zincstile/cli/sim.py
+++ b/zincstile/cli/sim.py
@@ -20,8 +20,8 @@
 
 @click.group("sim")
 def command() -> None:
-    """Real gateways on a virtual clock and network, with faults by seed and the rules checked at every
-    step."""
+    """Runs real gateways on a virtual clock and network, with faults drawn from a seed, and checks the rules
+    at every step."""
 
 
 def _plan(seed: int | None, path: str | None) -> Plan:
@@ -39,32 +39,34 @@
 
 
 def _rules(names: tuple[str, ...]) -> tuple[str, ...]:
-    """The rules to look at; all where none is named."""
+    """The rules to check; all if none is named. Raises BadInputError for an unknown name."""
     for name in names:
         if name not in RULE_NAMES:
             raise BadInputError(f"--rule {name}: no such rule; there are {', '.join(RULE_NAMES)}")
     return names or RULE_NAMES
 
 
-RULE = click.option("--rule", "rules", multiple=True, metavar="NAME", help="Look at this rule only.")
+RULE = click.option("--rule", "rules", multiple=True, metavar="NAME", help="Check only this rule.")
 
 
-def _progress(done: int, of: int) -> None:
-    """Now and then, beside what the command prints."""
+def _progress(done: int, total: int) -> None:
+    """Prints the progress to stderr once every 50 simulations."""
     if done % 50 == 0:
-        print(f"{done} of {of}", file=sys.stderr, flush=True)
+        print(f"{done} of {total}", file=sys.stderr, flush=True)
 
 
 @command.command("run")
-@click.option("--seed", type=click.IntRange(min=0), help="The simulation to play.")
-@click.option("--plan", "path", type=click.Path(), help="A plan in YAML in place of the drawn one.")
+@click.option("--seed", type=click.IntRange(min=0), help="Seed of the simulation.")
 @click.option(
-    "--trace", type=click.Path(dir_okay=False), help="Write a line for all that crosses the network."
+    "--plan", "path", type=click.Path(), help="Plan in YAML, in place of the one drawn from the seed."
+)
+@click.option(
+    "--trace", type=click.Path(dir_okay=False), help="Write a line for each message on the network."
 )
 @click.option("--logs", is_flag=True, help="Print the gateways' logs.")
 @RULE
 def run(seed: int | None, path: str | None, trace: str | None, logs: bool, rules: tuple[str, ...]) -> int:
-    """Plays one simulation; exit 1 where a rule is broken."""
+    """Plays one simulation. Exit code 1 if a rule is broken."""
     from ..simulation.run import Run
 
     plan = _plan(seed, path)
@@ -77,10 +79,10 @@
             raise BadInputError(f"{trace}: {err.strerror}") from None
     if logs:
         sys.stdout.writelines(simulation.logs)
-    kinds = ", ".join(f"{k} {n}" for k, n in sorted(result.tally.items()))
+    tally = ", ".join(f"{k} {n}" for k, n in sorted(result.tally.items()))
     click.echo(
         f"{result.seconds:.1f} virtual seconds, {len(plan.faults)} faults, {result.attempts} tries, "
-        f"requests: {kinds}"
+        f"requests: {tally}"
     )
     if result.breach is not None:
         click.echo(result.breach.text)
@@ -93,7 +95,7 @@
 @command.command("plan")
 @click.option("--seed", type=click.IntRange(min=0), required=True)
 def show(seed: int) -> None:
-    """Prints the plan of a seed, in the form that --plan takes."""
+    """Prints the plan drawn from a seed, in the format of --plan."""
     click.echo(plans.dump(plans.draw(seed)), nl=False)
 
 
@@ -101,13 +103,13 @@
 @SEEDS
 @JOBS
 @RULE
-def sweep(span: str, jobs: int, rules: tuple[str, ...]) -> int:
-    """Plays many simulations over many processes; exit 1 where any breaks a rule."""
+def sweep(seed_text: str, jobs: int, rules: tuple[str, ...]) -> int:
+    """Plays many simulations in several processes. Exit code 1 if any breaks a rule."""
     from ..simulation.sweep import digest_of, play_all
 
-    chosen, looked_at, began, last = seed_range(span), _rules(rules), time.monotonic(), 0.0
+    chosen, checked_rules, began, last = seed_range(seed_text), _rules(rules), time.monotonic(), 0.0
     done, broken = [], []
-    for result in play_all(chosen, jobs, looked_at):
+    for result in play_all(chosen, jobs, checked_rules):
         done.append(result)
         if result.breach is not None:
             broken.append(result)
@@ -134,78 +136,84 @@
 @command.command("shrink")
 @click.option("--seed", type=click.IntRange(min=0))
 @click.option("--plan", "path", type=click.Path())
-@click.option("--out", required=True, type=click.Path(dir_okay=False), help="Where the smallest plan goes.")
-@click.option("--runs", type=click.IntRange(1), default=600, show_default=True, help="Runs at most.")
+@click.option(
+    "--out", required=True, type=click.Path(dir_okay=False), help="Write the smallest plan to this file."
+)
+@click.option(
+    "--runs", type=click.IntRange(1), default=600, show_default=True, help="Maximum number of runs."
+)
 @RULE
 def shrink(seed: int | None, path: str | None, out: str, runs: int, rules: tuple[str, ...]) -> int:
-    """Makes a failing plan as small as it still breaks the same rule."""
+    """Searches for the smallest plan that still breaks the same rule."""
     from ..simulation.shrink import smallest
 
     plan = _plan(seed, path)
-    found = smallest(plan, runs, lambda text: print(text, file=sys.stderr, flush=True), _rules(rules))
-    if found is None:
-        raise BadInputError(f"seed {plan.seed}: no rule is broken, there is nothing to shrink")
+    result = smallest(plan, runs, lambda text: print(text, file=sys.stderr, flush=True), _rules(rules))
+    if result is None:
+        raise BadInputError(f"seed {plan.seed}: no rule is broken, so there is nothing to shrink")
     try:
-        Path(out).write_text(plans.dump(found.plan), encoding="utf-8")
+        Path(out).write_text(plans.dump(result.plan), encoding="utf-8")
     except OSError as err:
         raise BadInputError(f"{out}: {err.strerror}") from None
-    wanted = found.plan.requests if found.plan.only is None else len(found.plan.only)
+    request_count = result.plan.requests if result.plan.only is None else len(result.plan.only)
     click.echo(
         f"{len(plan.faults)} faults and {plan.requests} requests came down to "
-        f"{len(found.plan.faults)} and {wanted} in {found.runs} runs"
+        f"{len(result.plan.faults)} and {request_count} in {result.runs} runs"
     )
-    click.echo(found.result.line())
+    click.echo(result.result.line())
     return 0
 
 
 @command.command("mutants")
 @click.option(
     "--seeds",
-    "most",
+    "max_seeds",
     type=click.IntRange(1),
     default=500,
     show_default=True,
-    help="Seeds to try for each at most.",
+    help="Maximum number of seeds per mutant.",
 )
 @JOBS
-@click.option("--only", multiple=True, help="Names of those to try.")
-@click.option("--shared", "of_shared", is_flag=True, help="Those of the shared state.")
-@click.option("--place", "of_place", is_flag=True, help="Those of starts and of the choice of zones.")
-def mutants(most: int, jobs: int, only: tuple[str, ...], of_shared: bool, of_place: bool) -> int:
-    """Breaks the gateway on purpose, one way after another: how many seeds until the right rule names it?"""
+@click.option("--only", multiple=True, help="Try only this mutant.")
+@click.option("--shared", "of_shared", is_flag=True, help="Try the mutants of the shared state.")
+@click.option(
+    "--place", "of_place", is_flag=True, help="Try the mutants of cold starts and of the choice of zones."
+)
+def mutants(max_seeds: int, jobs: int, only: tuple[str, ...], of_shared: bool, of_place: bool) -> int:
+    """Counts the seeds that it takes until the right rule detects each injected defect of the gateway."""
     if of_shared or of_place:
         from ..simulation import mutants_place, mutants_shared
 
         return _mutants_by_checkers(mutants_shared if of_shared else mutants_place, jobs, only)
-    from ..simulation import mutants as them
+    from ..simulation import mutants as mutant_module
 
-    unknown = set(only) - them.MUTANTS.keys()
+    unknown = set(only) - mutant_module.MUTANTS.keys()
     if unknown:
         raise BadInputError(
-            f"--only {sorted(unknown)[0]}: no such mutant; there are {', '.join(them.MUTANTS)}"
+            f"--only {sorted(unknown)[0]}: no such mutant; there are {', '.join(mutant_module.MUTANTS)}"
         )
     missed = 0
-    for row in them.try_all(only or tuple(them.MUTANTS), most, jobs):
+    for row in mutant_module.try_all(only or tuple(mutant_module.MUTANTS), max_seeds, jobs):
         missed += row.seeds is None
         click.echo(
             f"{row.name:24} {row.rule or '-':10} "
-            f"{'not named in ' + str(most) if row.seeds is None else row.seeds}"
+            f"{'not named in ' + str(max_seeds) if row.seeds is None else row.seeds}"
         )
-    click.echo(f"mutants={len(only or them.MUTANTS)} missed={missed}")
+    click.echo(f"mutants={len(only or mutant_module.MUTANTS)} missed={missed}")
     return 1 if missed else 0
 
 
-def _mutants_by_checkers(them: Any, jobs: int, only: tuple[str, ...]) -> int:
-    unknown = set(only) - them.MUTANTS.keys()
+def _mutants_by_checkers(mutant_module: Any, jobs: int, only: tuple[str, ...]) -> int:
+    unknown = set(only) - mutant_module.MUTANTS.keys()
     if unknown:
         raise BadInputError(
-            f"--only {sorted(unknown)[0]}: no such mutant; there are {', '.join(them.MUTANTS)}"
+            f"--only {sorted(unknown)[0]}: no such mutant; there are {', '.join(mutant_module.MUTANTS)}"
         )
     missed = 0
-    for name, said in them.try_all(only or tuple(them.MUTANTS), jobs):
-        missed += not said
-        click.echo(f"{name:24} {said or 'not named'}")
-    click.echo(f"mutants={len(only or them.MUTANTS)} missed={missed}")
+    for name, rule in mutant_module.try_all(only or tuple(mutant_module.MUTANTS), jobs):
+        missed += not rule
+        click.echo(f"{name:24} {rule or 'not named'}")
+    click.echo(f"mutants={len(only or mutant_module.MUTANTS)} missed={missed}")
     return 1 if missed else 0
 
 
@@ -213,59 +221,64 @@
 @click.option("--depth", type=click.IntRange(1, 12), default=5, show_default=True)
 @JOBS
 def search(depth: int, jobs: int) -> int:
-    """Leases between three gateways in every order: messages delivered, lost and doubled, crashes, stops;
-    exit 1 where a quota is passed."""
-    from ..simulation import search as them
-
-    rows: dict[str, list[them.Found]] = {}
-    for found in them.search_all(depth, jobs):
-        rows.setdefault(found.opening, []).append(found)
-        if found.broken:
-            click.echo(f"{found.opening}: {found.broken}")
-    for name in them.OPENINGS:
-        mine = rows[name]
+    """Searches every order of events of leases between three gateways: messages delivered, lost and
+    duplicated, crashes, stops. Exit code 1 if a quota is exceeded."""
+    from ..simulation import search as simulation
+
+    rows: dict[str, list[simulation.Found]] = {}
+    for result in simulation.search_all(depth, jobs):
+        rows.setdefault(result.opening, []).append(result)
+        if result.broken:
+            click.echo(f"{result.opening}: {result.broken}")
+    for name in simulation.OPENINGS:
+        results = rows[name]
         click.echo(
-            f"{name:36}{sum(f.states for f in mine):10} states"
-            f"{sum(f.steps for f in mine):11} steps{max(f.worst for f in mine):8.2f} units"
-            f"{max(f.of_bound for f in mine):6.2f} of the bound"
+            f"{name:36}{sum(f.states for f in results):10} states"
+            f"{sum(f.steps for f in results):11} steps{max(f.worst for f in results):8.2f} units"
+            f"{max(f.of_bound for f in results):6.2f} of the bound"
         )
-    every = [f for mine in rows.values() for f in mine]
-    broken = sum(bool(f.broken) for f in every)
+    all_results = [f for results in rows.values() for f in results]
+    broken = sum(bool(f.broken) for f in all_results)
     click.echo(
-        f"search depth={depth} states={sum(f.states for f in every)} "
-        f"steps={sum(f.steps for f in every)} broken={broken}"
+        f"search depth={depth} states={sum(f.states for f in all_results)} "
+        f"steps={sum(f.steps for f in all_results)} broken={broken}"
     )
     return 1 if broken else 0
 
 
-def _played(
-    them: Any, chosen: range, *words: Any, title: Callable[[Any], str] = lambda row: f"seed {row.seed}"
+def _play_all(
+    simulation: Any,
+    chosen: range,
+    *arguments: Any,
+    title: Callable[[Any], str] = lambda row: f"seed {row.seed}",
 ) -> tuple[list[Any], int]:
-    """Many simulations of a kind, with their table; the rows, and how many of them broke a rule."""
+    """Plays many simulations and prints their table; returns the results and the number that broke a rule."""
     rows = []
-    for row in them.play_all(chosen, *words):
+    for row in simulation.play_all(chosen, *arguments):
         rows.append(row)
         if row.broken:
             click.echo(f"{title(row)}: {row.broken}")
         _progress(len(rows), len(chosen))
-    click.echo(them.table(rows))
+    click.echo(simulation.table(rows))
     return rows, sum(bool(row.broken) for row in rows)
 
 
 @command.command("shared")
 @SEEDS
 @click.option("--gateways", type=click.IntRange(2, 64), default=4, show_default=True)
-@click.option("--seconds", type=click.IntRange(4, 60), default=8, show_default=True, help="Of load.")
-@click.option("--gossip", is_flag=True, help="By the gossip's shares, which state no bound, in its place.")
+@click.option(
+    "--seconds", type=click.IntRange(4, 60), default=8, show_default=True, help="Duration of the load."
+)
+@click.option("--gossip", is_flag=True, help="Divide quotas by gossip, which has no stated bound.")
 @JOBS
-def shared(span: str, gateways: int, seconds: int, gossip: bool, jobs: int) -> int:
-    """Whole gateways while a part of them hears nothing: what goes out beyond quotas beside the stated bound;
-    exit 1 where a rule is broken."""
-    from ..simulation import shared_trials as them
+def shared(seed_text: str, gateways: int, seconds: int, gossip: bool, jobs: int) -> int:
+    """Simulates gateways of which some are cut off from the others, and compares the units beyond each quota
+    with the stated bound. Exit code 1 if a rule is broken."""
+    from ..simulation import shared_trials as simulation
 
     simulations = gateways, 1000 * seconds, gossip, jobs
-    rows, broken = _played(
-        them, seed_range(span), *simulations, title=lambda row: f"{row.failure} seed {row.seed}"
+    rows, broken = _play_all(
+        simulation, seed_range(seed_text), *simulations, title=lambda row: f"{row.failure} seed {row.seed}"
     )
     click.echo(f"shared simulations={len(rows)} broken={broken}")
     return 1 if broken else 0
@@ -274,14 +287,14 @@
 @command.command("starts")
 @SEEDS
 @click.option("--gateways", type=click.IntRange(2, 64), default=8, show_default=True)
-@click.option("--plain", is_flag=True, help="As without features.start.")
+@click.option("--plain", is_flag=True, help="Without features.start.")
 @JOBS
-def starts(span: str, gateways: int, plain: bool, jobs: int) -> int:
-    """Whole fleets killed and started anew with a list service that has to be asked: when all are ready,
-    what the service and the boxes get; exit 1 where a rule is broken or a gateway is never ready."""
-    from ..simulation import starts as them
+def starts(seed_text: str, gateways: int, plain: bool, jobs: int) -> int:
+    """Simulates restarts of whole fleets that poll a list service: the time until all are ready, and the load
+    on the service and the backends. Exit code 1 if a rule is broken or a gateway is never ready."""
+    from ..simulation import starts as simulation
 
-    rows, broken = _played(them, seed_range(span), gateways, not plain, jobs)
+    rows, broken = _play_all(simulation, seed_range(seed_text), gateways, not plain, jobs)
     late = sum(row.ready_s < 0 for row in rows)
     click.echo(f"starts simulations={len(rows)} broken={broken} never_ready={late}")
     return 1 if broken or late else 0
@@ -290,14 +303,14 @@
 @command.command("places")
 @SEEDS
 @click.option("--gateways", type=click.IntRange(3, 64), default=9, show_default=True)
-@click.option("--plain", is_flag=True, help="As without features.place.")
+@click.option("--plain", is_flag=True, help="Without features.place.")
 @JOBS
-def places(span: str, gateways: int, plain: bool, jobs: int) -> int:
-    """Whole gateways in three zones, one of which is in trouble: what is served, what crosses zones, how
-    often the table changes; exit 1 where a rule is broken."""
-    from ..simulation import places as them
+def places(seed_text: str, gateways: int, plain: bool, jobs: int) -> int:
+    """Simulates gateways in three zones, one of which fails: the requests served, the traffic between zones
+    and the changes of the routing table. Exit code 1 if a rule is broken."""
+    from ..simulation import places as simulation
 
-    rows, broken = _played(them, seed_range(span), gateways, not plain, jobs)
+    rows, broken = _play_all(simulation, seed_range(seed_text), gateways, not plain, jobs)
     click.echo(f"places simulations={len(rows)} broken={broken}")
     return 1 if broken else 0
 
@@ -315,12 +328,12 @@
 @click.option("--regions", type=click.IntRange(1, 13), default=4, show_default=True)
 @click.option("--seed", type=click.IntRange(min=0), default=1, show_default=True)
 def place_model(sizes: tuple[int, ...], zones: int, regions: int, seed: int) -> int:
-    """A zone is lost and comes back, for any number of gateways, by the pure modules alone; exit 1 where it
-    is never left, never got back, or tables differ."""
-    from ..simulation import place_model as them
+    """Models the loss and return of a zone for any number of gateways, without sockets or requests. Exit code
+    1 if the zone keeps its traffic, never gets it back, or the routing tables differ."""
+    from ..simulation import place_model as simulation
 
-    rows = [them.Model(n, zones, min(regions, zones), seed).play() for n in sizes]
-    click.echo(them.table(rows))
+    rows = [simulation.Model(n, zones, min(regions, zones), seed).play() for n in sizes]
+    click.echo(simulation.table(rows))
     return 1 if any(r.disagreed or min(r.out_s, r.back_s) < 0 for r in rows) else 0
 
 
@@ -328,20 +341,20 @@
 @click.option("--depth", type=click.IntRange(1, 8), default=3, show_default=True)
 @JOBS
 def place_search(depth: int, jobs: int) -> int:
-    """Agreement on a table in every order, a few gateways; exit 1 where two hold a term at once, tables
-    of one generation differ, or one is not settled on."""
-    from ..simulation import place_search as them
+    """Searches every order of events in the agreement of a few gateways on a routing table. Exit code 1 if
+    two gateways lead in one term, tables of one generation differ, or no table is agreed on."""
+    from ..simulation import place_search as simulation
 
-    found = list(them.search_all(depth, jobs))
-    for one in sorted(found, key=lambda f: f.case):
+    results = list(simulation.search_all(depth, jobs))
+    for result in sorted(results, key=lambda f: f.case):
         click.echo(
-            f"{one.case:40}{one.states:10} states{one.steps:11} steps{one.tables:5} tables"
-            + (f"  broken: {one.broken}" if one.broken else "")
+            f"{result.case:40}{result.states:10} states{result.steps:11} steps{result.tables:5} tables"
+            + (f"  broken: {result.broken}" if result.broken else "")
         )
-    broken = sum(bool(one.broken) for one in found)
+    broken = sum(bool(result.broken) for result in results)
     click.echo(
-        f"place-search depth={depth} states={sum(f.states for f in found)} "
-        f"steps={sum(f.steps for f in found)} broken={broken}"
+        f"place-search depth={depth} states={sum(f.states for f in results)} "
+        f"steps={sum(f.steps for f in results)} broken={broken}"
     )
     return 1 if broken else 0
 
@@ -360,22 +373,25 @@
     type=click.FloatRange(0, 0.95),
     default=0.0,
     show_default=True,
-    help="Part that runs and has the list.",
+    help="Part of the gateways that runs already and has the list.",
+)
+@click.option(
+    "--lines", type=click.IntRange(1, 5000), default=200, show_default=True, help="Endpoints in the list."
 )
-@click.option("--lines", type=click.IntRange(1, 5000), default=200, show_default=True, help="Of the list.")
 @click.option("--lists-per-s", "per_s", type=click.FloatRange(0.1, 1e6), default=20.0, show_default=True)
 @click.option("--seed", type=click.IntRange(min=0), default=1, show_default=True)
-@click.option("--alone", is_flag=True, help="Without lists from peers.")
+@click.option("--alone", is_flag=True, help="Without endpoint lists from peers.")
 def start_model(
     sizes: tuple[int, ...], alive: float, lines: int, per_s: float, seed: int, alone: bool
 ) -> int:
-    """A cold start of any number of gateways by the pure modules alone; exit 1 where one is never ready."""
+    """Models a cold start of any number of gateways, without sockets or requests. Exit code 1 if one is never
+    ready."""
     from ..cold_start.settings import ColdStartSettings
-    from ..simulation import start_model as them
+    from ..simulation import start_model as simulation
 
     settings = ColdStartSettings(use_peer_lists=not alone)
-    rows = [them.Model(n, int(n * alive), lines, per_s, seed, settings=settings).play() for n in sizes]
-    click.echo(them.table(rows))
+    rows = [simulation.Model(n, int(n * alive), lines, per_s, seed, settings=settings).play() for n in sizes]
+    click.echo(simulation.table(rows))
     return 0 if all(r.all_s >= 0 for r in rows) else 1
 
 
@@ -383,26 +399,27 @@
 @SEEDS
 @click.option("--gateways", type=click.IntRange(2, 20), default=3, show_default=True)
 @JOBS
-def keeper(span: str, gateways: int, jobs: int) -> int:
-    """Accounts against a quota service that fails: overshoot beside its bound; exit 1 where one is passed."""
+def keeper(seed_text: str, gateways: int, jobs: int) -> int:
+    """Simulates a failing quota service and compares the overshoot with its bound. Exit code 1 if one is
+    exceeded."""
     from ..simulation import trial
 
-    chosen, passed = seed_range(span), 0
+    chosen, exceeded = seed_range(seed_text), 0
     click.echo(
         f"{'failure':14}{'worst units':>12}{'of its bound':>14}{'of a minute':>13}{'sent':>7}"
         f"{'calls/try':>11}"
     )
     for name, rows in trial.try_failures(chosen, gateways, jobs):
-        over = [row for row in rows if row.overshoot > row.bound + 1e-6]
-        passed += len(over)
-        near = max(row.overshoot / max(row.bound, 1e-9) for row in rows)
+        exceeding = [row for row in rows if row.overshoot > row.bound + 1e-6]
+        exceeded += len(exceeding)
+        worst_ratio = max(row.overshoot / max(row.bound, 1e-9) for row in rows)
         click.echo(
-            f"{name:14}{max(row.overshoot for row in rows):12.2f}{near:14.2f}"
+            f"{name:14}{max(row.overshoot for row in rows):12.2f}{worst_ratio:14.2f}"
             f"{100 * max(row.share for row in rows):12.2f}%"
             f"{sum(row.served for row in rows) / len(rows):7.2f}"
             f"{sum(row.calls_per_try for row in rows) / len(rows):11.2f}"
         )
-        for row in over[:3]:
+        for row in exceeding[:3]:
             click.echo(f"  seed {row.seed}: {row.overshoot:.2f} units, over its bound of {row.bound:.2f}")
-    click.echo(f"trials={len(chosen) * len(trial.FAILURES)} over={passed}")
-    return 1 if passed else 0
+    click.echo(f"trials={len(chosen) * len(trial.FAILURES)} over={exceeded}")
+    return 1 if exceeded else 0
