--- a/tests/test_quota_service.py
+++ b/tests/test_quota_service.py
@@ -377,5 +377,5 @@
     loaded = config.read(dict(table), {})
     assert loaded.quota_service.max_overshoot_ratio == 0.1
     assert loaded.quota_service_address == ("127.0.0.1", 6400)
-    with pytest.raises(config.ConfigError, match="no counter"):
+    with pytest.raises(config.ConfigError, match=r"address of the quota service \(counter\) is missing"):
         config.read(table | {"counter": None}, {})
--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -167,9 +167,8 @@
     for check in (Check.PROCESSES, Check.QUOTA):
         found = verdict(result, check)
         assert found.kept, (found.text, found.worst)
-    assert not [
-        b.text for b in one.checker.violations if "its time" not in b.text
-    ]  # late: the machine's, perhaps
+    late = (" ms late", "no answer before the deadline")  # may be due to a busy machine
+    assert not [b.text for b in one.checker.violations if not b.text.endswith(late)]
     assert verdict(result, Check.RULES).kept == (not one.checker.violations)
     assert {case.gateway for case in one.checker.histories.values()} == {"g0"}
     assert not any(process.alive for process in one.gateways.processes)
--- a/zincstile/testbed/gateways.py
+++ b/zincstile/testbed/gateways.py
@@ -228,7 +228,7 @@
                 program.up = program.up or " start listening on " in line
                 if " fault " in line:
                     self.checker.report_fault(node.name, line.split(" fault ", 1)[1])
-                if " late held up " in line:
+                if " late event loop delayed by " in line:
                     self.checker.record_event(
                         f"{node.name} says at {line.split()[0]}: {line.split(' late ', 1)[1]}"
                     )
