--- a/tests/test_testbed.py
+++ b/tests/test_testbed.py
@@ -1,4 +1,4 @@
-"""Real processes with faults between them: the plans that CI plays, and the parts of the testbed."""
+"""Runs of real processes with faults: the plans that CI plays, and the parts of the testbed."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 @pytest.fixture(scope="module")
 def results(tmp_path_factory):
-    """All plans, three beside each other: verdicts rest on bounds and counts, so that a busy machine may."""
+    """Results of all plans, three played in parallel: verdicts rest on bounds and counts, not on speed."""
     folder = tmp_path_factory.mktemp("field")
     with multiprocessing.get_context("spawn").Pool(3) as pool:
         done = pool.map(play, [(p, str(folder / p.stem)) for p in PLANS], chunksize=1)
@@ -71,35 +71,35 @@
 
 
 def test_a_rule_that_real_processes_break_is_named(tmp_path, monkeypatch):
-    """The checkers can fail: a bound of next to nothing is passed by the gossip's shares at a cut."""
+    """Gossip shares exceed a quota bound of 0.1 units while the zones are partitioned."""
     bounds = {n: (p[1], p[1] * p[2], 0.1) for n, p in traffic.PLANS.items()}
     monkeypatch.setattr(traffic, "quotas", lambda: bounds)
-    bare = plan.load(PLANS[[p.stem for p in PLANS].index("halves")])
-    bare.share = False
-    found = sweep.play_plan(bare, tmp_path, "bare", {})
+    plan_without_leases = plan.load(PLANS[[p.stem for p in PLANS].index("halves")])
+    plan_without_leases.share = False
+    found = sweep.play_plan(plan_without_leases, tmp_path, "bare", {})
     assert not found.ok and found.breaches[0].rule == "quota" and found.breaches[0].history
     assert "quota" in report.page([("x", found)])
 
 
-def test_nothing_is_left_when_the_testbed_itself_is_killed(tmp_path):
-    words = [sys.executable, "-m", "zincstile", "testbed", "run", str(PLANS[0]), "--keep", str(tmp_path)]
-    run = subprocess.Popen(words, cwd=ROOT, stdout=subprocess.DEVNULL)
+def test_no_process_is_left_when_the_testbed_is_killed(tmp_path):
+    command = [sys.executable, "-m", "zincstile", "testbed", "run", str(PLANS[0]), "--keep", str(tmp_path)]
+    run = subprocess.Popen(command, cwd=ROOT, stdout=subprocess.DEVNULL)
     until = time.monotonic() + 30
     while not (tmp_path / "g0" / "log").exists() and time.monotonic() < until:
         time.sleep(0.05)
     time.sleep(0.5)
-    mine = [p for p in _children(run.pid) if p != run.pid]
-    assert mine
+    gateway_pids = [p for p in _child_pids(run.pid) if p != run.pid]
+    assert gateway_pids
     run.send_signal(signal.SIGKILL)
     run.wait()
     until = time.monotonic() + 10
-    while any(_alive(p) for p in mine) and time.monotonic() < until:
+    while any(_is_alive(p) for p in gateway_pids) and time.monotonic() < until:
         time.sleep(0.05)
-    assert not any(_alive(p) for p in mine)
+    assert not any(_is_alive(p) for p in gateway_pids)
 
 
-def _children(pid):
-    found = []
+def _child_pids(pid):
+    pids = []
     for entry in Path("/proc").iterdir():
         if entry.name.isdigit():
             try:
@@ -107,11 +107,11 @@
             except OSError:
                 continue
             if parent == pid:
-                found.append(int(entry.name))
-    return found
+                pids.append(int(entry.name))
+    return pids
 
 
-def _alive(pid):
+def _is_alive(pid):
     try:
         return (Path("/proc") / str(pid) / "stat").read_text().rpartition(")")[2].split()[0] not in ("Z", "X")
     except OSError:
@@ -128,12 +128,12 @@
         (["run", str(PLANS[0]), "--feature", "shared=none.yaml"], "not NAME=FILE"),
     ],
 )
-def test_bad_arguments_are_reported_in_one_line(arguments, expected):
+def test_invalid_arguments_are_reported_in_one_line(arguments, expected):
     done = run_testbed(*arguments)
     assert done.returncode == 2 and expected in done.stderr and done.stderr.count("\n") == 1
 
 
-def test_a_bad_plan_and_a_spoilt_result_name_file_and_place(tmp_path):
+def test_errors_of_invalid_plans_and_results_name_the_file_and_position(tmp_path):
     path = tmp_path / "p.yaml"
     path.write_text("seed: 1\nboxes: 100\ngateways: 251\n")
     assert "p.yaml:3: $.gateways" in run_testbed("run", str(path)).stderr
@@ -141,7 +141,7 @@
     assert "r.json: not a result" in run_testbed("report", str(tmp_path / "r.json"), "--out", "x").stderr
 
 
-def test_path_faults_add_up_and_are_removed_once():
+def test_path_faults_add_up_and_removing_one_twice_has_no_further_effect():
     faults = NetworkFaults(random.Random(1))
     changed = []
     faults.on_change.append(changed.append)
@@ -165,7 +165,7 @@
         PathFault(loss_ratio=1.5)
 
 
-def test_addresses_name_sender_and_receiver_and_a_black_hole_takes_no_connection():
+def test_addresses_identify_both_ends_and_a_black_hole_establishes_no_connection():
     assert places.parse_address(places.address_for_gateway(places.BACKEND, 199, 7)) == (
         places.BACKEND,
         199,
@@ -182,32 +182,32 @@
         with pytest.raises(TimeoutError):
             async with asyncio.timeout(0.3):
                 await asyncio.open_connection("127.102.9.1", port)
-        _, near = await asyncio.open_connection("127.102.9.2", port)
+        _, unaffected = await asyncio.open_connection("127.102.9.2", port)
         hole.close()
-        _, healed = await asyncio.open_connection("127.102.9.1", port)
-        near.close()
-        healed.close()
+        _, restored = await asyncio.open_connection("127.102.9.1", port)
+        unaffected.close()
+        restored.close()
         server.close()
 
     asyncio.run(play())
 
 
-def test_the_shim_serves_as_the_program_does(tmp_path):
+def test_the_shim_reports_a_missing_configuration_as_the_program_does(tmp_path):
     env = os.environ | {"PYTHONPATH": str(ROOT), "RELAY_CONFIG": str(tmp_path / "none")}
-    words = [sys.executable, "-m", "zincstile.testbed.shim", str(tmp_path / "control")]
-    done = subprocess.run(words, env=env, capture_output=True, text=True)
+    command = [sys.executable, "-m", "zincstile.testbed.shim", str(tmp_path / "control")]
+    done = subprocess.run(command, env=env, capture_output=True, text=True)
     assert done.returncode == 2 and "none" in done.stderr
 
 
-def test_who_meant_another_place_that_had_the_port_before_is_sent_away():
-    """A watch of another run, whose discovery is gone, is no command at a fake backend."""
+def test_a_connection_meant_for_another_service_that_used_the_port_before_is_closed():
+    """A gateway of another run reconnects to its closed discovery, whose port a fake backend now uses."""
 
     async def play():
-        heard = []
+        connected_gateways = []
 
         class Emulator(asyncio.Protocol):
             def connection_made(self, transport):
-                heard.append(transport.gateway)
+                connected_gateways.append(transport.gateway)
 
         loop = asyncio.get_running_loop()
         proxy = FaultProxy(loop, NetworkFaults(random.Random(1)), "s-01", places.BACKEND, 0, ["g0"])
@@ -217,9 +217,9 @@
         assert await reader.read() == b""
         own, _, port = proxy.address(0).partition(":")
         await asyncio.open_connection(own, int(port))
-        while not heard:
+        while not connected_gateways:
             await asyncio.sleep(0)
         server.close()
-        return heard
+        return connected_gateways
 
     assert asyncio.run(asyncio.wait_for(play(), 20)) == ["g0"]
--- a/zincstile/cli/testbed.py
+++ b/zincstile/cli/testbed.py
@@ -1,4 +1,4 @@
-"""`testbed`: several real processes on loopback, with faults between them."""
+"""The command `testbed`: runs of several real processes on loopback, with faults between them."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 
 @click.group("testbed")
 def command() -> None:
-    """Real processes of the program on loopback, with faults between them and the rules checked."""
+    """Runs real processes on loopback with faults between them, and checks the rules."""
 
 
 def load(path: str, seed: int | None) -> Plan:
-    """A plan that real processes can play; one line and exit 2 else."""
+    """Reads a plan that real processes can play. Raises BadInputError if it is not one."""
     from ..testbed import places
 
     try:
@@ -39,24 +39,24 @@
 
 
 def _plan(path: str | None, seed: int | None, gateways: int | None) -> Plan:
-    """The plan of a file, or the soak of a seed; one line and exit 2 where neither or both are named."""
+    """Returns the plan of a file, or a drawn soak. Raises BadInputError unless exactly one is given."""
     from ..simulation import soak
 
     if (path is None) == (gateways is None):
-        raise BadInputError("testbed run: name a PLAN.yaml, or --soak GATEWAYS with --seed")
+        raise BadInputError("testbed run: give either PLAN.yaml or --soak GATEWAYS with --seed")
     return load(path, seed) if path is not None else soak.draw(seed or 1, gateways)
 
 
 @command.command("run")
 @click.argument("plan_file", metavar="PLAN.yaml", type=click.Path(), required=False)
-@click.option("--seed", type=click.IntRange(min=0), help="In place of the plan's own.")
-@click.option("--soak", "gateways", type=click.IntRange(2, 64), help="Draw a soak of so many; no PLAN.yaml.")
+@click.option("--seed", type=click.IntRange(min=0), help="Replaces the seed of the plan.")
+@click.option("--soak", "gateways", type=click.IntRange(2, 64), help="Draw a soak with this many gateways.")
 @click.option(
     "--feature",
     "features",
     multiple=True,
     metavar="NAME=FILE",
-    help="A file under deploy/ that every gateway is told of.",
+    help="A feature file, as under deploy/, for every gateway.",
 )
 @click.option("--out", type=click.Path(dir_okay=False), help="Write the result as JSON.")
 @click.option("--report", "page", type=click.Path(dir_okay=False), help="Write a page with charts.")
@@ -70,7 +70,7 @@
     page: str | None,
     keep: str | None,
 ) -> int:
-    """Plays one plan; exit 1 where a rule is broken."""
+    """Plays one plan; exits with 1 if a rule is broken."""
     from ..testbed import report as pages
     from ..testbed import result as results
     from ..testbed import sweep as sweeps
@@ -108,18 +108,18 @@
 @command.command("sweep")
 @SEEDS
 @click.option("--gateways", type=click.IntRange(2, 64), default=8, show_default=True)
-@click.option("--kind", "kinds", multiple=True, help="Only these failures; all where none is named.")
-@click.option("--zones", is_flag=True, help="Troubles of zones, with features.place unless --gossip.")
-@click.option("--soak", "soaked", is_flag=True, help="Two or three troubles of all kinds at once.")
+@click.option("--kind", "kinds", multiple=True, help="Only these kinds of failure; default: all.")
+@click.option("--zones", is_flag=True, help="Failures of zones, with features.place unless --gossip.")
+@click.option("--soak", "soaked", is_flag=True, help="Two or three failures of any kinds at once.")
 @click.option(
     "--jobs",
     type=click.IntRange(1, 64),
     default=max(1, (os.cpu_count() or 2) // 4),
     show_default=True,
-    help="Runs beside each other.",
+    help="Parallel runs.",
 )
 @click.option("--feature", "features", multiple=True, metavar="NAME=FILE")
-@click.option("--gossip", is_flag=True, help="By the gossip's shares, which state no bound.")
+@click.option("--gossip", is_flag=True, help="Use gossip shares, which have no stated bound.")
 @click.option("--out", type=click.Path(file_okay=False), help="Write each result into this folder.")
 def sweep(
     span: str,
@@ -132,7 +132,7 @@
     gossip: bool,
     out: str | None,
 ) -> int:
-    """Plays many runs of drawn failures; exit 1 where any breaks a rule."""
+    """Plays many runs with drawn failures; exits with 1 if any breaks a rule."""
     from ..simulation import places, shared, soak
     from ..testbed import result as results
     from ..testbed import sweep as sweeps
@@ -169,45 +169,45 @@
 @command.command("start")
 @click.option("--gateways", type=click.IntRange(1, 250), default=24, show_default=True)
 @click.option(
-    "--boxes", type=click.IntRange(1, 250), default=24, show_default=True, help="Lines of the list."
+    "--boxes", type=click.IntRange(1, 250), default=24, show_default=True, help="Backends in the list."
 )
 @click.option("--lists-per-s", "per_s", type=click.FloatRange(0.1, 1e6), default=20.0, show_default=True)
-@click.option("--wave", "waves", multiple=True, help="Which waves; all that there are where none is named.")
+@click.option("--wave", "waves", multiple=True, help="Only these waves; default: all.")
 @click.option(
     "--patience",
     type=click.FloatRange(1, 600),
     default=60.0,
     show_default=True,
-    help="Seconds that a wave is waited for.",
+    help="Timeout of a wave in seconds.",
 )
 @click.option(
     "--slower-after",
     "slows_after_calls",
     type=click.IntRange(0),
     default=0,
-    help="Half as fast after so many calls.",
+    help="Halve the speed after this many calls.",
 )
-@click.option("--resets-every", type=click.IntRange(0), default=0, help="Each so-manieth call is reset.")
+@click.option("--resets-every", type=click.IntRange(0), default=0, help="Reset every Nth call.")
 @click.option(
     "--halves-every",
     "truncates_every",
     type=click.IntRange(0),
     default=0,
-    help="Each so-manieth answer stalls.",
+    help="Stall every Nth answer halfway.",
 )
 @click.option(
     "--older-every",
     "stale_every",
     type=click.IntRange(0),
     default=0,
-    help="Each so-manieth list is an older.",
+    help="Serve an older list in every Nth answer.",
 )
 @click.option(
     "--places",
     "queue_capacity",
     type=click.IntRange(1),
     default=100_000,
-    help="Callers that wait; more get 503.",
+    help="Calls that may wait; others get 503.",
 )
 @click.option("--seed", type=click.IntRange(min=0), default=1, show_default=True)
 @click.option("--feature", "features", multiple=True, metavar="NAME=FILE")
@@ -219,9 +219,9 @@
     patience: float,
     seed: int,
     features: tuple[str, ...],
-    **wrong: int,
+    **faults: int,
 ) -> int:
-    """Cold starts of real processes with a list service that has to be asked; exit 1 where one is late."""
+    """Measures cold starts of real processes with a polled list service; exits with 1 if one is late."""
     from ..emulators.list_service import ListServiceBehaviour
     from ..testbed import start as starts
     from ..testbed import sweep as sweeps
@@ -240,7 +240,7 @@
             rows = starts.play(
                 plan,
                 Path(folder),
-                ListServiceBehaviour(per_s, **wrong),
+                ListServiceBehaviour(per_s, **faults),
                 names,
                 patience,
                 sweeps.parse_features(features),
@@ -255,9 +255,9 @@
 
 @command.command("report")
 @click.argument("files", metavar="RESULT.json...", nargs=-1, required=True, type=click.Path())
-@click.option("--out", required=True, type=click.Path(dir_okay=False), help="The page.")
+@click.option("--out", required=True, type=click.Path(dir_okay=False), help="The file of the page.")
 def report(files: tuple[str, ...], out: str) -> int:
-    """Writes a page of one result, or of several side by side."""
+    """Writes a page on one result, or on several side by side."""
     from ..testbed import report as pages
     from ..testbed import result as results
 
--- a/zincstile/testbed/counter_names.py
+++ b/zincstile/testbed/counter_names.py
@@ -1,10 +1,10 @@
-"""The names of the gateways' counters in results of the testbed, older than those in the log."""
+"""Names of the gateways' counters in stored results, which are older than the names in the log."""
 
 from __future__ import annotations
 
 from typing import Final
 
-# Results are read for years: a name that is stored stays (docs/on-call.md, "Names of before").
+# Results are kept for years, so stored names do not change (docs/on-call.md, "Names of before").
 STORED_NAMES: Final = {
     "rejected": "denied",
     "abandoned": "left",
@@ -38,5 +38,5 @@
 
 
 def by_stored_name(counters: dict[str, float]) -> dict[str, float]:
-    """Counters of a log line by the names that they have in results."""
+    """Returns the counters of a log line under the names used in stored results."""
     return {STORED_NAMES.get(name, name): count for name, count in counters.items()}
--- a/zincstile/testbed/datagrams.py
+++ b/zincstile/testbed/datagrams.py
@@ -1,7 +1,7 @@
 """Relays datagrams between gateways: one socket for all pairs, with the faults of each path.
 
 A gateway sends its peer's datagrams to an address that stands for the pair, and receives the peer's from the
-address that it knows it by. The faults of a plan (`links`) decide over each datagram.
+address that it knows it by. The plan's faults (`links`) determine whether and when each datagram arrives.
 """
 
 from __future__ import annotations
@@ -17,25 +17,25 @@
 
 PKTINFO = getattr(socket, "IP_PKTINFO", 8)  # Linux's number; the module names it from Python 3.14 on
 INFO = struct.Struct("=I4s4s")  # interface, own address, address in the header
-MAX_BATCH: Final = 64  # datagrams read in one go, so that connections get their turn
-MAX_DATAGRAM_BYTES: Final = 2048  # of one datagram
+MAX_BATCH: Final = 64  # datagrams read in one go, so that connections are not starved
+MAX_DATAGRAM_BYTES: Final = 2048
 MAX_CONTROL_BYTES: Final = 64  # room for one IP_PKTINFO
 
 
 class Datagrams:
-    """`counts`: by ordered pair of numbers, how many came, and bytes of all."""
+    """The relay. `sent`, `bytes`: datagrams and their bytes, by the number of the sending gateway."""
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, links: NetworkFaults, block: int, names: list[str]
     ) -> None:
-        """Listens for the datagrams of all pairs. `block`: of the gateways' addresses; `names`: theirs."""
+        """Listens for the datagrams of all pairs. `block`: of gateway addresses; `names`: the gateways."""
         self.loop = loop
         self.links = links
         self.block = block
         self.names = names
         self.sent = [0] * len(names)
         self.bytes = [0] * len(names)
-        self.unknown_senders = 0  # datagrams that no gateway sent to another
+        self.unknown_senders = 0  # datagrams that did not come from one gateway for another
         self.sock = places.loopback_socket(socket.SOCK_DGRAM)
         self.sock.setsockopt(socket.IPPROTO_IP, PKTINFO, 1)
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4 << 20)
@@ -43,7 +43,7 @@
         loop.add_reader(self.sock.fileno(), self._read)
 
     def peers(self, number: int) -> list[str]:
-        """The `peers` of a gateway's file: its own address, and the relay's for each other one."""
+        """Returns the `peers` setting of a gateway: its own address and a relay address for each peer."""
         return [
             f"{places.gateway_address(self.block, k)}:{places.PEERS_PORT}"
             if k == number
@@ -58,7 +58,7 @@
             except (BlockingIOError, InterruptedError):
                 return
             except OSError:
-                continue  # a port that nobody listens on: that gateway is down
+                continue  # ICMP error: the target gateway is down and its port closed
             own = next(
                 (
                     INFO.unpack(d)[2]
@@ -87,7 +87,7 @@
         if self.sock.fileno() < 0:
             return
         own = socket.inet_aton(places.address_for_gateway(places.PEER, target, source))
-        with contextlib.suppress(OSError):  # a full buffer, or nobody there: lost, as datagrams are
+        with contextlib.suppress(OSError):  # full buffer or no listener: the datagram is lost
             self.sock.sendmsg(
                 [data],
                 [(socket.IPPROTO_IP, PKTINFO, INFO.pack(0, own, b"\0" * 4))],
--- a/zincstile/testbed/emulated.py
+++ b/zincstile/testbed/emulated.py
@@ -18,11 +18,11 @@
 from .probe import CommandTap
 from .testbed import MS, RACKS, Testbed
 
-MOST_SPEED_FACTOR = 1.3  # by which the cores' speed differs at most
+MAX_SPEED_FACTOR = 1.3  # core speeds are drawn from 1 / this factor to this factor
 
 
 class _BackendConnection(ProxiedConnection):
-    """A connection to a fake backend: what comes is also read by a tap."""
+    """A connection to a fake backend whose incoming data is also read by a `CommandTap`."""
 
     def connection_made(self, transport: Any) -> None:
         super().connection_made(transport)
@@ -39,22 +39,22 @@
     # ---- backends and their list
 
     def entry_for(self, entry: EndpointEntry, gateway: int) -> EndpointEntry:
-        """With the address by which that gateway finds it, on its clock."""
+        """Returns the entry with the address that this gateway uses for the backend."""
         backend = self.backends.get(entry.name)
-        seer = places.ALL_GATEWAYS if self.plan.one_address else gateway
-        return entry if backend is None else replace(entry, address=backend.proxy.address(seer))
+        address_user = places.ALL_GATEWAYS if self.plan.one_address else gateway
+        return entry if backend is None else replace(entry, address=backend.proxy.address(address_user))
 
     def add_backend(
         self, zone: int, cold: bool, group: int | None = None, at: Backend | None = None
     ) -> Backend:
-        """A new backend of drawn speed and size; at another's address where one is given."""
+        """Adds a backend of drawn speed and size, at the address of `at` if that is given."""
         self.backends_made += 1
         number, name = self.backends_made, f"s-{self.backends_made:02x}"
         rng = random.Random(f"box {self.plan.seed} {number}")
         group = number % RACKS if group is None else group
         model = BackendModel(
             cores=1 + (number % 3 == 0),
-            speed=rng.uniform(1 / MOST_SPEED_FACTOR, MOST_SPEED_FACTOR),
+            speed=rng.uniform(1 / MAX_SPEED_FACTOR, MAX_SPEED_FACTOR),
             queue_capacity=rng.randint(8, 24),
             work_ns={n: ms * MS for n, ms in traffic.WORK_MS.items()},
             cold_share=0.25,
@@ -66,54 +66,54 @@
     def _start_backend(
         self, name: str, zone: int, group: int, model: BackendModel, cold: bool, at: Backend | None
     ) -> Backend:
-        """A backend begins to listen, and its invariants begin to be watched."""
+        """Starts a backend and registers it with the checker."""
         number = at.number if at else (self.backends_made - 1) % places.MAX_NUMBER
         proxy = FaultProxy(self.loop, self.links, name, places.BACKEND, number, self.names)
         proxy.make_connection, proxy.probe, proxy.keeps_port = _BackendConnection, self.probe, True
         if at is not None:
             proxy.port = at.proxy.port
         rng = random.Random(f"{name} {self.plan.seed} {self.backends_made}")
-        box = BackendEmulator(proxy, name, model, self.racks[group], rng, self.probe, cold=cold)  # type: ignore[arg-type]
-        box.identify_gateway = lambda connection: connection.gateway  # type: ignore[attr-defined]
-        self.spawn(box.start(""))
+        emulator = BackendEmulator(proxy, name, model, self.racks[group], rng, self.probe, cold=cold)  # type: ignore[arg-type]
+        emulator.identify_gateway = lambda connection: connection.gateway  # type: ignore[attr-defined]
+        self.spawn(emulator.start(""))
         since = int(time.time() * 1000) if cold else 0
         entry = EndpointEntry(name, "", traffic.ZONES[zone], "std", group, "Ready", 1.0, since)
         self.checker.add_backend(name, zone, group)
-        self.checker.cold.backend_started(name, since, box.capacity, lambda: box.warmth() >= 1)
-        self.backends[name] = Backend(entry, box, proxy, zone, model, number)
+        self.checker.cold.backend_started(name, since, emulator.capacity, lambda: emulator.warmth() >= 1)
+        self.backends[name] = Backend(entry, emulator, proxy, zone, model, number)
         return self.backends[name]
 
     def restart_backend(self, old: Backend) -> Backend:
-        """The same backend, started again and cold."""
+        """Starts the same backend again, cold."""
         zone, group = self.checker.locations[old.entry.name]
         return self._start_backend(old.entry.name, zone, group, replace(old.model, hangs=False), True, old)
 
     def backend_is_running(self, backend: Backend) -> bool:
-        """It was not killed."""
+        """Returns whether the backend has not been killed."""
         return backend.alive
 
     def kill_backend(self, backend: Backend) -> None:
-        """Its connections break, and it takes no new ones."""
+        """Resets its connections and stops accepting new ones."""
         backend.alive = False
         backend.proxy.close()
 
     def resume_listening(self, backend: Backend) -> None:
-        """It takes connections again, if it took none."""
+        """Starts accepting connections again, if it had stopped."""
         if backend.alive and not backend.proxy.listens:
             self.spawn(backend.emulator.start(""))
 
     def reset_backend(self, backend: Backend) -> None:
-        """Its connections break; it goes on."""
+        """Resets its connections; the backend keeps running."""
         backend.proxy.break_all()
 
     def set_backend_unreachable(self, backend: Backend, silent: bool) -> None:
-        """No gateway reaches it any more, or all do again."""
+        """Cuts the paths between all gateways and this backend, or restores them."""
         self.set_network_fault(
             ("hush", backend), paths_between(self.names, [backend.entry.name]), PathFault(cut=True), silent
         )
 
     def set_backend_delay(self, backend: Backend, ms: float) -> None:
-        """What passes between it and the gateways is late by so much; 0: no more."""
+        """Delays the data between this backend and all gateways; 0 removes the delay."""
         self.set_network_fault(
             ("lag", backend),
             paths_between(self.names, [backend.entry.name]),
@@ -122,7 +122,7 @@
         )
 
     def set_partitioned(self, node: Node, backend: Backend, apart: bool) -> None:
-        """One gateway and this backend reach each other no more, or do again."""
+        """Cuts the path between one gateway and this backend, or restores it."""
         self.set_network_fault(
             (node, backend), paths_between([node.name], [backend.entry.name]), PathFault(cut=True), apart
         )
@@ -130,24 +130,24 @@
     # ---- quota services
 
     def quota_service(self, number: int) -> QuotaService:
-        """The quota service of that number."""
+        """Returns the quota service of this number."""
         return self.quota_services[number][0]
 
     def start_quota_service(self, number: int) -> None:
-        """Starts a quota service that knows nothing yet, at the address of the one before it."""
+        """Starts a quota service with empty state, at the address of its predecessor if there was one."""
         proxy = FaultProxy(self.loop, self.links, "keeper", places.QUOTA_SERVICE, number, self.names)
         proxy.keeps_port = True
         if number in self.quota_services:
             proxy.port = self.quota_services[number][1].port
-        counter = QuotaService(proxy)  # type: ignore[arg-type]
-        counter.accepts_calls = True
-        self.quota_services[number] = counter, proxy
-        self.spawn(counter.start(""))
+        service = QuotaService(proxy)  # type: ignore[arg-type]
+        service.accepts_calls = True
+        self.quota_services[number] = service, proxy
+        self.spawn(service.start(""))
 
     def kill_quota_service(self, number: int) -> None:
-        """Its connections break, and it takes no new ones."""
+        """Resets its connections and stops accepting new ones."""
         self.quota_services[number][1].close()
 
     def set_quota_service_unreachable(self, silent: bool) -> None:
-        """No gateway reaches a quota service any more, or all do again."""
+        """Cuts the paths between all gateways and the quota services, or restores them."""
         self.set_network_fault("keeper", paths_between(self.names, ["keeper"]), PathFault(cut=True), silent)
--- a/zincstile/testbed/fault_proxy.py
+++ b/zincstile/testbed/fault_proxy.py
@@ -1,13 +1,13 @@
-"""Connections to emulated services, with the faults of a plan on the path there from a gateway.
+"""Relays connections from gateways to emulated services, with the faults of a plan on each path.
 
-An emulator is handed a `FaultProxy` in place of its event loop: what it listens with knows by the address
-that a gateway used which one it is. Between each connection and the emulator's protocol stands a
-`ProxiedConnection` with a queue for each direction: what passes keeps its order, waits while the path is cut,
-and comes later where it is slow.
+An emulator gets a `FaultProxy` in place of its event loop. Its listening socket tells gateways apart by the
+address that they connected to. Between each connection and the emulator's protocol is a
+`ProxiedConnection` with a queue for each direction: data keeps its order, waits while the path is cut, and
+is delayed where the path has a delay.
 
-Cut paths: open connections are silent and keep what was written, as TCP does until it is sent again;
-new ones never come up (`places.BlackHole`). `reset`: open ones break, and new ones are closed as soon as
-they are up.
+While a path is cut, open connections are silent and keep the written data, as TCP does until it
+retransmits; new ones are never established (`places.BlackHole`). `reset` breaks open connections, and new
+ones as soon as they are established.
 """
 
 from __future__ import annotations
@@ -21,18 +21,18 @@
 from ..virtual.network_faults import NetworkFaults, NetworkPath
 from . import places
 
-BACKLOG: Final = 1024  # connections that wait to be accepted
+BACKLOG: Final = 1024  # connections that may wait to be accepted
 
-TIMER_SLACK_S: Final = 1e-4  # a timer may fire so much early
+TIMER_SLACK_S: Final = 1e-4  # a timer may fire this much early
 
 
 class Direction:
-    """One direction of one connection. `pair`: the path that it takes."""
+    """One direction of one connection, with the data that waits in it."""
 
     __slots__ = ("loop", "links", "pair", "_waiting", "_timer", "_last_due_s")
 
     def __init__(self, loop: asyncio.AbstractEventLoop, links: NetworkFaults, pair: NetworkPath) -> None:
-        """Takes the path as (from, to), by names."""
+        """`pair`: the path as the names of its source and its destination."""
         self.loop = loop
         self.links = links
         self.pair = pair
@@ -41,7 +41,7 @@
         self._last_due_s = 0.0
 
     def push(self, then: Callable[..., None], *args: Any) -> None:
-        """then(*args) once what went before has passed."""
+        """Calls then(*args) after everything pushed before it, and after the delay of the path."""
         path = self.links.fault_on(*self.pair)
         if not self._waiting and not path.cut and not path.delay_s:
             then(*args)
@@ -51,7 +51,7 @@
         self.pass_due()
 
     def pass_due(self) -> None:
-        """Passes on what is due by now."""
+        """Makes the calls that are due by now, unless the path is cut."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
@@ -68,12 +68,12 @@
     """One connection: the system's transport on one side, an emulator's protocol on the other."""
 
     def __init__(self, proxy: FaultProxy, inner: asyncio.Protocol) -> None:
-        """Takes the proxy that it belongs to, and the emulator's protocol for this connection."""
+        """`inner`: the emulator's protocol for this connection."""
         self.proxy = proxy
         self.inner = inner
         self.transport: asyncio.Transport | None = None
         self.gateway = "?"
-        self.announced = False  # the protocol has been notified of the connection
+        self.announced = False  # the inner protocol has been notified of the connection
         self.closing = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -95,32 +95,32 @@
         self.inner.connection_made(self)  # type: ignore[arg-type]
 
     def data_received(self, data: bytes) -> None:
-        """What a gateway sent goes on to the inner protocol in its direction."""
+        """Passes data of a gateway to the inner protocol, subject to the faults of the path."""
         if self.announced:
-            self.inwards.push(self._hand, data)
+            self.inwards.push(self._deliver, data)
 
-    def _hand(self, data: bytes) -> None:
+    def _deliver(self, data: bytes) -> None:
         if not self.closing:
             self.inner.data_received(data)
 
     def eof_received(self) -> None:
-        """Leaves the end to `connection_lost`."""
+        """Leaves closing to `connection_lost`."""
         return None
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The inner protocol is notified after what came before."""
+        """Notifies the inner protocol, after the data received before."""
         if self.announced:
-            self.inwards.push(self._lost, exc)
+            self.inwards.push(self._deliver_loss, exc)
         else:
             self.proxy.connections.pop(self, None)
 
-    def _lost(self, exc: Exception | None) -> None:
+    def _deliver_loss(self, exc: Exception | None) -> None:
         self.closing = True
         self.proxy.connections.pop(self, None)
         self.inner.connection_lost(exc)
 
     def changed(self) -> None:
-        """The faults on the paths of this connection have changed."""
+        """Applies a change of the faults on the paths of this connection."""
         if self.proxy.links.fault_on(*self.inwards.pair).reset:
             self.abort()
         self.inwards.pass_due()
@@ -129,20 +129,20 @@
     # ---- the transport, as the emulator's protocol sees it
 
     def write(self, data: bytes) -> None:
-        """What the inner protocol sends goes to the gateway in its direction."""
+        """Sends data of the inner protocol to the gateway, subject to the faults of the path."""
         if not self.closing:
             self.outwards.push(self.transport.write, data)
 
     def close(self) -> None:
-        """Closes the connection once what was written has passed."""
+        """Closes the connection after the written data has been sent."""
         self.closing = True
         self.outwards.push(self.transport.close)
 
     def abort(self) -> None:
-        """At once, whatever the path: for what breaks."""
+        """Resets the connection at once, whatever the state of the path."""
         self.closing = True
         sock = self.transport.get_extra_info("socket")
-        if sock is not None and sock.fileno() >= 0:  # a reset, no orderly end
+        if sock is not None and sock.fileno() >= 0:  # SO_LINGER of 0: close with RST
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
         self.transport.abort()
 
@@ -156,7 +156,7 @@
 
 
 class FaultProxy:
-    """An event loop as one emulator sees it, at one place of the testbed. All else is the loop's own."""
+    """The event loop that one emulator gets: its server is behind the proxy, all else is the real loop."""
 
     def __init__(
         self,
@@ -167,7 +167,7 @@
         number: int,
         gateways: list[str],
     ) -> None:
-        """Takes the emulator's name, the kind and number of its addresses (`places`), and the gateways."""
+        """`place`: the emulator's name; `kind`, `number`: of its addresses (`places`); `gateways`: names."""
         self.loop = loop
         self.links = links
         self.place = place
@@ -176,35 +176,36 @@
         self.gateways = gateways
         self.connections: dict[ProxiedConnection, None] = {}
         self.port = 0
-        self.keeps_port = False  # listens at the same port after it was closed; else each time at a new one
+        self.keeps_port = False  # after a close, listens on the same port again, not on a new one
         self.make_connection: Callable[[FaultProxy, asyncio.Protocol], ProxiedConnection] = ProxiedConnection
-        self.probe: Any = None  # for connections that are observed
+        self.probe: Any = None  # notified by connections that are observed
         self._black_holes: dict[str, places.BlackHole] = {}
         self._server: asyncio.AbstractServer | None = None
-        links.on_change.append(self._changed)
+        links.on_change.append(self._on_change)
 
     def __getattr__(self, name: str) -> Any:
-        """Returns the loop's own member."""
+        """Returns the member of the real loop."""
         return getattr(self.loop, name)
 
     def is_known_by(self, address: str) -> bool:
-        """Not where a gateway of another run meant something else, which had this port before."""
+        """Returns whether the address is of this kind. It is not when a gateway of another run connects to a
+        service that used this port before."""
         return places.parse_address(address)[0] == self.kind
 
     def gateway_at(self, address: str) -> str:
-        """Who knows this place by that address."""
+        """Returns the name of the gateway that uses this address for this service; "?" if none does."""
         kind, gateway_number, number = places.parse_address(address)
         fits = kind == self.kind and number == self.number and 0 <= gateway_number < len(self.gateways)
         return self.gateways[gateway_number] if fits else "?"
 
     def address(self, gateway_number: int) -> str:
-        """Where that gateway finds this place."""
+        """Returns the address and port that this gateway uses for this service."""
         return f"{places.address_for_gateway(self.kind, gateway_number, self.number)}:{self.port}"
 
     async def create_server(
         self, factory: Callable[[], asyncio.Protocol], host: str = "", port: int = 0
     ) -> asyncio.AbstractServer:
-        """As the loop's, on all addresses of this place."""
+        """As the loop's method, but listens on all addresses of this service."""
         sock = places.loopback_socket(socket.SOCK_STREAM, True, self.port if self.keeps_port else 0)
         self.port = sock.getsockname()[1]
         self._server = await self.loop.create_server(
@@ -214,20 +215,20 @@
 
     @property
     def listens(self) -> bool:
-        """A server takes connections here."""
+        """Whether a server accepts connections."""
         return self._server is not None and self._server.is_serving()
 
-    def _changed(self, pairs: list[NetworkPath]) -> None:
-        """The faults on these paths have changed."""
-        hit = {a if b == self.place else b for a, b in pairs if self.place in (a, b)}
-        for name in hit:
-            self._black_hole(name)
-        if hit:
-            for connection in [c for c in self.connections if c.gateway in hit]:
+    def _on_change(self, pairs: list[NetworkPath]) -> None:
+        """Applies a change of the faults on these paths."""
+        affected = {a if b == self.place else b for a, b in pairs if self.place in (a, b)}
+        for name in affected:
+            self._update_black_hole(name)
+        if affected:
+            for connection in [c for c in self.connections if c.gateway in affected]:
                 connection.changed()
 
-    def _black_hole(self, gateway: str) -> None:
-        """New connections of that gateway never come up while the path there or back is cut."""
+    def _update_black_hole(self, gateway: str) -> None:
+        """Blocks new connections of this gateway while the path there or back is cut."""
         if gateway not in self.gateways or not self.port:
             return
         cut = self.links.fault_on(gateway, self.place).cut or self.links.fault_on(self.place, gateway).cut
@@ -238,12 +239,12 @@
             self._black_holes.pop(gateway).close()
 
     def break_all(self) -> None:
-        """All connections here break at once."""
+        """Resets all connections."""
         for connection in list(self.connections):
             connection.abort()
 
     def close(self) -> None:
-        """The place dies: nobody listens, and all breaks."""
+        """Stops listening and resets all connections."""
         if self._server is not None:
             self._server.close()
             self._server = None
@@ -251,5 +252,5 @@
         for hole in self._black_holes.values():
             hole.close()
         self._black_holes.clear()
-        if self._changed in self.links.on_change:
-            self.links.on_change.remove(self._changed)
+        if self._on_change in self.links.on_change:
+            self.links.on_change.remove(self._on_change)
--- a/zincstile/testbed/members.py
+++ b/zincstile/testbed/members.py
@@ -1,4 +1,4 @@
-"""Who takes part in a run: a gateway's place in the tier, and a fake backend with its entry in the list."""
+"""Members of a run: gateway nodes, and fake backends with their endpoint entries."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass(slots=True, eq=False)
 class Node:
-    """A gateway's place in the tier, and its processes: it stays while they come and go."""
+    """A gateway with its processes, which may be restarted or replaced."""
 
     number: int
     name: str
@@ -27,30 +27,30 @@
     shim: ShimControl
     discovery: str = ""
     skew_ns: int = 0
-    operators: str = ""  # the control endpoint of the process that was started last
+    admin_address: str = ""  # the control endpoint of the process that was started last
     starts: int = 0
     moves: int = 0
     quota_service_number: int = 0
     stopping: bool = False
-    may_die: bool = False  # in the middle of a write, as the plan has it
+    may_die: bool = False  # a planned fault kills it during a write
     program: Program | None = None
-    older: Program | None = None  # serves beside the newer one
+    older: Program | None = None  # during an upgrade: the previous version, still serving
     socket: socket.socket | None = None
-    counters: dict[str, float] = field(default_factory=dict)  # of the processes that are no more
-    latest: dict[str, float] = field(default_factory=dict)  # of the one that runs
-    believes: dict[str, float] = field(default_factory=dict)
+    counters: dict[str, float] = field(default_factory=dict)  # sums over ended processes
+    latest: dict[str, float] = field(default_factory=dict)  # of the running process
+    state: dict[str, float] = field(default_factory=dict)  # the last logged one
     memory_kb: int = 0
     ready_s: float = 0.0
 
     @property
     def zone(self) -> int:
-        """Gateways go round the zones by their numbers."""
+        """Gateways are assigned to zones round-robin."""
         return self.number % len(traffic.ZONES)
 
 
 @dataclass(slots=True, eq=False)
 class Backend:
-    """A fake backend, with its entry in discovery's list."""
+    """A fake backend, with its entry in the endpoint list."""
 
     entry: EndpointEntry
     emulator: BackendEmulator
--- a/zincstile/testbed/operators.py
+++ b/zincstile/testbed/operators.py
@@ -1,4 +1,4 @@
-"""The operators of a run: their calls to the gateways' control endpoints, and the rule that each begins."""
+"""Operators' calls to the control endpoints of gateways, each recorded for the checker's maintenance rule."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 from .members import Node
 from .testbed import Testbed
 
-CALL_S: Final = 3.0  # a call is given up after so long; its answer is due within 1 s
+CALL_TIMEOUT_S: Final = 3.0  # an answer is due within 1 s
 HTTP_OK: Final = 200
 
 
 class Operators(Testbed):
-    """Takes backends out of service at gateways and puts them back."""
+    """Starts and ends maintenance of backends at gateways."""
 
     def maintain(self, node: Node, name: str, out: bool) -> None:
-        """One call, beside everything else. Where it is not confirmed nothing is obliged."""
+        """Makes one call in the background. Only a confirmed call obliges the gateway."""
         self.spawn(self._maintain(node, name, out))
 
     async def _maintain(self, node: Node, name: str, out: bool) -> None:
-        if not out:  # from the call on it may be sent to again, whatever is answered
+        if not out:  # from here on the gateway may use the backend again, whatever it answers
             self.checker.maintenance.ended(node.name, name)
         action = "enter" if out else "exit"
         status = await self._call(node, f"/maintenance/{action}", name)
@@ -30,11 +30,11 @@
             self.checker.maintenance.confirmed(time.monotonic_ns(), node.name, name)
 
     async def _call(self, node: Node, path: str, body: str) -> int:
-        """The status; 0 where there is no answer."""
-        host, _, port = node.operators.rpartition(":")
+        """Returns the HTTP status; 0 if there is no answer."""
+        host, _, port = node.admin_address.rpartition(":")
         head = f"POST {path} HTTP/1.1\r\nHost: {host}\r\nContent-Length: {len(body)}\r\n\r\n"
         try:
-            async with asyncio.timeout(CALL_S):
+            async with asyncio.timeout(CALL_TIMEOUT_S):
                 reader, writer = await asyncio.open_connection(host, int(port))
                 writer.write((head + body).encode())
                 line = await reader.readline()
--- a/zincstile/testbed/report.py
+++ b/zincstile/testbed/report.py
@@ -1,6 +1,6 @@
-"""A page on one run, or on several side by side: what was served, by whom, and how near each bound came.
+"""A page on one run, or on several side by side: answers by gateway and zone, and use of each bound.
 
-One HTML file with its charts inside (SVG by pygal), so that it can be sent on and kept.
+A single HTML file with the charts inside (SVG by pygal), so that it can be shared and archived.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 figure {{ margin: 0; max-width: 46em }}
 </style><h1>{title}</h1>{body}</html>
 """
-MAX_CHART_LINES = 12  # lines in one chart; of more gateways, the extremes and the mean
+MAX_CHART_LINES = 12  # with more gateways a chart shows minimum, mean and maximum
 ANSWERS = ("served", "denied", "failed", "unreached")
 
 
@@ -37,14 +37,14 @@
 
 
 def table(head: list[str], rows: list[list[object]]) -> str:
-    """Rows of text and numbers as an HTML table."""
+    """Returns rows of text and numbers as an HTML table."""
     cells = "".join("<tr>" + "".join(f"<td>{_text(x)}</td>" for x in row) + "</tr>" for row in rows)
     return f"<table><tr>{''.join(f'<th>{html.escape(h)}</th>' for h in head)}</tr>{cells}</table>"
 
 
 def chart(title: str, seconds: list[int], lines: dict[str, list[float | None]], **more: object) -> str:
-    """One chart over the seconds of the run."""
-    made = pygal.Line(
+    """Returns a chart over the seconds of the run."""
+    line_chart = pygal.Line(
         style=STYLE,
         height=300,
         width=680,
@@ -57,17 +57,17 @@
         x_labels_major_every=max(1, len(seconds) // 12),
         **more,
     )
-    made.x_labels = [str(s) for s in seconds]
+    line_chart.x_labels = [str(s) for s in seconds]
     for name, values in lines.items():
-        made.add(name, values)
-    return f"<figure>{made.render(is_unicode=True, disable_xml_declaration=True)}</figure>"
+        line_chart.add(name, values)
+    return f"<figure>{line_chart.render(is_unicode=True, disable_xml_declaration=True)}</figure>"
 
 
 class Charts:
-    """The series of one run, added up in several ways."""
+    """Charts of the time series of one run."""
 
     def __init__(self, result: RunResult) -> None:
-        """Sorts the series of the result by second and gateway."""
+        """Indexes the series of the result by second and gateway."""
         self.result = result
         self.zones = {row.name: row.zone for row in result.rows}
         self.seconds = sorted({int(row["second"]) for row in result.series})
@@ -75,12 +75,13 @@
         self.names = [row.name for row in result.rows]
 
     def total(self, figure: str, names: list[str] | None = None) -> list[float]:
-        """A figure by second, summed over these gateways, or over all."""
+        """Returns a figure by second, summed over these gateways, or over all."""
         chosen = self.names if names is None else names
         return [sum(float(self.cells.get((s, n), {}).get(figure, 0.0)) for n in chosen) for s in self.seconds]
 
     def by_gateway(self, figure: str, rate: bool = False) -> dict[str, list[float | None]]:
-        """A line each; of many gateways the least, the mean and the most. rate: growth of a count."""
+        """Returns a line for each gateway; for many gateways the minimum, mean and maximum. `rate`: growth of
+        a counter by second."""
         found: dict[str, list[float | None]] = {}
         for name in self.names:
             values = [self.cells.get((s, name), {}).get(figure) for s in self.seconds]
@@ -96,14 +97,14 @@
         }
 
     def by_zone(self, figure: str) -> dict[str, list[float | None]]:
-        """A figure by second, summed over the gateways of each zone."""
+        """Returns a figure by second, summed over the gateways of each zone."""
         return {
             zone: list(self.total(figure, [n for n in self.names if self.zones[n] == zone]))
             for zone in sorted(set(self.zones.values()))
         }
 
     def all(self) -> str:
-        """Every chart of the page."""
+        """Returns all charts of the page."""
         answers = {kind: list(self.total(kind)) for kind in ANSWERS}
         parts = [
             chart("answers a second", self.seconds, answers),
@@ -121,7 +122,7 @@
 
 
 def _growth(values: list[float | None]) -> list[float | None]:
-    """Of a count that starts again from nothing with each process."""
+    """Returns the growth of a counter that starts at 0 again with each process."""
     found: list[float | None] = []
     last = 0.0
     for value in values:
@@ -177,8 +178,8 @@
 
 
 def result_html(result: RunResult) -> str:
-    """What there is to say of one run."""
-    parts = [_head(result), *(_breach(breach) for breach in result.breaches)]
+    """Returns the part of the page for one run."""
+    parts = [_head(result), *(_violation_html(breach) for breach in result.breaches)]
     if result.plans:
         parts.append(_quotas(result))
     parts.append("<h2>Over time</h2>" + Charts(result).all())
@@ -198,12 +199,12 @@
     )
 
 
-def _breach(breach: ViolationRow) -> str:
-    """A broken rule, with what led to it."""
-    past = "\n".join(breach.history)
+def _violation_html(breach: ViolationRow) -> str:
+    """Returns a rule violation with the events that led to it."""
+    history = "\n".join(breach.history)
     return (
         f"<p class=bad>{html.escape(breach.rule)} at {breach.at_s:.2f} s: "
-        f"{html.escape(breach.text)}</p><pre>{html.escape(past)}</pre>"
+        f"{html.escape(breach.text)}</p><pre>{html.escape(history)}</pre>"
     )
 
 
@@ -245,20 +246,20 @@
 
 
 def page(results: list[tuple[str, RunResult]]) -> str:
-    """The HTML of one run, or of several side by side under a table that compares them."""
+    """Returns the HTML of one run, or of several side by side under a table that compares them."""
     title = "zincstile field: " + ", ".join(name for name, _ in results)
     if len(results) == 1:
         return PAGE.format(title=html.escape(title), body=result_html(results[0][1]))
     compared = table(
         ["", *(name for name, _ in results)],
-        [[what, *(take(r) for _, r in results)] for what, take in COMPARED_FIGURES.items()],
+        [[heading, *(compute(r) for _, r in results)] for heading, compute in COMPARED_FIGURES.items()],
     )
     columns = "".join(f"<div><h2>{html.escape(name)}</h2>{result_html(r)}</div>" for name, r in results)
     return PAGE.format(title=html.escape(title), body=compared + f'<div class="side">{columns}</div>')
 
 
 def write(results: list[tuple[str, RunResult]], path: Path) -> None:
-    """FileError where the page can't be written."""
+    """Writes the page. Raises FileError if that fails."""
     try:
         path.write_text(page(results), encoding="utf-8")
     except OSError as err:
--- a/zincstile/testbed/run.py
+++ b/zincstile/testbed/run.py
@@ -1,7 +1,7 @@
-"""One run of a plan with real processes, by the faults that virtual time plays too.
+"""One run of a plan with real processes, with the same faults as on virtual time.
 
-Everything is waited for by its condition and not by a time that a busy machine may miss: that all gateways
-answer PING, that nothing is asked any more, that processes have ended.
+The run waits for conditions, not for fixed times that a busy machine may miss: all gateways answer PING, no
+request is in flight, all processes have ended.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 from .datagrams import Datagrams
 from .emulated import EmulatedServices
 from .fault_proxy import FaultProxy
-from .gateways import GONE_S, GatewayProcesses
+from .gateways import EXIT_TIMEOUT_S, GatewayProcesses
 from .members import Node
 from .operators import Operators
 from .programs import Program
@@ -34,19 +34,19 @@
 from .summary import summary
 from .testbed import POLL_S
 
-READY_S: Final = 60.0  # until all gateways are ready, many processes on one machine
-SETTLE_S: Final = 0.8  # the first heartbeats pass before the load begins
-END_S: Final = 20.0  # after the last request or fault: until all is answered
+READY_S: Final = 60.0  # for all gateways to get ready, with many processes on one machine
+SETTLE_S: Final = 0.8  # for the first heartbeats before the load begins
+END_S: Final = 20.0  # after the last request or fault, for the remaining answers
 SAMPLE_S: Final = 0.5  # between two samples of the processes
-RESTART_S: Final = 10.0  # a process that was started again is ready by then
+RESTART_S: Final = 10.0  # for a restarted process to get ready
 
 
 class NotReadyError(RuntimeError):
-    """The gateways did not start; the text has what their logs say."""
+    """The gateways did not start; the text has the end of their logs."""
 
 
 def shim_seed(seed: int, number: int) -> float:
-    """The seed of the shim of one gateway, by the plan's."""
+    """Returns the seed of one gateway's shim, from the plan's seed."""
     return float(seed * 1000 + number)
 
 
@@ -54,7 +54,7 @@
     """`environment.Environment` with real processes: the run from its first process to its last."""
 
     async def play(self) -> RunResult:
-        """NotReadyError where the gateways don't start; OSError where the machine gives no sockets."""
+        """Plays the plan. Raises NotReadyError if gateways don't start, OSError if a socket fails to open."""
         self.loop = asyncio.get_running_loop()
         self.loop.set_exception_handler(self.report_loop_error)
         with places.reserve_block() as self.block:
@@ -68,7 +68,7 @@
         return summary(self)
 
     async def build(self, start: bool = True) -> None:
-        """Everything that takes part, from the services to the clients; with `start` the gateways run too."""
+        """Creates all services, nodes and clients; with `start` starts the gateways too."""
         plan = self.plan
         self.datagrams = Datagrams(self.loop, self.links, self.block, self.names)
         if self.base.loss_ratio or self.base.duplicate_ratio:
@@ -87,7 +87,7 @@
             self.start_gateway(node)
 
     async def _build_backends(self) -> None:
-        """The plan's backends, one after another, so that each listens before discovery names it."""
+        """Starts the plan's backends one after another, so that each listens before discovery lists it."""
         for k in range(self.plan.boxes):
             place = self.add_backend(k % len(traffic.ZONES), cold=False)
             await self.wait_for(lambda place=place: place.proxy.port, READY_S)
@@ -95,7 +95,7 @@
             self.endpoint_list.put(place.entry)
 
     async def _make_node(self, number: int, name: str) -> Node:
-        """A gateway's place: its discovery, its folder and, for upgrades, its listening socket."""
+        """Creates a gateway's node: its discovery, its folder and, for upgrades, its listening socket."""
         proxy = FaultProxy(self.loop, self.links, "discovery", places.DISCOVERY, 0, self.names)
         agent = DiscoveryAgent(proxy, self.endpoint_list, name, self.probe)  # type: ignore[arg-type]
         agent.transform_entry = lambda entry: self.entry_for(entry, number)
@@ -118,7 +118,7 @@
         return node
 
     def _make_clients(self) -> ClientLoadBalancer:
-        """The clients, who know every gateway."""
+        """Creates the clients, which use every gateway."""
         front = ClientLoadBalancer(
             self.loop,
             random.Random(f"front {self.plan.seed}"),
@@ -131,7 +131,7 @@
         return front
 
     async def _wait_until_ready(self) -> None:
-        """Until every gateway answers PING; NotReadyError where one does not in time."""
+        """Waits until every gateway answers PING. Raises NotReadyError if one does not in time."""
         self.load_balancer.watch_gateways()
         await self.wait_for(
             lambda: all(self.load_balancer.healthy.values()) or not all(s.program.alive for s in self.nodes),
@@ -148,7 +148,7 @@
         await asyncio.sleep(SETTLE_S)  # the first heartbeats pass
 
     async def _play_load(self) -> None:
-        """Plays requests and faults at their times, and watches until all is answered."""
+        """Plays requests and faults at their times, and checks until all requests are answered."""
         plan = self.plan
         self.probe.measure_loop_delay(self.loop)
         self.began_s = start = self.loop.time() + 0.1
@@ -172,7 +172,7 @@
         self.lasted_s = self.loop.time() - start
 
     def _all_answered(self) -> bool:
-        """No request is open or on its way, and no older version still serves."""
+        """Returns whether no request is in flight or to be retried, and no older version still serves."""
         return (
             not self.load_balancer.in_flight
             and not self.load_balancer.retries_waiting
@@ -180,21 +180,21 @@
         )
 
     def _begin_fault(self, fault: Any) -> None:
-        """Records a fault of the plan, and has it begin."""
+        """Records and begins a fault of the plan."""
         text = f"{fault.kind} {' '.join(map(str, fault.who))}".strip()
         self.events.append((round(self.loop.time() - self.began_s, 3), f"{text} for {fault.for_ms} ms"))
         faults.begin(self, fault)  # type: ignore[arg-type]
 
     def _sample_processes(self) -> None:
-        """Reads the logs and the memory of all gateways, and asks for their counters."""
+        """Reads the logs and the memory of all gateways, and requests their counters with SIGUSR1."""
         for node in self.nodes:
             self.read_log(node)
-            if node.program is not None and node.program.up and node.program.alive:
+            if node.program is not None and node.program.listening and node.program.alive:
                 node.program.signal(signal.SIGUSR1)
                 node.memory_kb = max(node.memory_kb, node.program.memory_kb())
 
     async def _end_gateways(self) -> None:
-        """End every process once all is answered; each has to end with nothing left open."""
+        """Ends every process; each has to exit in time and without a fault."""
         left = self.load_balancer.in_flight
         await self._check_ready()
         self.ending = True
@@ -202,7 +202,9 @@
             if node.program is not None:
                 node.program.signal(signal.SIGCONT)
                 node.program.terminate()
-        await self.wait_for(lambda: not any(s.program and s.program.alive for s in self.nodes), GONE_S)
+        await self.wait_for(
+            lambda: not any(s.program and s.program.alive for s in self.nodes), EXIT_TIMEOUT_S
+        )
         for node in self.nodes:
             self.read_log(node)
             if node.program is not None:
@@ -211,29 +213,31 @@
             self.checker.report_violation(Rule.ANSWER, f"{left} requests were never answered")
 
     async def _check_ready(self) -> None:
-        """Whoever runs says yes to the front, or does so within the time that a start may take."""
+        """Checks that each running gateway answers PING, at the latest within the time for a restart."""
         await self.wait_for(lambda: not self._not_ready(), RESTART_S)
         for name in self._not_ready():
-            self.checker.report_violation(Rule.READY, f"{name} runs, and is not ready within {RESTART_S:g} s")
+            self.checker.report_violation(
+                Rule.READY, f"{name} runs but did not get ready within {RESTART_S:g} s"
+            )
 
     def _not_ready(self) -> list[str]:
         running = [s for s in self.nodes if self.is_running(s) and not s.stopping]
         return [s.name for s in running if not self.load_balancer.healthy[s.name]]
 
     def _check_end(self, node: Node, program: Program) -> None:
-        """The process ended in time and in order, and counted no fault."""
+        """Checks that the process exited in time, with a proper code, and counted no fault."""
         code = program.process.returncode
         if program.alive:
             self.checker.report_violation(
-                Rule.RESOURCES, f"{node.name} did not end within {GONE_S:g} s of SIGTERM"
+                Rule.RESOURCES, f"{node.name} did not end within {EXIT_TIMEOUT_S:g} s of SIGTERM"
             )
-        elif code and code != -signal.SIGKILL and (program.up or code != -signal.SIGTERM):
+        elif code and code != -signal.SIGKILL and (program.listening or code != -signal.SIGTERM):
             self.checker.report_fault(node.name, f"exit {code}")
         if node.latest.get("faults"):
             self.checker.report_fault(node.name, f"{node.latest['faults']:g} faults counted")
 
     def clean_up(self) -> None:
-        """Whatever came: nothing that was started here is left."""
+        """Stops everything that was started here, whatever the outcome."""
         for node in self.nodes:
             self._clean_up_gateway(node)
         for place in self.backends.values():
@@ -259,7 +263,7 @@
 
 
 def play(plan: Plan, folder: Path, **options: Any) -> RunResult:
-    """Play one run; `options`: those of `Testbed`. AddressError where the system isn't Linux."""
+    """Plays one run; `options`: those of `Testbed`. Raises AddressError if the system is not Linux."""
     if sys.platform != "linux":
-        raise places.AddressError("field runs need Linux's loopback interface")
+        raise places.AddressError("runs of the testbed need the loopback interface of Linux")
     return asyncio.run(Run(plan, folder, **options).play())
--- a/zincstile/testbed/shim.py
+++ b/zincstile/testbed/shim.py
@@ -1,12 +1,12 @@
-"""The program under faults of its machine: `python -m zincstile.testbed.shim CONTROL_FILE`.
+"""Runs the program with faults of its machine: `python -m zincstile.testbed.shim CONTROL_FILE`.
 
-Replaces, in this process alone, what the program calls of the system: the wall clock, sockets, the wait of
-the event loop, and files in `$TMPDIR`. Nothing of the program is changed. When and how often something
-fails is read from the control file at each call (`shim_control`).
+Replaces, in this process alone, calls of the program to the system: the wall clock, sockets, the wait of
+the event loop, and files in `$TMPDIR`. The program itself is unchanged. Each call reads from the control
+file (`shim_control`) whether it may fail.
 
 Calls fail with the errors that Linux documents for them (accept(2), connect(2), socket(2), write(2),
-fsync(2), rename(2)). An accept that fails leaves the connection in the queue. Not shown: EINTR, which
-Python itself retries (PEP 475), so that here a wait ends with nothing instead.
+fsync(2), rename(2)). A failed accept leaves the connection in the queue. EINTR is not
+simulated, as Python itself retries it (PEP 475); a wait without events stands in for it.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 from .shim_control import Knob, ShimControl
 
-# What Linux documents for each call; a call that fails draws one of them.
+# Errors that Linux documents for each call; a failing call draws one of them.
 ACCEPT_ERRORS: Final = (
     errno.ECONNABORTED,
     errno.ENFILE,
@@ -49,33 +49,33 @@
 BROKEN_ERRORS: Final = (errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ECONNRESET)
 WRITE_ERRORS: Final = (errno.ENOSPC, errno.EIO)
 READ_ERRORS: Final = (errno.EIO, errno.ENFILE, errno.EMFILE)
-MAX_SHORT_BYTES: Final = 16  # of a short read or write: most commands take several
+MAX_SHORT_BYTES: Final = 16  # of a short read or write, so that most commands take several
 
 
 class Shim:
-    """The replaced calls. `install` puts them in place."""
+    """Replacements for calls to the system; `install` activates them."""
 
     def __init__(self, control: ShimControl, folder: str) -> None:
-        """Takes the file that says how often a call fails, and the folder whose files have faults."""
+        """`control`: failure rates of the calls; `folder`: the folder whose files have faults."""
         self.control = control
         self.folder = os.path.realpath(folder)
-        # The size of the log is part of the seed, so that a process that is started again draws differently.
+        # The size of the log is part of the seed, so that a restarted process draws differently.
         self.rng = random.Random(f"shim {control.get(Knob.SEED)} {os.fstat(2).st_size}")
-        self.connected: dict[int, None] = {}  # descriptors that this process has connected
+        self.connected: dict[int, None] = {}  # descriptors of outgoing connections
 
     def draw(self, knob: Knob) -> bool:
-        """True with the probability that the control file has for this call; draws nothing where it is 0."""
+        """Returns True with the probability set for this call; draws nothing if that is 0."""
         share = self.control.get(knob)
         return share > 0 and self.rng.random() < share
 
     def fail(self, knob: Knob, errors: tuple[int, ...]) -> None:
-        """Raises OSError with one of these numbers where the draw of this call says so."""
+        """Raises OSError with one of these error numbers, with the probability set for this call."""
         if self.draw(knob):
             number = self.rng.choice(errors)
             raise OSError(number, os.strerror(number))
 
     def install(self) -> None:
-        """From here on the process calls these."""
+        """Replaces the calls for the whole process."""
         self._install_clock()
         self._install_socket_setup()
         self._install_socket_transfers()
@@ -94,7 +94,7 @@
     # ---- sockets
 
     def _install_socket_setup(self) -> None:
-        """Creating, accepting and connecting a socket may fail."""
+        """Lets creating, accepting and connecting a socket fail."""
         shim = self
         real_init = socket.socket.__init__
         real_accept = socket.socket.accept
@@ -119,7 +119,7 @@
         socket.socket.connect = connect
 
     def _install_socket_transfers(self) -> None:
-        """Reads and writes of a socket may be short or find the connection broken."""
+        """Lets socket reads and writes be short, and reads find the connection broken."""
         shim = self
 
         def recv_into(sock: Any, buffer: Any, size: int = 0, flags: int = 0) -> int:
@@ -138,7 +138,7 @@
         socket.socket.send = send
 
     def short_length(self, size: int) -> int:
-        """How many bytes of `size` a short call takes; raises BlockingIOError in place of none."""
+        """Returns the bytes of `size` that a short call transfers; raises BlockingIOError in place of 0."""
         number = self.rng.randint(0, min(size, MAX_SHORT_BYTES))
         if not number:
             raise BlockingIOError(errno.EAGAIN, os.strerror(errno.EAGAIN))
@@ -159,7 +159,7 @@
     # ---- files in $TMPDIR
 
     def is_faulty_path(self, path: object) -> bool:
-        """The path is in the folder whose files have faults."""
+        """Returns whether the path is in the folder whose files have faults."""
         return isinstance(path, str | Path) and os.path.realpath(path).startswith(self.folder + os.sep)
 
     def _install_files(self) -> None:
@@ -191,15 +191,15 @@
 
 
 class FaultyFile:
-    """A file that is written in `$TMPDIR`."""
+    """A file in `$TMPDIR` opened for writing, whose writes may fail."""
 
     def __init__(self, shim: Shim, file: Any) -> None:
-        """Takes the file that is really open."""
+        """`file`: the real file."""
         self._shim = shim
         self._file = file
 
     def __enter__(self) -> FaultyFile:
-        """Returns itself: `with` writes through the faults too."""
+        """Returns itself, so that writes inside `with` may fail too."""
         return self
 
     def __exit__(self, *what: object) -> None:
@@ -207,11 +207,11 @@
         self._file.close()
 
     def __getattr__(self, name: str) -> Any:
-        """Returns the real file's member: everything but `write` is the file's own."""
+        """Returns the real file's member; only `write` is replaced."""
         return getattr(self._file, name)
 
     def write(self, data: bytes) -> int:
-        """Half of it where the process is killed in the middle, or the disk is full."""
+        """Writes the data, or only half of it before the process is killed or an error is raised."""
         shim = self._shim
         half = data[: len(data) // 2]
         if shim.control.get(Knob.KILL_IN_WRITE):
--- a/zincstile/testbed/start.py
+++ b/zincstile/testbed/start.py
@@ -1,8 +1,7 @@
-"""Cold starts of many real processes with a list service that has to be polled: when each is ready, and
-the load of the service.
+"""Cold starts of many real processes that poll a list service: the time until each is ready, and the load of
+the service.
 
-Readiness is read from each program's own log, so that the measure costs it nothing. Clocks are this
-machine's.
+Readiness is read from each process's log, so that measuring it does not slow the process.
 """
 
 from __future__ import annotations
@@ -23,15 +22,15 @@
 from .run import NotReadyError, Run
 
 WAVES = ("all", "tenths", "seven-in-ten", "outage", "down", "empty")
-TENTH_S: Final = 1.0  # between two tenths of the fleet
-OUTAGE_S: Final = 20.0  # for so long the list service is silent
-KILLED_RATIO: Final = 0.7  # of the fleet, in the wave of seven in ten
-COUNTED_SPAN_S: Final = 0.1  # the span in which the most calls are counted
+TENTH_S: Final = 1.0  # between the starts of two tenths of the fleet
+OUTAGE_S: Final = 20.0  # silence of the list service
+KILLED_RATIO: Final = 0.7  # of the fleet, in the wave `seven-in-ten`
+COUNTED_SPAN_S: Final = 0.1  # `calls_in_any`: the maximum number of calls within this time
 
 
 class StartRow(msgspec.Struct):
-    """One wave. Seconds from its begin; `least_s`: what nobody can beat, the work of the lists and the start
-    of the processes."""
+    """One wave. Times are seconds from its begin; `least_s`: the lower bound, the time to serve the lists
+    plus the start of the processes."""
 
     wave: str
     gateways: int
@@ -44,16 +43,16 @@
     ready: int
     least_s: float
     calls_each: float
-    calls_most: int  # of one gateway
-    calls_in_any: int  # in any tenth of a second
-    for_the_left: int
+    calls_most: int  # of one gateway, maximum
+    calls_in_any: int  # in any tenth of a second, maximum
+    for_the_left: int  # lists served after the caller had disconnected
     megabytes: float
     memory_mb: float = 0.0
     cpu_ms: float = 0.0  # of one process until it was ready, median
 
     @property
     def times(self) -> float:
-        """All ready, in what nobody can beat."""
+        """Time until all were ready, relative to the lower bound."""
         return self.all_s / self.least_s if self.all_s >= 0 else float("inf")
 
 
@@ -69,14 +68,14 @@
 
 @dataclass(slots=True)
 class Wave:
-    """Starts that belong together."""
+    """Processes that are started together."""
 
     begun_s: float
     starts: dict[str, ProcessStart] = field(default_factory=dict)
 
 
 class StartRun(Run):
-    """`patience_s`: how long a wave is waited for."""
+    """Plays waves of cold starts. `patience_s`: timeout of a wave."""
 
     def __init__(
         self,
@@ -94,7 +93,7 @@
         self.wave: Wave | None = None
 
     async def waves(self, names: list[str]) -> list[StartRow]:
-        """Plays them one after another, on one fleet. AddressError, OSError."""
+        """Plays the waves one after another, on one fleet. Raises AddressError or OSError."""
         self.loop = asyncio.get_running_loop()
         self.loop.set_exception_handler(self.report_loop_error)
         with places.reserve_block() as self.block:
@@ -115,7 +114,7 @@
             node.agent.on_request = self.service.receive_call
 
     def known_list(self, node: Node) -> dict:
-        """Nothing: what a start costs without a cached list is what the waves measure."""
+        """Returns no list: the waves measure starts without a cached list."""
         return {}
 
     # ---- the waves
@@ -163,14 +162,14 @@
         await self._start(self.nodes, name)
 
     async def _down(self, name: str) -> None:
-        """All killed and back while it is silent; counted from its return."""
+        """All are restarted while the service is silent; `least_s` includes the silence."""
         self._kill(self.nodes)
         self._silent(True)
         self.after(1000 * OUTAGE_S, self._silent, False)
         await self._start(self.nodes, name)
 
     async def _empty(self, name: str) -> None:
-        """It comes back with an empty list, and fills."""
+        """The service returns with an empty list, which then fills."""
         self._kill(self.nodes)
         entries = list(self.endpoint_list.entries.values())
         for entry in entries:
@@ -203,7 +202,7 @@
             at, _, rest = line.partition(" ")
             if " start listening on " in line:
                 start.up_s = float(at) - self.wave.begun_s
-                node.program.up = True
+                node.program.listening = True
             elif " ready with " in line:
                 start.ready_s = float(at) - self.wave.begun_s
                 start.cpu_ms = node.program.cpu_ms()
@@ -215,7 +214,7 @@
         ready = sorted(m.ready_s for m in starts if m.ready_s >= 0)
         up = max((m.up_s for m in starts), default=0.0)
         service, count = self.service, len(nodes)
-        work = count / self.behaviour.snapshots_per_s + (OUTAGE_S if name in ("outage", "down") else 0.0)
+        service_s = count / self.behaviour.snapshots_per_s + (OUTAGE_S if name in ("outage", "down") else 0.0)
         memory = [s.program.memory_kb() / 1024 for s in nodes]
         self.rows.append(
             StartRow(
@@ -228,7 +227,7 @@
                 round(_at(ready, count, 0.99), 2),
                 round(_at(ready, count, 1.0), 2),
                 len(ready),
-                round(work + up, 2),
+                round(service_s + up, 2),
                 round(service.counts.calls / count, 3),
                 max(service.calls_by_gateway.values(), default=0),
                 service.max_calls_within(COUNTED_SPAN_S),
@@ -241,9 +240,9 @@
 
 
 def _at(ready: list[float], count: int, part: float) -> float:
-    """When that part of all was ready; -1: never."""
-    need = max(1, -(-int(count * part * 1000) // 1000))
-    return ready[need - 1] if len(ready) >= need else -1.0
+    """Returns when this part of all was ready; -1: never."""
+    required = max(1, -(-int(count * part * 1000) // 1000))
+    return ready[required - 1] if len(ready) >= required else -1.0
 
 
 def play(
@@ -254,13 +253,13 @@
     patience_s: float,
     features: dict[str, str] | None = None,
 ) -> list[StartRow]:
-    """The waves, one after another."""
+    """Plays the waves one after another; returns a row for each."""
     signal.signal(signal.SIGUSR1, signal.SIG_IGN)
     return asyncio.run(StartRun(plan, folder, behaviour, patience_s, features).waves(names))
 
 
 def table(rows: list[StartRow]) -> str:
-    """One line a wave."""
+    """Returns a text table with a line for each wave."""
     lines = [
         f"{'wave':14}{'n':>5}{'lists/s':>9}{'up':>7}{'half':>7}{'99%':>7}{'all':>7}{'ready':>7}"
         f"{'least':>7}{'times':>7}{'calls':>7}{'most':>6}{'in 0.1s':>9}"
--- a/zincstile/testbed/summary.py
+++ b/zincstile/testbed/summary.py
@@ -1,4 +1,4 @@
-"""What came of a run, gathered from all of its parts into one result."""
+"""Builds the result of a run from all of its parts."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 
 
 def summary(run: Testbed) -> RunResult:
-    """The result of a run that has ended."""
-    checker, breaches = run.checker, _breaches(run)
+    """Returns the result of a run that has ended."""
+    checker, violations = run.checker, _violations(run)
     return RunResult(
         plan=run.name,
         seed=run.plan.seed,
@@ -21,7 +21,7 @@
         boxes=run.plan.boxes,
         faults=[f"{f.kind} at {f.at_ms} for {f.for_ms}" for f in run.plan.faults],
         seconds=round(run.lasted_s, 2),
-        ok=not breaches,
+        ok=not violations,
         requests=checker.counts.requests,
         attempts=checker.counts.attempts,
         tally=_tally(run),
@@ -33,7 +33,7 @@
             "quota": round(checker.quotas.peak_ratio, 4),
         },
         rows=[_gateway(run, node) for node in run.nodes],
-        breaches=breaches,
+        breaches=violations,
         latency_ms=latency_percentiles(run.load_balancer.latencies_s),
         links=_datagram_counts(run.links.counts),
         series=run.series.rows(run.names),
@@ -43,7 +43,7 @@
 
 
 def _gateway(run: Testbed, node: Node) -> GatewayRow:
-    """One gateway, with the counters of all its processes."""
+    """Returns the row of one gateway, with counters summed over its processes."""
     names = {*node.counters, *node.latest}
     return GatewayRow(
         name=node.name,
@@ -57,7 +57,7 @@
 
 
 def _datagram_counts(counts: DatagramCounts) -> dict[str, int]:
-    """What became of datagrams, by the names of stored results."""
+    """Returns counts of datagrams by outcome, under the names of stored results."""
     return {
         "passed": counts.passed,
         "lost": counts.lost,
@@ -67,7 +67,7 @@
 
 
 def _tally(run: Testbed) -> dict[str, int]:
-    """Requests by what became of them."""
+    """Returns counts of requests by outcome."""
     tally: dict[str, int] = {}
     for (_, kind), count in run.load_balancer.outcomes.items():
         tally[kind] = tally.get(kind, 0) + count
@@ -75,7 +75,7 @@
 
 
 def _plans(run: Testbed) -> list[PlanRow]:
-    """Each plan's quota over all gateways, beside the bound that is stated for it."""
+    """Returns use of each plan's quota over all gateways, with its stated bound."""
     return [
         PlanRow(
             plan=plan,
@@ -88,15 +88,15 @@
     ]
 
 
-def _breaches(run: Testbed) -> list[ViolationRow]:
-    """Broken rules, by the seconds since the load began."""
+def _violations(run: Testbed) -> list[ViolationRow]:
+    """Returns the rule violations, with times in seconds since the load began."""
     return [
         ViolationRow(
-            rule=breach.rule,
-            at_s=round(breach.at_ns / 1e9 - run.began_s, 3),
-            request=breach.request,
-            text=breach.text,
-            history=breach.history,
+            rule=violation.rule,
+            at_s=round(violation.at_ns / 1e9 - run.began_s, 3),
+            request=violation.request,
+            text=violation.text,
+            history=violation.history,
         )
-        for breach in run.checker.violations
+        for violation in run.checker.violations
     ]
--- a/zincstile/testbed/sweep.py
+++ b/zincstile/testbed/sweep.py
@@ -1,4 +1,4 @@
-"""Many runs of drawn failures with real processes, a few beside each other."""
+"""Many runs of drawn failures with real processes, several in parallel."""
 
 from __future__ import annotations
 
@@ -19,18 +19,19 @@
 
 
 def parse_features(arguments: tuple[str, ...]) -> dict[str, str]:
-    """The files by name, of `NAME=FILE` arguments. FileError where one is none, or names no file."""
+    """Returns the files by feature name from `NAME=FILE` arguments. Raises FileError for a malformed argument
+    or a missing file."""
     found = {}
     for argument in arguments:
         name, equals, path = argument.partition("=")
         if not equals or not name or not Path(path).is_file():
-            raise FileError(f"--feature {argument}: not NAME=FILE with a file that is there")
+            raise FileError(f"--feature {argument}: not NAME=FILE with an existing file")
         found[name] = str(Path(path).resolve())
     return found
 
 
 def play_plan(plan: Plan, folder: Path, name: str, files: dict[str, str]) -> RunResult:
-    """Plays a plan, with the bound that its gateways state for themselves. FileError, AddressError,
+    """Plays a plan, with the quota bounds that its features state. Raises FileError, AddressError or
     NotReadyError."""
     files = dict(files)
     if plan.share and "shared" not in files:
@@ -52,7 +53,7 @@
 
 
 def draw_plan(seed: int, gateways: int, kind: str, gossip: bool) -> Plan:
-    """A failure of the shared state, a trouble of a zone, or several troubles at once."""
+    """Draws a plan with a failure of the shared state, a failure of a zone, or several failures at once."""
     if kind == soak.KIND:
         return soak.draw(seed, gateways)
     if kind in places.KINDS:
@@ -70,7 +71,7 @@
     try:
         with tempfile.TemporaryDirectory(prefix="zincstile-field-") as folder:
             return play_plan(plan, Path(folder), kind, files)
-    except (AddressError, run.NotReadyError) as err:  # told as a run that is not all right
+    except (AddressError, run.NotReadyError) as err:  # reported as a failed run
         return RunResult(
             plan=kind,
             seed=seed,
@@ -101,20 +102,20 @@
     files: dict[str, str],
     gossip: bool = False,
 ) -> Iterator[RunResult]:
-    """In the order in which they end. Failures go round by the seed."""
+    """Yields results in the order in which runs end. The seed selects the kind of failure, round-robin."""
     with multiprocessing.get_context("spawn").Pool(min(jobs, len(seeds)), maxtasksperchild=8) as pool:
         yield from pool.imap_unordered(partial(_play_drawn, gateways, kinds, files, gossip), seeds)
 
 
 def _cpu(rows: list[RunResult]) -> float:
-    """Milliseconds of a request, the start of the processes among them."""
+    """Returns CPU milliseconds per request, including the start of the processes."""
     counters = [x.counters for r in rows for x in r.rows]
     requests = sum(c.get("requests", 0.0) for c in counters)
     return sum(c.get("cpu_ms", 0.0) for c in counters) / max(1.0, requests)
 
 
 def table(done: list[RunResult]) -> str:
-    """One line a failure: runs, worst beside stated, goodput, messages."""
+    """Returns a text table with a line for each kind of failure."""
     lines = [
         f"{'failure':14}{'runs':>5}{'broken':>8}{'worst units':>13}{'of its bound':>14}"
         f"{'goodput':>9}{'least':>7}{'msg/s':>7}{'CPU ms':>8}"
--- a/zincstile/testbed/testbed.py
+++ b/zincstile/testbed/testbed.py
@@ -1,7 +1,7 @@
-"""The state of one run that all parts of it share, and the small tools that they share with it.
+"""The state of one run, and helpers that all of its parts share.
 
-Times that a rule allows are wider here by `SLACK_NS`, since this machine runs everything at once; bounds and
-counts are exact.
+Time limits of rules are extended by `SLACK_NS` or `NEAR_SLACK_NS`, since one machine runs all processes;
+bounds and counts are exact.
 """
 
 from __future__ import annotations
@@ -30,18 +30,18 @@
 from .probe import Probe, TimeSeries
 
 MS: Final = 1_000_000  # nanoseconds
-SLACK_NS: Final = 1500 * MS  # of what has to be done in time, on a machine that does all at once
-NEAR_SLACK_NS: Final = 400 * MS  # of what is a fraction of a second by itself
+SLACK_NS: Final = 1500 * MS  # added to limits of a second or more, as one machine runs all processes
+NEAR_SLACK_NS: Final = 400 * MS  # added to limits of a fraction of a second
 POLL_S: Final = 0.02  # between two checks of a condition
-RACKS: Final = 3  # that the backends stand in
+RACKS: Final = 3  # in which the backends are placed
 
 
 class Testbed:
-    """The state of one run, with real processes. `features`: files in every gateway's settings, by name."""
+    """The state of one run with real processes. `features`: files by name, for every gateway."""
 
-    # Made when the run begins:
+    # Set when the run begins:
     loop: asyncio.AbstractEventLoop
-    block: int  # of loopback addresses, this run's own
+    block: int  # of loopback addresses, reserved for this run
     datagrams: Datagrams
     load_balancer: ClientLoadBalancer
     lasted_s: float
@@ -55,10 +55,10 @@
         stated: dict[str, tuple[float, float, float]] | None = None,
         initial_ratio: dict[str, float] | None = None,
     ) -> None:
-        """Prepare a run whose processes keep their files in `folder`.
+        """Prepares a run whose processes keep their files in `folder`.
 
-        `stated`: rate, burst and bound of each plan's quota, in place of the usual ones. `initial_ratio`: the
-        part of each plan's burst that a gateway begins with.
+        `stated`: rate, burst and bound of each plan's quota, in place of the default. `initial_ratio`: the
+        part of each plan's burst that a gateway starts with.
         """
         self.plan = plan
         self.folder = folder
@@ -96,26 +96,25 @@
         self.names = [f"g{k}" for k in range(plan.gateways)]
         self.backends_made = 0
         self._tasks: dict[asyncio.Task, None] = {}
-        self._active_faults: dict[Any, Any] = {}  # by key: what removes it
+        self._active_faults: dict[Any, Any] = {}  # by key: the function that removes it
         kinds = {f.kind for f in plan.faults}
         upgraded = [n for f in plan.faults if f.kind == "upgrade" for n in f.who]
-        self.upgraded_gateways = {
-            n % plan.gateways for n in upgraded
-        }  # the platform holds their listening sockets
+        # The platform holds the listening sockets of these gateways.
+        self.upgraded_gateways = {n % plan.gateways for n in upgraded}
         self.has_admin_endpoint = bool(kinds & {"upgrade", "maintenance"})  # gateways have a control endpoint
         self.uses_shim = bool(kinds & {*SHIM, "skew"})  # their processes run under the shim
         self.first_start_s = 0.0
         self.ending = False  # every process has been asked to end
 
     def report_loop_error(self, _: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-        """An error of the testbed itself: a run that has one proves nothing."""
+        """Reports an error of the testbed itself as a violation, as it makes the run invalid."""
         err = context.get("exception")
         self.checker.report_violation(
-            Rule.PROGRESS, f"the field: {type(err).__name__}: {err} ({context.get('message')})"
+            Rule.PROGRESS, f"the testbed: {type(err).__name__}: {err} ({context.get('message')})"
         )
 
     async def wait_for(self, condition: Callable[[], Any], seconds: float) -> bool:
-        """True once the condition holds, False where it does not within the time."""
+        """Returns True once the condition holds, False if it does not within this time."""
         until = time.monotonic() + seconds
         while not condition():
             if time.monotonic() > until:
@@ -124,18 +123,18 @@
         return True
 
     def spawn(self, coro: Coroutine) -> None:
-        """Runs a coroutine beside everything else; what is left of it at the end of the run is cancelled."""
+        """Runs a coroutine in the background; it is cancelled at the end of the run."""
         task = self.loop.create_task(coro)
         self._tasks[task] = None
         task.add_done_callback(lambda done: self._tasks.pop(done, None))
 
     def cancel_tasks(self) -> None:
-        """Cancels every coroutine of `spawn` that has not ended."""
+        """Cancels all running coroutines of `spawn`."""
         for task in list(self._tasks):
             task.cancel()
 
     def set_network_fault(self, key: Any, pairs: Any, fault: PathFault, on: bool) -> None:
-        """Injects a fault on paths under this key, or removes the one that is there."""
+        """Removes the active fault under this key, and injects the new one if `on`."""
         if key in self._active_faults:
             self._active_faults.pop(key)()
         if on:
@@ -146,8 +145,8 @@
         self.loop.call_later(ms / 1000, then, *args)
 
     def note(self, what: str, where: str) -> None:
-        """Nothing is recorded step by step: real processes have no steps that are ours."""
+        """Does nothing: the steps of real processes are not recorded."""
 
     def weigh_gateways(self, want: PlannedRequest, names: list[str]) -> list[float]:
-        """How likely a client asks each of these gateways for this request."""
+        """Returns the weights with which a client chooses among these gateways for this request."""
         return traffic.weigh(self, want, names)  # type: ignore[arg-type]
