--- a/zincstile/cli/testbed.py
+++ b/zincstile/cli/testbed.py
@@ -1,4 +1,4 @@
-"""The command `testbed`: runs of several real gateway processes on loopback, with injected faults."""
+"""`testbed`: several real gateway processes on loopback, with injected faults."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
     from ..simulation import soak
 
     if (path is None) == (gateways is None):
-        raise BadInputError("testbed run: give either PLAN.yaml or --soak GATEWAYS with --seed")
+        raise BadInputError("testbed run: give either PLAN.yaml, or --soak GATEWAYS with --seed")
     return load(path, seed) if path is not None else soak.draw(seed or 1, gateways)
 
 
@@ -176,7 +176,7 @@
 @command.command("start")
 @click.option("--gateways", type=click.IntRange(1, 250), default=24, show_default=True)
 @click.option(
-    "--boxes", type=click.IntRange(1, 250), default=24, show_default=True, help="Backends in the list."
+    "--boxes", type=click.IntRange(1, 250), default=24, show_default=True, help="Endpoints in the list."
 )
 @click.option("--lists-per-s", "per_s", type=click.FloatRange(0.1, 1e6), default=20.0, show_default=True)
 @click.option("--wave", "waves", multiple=True, help="Wave of starts to play; default: all.")
@@ -192,7 +192,7 @@
     "slows_after_calls",
     type=click.IntRange(0),
     default=0,
-    help="Calls after which the service is half the speed.",
+    help="Calls after which the service is half as fast.",
 )
 @click.option("--resets-every", type=click.IntRange(0), default=0, help="Reset every Nth call.")
 @click.option(
@@ -226,7 +226,7 @@
     patience: float,
     seed: int,
     features: tuple[str, ...],
-    **faults: int,
+    **behaviour: int,
 ) -> int:
     """Cold starts of real processes that poll a list service. Exit code 1 if a gateway is late."""
     from ..emulators.list_service import ListServiceBehaviour
@@ -247,7 +247,7 @@
             outcomes = starts.play(
                 plan,
                 Path(folder),
-                ListServiceBehaviour(per_s, **faults),
+                ListServiceBehaviour(per_s, **behaviour),
                 names,
                 patience,
                 sweeps.parse_features(features),
@@ -262,11 +262,9 @@
 
 @command.command("report")
 @click.argument("files", metavar="RESULT.json...", nargs=-1, required=True, type=click.Path())
-@click.option(
-    "--out", required=True, type=click.Path(dir_okay=False), help="Write the file of the page to this file."
-)
+@click.option("--out", required=True, type=click.Path(dir_okay=False), help="Write the page to this file.")
 def report(files: tuple[str, ...], out: str) -> int:
-    """Writes a report page on one result, or on several side by side."""
+    """Writes a report page of one result, or of several side by side."""
     from ..testbed import report as pages
     from ..testbed import result as results
 
