--- a/zincstile/simulation/environment.py
+++ b/zincstile/simulation/environment.py
@@ -1,7 +1,7 @@
-"""What a plan's faults need of a run: `run.Run` on virtual time, `testbed.run.Run` with real processes.
+"""What fault injection needs of a run: `run.Run` on virtual time or `testbed.run.Run` with real processes.
 
-Times are milliseconds from now. Each says in its own way how a gateway is killed or a path is
-cut; `faults` never asks which of both it is.
+Times are in milliseconds from now. Each implementation has its own way to kill a gateway or cut a path;
+`faults` does not distinguish them.
 """
 
 from __future__ import annotations
@@ -28,11 +28,11 @@
     number: int
     name: str
     agent: DiscoveryAgent
-    skew_ns: int  # of its Unix clock, from the next start on
+    skew_ns: int  # offset of its Unix clock, effective from the next start
     starts: int
-    moves: int  # of its discovery
-    quota_service_number: int  # of the one that its configuration names
-    stopping: bool  # it got SIGTERM
+    moves: int  # of its discovery address, so far
+    quota_service_number: int  # number of the quota service that its configuration names
+    stopping: bool  # it has received SIGTERM
 
 
 class Backend(Protocol):
@@ -49,107 +49,107 @@
 
     plan: Plan
     checker: Checker
-    rng: random.Random  # of faults and emulators, in the order of events
+    rng: random.Random  # for faults and emulators, which draw in the order of events
     links: NetworkFaults
     nodes: list[Any]
     backends: dict[str, Any]
-    backend_names: list[str]  # names in the plan's order; a deploy puts the new one in its place
+    backend_names: list[str]  # in the plan's order; a deploy replaces the old name by the new one
     endpoint_list: EndpointList
     load_balancer: ClientLoadBalancer
-    customer_weights: dict[tuple[int, str], float]  # how unevenly a customer comes in
+    customer_weights: dict[tuple[int, str], float]  # distribution of a customer over gateways
     weight_rng: random.Random
-    preferred_gateways: list[dict[str, None]]  # gateways to which all are drawn at present
+    preferred_gateways: list[dict[str, None]]  # gateways that receive all requests at present
 
     def note(self, what: str, where: str) -> None:
-        """For the record."""
+        """Adds an event to the trace of the run."""
 
-    def after(self, ms: float, then: Callable[..., None], *args: object) -> None:
-        """Calls `then` that many milliseconds from now."""
+    def after(self, ms: float, callback: Callable[..., None], *args: object) -> None:
+        """Calls `callback` that many milliseconds from now."""
 
     # gateways
 
     def is_running(self, node: Any) -> bool:
-        """True while a process of it is alive."""
+        """Returns True while a process of the gateway is alive."""
 
     def start_gateway(self, node: Any) -> None:
-        """Starts a process from nothing but its configuration and the last list."""
+        """Starts a process from its configuration and the cached endpoint list alone."""
 
     def kill(self, node: Any) -> None:
-        """SIGKILL."""
+        """Sends SIGKILL."""
 
     def terminate(self, node: Any) -> None:
-        """SIGTERM."""
+        """Sends SIGTERM."""
 
     def pause(self, node: Any, ms: float) -> None:
-        """It gets no CPU for so long."""
+        """Stops the process for this time."""
 
     def reload(self, node: Any) -> None:
-        """SIGHUP, with the file as it is by now."""
+        """Sends SIGHUP; the gateway reads its current configuration file."""
 
     def upgrade(self, node: Any) -> None:
-        """The next version starts beside this one and takes over."""
+        """Starts the next version of the program, which takes over from the running process."""
 
     def move_discovery(self, node: Any) -> None:
-        """Its agent listens at a new address too, which the file names from now on."""
+        """Makes its agent listen at an additional address, and puts that into the configuration file."""
 
     def connect_misbehaving_client(self, node: Any, client: MisbehavingClient) -> None:
-        """A client that keeps to no protocol connects to it."""
+        """Connects a client that violates the protocol."""
 
     # backends
 
     def backend_is_running(self, backend: Any) -> bool:
-        """True until it is killed."""
+        """Returns True until the backend is killed."""
 
     def kill_backend(self, backend: Any) -> None:
-        """Its connections break, and it takes no new ones."""
+        """Breaks all connections and stops listening."""
 
     def add_backend(self, zone: int, cold: bool, group: int | None = None, at: Any = None) -> Any:
-        """A new one, at another's address where one is given."""
+        """Adds a backend, at the address of `at` if given."""
 
     def restart_backend(self, old: Any) -> Any:
-        """The same one, started again and cold."""
+        """Restarts a backend, cold."""
 
     def resume_listening(self, backend: Any) -> None:
-        """It takes connections again, if it took none."""
+        """Accepts connections again if it had stopped."""
 
     def reset_backend(self, backend: Any) -> None:
-        """Its connections break; it goes on."""
+        """Breaks its connections; the backend keeps running."""
 
-    def set_backend_unreachable(self, backend: Any, silent: bool) -> None:
-        """No gateway reaches it any more, or all do again."""
+    def set_backend_unreachable(self, backend: Any, unreachable: bool) -> None:
+        """Cuts the backend off from all gateways, or reconnects it."""
 
     def set_backend_delay(self, backend: Any, ms: float) -> None:
-        """What passes between it and the gateways is late by so much; 0: no more."""
+        """Delays all traffic between the backend and the gateways by this time; 0 ends it."""
 
-    def set_partitioned(self, node: Any, backend: Any, apart: bool) -> None:
-        """This gateway and this backend reach each other no more, or do again."""
+    def set_partitioned(self, node: Any, backend: Any, partitioned: bool) -> None:
+        """Cuts the path between a gateway and a backend, or restores it."""
 
     # quota services
 
     def quota_service(self, number: int) -> QuotaService:
-        """The quota service of that number."""
+        """Returns the quota service of that number."""
 
     def start_quota_service(self, number: int) -> None:
-        """Starts a quota service that knows nothing yet."""
+        """Starts a quota service with empty state."""
 
     def kill_quota_service(self, number: int) -> None:
-        """Its connections break, and it takes no new ones."""
+        """Breaks all connections and stops listening."""
 
-    def set_quota_service_unreachable(self, silent: bool) -> None:
-        """No gateway reaches the first quota service any more, or all do again."""
+    def set_quota_service_unreachable(self, unreachable: bool) -> None:
+        """Cuts the first quota service off from all gateways, or reconnects it."""
 
 
 class RealEnvironment(Environment, Protocol):
-    """One run with real processes, whose machines and operators take part too."""
+    """One run with real processes, with faults of machines and actions of operators."""
 
     def reload(self, node: Any, half: bool = False) -> None:
-        """`half`: its file is cut off in the middle."""
+        """Sends SIGHUP; with `half`, its configuration file is truncated."""
 
     def step_clock(self, node: Any, seconds: float) -> None:
-        """Its machine's wall clock is off by so much from now on."""
+        """Sets the offset of the wall clock of its machine."""
 
     def set_knob(self, node: Any, name: str, value: float) -> None:
-        """A value of the shim of its processes (`field.shim_control.Knob`)."""
+        """Sets a value of the shim of its processes (`testbed.shim_control.Knob`)."""
 
     def set_maintenance(self, node: Any, name: str, out: bool) -> None:
-        """An operator's call: the box of that name is taken out, or put back."""
+        """Puts the backend of that name into maintenance as an operator does, or ends it."""
--- a/zincstile/simulation/faults.py
+++ b/zincstile/simulation/faults.py
@@ -1,8 +1,8 @@
-"""How each kind of fault is carried out: begun at its instant, and ended after its time.
+"""Injects each kind of fault at its time, and ends it after its duration.
 
-The functions know an `environment.Environment` alone, so that virtual time and real processes play the
-same plan by the same code. A new kind is a function here that takes the run and the fault, and a row in
-`KINDS`; `plan.Kind` names it, and `plan._fault` says how it is drawn.
+The functions use nothing but an `environment.Environment`, so that virtual time and real processes play the
+same plan with the same code. A new kind needs a function here that takes the run and the fault, an entry in
+`KINDS`, its name in `plan.Kind`, and its random parameters in `plan._fault`.
 """
 
 from __future__ import annotations
@@ -19,19 +19,19 @@
 from .plan import Fault
 
 SECOND_NS: Final = 1_000_000_000
-KILL_MS: Final = 3700  # from SIGTERM to SIGKILL: the longest deadline and 0.7 s
-MOVED_S: Final = 1.5  # after a move, discovery's old address closes what is open
-RESTART_MS: Final = 50  # until a gateway whose clock is wrong starts again
-STAGGER_MS: Final = 7  # between the ends of two backends of one deploy
-USUAL_CALL_S: Final = 0.001  # of the quota service: `QuotaService`'s own figure
-USUAL_CALLS_PER_S: Final = 1500.0  # likewise
-SLOW_CALL_S: Final = 0.03  # of a quota service that is slow
+KILL_MS: Final = 3700  # from SIGTERM to SIGKILL: the longest deadline plus 0.7 s
+OLD_ADDRESS_S: Final = 1.5  # after a move, discovery's old address closes its connections
+RESTART_MS: Final = 50  # until a gateway whose clock was set wrong starts again
+STAGGER_MS: Final = 7  # between the kills of two backends of one deploy
+USUAL_CALL_S: Final = 0.001  # latency of the quota service: the default of `QuotaService`
+USUAL_CALLS_PER_S: Final = 1500.0  # the default of `QuotaService`
+SLOW_CALL_S: Final = 0.03  # latency of a slow quota service
 
 
 def begin(run: Environment, fault: Fault) -> None:
-    """At its instant."""
-    whom = " ".join(str(n) for n in fault.targets)
-    run.checker.record_event(f"fault {fault.kind} {whom} for {fault.for_ms} ms".replace("  ", " "))
+    """Injects a fault; called at its time."""
+    targets = " ".join(str(n) for n in fault.targets)
+    run.checker.record_event(f"fault {fault.kind} {targets} for {fault.for_ms} ms".replace("  ", " "))
     run.note("fault", fault.kind)
     KINDS[fault.kind](run, fault)
 
@@ -41,10 +41,10 @@
 
 
 def _backends(run: Environment, fault: Fault) -> list[Backend]:
-    """The running ones of the backends that have these numbers now."""
+    """Returns the backends that have these numbers at present and are running."""
     names = dict.fromkeys(run.backend_names[n % len(run.backend_names)] for n in fault.targets)
-    chosen = [run.backends[name] for name in names]
-    return [backend for backend in chosen if run.backend_is_running(backend)]
+    matching = [run.backends[name] for name in names]
+    return [backend for backend in matching if run.backend_is_running(backend)]
 
 
 # ---- gateways
@@ -64,10 +64,10 @@
 def _roll(run: Environment, fault: Fault) -> None:
     for node in _nodes(run, fault):
         run.terminate(node)
-        run.after(KILL_MS, _roll_on, run, node, node.starts, fault.for_ms)
+        run.after(KILL_MS, _kill_after_grace, run, node, node.starts, fault.for_ms)
 
 
-def _roll_on(run: Environment, node: Node, starts: int, down_ms: int) -> None:
+def _kill_after_grace(run: Environment, node: Node, starts: int, down_ms: int) -> None:
     if node.starts == starts:
         run.kill(node)
         run.after(down_ms, _restart, run, node)
@@ -80,7 +80,7 @@
 
 
 def _skew(run: Environment, fault: Fault) -> None:
-    """From the next start on its Unix clock is wrong; it starts anew at once."""
+    """Restarts the gateway at once with a wrong Unix clock."""
     for node in _nodes(run, fault):
         node.skew_ns = int(fault.amount * SECOND_NS)
         run.kill(node)
@@ -91,8 +91,8 @@
 
 
 def _deploy(run: Environment, fault: Fault) -> None:
-    """They drain, end, and are replaced by new ones, which are cold; `amount`: share of the old addresses
-    that serve again."""
+    """Drains and kills the backends and replaces them by cold ones; `amount` is the share of addresses that
+    are used again."""
     for number, backend in enumerate(_backends(run, fault)):
         _publish(run, backend, "Terminating")
         backend.emulator.draining = True
@@ -104,9 +104,9 @@
         return
     run.kill_backend(old)
     _publish(run, old, "Gone")
-    same = run.rng.random() < fault.amount
+    keep_address = run.rng.random() < fault.amount
     new = run.add_backend(
-        old.zone, cold=True, group=old.entry.group if same else None, at=old if same else None
+        old.zone, cold=True, group=old.entry.group if keep_address else None, at=old if keep_address else None
     )
     run.backend_names[run.backend_names.index(old.entry.name)] = new.entry.name
     run.after(run.rng.uniform(0, 800 if len(fault.targets) <= 5 else 3000), _announce, run, new)
@@ -123,19 +123,19 @@
 
 
 def _box_crash(run: Environment, fault: Fault) -> None:
-    """Killed at once, published late; the same backend comes back cold, and that is published late too."""
+    """Kills the backends and restarts them cold; discovery publishes both late."""
     for backend in _backends(run, fault):
         run.kill_backend(backend)
-        run.after(run.rng.uniform(0, 1500), _gone, run, backend)
-        run.after(fault.for_ms, _again, run, backend, fault)
+        run.after(run.rng.uniform(0, 1500), _publish_gone, run, backend)
+        run.after(fault.for_ms, _restart_backend, run, backend, fault)
 
 
-def _gone(run: Environment, backend: Backend) -> None:
+def _publish_gone(run: Environment, backend: Backend) -> None:
     if run.backends[backend.entry.name] is backend:
         _publish(run, backend, "Gone")
 
 
-def _again(run: Environment, old: Backend, fault: Fault) -> None:
+def _restart_backend(run: Environment, old: Backend, fault: Fault) -> None:
     name = old.entry.name
     if run.backends[name] is not old:
         return
@@ -145,7 +145,7 @@
 
 
 def _drain(run: Environment, fault: Fault) -> None:
-    """They drain, and after a while, or at once, are ready again."""
+    """Drains the backends; they are ready again after the duration, which may be 0."""
     for backend in _backends(run, fault):
         _publish(run, backend, "Terminating")
         backend.emulator.draining = True
@@ -158,14 +158,14 @@
         _announce(run, backend)
 
 
-def _with_models(name: str, calm: float) -> Callable[[Environment, Fault], None]:
-    """A value of the backends' model is `amount` for a while; none named: all backends."""
+def _with_models(name: str, usual: float) -> Callable[[Environment, Fault], None]:
+    """Sets an attribute of the backends' model to `amount` for a while; without targets, of all backends."""
 
     def set_for_a_while(run: Environment, fault: Fault) -> None:
         backends = _backends(run, fault) if fault.targets else list(run.backends.values())
         for backend in backends:
             setattr(backend.model, name, fault.amount)
-            run.after(fault.for_ms, setattr, backend.model, name, calm)
+            run.after(fault.for_ms, setattr, backend.model, name, usual)
 
     return set_for_a_while
 
@@ -183,34 +183,34 @@
 
 
 def _refuse(run: Environment, fault: Fault) -> None:
-    """New connections are refused; those that are open go on."""
+    """Refuses new connections; open ones stay usable."""
     for backend in _backends(run, fault):
         backend.emulator.stop_listening()
         run.after(fault.for_ms, run.resume_listening, backend)
 
 
 def _reset(run: Environment, fault: Fault) -> None:
-    """All connections of these backends break at once, whatever is on them."""
+    """Resets all connections of these backends at once, including busy ones."""
     for backend in _backends(run, fault):
         run.reset_backend(backend)
 
 
 def _unreachable(run: Environment, fault: Fault) -> None:
-    """Cut off: open connections say nothing, new ones never come up."""
+    """Drops all traffic: open connections are silent, and new ones are never established."""
     for backend in _backends(run, fault):
         run.set_backend_unreachable(backend, True)
         run.after(fault.for_ms, run.set_backend_unreachable, backend, False)
 
 
 def _lag(run: Environment, fault: Fault) -> None:
-    """The way to and from them is `amount` milliseconds longer, each way."""
+    """Adds `amount` milliseconds of latency to and from the backends, in each direction."""
     for backend in _backends(run, fault):
         run.set_backend_delay(backend, fault.amount)
         run.after(fault.for_ms, run.set_backend_delay, backend, 0.0)
 
 
 def _full(run: Environment, fault: Fault) -> None:
-    """They reject everything."""
+    """Sets the queue capacity of the backends to 0, so that they reject everything."""
     for backend in _backends(run, fault):
         capacity = backend.model.queue_capacity
         backend.model.queue_capacity = 0
@@ -220,18 +220,18 @@
 # ---- paths between gateways, and discovery
 
 
-def _others(run: Environment, fault: Fault) -> tuple[list[str], list[str]]:
-    """The gateways on both sides of a link: `who`, and `to` or, where that is empty, all others."""
-    ones = list(dict.fromkeys(node.name for node in _nodes(run, fault)))
+def _gateway_groups(run: Environment, fault: Fault) -> tuple[list[str], list[str]]:
+    """Returns the gateways at both ends of the paths: `targets`, and `to` or, if it is empty, all others."""
+    group = list(dict.fromkeys(node.name for node in _nodes(run, fault)))
     named = [run.nodes[n % len(run.nodes)].name for n in fault.to]
-    return ones, named or [node.name for node in run.nodes if node.name not in ones]
+    return group, named or [node.name for node in run.nodes if node.name not in group]
 
 
 def _inject(run: Environment, fault: Fault, path_fault: PathFault) -> None:
-    """On the datagrams between two groups of gateways; nobody named: between all."""
+    """Impairs the datagrams between two groups of gateways; without targets, between all gateways."""
     names = [node.name for node in run.nodes]
-    ones, others = _others(run, fault) if fault.targets else (names, names)
-    run.after(fault.for_ms, run.links.inject(paths_between(ones, others, fault.way), path_fault))
+    group, others = _gateway_groups(run, fault) if fault.targets else (names, names)
+    run.after(fault.for_ms, run.links.inject(paths_between(group, others, fault.way), path_fault))
 
 
 def _peers_cut(run: Environment, fault: Fault) -> None:
@@ -259,7 +259,7 @@
 
 
 def _peers_ring(run: Environment, fault: Fault) -> None:
-    """Each gateway receives from its left neighbour alone."""
+    """Delivers to each gateway only the datagrams of its left neighbour."""
     names = [node.name for node in run.nodes]
     received = {(names[k - 1], name) for k, name in enumerate(names)}
     run.after(
@@ -269,7 +269,7 @@
 
 
 def _away(run: Environment, fault: Fault) -> None:
-    """These gateways and these backends (none named: all) reach each other no more; connections stay open."""
+    """Partitions gateways from the backends of `to` (empty: all); open connections are not closed."""
     for node in _nodes(run, fault):
         named = [run.backend_names[n % len(run.backend_names)] for n in fault.to]
         for name in named or list(run.backend_names):
@@ -290,21 +290,21 @@
 
 
 def _watch_lost(run: Environment, fault: Fault) -> None:
-    """The watches that are open stay open and say nothing more; new ones are served."""
+    """Silences the open watches without closing them; new ones are served."""
     for node in _nodes(run, fault):
         node.agent.stall_connections()
 
 
 def _discovery_moved(run: Environment, fault: Fault) -> None:
-    """The file names another address; SIGHUP; the old address closes a little later."""
+    """Moves discovery to a new address in the configuration file and reloads; the old one closes later."""
     for node in _nodes(run, fault):
         node.moves += 1
         run.move_discovery(node)
-        run.after(1, _moved, run, node)
+        run.after(1, _reload_after_move, run, node)
 
 
-def _moved(run: Environment, node: Node) -> None:
-    node.agent.retire_oldest_address(MOVED_S)
+def _reload_after_move(run: Environment, node: Node) -> None:
+    node.agent.retire_oldest_address(OLD_ADDRESS_S)
     if run.is_running(node) and not node.stopping:
         run.checker.record_event(f"{node.name} gets SIGHUP")
         run.reload(node)
@@ -314,14 +314,14 @@
 
 
 def _quota_service_gone(run: Environment, fault: Fault) -> None:
-    """It vanishes, and is back with all it knew."""
+    """Makes the quota service unreachable for the duration; it keeps its state."""
     if run.plan.quota_service:
         run.set_quota_service_unreachable(True)
         run.after(fault.for_ms, run.set_quota_service_unreachable, False)
 
 
 def _quota_service_swapped(run: Environment, fault: Fault) -> None:
-    """It dies, and one that knows nothing takes its place."""
+    """Kills the quota service; one with empty state replaces it after the duration."""
     if run.plan.quota_service:
         run.kill_quota_service(0)
         run.after(fault.for_ms, run.start_quota_service, 0)
@@ -332,22 +332,22 @@
         service = run.quota_service(0)
         service.call_latency_s = SLOW_CALL_S
         service.calls_per_s = 1 / (USUAL_CALL_S + USUAL_CALL_S * fault.amount)
-        run.after(fault.for_ms, _quota_service_quick, service)
+        run.after(fault.for_ms, _restore_quota_service_speed, service)
 
 
-def _quota_service_quick(service: QuotaService) -> None:
+def _restore_quota_service_speed(service: QuotaService) -> None:
     service.call_latency_s = USUAL_CALL_S
     service.calls_per_s = USUAL_CALLS_PER_S
 
 
 def _quota_service_split(run: Environment, fault: Fault) -> None:
-    """These gateways find it elsewhere, where another one counts; later they find the first again."""
+    """Points these gateways to a second quota service, and back to the first after the duration."""
     for node in _nodes(run, fault):
-        _quota_service_at(run, node, 1)
-        run.after(fault.for_ms, _quota_service_at, run, node, 0)
+        _use_quota_service(run, node, 1)
+        run.after(fault.for_ms, _use_quota_service, run, node, 0)
 
 
-def _quota_service_at(run: Environment, node: Node, number: int) -> None:
+def _use_quota_service(run: Environment, node: Node, number: int) -> None:
     node.quota_service_number = number
     if run.plan.quota_service and run.is_running(node) and not node.stopping:
         run.reload(node)
@@ -357,7 +357,7 @@
 
 
 def _shift(run: Environment, fault: Fault) -> None:
-    """That share of the customers moves to others of their gateways at one stroke."""
+    """Moves a share of the customers (`amount`) to others of their gateways at once."""
     for key in list(run.customer_weights):
         if run.rng.random() < fault.amount:
             run.customer_weights[key] = run.weight_rng.random() ** 2
@@ -377,21 +377,21 @@
 
 
 def _move(run: Environment, fault: Fault) -> None:
-    """Customers that have one of these gateways in their set come in by those alone, all at one stroke, and
-    afterwards as before."""
+    """Sends customers that have one of these gateways in their set only to those, all at once, for the
+    duration."""
     names = dict.fromkeys(node.name for node in _nodes(run, fault))
     run.preferred_gateways.append(names)
     run.after(fault.for_ms, run.preferred_gateways.remove, names)
 
 
 def _upgrade(run: Environment, fault: Fault) -> None:
-    """The next version starts beside this one and takes over."""
+    """Starts the next version of the program, which takes over from the running process."""
     for node in _nodes(run, fault):
         run.upgrade(node)
 
 
 def _in_traffic(run: Environment, fault: Fault) -> None:
-    """`surge` and `leave` are drawn with the requests."""
+    """Does nothing: `surge` and `leave` are part of the requests (`traffic`)."""
 
 
 KINDS: dict[str, Callable[[Environment, Fault], None]] = {
--- a/zincstile/simulation/fleet.py
+++ b/zincstile/simulation/fleet.py
@@ -1,8 +1,8 @@
-"""Scenarios of a growing fleet by seed, and counts over all of its gateways.
+"""Scenarios of mass failures in fleets of different sizes, and counters summed over all gateways.
 
-Half of the backends are replaced within a moment, then most gateways are killed; customers come in through
-half of the gateways or more. Backends are one and a half times the gateways, requests 40 for each, so that
-a gateway sees little of any backend at every size.
+Half of the backends are replaced within 0.5 s, then 70 % of the gateways are killed; each customer uses at
+least half of the gateways. There are 1.5 backends and 40 requests per gateway, so that a gateway sees
+little traffic of any backend at every size.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 def draw(seed: int, gateways: int) -> Plan:
-    """The plan of a seed and a size."""
+    """Returns the plan of a seed and a fleet size."""
     rng = random.Random(f"fleet {seed} {gateways}")
     backends = gateways * 3 // 2
     faults = [Fault("deploy", 900, 500, rng.sample(range(backends), backends // 2), 0.3)]
@@ -33,9 +33,12 @@
 
 
 def counter_totals(run: Run) -> dict[str, float]:
-    """Of the gateways' last processes together; `busiest` is the most messages that one of them took in."""
+    """Returns the counters summed over the latest processes of all gateways.
+
+    `busiest` is the largest number of messages that one gateway received; `replaced` counts cold backends.
+    """
     counters = [node.gateway.counters for node in run.nodes]
     names = ("attempts", "connects", "watches", "messages_in", "messages_out", "messages_bad", "faults")
-    found = {n: float(sum(getattr(c, n) for c in counters)) for n in names}
-    cold = [p for p in run.backends.values() if p.entry.since_ms]
-    return found | {"busiest": float(max(c.messages_in for c in counters)), "replaced": float(len(cold))}
+    totals = {n: float(sum(getattr(c, n) for c in counters)) for n in names}
+    cold = [backend for backend in run.backends.values() if backend.entry.since_ms]
+    return totals | {"busiest": float(max(c.messages_in for c in counters)), "replaced": float(len(cold))}
--- a/zincstile/simulation/members.py
+++ b/zincstile/simulation/members.py
@@ -1,4 +1,4 @@
-"""Who takes part in a run on virtual time: gateways' nodes, and backends with their entries in the list."""
+"""The members of a run on virtual time: nodes of gateways, and backends with their discovery entries."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 
 @dataclass(slots=True)
 class Node:
-    """A gateway's node in the tier: its address and its agent stay while processes come and go.
+    """A gateway's node: its address and discovery agent persist over restarts of its process.
 
-    `process`, `gateway` and `machine` are those that were started last; None before the first start.
+    `process`, `gateway` and `machine` belong to the latest start; None before the first one.
     """
 
     number: int
     name: str
     host: str
     agent: DiscoveryAgent
-    discovery: tuple[str, int]  # host and port that the configuration names
+    discovery: tuple[str, int]  # host and port in its configuration
     skew_ns: int = 0
     starts: int = 0
     process: Process | None = None
@@ -35,7 +35,7 @@
 
 @dataclass(slots=True)
 class Backend:
-    """A backend's process, and its entry in discovery's list."""
+    """A backend's process, and its entry in the endpoint list."""
 
     entry: EndpointEntry
     process: Process
--- a/zincstile/simulation/mutants.py
+++ b/zincstile/simulation/mutants.py
@@ -1,4 +1,4 @@
-"""Deliberate faults of the gateway: each must be named by the right rule, within some seeds.
+"""Deliberate faults of the gateway (mutants): the right rule must detect each within a number of seeds.
 
 A mutant that no seed detects is a gap in the scenarios or in the checkers. `find_violation` plays seed after
 seed with one fault injected into the code of this process; `try_all` does so for many, each in a separate
@@ -21,7 +21,7 @@
 
 @dataclass(slots=True)
 class MutantResult:
-    """What came of one mutant: the rule that named it, and how many seeds that took; None: not named."""
+    """The result for one mutant: the rule that detected it, and the number of seeds; None: not detected."""
 
     name: str
     rule: str
@@ -31,32 +31,36 @@
 
 @dataclass(slots=True)
 class Mutant:
-    """A fault, and the rules by which it may rightly be named."""
+    """A fault, and the rules that may detect it."""
 
     rules: tuple[str, ...]
     inject: Inject
 
 
-def unguarded(inject: Inject) -> Inject:
-    """The same fault, with the gateway's own invariant checks off."""
+def without_invariant_checks(inject: Inject) -> Inject:
+    """Returns the same fault with the gateway's own invariant checks disabled."""
 
-    def inject_unguarded() -> Undo:
+    def inject_without_checks() -> Undo:
         return undo_all(inject(), network.invariant_guard_off())
 
-    return inject_unguarded
+    return inject_without_checks
 
 
 MUTANTS: Final[dict[str, Mutant]] = {
-    "withdrawal-left-out": Mutant(("drain",), unguarded(network.queued_attempts_not_withdrawn)),
+    "withdrawal-left-out": Mutant(
+        ("drain",), without_invariant_checks(network.queued_attempts_not_withdrawn)
+    ),
     "drain-unseen": Mutant(("drain",), network.draining_taken_for_ready),
     "watch-trusted": Mutant(("drain",), network.silent_watch_kept),
     "two-answers": Mutant(("answer",), network.two_answers),
     "answers-out-of-order": Mutant(("answer", "value"), network.answers_out_of_order),
-    "key-to-any-rack": Mutant(("repeat",), unguarded(decisions.keyed_retry_in_any_group)),
-    "repeats-all": Mutant(("repeat",), unguarded(decisions.everything_retried)),
-    "key-forgets-its-rack": Mutant(("repeat",), unguarded(decisions.deduplication_window_forgotten)),
-    "reset-never-ran": Mutant(("repeat",), unguarded(network.reset_taken_for_not_run)),
-    "copies-all": Mutant(("repeat",), unguarded(decisions.everything_hedged)),
+    "key-to-any-rack": Mutant(("repeat",), without_invariant_checks(decisions.keyed_retry_in_any_group)),
+    "repeats-all": Mutant(("repeat",), without_invariant_checks(decisions.everything_retried)),
+    "key-forgets-its-rack": Mutant(
+        ("repeat",), without_invariant_checks(decisions.deduplication_window_forgotten)
+    ),
+    "reset-never-ran": Mutant(("repeat",), without_invariant_checks(network.reset_taken_for_not_run)),
+    "copies-all": Mutant(("repeat",), without_invariant_checks(decisions.everything_hedged)),
     "cold-unlimited": Mutant(("cold",), decisions.cold_endpoints_unlimited),
     "cold-unseen": Mutant(("cold",), decisions.cold_taken_for_warm),
     "ceiling-ignored": Mutant(("ceiling",), decisions.ceiling_not_divided),
@@ -67,7 +71,7 @@
     "deadline-lost": Mutant(("answer", "resources"), network.simultaneous_deadline_lost),
     "connection-reused-dirty": Mutant(("value", "resources"), network.connection_reused_with_unread_bytes),
     "kept-after-timeout": Mutant(("value", "resources"), network.connection_reused_after_timeout),
-    "stop-at-once": Mutant(("answer",), unguarded(network.shutdown_at_once)),
+    "stop-at-once": Mutant(("answer",), without_invariant_checks(network.shutdown_at_once)),
     "stop-forgets": Mutant(("answer",), network.shutdown_closes_with_answers_owed),
     "read-before-end-dropped": Mutant(("answer",), network.input_before_end_dropped),
     "read-after-end-sent-on": Mutant(("answer",), network.input_after_end_forwarded),
@@ -76,7 +80,7 @@
     "attempts-leak": Mutant(("resources",), network.cancelled_attempts_leak),
     "key-lost": Mutant(("foreign",), network.idempotency_key_lost),
     "any-answer-served": Mutant(("value",), network.malformed_answer_served),
-    "sent-on-for-nobody": Mutant(("left",), unguarded(network.forwarded_after_client_left)),
+    "sent-on-for-nobody": Mutant(("left",), without_invariant_checks(network.forwarded_after_client_left)),
     "time-not-counted": Mutant(("deadline",), network.elapsed_time_not_subtracted),
     "checked-withdrawal": Mutant(("invariant",), network.queued_attempts_not_withdrawn),
     "checked-send": Mutant(("invariant",), network.forwarded_after_client_left),
@@ -89,7 +93,7 @@
 
 
 def find_violation(name: str, max_seeds: int, first_seed: int = 1) -> MutantResult:
-    """Plays seeds from `first_seed` on, until one breaks a rule that names the mutant."""
+    """Plays seeds from `first_seed` on until one breaks a rule of the mutant."""
     mutant = MUTANTS[name]
     undo = mutant.inject()
     try:
@@ -102,11 +106,11 @@
     return MutantResult(name, "", None)
 
 
-def _find(job: tuple[str, int]) -> MutantResult:
+def _find_violation(job: tuple[str, int]) -> MutantResult:
     return find_violation(*job)
 
 
 def try_all(names: tuple[str, ...], max_seeds: int, jobs: int) -> Iterator[MutantResult]:
-    """Tries each of the named mutants; in the order of the names."""
+    """Tries each of the named mutants; yields results in the order of the names."""
     with multiprocessing.get_context("spawn").Pool(min(jobs, len(names))) as pool:
-        yield from pool.imap(_find, [(name, max_seeds) for name in names])
+        yield from pool.imap(_find_violation, [(name, max_seeds) for name in names])
--- a/zincstile/simulation/mutants_decisions.py
+++ b/zincstile/simulation/mutants_decisions.py
@@ -1,7 +1,7 @@
 """Deliberate faults of the decisions: retries, hedged requests, slow start, ceilings, late outcomes.
 
-Each function puts one fault into the code and returns what takes it out again. `mutants.MUTANTS` says which
-rule has to name it.
+Each function injects one fault into the code and returns a function that removes it. `mutants.MUTANTS` lists
+the rules that have to detect it.
 """
 
 from __future__ import annotations
--- a/zincstile/simulation/mutants_network.py
+++ b/zincstile/simulation/mutants_network.py
@@ -1,7 +1,7 @@
 """Deliberate faults of the network side: client connections, backends, discovery, start and shutdown.
 
-Each function puts one fault into the code and returns what takes it out again. `mutants.MUTANTS` says which
-rule has to name it.
+Each function injects one fault into the code and returns a function that removes it. `mutants.MUTANTS` lists
+the rules that have to detect it.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 from .mutation import Undo, replace_attribute, undo_all
 
 LATE_END_S: Final = 0.02  # long enough for a request to arrive before the end of its connection
-EXCESS_TIMEOUT_NS: Final = 400_000_000  # beyond any grace that the rules give
+EXCESS_TIMEOUT_NS: Final = 400_000_000  # beyond any tolerance of the rules
 SHORTEST_TIMEOUT_NS: Final = 1_000_000  # a request must not be overdue when it is read
 
 
@@ -31,14 +31,14 @@
 
 
 def draining_taken_for_ready() -> Undo:
-    """A draining endpoint is taken for a ready one."""
+    """A draining endpoint is treated as ready."""
     old = ENDPOINT_STATES["Terminating"]
     ENDPOINT_STATES["Terminating"] = EndpointState.READY
     return lambda: ENDPOINT_STATES.__setitem__("Terminating", old)
 
 
 def silent_watch_kept() -> Undo:
-    """A watch that fell silent is never opened again."""
+    """A watch that became silent is never reopened."""
     return replace_attribute(Watch, "_check_silence", lambda self, _: None)
 
 
@@ -65,7 +65,7 @@
 
 
 def answers_out_of_order() -> Undo:
-    """Answers are written as they come, whatever the order of the requests."""
+    """Answers are written as they arrive, regardless of the order of the requests."""
 
     def flush(self):
         self._flush_scheduled = False
@@ -88,7 +88,7 @@
 
 
 def reset_taken_for_not_run() -> Undo:
-    """A connection that breaks after a complete command is taken for one that never carried it."""
+    """A connection lost after a complete command is treated as if the command was never sent."""
 
     def lost(self, err):
         attempt, self.attempt = self.attempt, None
@@ -100,7 +100,7 @@
 
 
 def client_timeout_too_long() -> Undo:
-    """A client's timeout is taken for a tenth longer than it is."""
+    """A client's timeout is extended by a tenth."""
     old = call_reader.CallReader.__dict__["read"]
 
     def read(self, words, number, now):
@@ -139,7 +139,7 @@
 
 
 def dispatcher_never_idle() -> Undo:
-    """Every batch of the dispatcher asks for the next one."""
+    """Every batch of the dispatcher schedules another one."""
     old = dispatcher.Dispatcher.__dict__["run_batch"]
 
     def run_batch(self):
@@ -163,7 +163,7 @@
 
 
 def connection_reused_with_unread_bytes() -> Undo:
-    """A connection is used again although bytes follow its answer, read or not."""
+    """A connection is reused although more bytes follow its answer, read or unread."""
     old = attempts.Attempts.__dict__["on_reply"]
 
     def on_reply(self, connection, attempt, reply, *, no_trailing_data):
@@ -196,7 +196,7 @@
 
 
 def shutdown_at_once() -> Undo:
-    """SIGTERM ends the gateway at once."""
+    """SIGTERM ends the gateway without a drain."""
     return replace_attribute(shutdown.GracefulShutdown, "begin", lambda self: self._end(None))
 
 
@@ -223,7 +223,7 @@
 
 
 def input_after_end_forwarded() -> Undo:
-    """Input after the end of a connection was sent is taken for a request like any other."""
+    """Input that arrives after the end of a connection was sent is processed like any other request."""
     old = connection.ClientConnection.__dict__["flush"]
 
     def buffer_updated(self, size):
@@ -245,7 +245,7 @@
 
 
 def backend_connections_leak() -> Undo:
-    """A backend connection that has ended is still counted."""
+    """A backend connection that has ended still counts as open."""
     return replace_attribute(ConnectionPool, "on_connection_lost", lambda self, connection: None)
 
 
@@ -272,7 +272,7 @@
 
 
 def malformed_answer_served() -> Undo:
-    """A malformed answer is served: the first part of whatever came."""
+    """A malformed answer is served: its first part is returned to the client."""
 
     def answer(reply):
         if isinstance(reply, list) and reply and isinstance(reply[0], bytes):
@@ -283,7 +283,7 @@
 
 
 def invariant_guard_off() -> Undo:
-    """The gateway's own invariant checks let everything pass, so that a checker has to name the fault."""
+    """The gateway's own invariant checks pass always, so that a checker has to detect the fault."""
     checks = ("may_send", "may_close", "may_be_ready", "may_end")
     return undo_all(
         *(replace_attribute(InvariantGuard, name, lambda self, *_, **__: True) for name in checks)
--- a/zincstile/simulation/observation.py
+++ b/zincstile/simulation/observation.py
@@ -1,4 +1,4 @@
-"""Observers of the virtual network during a run, and the callbacks by which emulators know their peers."""
+"""Observers of the virtual network during a run, and callbacks by which emulators identify their peers."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class ForwardedCommandObserver:
-    """Reads what a gateway sends a backend on one connection, as it leaves the gateway."""
+    """Reports to the checker what a gateway sends to a backend on one connection."""
 
     __slots__ = ("checker", "gateway", "backend", "scheduler", "_commands", "_first_byte_ns", "_attempt")
 
@@ -29,10 +29,10 @@
         self.scheduler = scheduler
         self._commands = codec.CommandParser()
         self._first_byte_ns = 0
-        self._attempt: Any = None  # the checker's, from the request id on until the command is complete
+        self._attempt: Any = None  # the checker's record, from the request id until the command is complete
 
     def feed(self, data: bytes) -> None:
-        """Takes the next bytes. Commands come one by one, as a connection carries one attempt at a time."""
+        """Parses the next bytes. Commands arrive one by one: a connection carries one attempt at a time."""
         if self._commands.idle:
             self._first_byte_ns = self.scheduler.now_ns
         try:
@@ -54,7 +54,7 @@
 
 
 class ConnectionEndCrossings:
-    """Sends a request on a client connection in the very moment in which a gateway ends that connection."""
+    """Sends a request on a client connection just as a gateway ends that connection."""
 
     def __init__(
         self,
@@ -63,14 +63,14 @@
         load_balancer: ClientLoadBalancer,
         requests: list[PlannedRequest],
     ) -> None:
-        self._ratio = plan.crossing  # of the ends at which a request is sent
+        self._ratio = plan.crossing  # share of the ended connections on which a request is sent
         self._clients = clients
         self._load_balancer = load_balancer
         self._requests = [replace(request, retries=0, disconnect_after_s=0.0) for request in requests]
         self._rng = random.Random(f"crossings {plan.seed}")
 
     def connection_ended(self, endpoint: TcpTransport) -> None:
-        """A process has sent the end of a connection; `endpoint` is its side."""
+        """Called when a process has sent the end of a connection; `endpoint` is its side."""
         peer = endpoint.peer
         client = peer.protocol if peer is not None and peer.process is self._clients else None
         if isinstance(client, ClientConnection) and self._rng.random() < self._ratio:
@@ -79,10 +79,10 @@
 
 
 def was_read(transport: Any, request: Request) -> bool:
-    """True if the gateway had read the request before it ended the connection."""
+    """Returns True if the gateway had read the request before it ended the connection."""
     return transport.peer is None or transport.peer.had_read_before_fin(request.end_position)
 
 
 def peer_process_name(transport: Any) -> str:
-    """The name of the process at the other end of a connection on the virtual network."""
+    """Returns the name of the process at the other end of a connection on the virtual network."""
     return transport.peer.process.name
--- a/zincstile/simulation/run.py
+++ b/zincstile/simulation/run.py
@@ -1,6 +1,7 @@
-"""One run of a plan on virtual time: it is built, played step by step under the checkers, and ended.
+"""Plays a plan on virtual time, step by step, with the checkers running.
 
-`Run.play` ends at the first broken rule, or when everything is answered and nothing may be left over.
+`Run.play` ends at the first broken rule, or when all requests are answered and the gateways have been checked
+for leftovers.
 """
 
 from __future__ import annotations
@@ -27,16 +28,19 @@
 from .virtual_environment import START_NS
 from .virtual_gateways import DISCOVERY_PORT, VirtualGateways
 
-MIN_QUIET_NS: Final = 1000 * MS_NS  # from the last request or fault to the end of the run, at least
-MAX_QUIET_NS: Final = 6500 * MS_NS  # and at most: longer than any deadline, retry and shutdown
-QUIET_CHECK_NS: Final = 250 * MS_NS  # so often it is looked whether everything is answered
-FAILURE_DETECTION_S: Final = (0.3, 1.5)  # how soon the clients' load balancer sees that a gateway is down
-QUOTA_SERVICES: Final = 2  # the second is there for a split
+MIN_QUIET_NS: Final = 1000 * MS_NS  # minimum time from the last request or fault to the end of the run
+MAX_QUIET_NS: Final = 6500 * MS_NS  # maximum: longer than any deadline, retry and shutdown
+QUIET_CHECK_NS: Final = 250 * MS_NS  # interval of the check whether everything is answered
+FAILURE_DETECTION_S: Final = (
+    0.3,
+    1.5,
+)  # range of the time until the clients' load balancer detects a dead gateway
+QUOTA_SERVICES: Final = 2  # the second is used by the fault `keeper_split`
 
 
 @dataclass(slots=True)
 class Result:
-    """What came of one run."""
+    """The result of one run."""
 
     seed: int
     steps: int
@@ -46,26 +50,32 @@
     faults: int
     digest: str  # of everything that crossed the network
     breach: Violation | None
-    tally: dict[str, int] = field(default_factory=dict)  # outcomes of requests by kind
-    nearest: dict[str, float] = field(default_factory=dict)  # to the rules that have a measure: 1 is at it
+    tally: dict[str, int] = field(default_factory=dict)  # number of requests by outcome
+    nearest: dict[str, float] = field(
+        default_factory=dict
+    )  # peak ratio to the limit of each rule that has one; 1: at the limit
 
     def line(self) -> str:
-        """The last line that the command prints."""
+        """Returns the last line that the command prints."""
         if self.breach is not None:
             return f"seed {self.seed} {self.breach.line()}"
         return f"seed {self.seed} ok steps={self.steps} requests={self.requests} digest={self.digest}"
 
 
 class Run(VirtualGateways):
-    """A run from its plan; it is played once."""
+    """One run of a plan; it can be played once."""
 
-    on_backend_connection: Callable[[], None] | None = None  # sees each connection of a gateway to a backend
+    on_backend_connection: Callable[[], None] | None = (
+        None  # called for each connection of a gateway to a backend
+    )
 
     def play(self) -> Result:
-        """Builds the environment, plays the plan and says what came of it."""
+        """Builds the environment, plays the plan and returns the result."""
         self._build()
         collects = gc.isenabled()
-        gc.disable()  # what a run drops goes at once or with the run; the collector's times are not its own
+        # Reference counts free most garbage of a run at once, the collector the rest after it: the times of
+        # collections would not depend on the run alone.
+        gc.disable()
         try:
             if not self._play_until_quiet():
                 self._check_end()
@@ -79,7 +89,7 @@
     # ---- the environment at the start
 
     def _build(self) -> None:
-        """Starts everything. The order decides the order of events at equal times, and so the digest."""
+        """Starts everything. The order here determines that of simultaneous events, and thus the digest."""
         plan = self.plan
         self.network.on_connected = self._connection_opened
         for number in range(plan.boxes):
@@ -99,7 +109,7 @@
         self._schedule(traffic.planned_requests(plan, self.began_ns / 1e9))
 
     def _make_node(self, number: int) -> Node:
-        """A gateway's node, with a discovery agent that runs."""
+        """Returns a gateway's node with a running discovery agent."""
         name = f"g{number}"
         host = f"10.0.0.{number + 1}"
         process = Process(self.network, f"agent{number}", host, number % len(traffic.ZONES))
@@ -123,7 +133,7 @@
         self.clients.loop.call_soon(self.load_balancer.watch_gateways)
 
     def _schedule(self, requests: list[PlannedRequest]) -> None:
-        """Every request and every fault at its instant."""
+        """Schedules every request and every fault at its time."""
         plan = self.plan
         if plan.crossing and requests:
             crossings = ConnectionEndCrossings(plan, self.clients, self.load_balancer, requests)
@@ -137,7 +147,7 @@
         return traffic.gateway_weights(self, request, names)
 
     def _connection_opened(self, opener: TcpTransport, acceptor: TcpTransport) -> None:
-        """Observes what a gateway sends on a new connection to a backend."""
+        """Observes the commands that a gateway sends on a new connection to a backend."""
         gateway, backend = opener.process.name, acceptor.process.name
         if gateway[0] == "g" and backend in self.backends:
             observer = ForwardedCommandObserver(self.checker, gateway, backend, self.scheduler)
@@ -148,7 +158,7 @@
     # ---- the run and its end
 
     def _play_until_quiet(self) -> bool:
-        """True if a rule was broken."""
+        """Runs until everything is answered. Returns True if a rule was broken."""
         last_ms = max([self.plan.last_ms, *(fault.at_ms + fault.for_ms for fault in self.plan.faults)])
         last_ns = self.began_ns + last_ms * MS_NS
         until_ns = last_ns + MIN_QUIET_NS
@@ -159,14 +169,14 @@
         return broken
 
     def _quiet(self) -> bool:
-        """True when nothing is asked, answered, or shutting down any more."""
+        """Returns True when no request is in flight and no gateway is shutting down."""
         if self.load_balancer.in_flight or self.load_balancer.retries_waiting:
             return False
         alive = [node for node in self.nodes if node.process.alive]
         return not any(node.stopping or in_progress(node) for node in alive)
 
     def _check_end(self) -> None:
-        """Checks that nothing is left of what has long been answered."""
+        """Checks that the gateways hold nothing of requests answered long ago."""
         for node in self.nodes:
             self.check_process(node)
             if node.process.alive and not node.stopping:
--- a/zincstile/simulation/shrink.py
+++ b/zincstile/simulation/shrink.py
@@ -1,9 +1,9 @@
-"""A failing plan made small: fewest faults, then requests, then the plainest network, by delta debugging.
+"""Minimizes a failing plan by delta debugging: its faults, then its requests, then its network settings.
 
-A candidate counts when it breaks the same rule as the plan did, by whatever request. The search is
-greedy and bounded in runs: what it gives fails for sure, and leaving out any one part that was still
-tried does not. Reference: Zeller and Hildebrandt, "Simplifying and Isolating Failure-Inducing Input"
-(2002), ddmin.
+A candidate is accepted if it breaks the same rule as the original plan, with any request. The search is
+greedy and limited to a number of runs: its result is known to fail, and removing any single part that the
+search still had runs to try makes it pass. Reference: Zeller and Hildebrandt, "Simplifying and Isolating
+Failure-Inducing Input" (2002), ddmin.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from .plan import Plan
 from .run import Result, Run
 
-PLAIN = {
+SIMPLEST_SETTINGS = {
     "quantum_us": 0,
     "split": 0.0,
     "read_bytes": 0,
@@ -34,31 +34,34 @@
 
 @dataclass(slots=True)
 class ShrunkPlan:
-    """What was found: the plan, what comes of it, and the runs that it took."""
+    """The result of a search: the plan, the result of playing it, and the number of runs."""
 
     plan: Plan
     result: Result
     runs: int
 
 
-class _RunsSpent(Exception):  # noqa: N818 - no error: the search ends here
-    """All runs that the search was given are spent."""
+class _RunsExhausted(Exception):  # noqa: N818 - not an error: it ends the search
+    """The search has used all its runs."""
 
 
 class _Search:
-    """The smallest plan so far, and how many runs it took."""
+    """The smallest failing plan so far, and the number of runs."""
 
     def __init__(self, plan: Plan, rule: str, max_runs: int) -> None:
         self.best = plan
         self.rule = rule
         self.max_runs = max_runs
-        self.runs = 1  # the one that showed the rule
+        self.runs = 1  # the first one, which broke the rule
         self.result: Result | None = None
 
-    def holds(self, candidate: Plan) -> bool:
-        """True if it breaks the same rule: then it is the best so far. _RunsSpent where no run is left."""
+    def breaks_rule(self, candidate: Plan) -> bool:
+        """Returns True if the candidate breaks the same rule, and keeps it as the best so far.
+
+        _RunsExhausted if no run is left.
+        """
         if self.runs >= self.max_runs:
-            raise _RunsSpent
+            raise _RunsExhausted
         self.runs += 1
         result = Run(candidate, rules=(self.rule,)).play()
         if result.breach is None:
@@ -66,15 +69,15 @@
         self.best, self.result = candidate, result
         return True
 
-    def fewest(self, items: list[Any], put: Callable[[Plan, list[Any]], Plan]) -> None:
-        """Leaves out parts of a list, coarse ones first (ddmin); `put` makes a plan with what is left."""
+    def minimize(self, items: list[Any], make_plan: Callable[[Plan, list[Any]], Plan]) -> None:
+        """Removes parts of a list, large ones first (ddmin); `make_plan` makes a plan of the others."""
         parts = 2
         while items:
             size = max(1, len(items) // parts)
             for at in range(0, len(items), size):
-                rest = items[:at] + items[at + size :]
-                if self.holds(put(self.best, rest)):
-                    items, parts = rest, max(2, parts - 1)
+                remaining = items[:at] + items[at + size :]
+                if self.breaks_rule(make_plan(self.best, remaining)):
+                    items, parts = remaining, max(2, parts - 1)
                     break
             else:
                 if size == 1:
@@ -85,9 +88,9 @@
 def shrink_plan(
     plan: Plan, max_runs: int, report: Callable[[str], None], rules: tuple[str, ...] = RULE_NAMES
 ) -> ShrunkPlan | None:
-    """A smallest plan that breaks the same rule, by `max_runs` runs at most; `report` gets a line a step.
+    """Returns a minimal plan that breaks the same rule, after at most `max_runs` runs.
 
-    None where the plan breaks none of these rules.
+    Calls `report` with a line for each step. Returns None if the plan breaks none of these rules.
     """
     first = Run(plan, rules=rules).play()
     if first.breach is None:
@@ -97,25 +100,25 @@
     report(f"{first.line()}: {first.breach.text}")
     replace = msgspec.structs.replace
     try:
-        search.fewest(list(plan.faults), lambda p, faults: replace(p, faults=faults))
+        search.minimize(list(plan.faults), lambda p, faults: replace(p, faults=faults))
         report(f"{len(search.best.faults)} faults are left after {search.runs} runs")
-        for at in range(len(search.best.faults)):  # and each of them concerns as few as can be
+        for at in range(len(search.best.faults)):  # minimize the targets of each fault
             while len(search.best.faults[at].targets) > 1:
-                now = search.best.faults[at]
-                for one in now.targets:
-                    fewer = replace(now, targets=[n for n in now.targets if n != one])
+                fault = search.best.faults[at]
+                for removed in fault.targets:
+                    fewer = replace(fault, targets=[n for n in fault.targets if n != removed])
                     faults = [fewer if k == at else f for k, f in enumerate(search.best.faults)]
-                    if search.holds(replace(search.best, faults=faults)):
+                    if search.breaks_rule(replace(search.best, faults=faults)):
                         break
                 else:
                     break
         numbers = list(range(plan.requests)) if search.best.only is None else list(search.best.only)
-        search.fewest(numbers, lambda p, only: replace(p, only=only))
+        search.minimize(numbers, lambda p, only: replace(p, only=only))
         report(f"{len(search.best.only or numbers)} requests are left after {search.runs} runs")
-        for name, plain in PLAIN.items():
-            if getattr(search.best, name) != plain:
-                search.holds(replace(search.best, **{name: plain}))
-        search.fewest(list(search.best.faults), lambda p, faults: replace(p, faults=faults))
-    except _RunsSpent:
-        report(f"the {max_runs} runs are spent")
+        for name, simplest in SIMPLEST_SETTINGS.items():
+            if getattr(search.best, name) != simplest:
+                search.breaks_rule(replace(search.best, **{name: simplest}))
+        search.minimize(list(search.best.faults), lambda p, faults: replace(p, faults=faults))
+    except _RunsExhausted:
+        report(f"all {max_runs} runs are used")
     return ShrunkPlan(search.best, search.result, search.runs)
--- a/zincstile/simulation/sweep.py
+++ b/zincstile/simulation/sweep.py
@@ -1,4 +1,4 @@
-"""Many seeds over many processes. The outcome doesn't depend on how they were shared out."""
+"""Plays many seeds in many processes. The results don't depend on how seeds are assigned to processes."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from . import plan
 from .run import Result, Run
 
-COLLECT_EVERY: Final = 16  # scenarios between two collections: memory stays small, and they cost little
+COLLECT_EVERY: Final = 16  # scenarios between two collections: bounds memory at a low cost
 
 
 def play(seed: int, rules: tuple[str, ...] = RULE_NAMES) -> Result:
@@ -22,9 +22,9 @@
 
 
 def _begin_worker() -> None:
-    """Begins a worker: the garbage collector runs between scenarios only.
+    """Initializes a worker process: the garbage collector runs between scenarios only.
 
-    In the middle of one it examined everything that is alive again and again, for a sixth of the time.
+    Collections during a scenario repeatedly traversed all live objects and took a sixth of the time.
     """
     gc.collect()
     gc.freeze()
@@ -38,7 +38,7 @@
 
 
 def play_all(seeds: range, jobs: int, rules: tuple[str, ...] = RULE_NAMES) -> Iterator[Result]:
-    """Plays the scenarios of all seeds, over that many processes; results come in the order of the seeds."""
+    """Plays the scenarios of all seeds in `jobs` processes; yields results in the order of the seeds."""
     if jobs == 1 or len(seeds) == 1:
         yield from (play(seed, rules) for seed in seeds)
         return
@@ -49,8 +49,8 @@
 
 
 def digest_of(results: list[Result]) -> str:
-    """One digest of all results in order; the rule and step of a broken scenario are in it too."""
-    found = hashlib.blake2b(digest_size=8)
+    """Returns one digest of all results in order, including the rule and step of a broken scenario."""
+    digest = hashlib.blake2b(digest_size=8)
     for result in results:
-        found.update(f"{result.seed} {result.digest} {result.line()}\n".encode())
-    return found.hexdigest()
+        digest.update(f"{result.seed} {result.digest} {result.line()}\n".encode())
+    return digest.hexdigest()
--- a/zincstile/simulation/traffic.py
+++ b/zincstile/simulation/traffic.py
@@ -1,9 +1,9 @@
-"""Who asks what and when, from a plan alone; and the settings that gateways are told with it.
+"""The clients' requests, derived from a plan alone, and the matching settings of the gateways.
 
-The figures have the shape of the brief: classes, plans, quotas, customers that stay within theirs, that
-use nearly all, and that ask for far more. They are scaled to a world of a few seconds, with boxes of a
-core or two. One more class, `key-change`, may never be repeated. Each request is drawn by itself from the
-seed and its number, so that leaving one out changes no other.
+Request classes, plans and quotas resemble those of production: some customers stay within their quotas, some
+use nearly all, and some request far more. They are scaled to a run of a few seconds, with backends of one or
+two cores. The additional class `key-change` must never be retried. Each request is drawn from the seed and
+its own number, so that leaving one out changes no other.
 """
 
 from __future__ import annotations
@@ -24,18 +24,18 @@
 ZONES = ["zone-03", "zone-04", "zone-05"]
 WARM_UP_MS, COLD_WINDOW_MS, MAX_DEADLINE_MS = 6000, 3000, 3000
 DEDUPLICATION_WINDOW_MS = 6000
-ASK_WITHIN_MS = 10_000  # discovery has to be asked so often, where it has to be
-WORK_MS = {"sheet-read": 80, "profiles-save": 50, "new-order": 50, "key-change": 50}  # of a unit
+ASK_WITHIN_MS = 10_000  # the longest interval between polls of discovery, where it is polled
+WORK_MS = {"sheet-read": 80, "profiles-save": 50, "new-order": 50, "key-change": 50}  # per unit
 MAX_REQUEST_UNITS = 6
 
-# name: aim, deadline, effect in the settings' words, gain, worth when late, share of the requests
+# name: latency target, deadline, effect (as in the settings), gain, worth when late, share of the requests
 CLASSES = {
     "sheet-read": (1000, 3000, "free", 2.0, 0.2, 0.45),
     "profiles-save": (600, 1500, "free", 1.0, 0.2, 0.30),
     "new-order": (750, 3000, "guarded", 2.0, 0.0, 0.15),
     "key-change": (750, 2000, "single_shot", 1.5, 0.0, 0.10),
 }
-# name: price, rate, burst in seconds, attempts out, ceiling over the rate, customers
+# name: price, rate, burst in seconds, max attempts in flight, ceiling as a multiple of the rate, customers
 PLANS = {
     "basic": (0.55, 2.0, 5.0, 0, 0.0, 5),
     "standard": (0.8, 6.0, 4.0, 0, 0.0, 4),
@@ -45,7 +45,7 @@
 
 
 def rule_limits() -> RuleLimits:
-    """The rules' figures of these worlds."""
+    """Returns the limits that the checkers apply to these scenarios."""
     effects = {
         "free": Idempotency.ALWAYS,
         "guarded": Idempotency.BY_KEY,
@@ -66,8 +66,10 @@
 
 
 def settings(plan: Plan, number: int) -> dict[str, Any]:
-    """What a gateway is told, in the simulator's words."""
-    beyond = {"plus": (0.5, 0.1)} if plan.plus_beyond else {}  # worth and cost of what is beyond the quota
+    """Returns a gateway's settings, in the format of the simulator."""
+    over_quota = (
+        {"plus": (0.5, 0.1)} if plan.plus_beyond else {}
+    )  # worth and cost of requests beyond the quota
     classes = [
         {
             "name": n,
@@ -89,8 +91,8 @@
             "refill": rate,
             "burst": rate * burst,
             "concurrency": out,
-            "over_worth": beyond.get(n, (0.0, 1.0))[0],
-            "beyond_costs": beyond.get(n, (0.0, 1.0))[1],
+            "over_worth": over_quota.get(n, (0.0, 1.0))[0],
+            "beyond_costs": over_quota.get(n, (0.0, 1.0))[1],
             "never_over_rate": rate * ceiling,
             "hard_burst": rate * burst * ceiling,
             "tolerance": max(0.1 * rate * burst * ceiling, MAX_REQUEST_UNITS),
@@ -135,7 +137,7 @@
 def configuration(
     plan: Plan, number: int, listen: str, discovery: str, peers: list[str], seed: int, known: dict[str, Any]
 ) -> dict[str, Any]:
-    """A gateway's configuration file, as a table."""
+    """Returns the content of a gateway's configuration file."""
     return {
         "name": f"g{number}",
         "listen": listen,
@@ -150,7 +152,7 @@
 
 
 def stated_bounds(plan: Plan, settings: QuotaServiceSettings) -> dict[str, tuple[float, float, float]]:
-    """Rate, burst and the largest bound of each plan, as the gateways state them."""
+    """Returns the rate, burst and largest overshoot bound of each plan, as the gateways state them."""
     return {
         n: (
             p[1],
@@ -167,21 +169,21 @@
 
 
 def quotas() -> dict[str, tuple[float, float, float]]:
-    """Rate and burst of each plan where no bound is stated: none is ever passed, and what is sent beyond a
-    quota is measured all the same."""
+    """Returns the rate and burst of each plan with an infinite bound, for runs that state none: no rule can
+    be broken, but the overshoot is still measured."""
     return {n: (p[1], p[1] * p[2], math.inf) for n, p in PLANS.items()}
 
 
 class Customers:
-    """The customers of a world: plan, set of gateways, and how much of the quota they ask for."""
+    """The customers of a scenario: plan, set of gateways, and how much of the quota they request."""
 
     def __init__(self, plan: Plan) -> None:
         rng = random.Random(f"customers {plan.seed}")
-        self.rows: list[tuple[int, str, int, int]] = []  # key, plan, spread, first
+        self.entries: list[tuple[int, str, int, int]] = []  # key, plan, spread, first
         self.weights: list[float] = []
         for name, (_, rate, _, _, _, count) in PLANS.items():
             for _ in range(count):
-                light = (
+                weights = (
                     (0.7, 0.2, 0.06, 0.04)
                     if plan.greedy is None
                     else (
@@ -191,49 +193,50 @@
                         0.4 * plan.greedy,
                     )
                 )
-                heavy = rng.choices((0.4, 0.95, 2.5, 6.0), light)[0]
+                demand = rng.choices((0.4, 0.95, 2.5, 6.0), weights)[0]
                 spread = rng.randint(min(2, plan.gateways), min(4, plan.gateways))
                 if plan.wide and name != "plus":
                     spread = rng.randint(-(-plan.gateways // 2), plan.gateways)
-                self.rows.append((rng.getrandbits(33), name, spread, rng.randrange(plan.gateways)))
-                self.weights.append(rate * heavy)
+                self.entries.append((rng.getrandbits(33), name, spread, rng.randrange(plan.gateways)))
+                self.weights.append(rate * demand)
 
 
 def planned_requests(plan: Plan, start_s: float) -> list[PlannedRequest]:
-    """All first tries, in order of time. More of them fall on the instants of faults, and more deadlines."""
+    """Returns the first attempts of all requests, in order of time. Requests and deadlines cluster at the
+    times of faults."""
     customers = Customers(plan)
-    instants = {a for f in plan.faults for a in (f.at_ms, f.at_ms + f.for_ms)}
-    anchors = sorted(a for a in instants if 0 <= a <= plan.last_ms) if plan.anchored else []
-    chosen = range(plan.requests) if plan.only is None else plan.only
-    made = [_want(plan, number, customers, anchors, start_s) for number in chosen]
-    return sorted(made, key=lambda w: (w.at_s, w.customer))
+    fault_times = {a for f in plan.faults for a in (f.at_ms, f.at_ms + f.for_ms)}
+    anchors = sorted(a for a in fault_times if 0 <= a <= plan.last_ms) if plan.anchored else []
+    numbers = range(plan.requests) if plan.only is None else plan.only
+    requests = [_planned_request(plan, number, customers, anchors, start_s) for number in numbers]
+    return sorted(requests, key=lambda request: (request.at_s, request.customer))
 
 
-def _want(
+def _planned_request(
     plan: Plan, number: int, customers: Customers, anchors: list[int], start_s: float
 ) -> PlannedRequest:
     rng = random.Random(f"want {plan.seed} {number}")
     surges = [f for f in plan.faults if f.kind == "surge"]
-    leaving = [f for f in plan.faults if f.kind == "leave"]
+    disconnects = [f for f in plan.faults if f.kind == "leave"]
     at_ms: float = rng.random() * plan.last_ms
-    wait_share = 0.5 + 0.5 * rng.random()
+    timeout_ratio = 0.5 + 0.5 * rng.random()
     if anchors and rng.random() < 0.3:
         at_ms = rng.choice(anchors) + rng.choice((rng.uniform(-2, 2), rng.uniform(-150, 300)))
-    key, name, spread, first = rng.choices(customers.rows, customers.weights)[0]
-    for surge in surges:  # a customer of `plus` asks for so many times its quota
+    key, name, spread, first = rng.choices(customers.entries, customers.weights)[0]
+    for surge in surges:  # one customer of `plus` sends a burst of requests
         if rng.random() < 0.35:
-            plus = [row for row in customers.rows if row[1] == "plus"]
+            plus = [entry for entry in customers.entries if entry[1] == "plus"]
             key, name, spread, first = plus[plan.seed % len(plus)]
             at_ms = surge.at_ms + rng.random() * surge.for_ms
     cls = rng.choices(list(CLASSES), [c[5] for c in CLASSES.values()])[0]
     _, deadline, effect, _, _, _ = CLASSES[cls]
-    wait_ms = int(deadline * wait_share)
-    if anchors and rng.random() < 0.2:  # its time is up about when something goes wrong
-        wait_ms = max(30, min(deadline, int(rng.choice(anchors) + rng.uniform(-3, 3) - at_ms)))
-    leaves = 0.0
-    for fault in leaving:
+    timeout_ms = int(deadline * timeout_ratio)
+    if anchors and rng.random() < 0.2:  # the deadline falls close to a fault
+        timeout_ms = max(30, min(deadline, int(rng.choice(anchors) + rng.uniform(-3, 3) - at_ms)))
+    disconnect_after_s = 0.0
+    for fault in disconnects:
         if 0 <= at_ms - fault.at_ms <= fault.for_ms and rng.random() < fault.amount:
-            leaves = rng.uniform(0.0005, 0.2)
+            disconnect_after_s = rng.uniform(0.0005, 0.2)
     return PlannedRequest(
         at_s=start_s + max(0.0, at_ms) / 1000,
         request_class=cls,
@@ -242,20 +245,25 @@
         units=rng.choices((1.0, 2.0, 3.0, 6.0), (0.5, 0.3, 0.15, 0.05))[0],
         gateway_count=spread,
         first_gateway=first,
-        timeout_ms=wait_ms,
+        timeout_ms=timeout_ms,
         idempotent=effect == "free",
         key=b"%016x" % rng.getrandbits(64) if effect == "guarded" else b"",
         retries=rng.choice((0, 1, 2)),
         retry_delay_s=rng.choice((0.0, 0.05, 0.2)),
-        disconnect_after_s=leaves,
+        disconnect_after_s=disconnect_after_s,
         pipelined=rng.random() < 0.1,
         respects_retry_after=rng.random() < 0.5,
     )
 
 
-def gateway_weights(run: Environment, want: PlannedRequest, names: list[str]) -> list[float]:
-    """How unevenly a customer's requests come in; `shift` draws it anew, `move` draws all to some."""
+def gateway_weights(run: Environment, request: PlannedRequest, names: list[str]) -> list[float]:
+    """Returns the weights by which a customer's requests are distributed over these gateways.
+
+    The fault `shift` redraws them, and `move` sends all requests to some of the gateways.
+    """
     for drawn in run.preferred_gateways[-1:]:
         if any(n in drawn for n in names):
             return [float(n in drawn) for n in names]
-    return [run.customer_weights.setdefault((want.customer, n), run.weight_rng.random() ** 2) for n in names]
+    return [
+        run.customer_weights.setdefault((request.customer, n), run.weight_rng.random() ** 2) for n in names
+    ]
--- a/zincstile/simulation/virtual_backends.py
+++ b/zincstile/simulation/virtual_backends.py
@@ -17,30 +17,30 @@
 from .observation import peer_process_name
 from .virtual_environment import GROUPS, UNIX_OFFSET_NS, VirtualEnvironment
 
-MAX_SPEED_RATIO: Final = 1.3  # by which cores are faster or slower than the usual at most
-HOSTS_PER_NETWORK: Final = 200  # addresses of backends that differ in their last number alone
+MAX_SPEED_RATIO: Final = 1.3  # maximum factor by which a backend's cores are faster or slower than usual
+HOSTS_PER_NETWORK: Final = 200  # backend addresses that differ only in their last number
 QUOTA_SERVICE_NETWORK: Final = "10.2.0"
 QUOTA_SERVICE_PORT: Final = 6400
 
 
 def quota_service_host(number: int) -> str:
-    """The address of the quota service of that number."""
+    """Returns the address of the quota service of that number."""
     return f"{QUOTA_SERVICE_NETWORK}.{number + 1}"
 
 
 class VirtualBackends(VirtualEnvironment):
-    """Starts, stops and disturbs the emulated services, as a plan's faults ask for it."""
+    """Starts and stops the emulated services and injects faults into them."""
 
-    _backends_made = 0
+    _backends_created = 0
 
     # ---- backends
 
     def add_backend(
         self, zone: int, cold: bool, group: int | None = None, at: Backend | None = None
     ) -> Backend:
-        """A new backend of drawn speed and size, listening at once; at the address of `at` where given."""
-        self._backends_made += 1
-        number = self._backends_made
+        """Adds a listening backend of random speed and queue size, at the address of `at` if given."""
+        self._backends_created += 1
+        number = self._backends_created
         if at is None:
             host = f"10.1.{number // HOSTS_PER_NETWORK}.{number % HOSTS_PER_NETWORK + 1}"
             port = SERVICE_PORT
@@ -64,7 +64,7 @@
     def _start_backend(
         self, name: str, host: str, port: int, zone: int, group: int, model: BackendModel, cold: bool
     ) -> Backend:
-        """A backend begins to listen, and its rules begin to be checked."""
+        """Starts a backend, and the checks of its rules."""
         process = Process(self.network, name, host, zone)
         rng = random.Random(f"{name} {self.plan.seed} {self.scheduler.now_ns}")
         emulator = BackendEmulator(process.loop, name, model, self.racks[group], rng, self.checker, cold=cold)
@@ -80,42 +80,42 @@
         return self.backends[name]
 
     def restart_backend(self, old: Backend) -> Backend:
-        """The same backend, started again and cold."""
+        """Restarts a backend, cold."""
         zone, group = self.checker.locations[old.entry.name]
         model = replace(old.model, hangs=False)
         return self._start_backend(old.entry.name, old.host, old.port, zone, group, model, True)
 
     def backend_is_running(self, backend: Backend) -> bool:
-        """True until it is killed."""
+        """Returns True until the backend is killed."""
         return backend.process.alive
 
     def kill_backend(self, backend: Backend) -> None:
-        """Its connections break, and it takes no new ones."""
+        """Breaks all connections and stops listening."""
         backend.process.kill()
 
     def resume_listening(self, backend: Backend) -> None:
-        """It takes connections again, if it took none."""
+        """Accepts connections again if it had stopped."""
         if backend.process.alive and (backend.host, backend.port) not in self.network.listeners:
             self.spawn(backend.process, backend.emulator.start(backend.host, backend.port))
 
     def reset_backend(self, backend: Backend) -> None:
-        """Its connections break; it goes on."""
+        """Breaks its connections; the backend keeps running."""
         for endpoint in list(backend.process.connections):
             endpoint.reset_both_sides()
 
-    def set_backend_unreachable(self, backend: Backend, silent: bool) -> None:
-        """No gateway reaches it any more, or all do again."""
-        self._set_unreachable(backend.host, silent)
+    def set_backend_unreachable(self, backend: Backend, unreachable: bool) -> None:
+        """Cuts the backend off from all gateways, or reconnects it."""
+        self._set_unreachable(backend.host, unreachable)
 
     def set_backend_delay(self, backend: Backend, ms: float) -> None:
-        """What passes between it and the gateways is late by so much; 0: no more."""
+        """Delays all traffic between the backend and the gateways by this time; 0 ends it."""
         self.network.extra_delay_ns.pop(backend.host, None)
         if ms:
             self.network.extra_delay_ns[backend.host] = int(ms * MS_NS)
 
-    def set_partitioned(self, node: Node, backend: Backend, apart: bool) -> None:
-        """One gateway and this backend reach each other no more, or do again."""
-        change = self.network.disconnect if apart else self.network.reconnect
+    def set_partitioned(self, node: Node, backend: Backend, partitioned: bool) -> None:
+        """Cuts the path between a gateway and a backend, or restores it."""
+        change = self.network.disconnect if partitioned else self.network.reconnect
         change(node.host, backend.host)
 
     def _set_unreachable(self, host: str, unreachable: bool) -> None:
@@ -125,11 +125,11 @@
     # ---- quota services
 
     def quota_service(self, number: int) -> QuotaService:
-        """The quota service of that number."""
+        """Returns the quota service of that number."""
         return self.quota_services[number][1]
 
     def start_quota_service(self, number: int) -> None:
-        """Starts a quota service that knows nothing yet, at the address of the one before it."""
+        """Starts a quota service with empty state, at the address of its predecessor."""
         process = Process(self.network, f"counter{number}", quota_service_host(number), 0)
         service = QuotaService(process.loop)
         service.accepts_calls = True
@@ -137,9 +137,9 @@
         self.quota_services[number] = process, service
 
     def kill_quota_service(self, number: int) -> None:
-        """Its connections break, and it takes no new ones."""
+        """Breaks all connections and stops listening."""
         self.quota_services[number][0].kill()
 
-    def set_quota_service_unreachable(self, silent: bool) -> None:
-        """No gateway reaches the first quota service any more, or all do again."""
-        self._set_unreachable(quota_service_host(0), silent)
+    def set_quota_service_unreachable(self, unreachable: bool) -> None:
+        """Cuts the first quota service off from all gateways, or reconnects it."""
+        self._set_unreachable(quota_service_host(0), unreachable)
--- a/zincstile/simulation/virtual_environment.py
+++ b/zincstile/simulation/virtual_environment.py
@@ -1,7 +1,7 @@
-"""The state of one run on virtual time: its network, its checker, its settings, and who takes part.
+"""The state of one run on virtual time: its network, checker, settings, and members.
 
 `virtual_backends` adds the backends and other emulated services, `virtual_gateways` the gateways, and `run`
-the order of things. Together they are the `environment.Environment` that faults are carried out in.
+the sequence of the run. Together they implement `environment.Environment` for fault injection.
 """
 
 from __future__ import annotations
@@ -31,25 +31,26 @@
 from .members import Backend, Node
 from .plan import Plan
 
-START_NS: Final = 1000 * SECOND_NS  # of virtual time: far from 0, so that no difference of times is below it
+START_NS: Final = 1000 * SECOND_NS  # of virtual time: far from 0, so that no time difference is negative
 UNIX_OFFSET_NS: Final = 1_800_000_000 * SECOND_NS - START_NS  # Unix time less virtual time
-LEAD_NS: Final = 700 * MS_NS  # from the start to the first request: gateways have their lists by then
-GROUPS: Final = 3  # of backends that share what they know of idempotency keys
-ATTEMPT_DELAY_NS: Final = 400 * MS_NS  # from a decision until its attempt has reached a backend, at most
+LEAD_NS: Final = 700 * MS_NS  # from the start to the first request: by then gateways have endpoint lists
+GROUPS: Final = 3  # number of groups of backends that share their store of idempotency keys
+ATTEMPT_DELAY_NS: Final = (
+    400 * MS_NS
+)  # maximum time from a decision to the arrival of its attempt at a backend
 UNLIMITED_LISTS_PER_S: Final = 1e6  # the list service of a plan that states no rate
-SMALLEST_SUBSET: Final = (
-    2  # endpoints and gateways: scenarios are small, and subsets must differ all the same
-)
+# Endpoints and gateways: scenarios are small, and the subsets of their gateways must still differ.
+SMALLEST_SUBSET: Final = 2
 
 
 class VirtualEnvironment:
-    """A run's state, from its plan. `keep_trace` keeps a line for everything that crosses the network.
+    """The state of a run. With `keep_trace` the network records a line for everything that crosses it.
 
-    Random sources are separate by purpose, each seeded with its name and the plan's seed, so that one more
-    draw in one of them changes nothing in the others.
+    Each purpose has its own random stream, seeded with its name and the plan's seed, so that an additional
+    draw from one stream does not change the others.
     """
 
-    # Made when the run begins:
+    # Created when the run begins:
     clients: Process
     load_balancer: ClientLoadBalancer
     service: ListService
@@ -57,7 +58,9 @@
     def __init__(self, plan: Plan, *, keep_trace: bool = False, rules: tuple[str, ...] = RULE_NAMES) -> None:
         self.plan = plan
         self.scheduler = Scheduler(START_NS)
-        self.rng = random.Random(f"world {plan.seed}")  # of faults and emulators, in the order of events
+        self.rng = random.Random(
+            f"world {plan.seed}"
+        )  # for faults and emulators, which draw in the order of events
         self.links = NetworkFaults(random.Random(f"links {plan.seed}"))
         self.network = self._make_network(keep_trace=keep_trace)
         self._read_features(plan)
@@ -69,14 +72,13 @@
         )
         self.endpoint_list = EndpointList(self.checker)
         self.racks = [Rack(traffic.DEDUPLICATION_WINDOW_MS / 1000) for _ in range(GROUPS)]
-        self.backends: dict[str, Backend] = {}  # by name; one that started again stands for its older self
-        self.backend_names: list[
-            str
-        ] = []  # names, in the plan's order; a deploy puts the new one in its place
+        self.backends: dict[str, Backend] = {}  # by name; a restarted one replaces its former entry
+        # In the plan's order; a deploy replaces the old name by the new one.
+        self.backend_names: list[str] = []
         self.nodes: list[Node] = []
-        self.logs: list[str] = []  # the gateways' lines
+        self.logs: list[str] = []  # log lines of the gateways
         self.quota_services: dict[int, tuple[Process, QuotaService]] = {}
-        self.began_ns = START_NS + LEAD_NS  # of the first request
+        self.began_ns = START_NS + LEAD_NS  # time of the first request
         self.preferred_gateways: list[dict[str, None]] = []
         self.customer_weights: dict[tuple[int, str], float] = {}
         self.weight_rng = random.Random(f"weights {plan.seed}")
@@ -97,7 +99,7 @@
         return network
 
     def _read_features(self, plan: Plan) -> None:
-        """The settings of the features that the plan turns on; None for the others."""
+        """Sets the settings of the features that the plan enables; None for the others."""
         self.quota_service_settings = (
             QuotaServiceSettings(clock_skew_ns=1, max_overshoot_ratio=0.08) if plan.quota_service else None
         )
@@ -112,7 +114,7 @@
         self.list_service_behaviour = ListServiceBehaviour(plan.lists_per_s or UNLIMITED_LISTS_PER_S)
 
     def _stated_quotas(self) -> Quotas | None:
-        """What the checker holds quotas to; None where the plan's features state no bound."""
+        """Returns the checker of quotas; None if the plan's features state no bound."""
         if self.lease_settings:
             stated, initial_fill = shared.stated(self.plan, self.lease_settings)
             return Quotas(stated, 0, initial_fill, START_NS)
@@ -126,9 +128,9 @@
         process.loop.create_task(coroutine)
 
     def note(self, what: str, where: str) -> None:
-        """Puts a line into the network's trace and digest."""
+        """Adds an event to the network's trace and digest."""
         self.network.record(what, where)
 
-    def after(self, ms: float, then: Callable[..., Any], *args: object) -> None:
-        """Calls `then` that many milliseconds from now."""
-        self.scheduler.call_at(self.scheduler.now_ns + int(ms * MS_NS), then, *args)
+    def after(self, ms: float, callback: Callable[..., Any], *args: object) -> None:
+        """Calls `callback` that many milliseconds from now."""
+        self.scheduler.call_at(self.scheduler.now_ns + int(ms * MS_NS), callback, *args)
--- a/zincstile/simulation/virtual_gateways.py
+++ b/zincstile/simulation/virtual_gateways.py
@@ -1,7 +1,7 @@
 """The gateways of a run on virtual time: their configuration, start, signals and end.
 
-They are the program's own: `net.gateway.Gateway` with its decisions, started as `python -m zincstile` starts
-it, each in a process and on a machine of its own.
+They run the program's own code: `net.gateway.Gateway` with its decisions, started in the same way as by
+`python -m zincstile`, each in a virtual process of its own.
 """
 
 from __future__ import annotations
@@ -23,32 +23,32 @@
 from .virtual_backends import QUOTA_SERVICE_PORT, VirtualBackends, quota_service_host
 from .virtual_environment import UNIX_OFFSET_NS
 
-DISCOVERY_PORT: Final = 8500  # of an agent's first address; each move takes the next one
+DISCOVERY_PORT: Final = 8500  # of an agent's first address; each move uses the next port
 PEER_PORT: Final = 7946
-FAULT_LOG_MARK: Final = " fault "  # stands in a gateway's log line before an error that it survived
+FAULT_LOG_MARK: Final = " fault "  # precedes an error that the gateway survived in its log line
 
 
 class VirtualGateways(VirtualBackends):
-    """Starts, stops and disturbs gateways, as a plan's faults ask for it."""
+    """Starts and stops gateways and injects faults into them."""
 
-    on_log_line: Callable[[Node, str], None] | None = None  # sees each line of a gateway's log
+    on_log_line: Callable[[Node, str], None] | None = None  # called for each line of a gateway's log
 
     # ---- configuration
 
     def config(self, node: Node) -> config.Config:
-        """What a gateway reads of its file, with the features' settings put in as their files would be."""
-        found = config.read(self.table(node), {})
-        found.leases = self.lease_settings
-        found.cold_start = self.cold_start_settings
-        found.zone_failover = self.zone_failover_settings
-        found.subset = self.subset_settings
+        """Returns a gateway's configuration, with the features' settings that would come from their files."""
+        loaded = config.read(self.table(node), {})
+        loaded.leases = self.lease_settings
+        loaded.cold_start = self.cold_start_settings
+        loaded.zone_failover = self.zone_failover_settings
+        loaded.subset = self.subset_settings
         if self.quota_service_settings is not None:
-            found.quota_service = self.quota_service_settings
-            found.quota_service_address = (quota_service_host(node.quota_service_number), QUOTA_SERVICE_PORT)
-        return found
+            loaded.quota_service = self.quota_service_settings
+            loaded.quota_service_address = (quota_service_host(node.quota_service_number), QUOTA_SERVICE_PORT)
+        return loaded
 
     def table(self, node: Node) -> dict[str, Any]:
-        """A gateway's configuration file, as it stands now."""
+        """Returns the current content of a gateway's configuration file."""
         seed = random.Random(f"{node.name} {self.plan.seed} {node.starts}").getrandbits(64)
         return traffic.configuration(
             self.plan,
@@ -63,7 +63,7 @@
     # ---- start and end
 
     def start_gateway(self, node: Node) -> None:
-        """Starts a process as the platform does: from nothing but its configuration and the last list."""
+        """Starts a process as the platform does: from its configuration and cached endpoint list alone."""
         node.starts += 1
         node.stopping = False
         process = Process(
@@ -74,48 +74,49 @@
             max_descriptors=self.plan.sockets,
             quantum_ns=self.plan.quantum_us * 1000,
         )
-        machine = VirtualHost(process, lambda: self.config(node), UNIX_OFFSET_NS + node.skew_ns)
-        machine.log = lambda line: self._log(node, line)
+        virtual_host = VirtualHost(process, lambda: self.config(node), UNIX_OFFSET_NS + node.skew_ns)
+        virtual_host.log = lambda line: self._log(node, line)
         self.checker.gateway_started(node.name)
         self.network.record("start", node.name)
-        gateway = Gateway(self.config(node), process.loop, machine)
+        gateway = Gateway(self.config(node), process.loop, virtual_host)
         gateway.dispatcher.guard.observer = lambda which, text: self.checker.report_invariant(
             node.name, f"{which.value} {text}"
         )
         node.process = process
         node.gateway = gateway
-        node.machine = machine
+        node.machine = virtual_host
         task = process.loop.create_task(gateway.lifecycle.run())
         task.add_done_callback(lambda _: self._ended(node, process))
 
     def is_running(self, node: Node) -> bool:
-        """True while its process lives."""
+        """Returns True while its process is alive."""
         return node.process.alive
 
     def kill(self, node: Node) -> None:
-        """SIGKILL."""
+        """Kills the process as by SIGKILL."""
         if node.process.alive:
             self.check_process(node)
             self.checker.gateway_ended(node.name)
             node.process.kill()
 
     def terminate(self, node: Node) -> None:
-        """SIGTERM, once."""
+        """Sends SIGTERM, at most once."""
         if node.process.alive and not node.stopping:
             node.stopping = True
             self.checker.record_event(f"{node.name} gets SIGTERM")
             node.process.signal(signal.SIGTERM)
 
     def check_process(self, node: Node) -> None:
-        """Checks what a process held open at most, and the errors of its event loop."""
+        """Checks the peak number of open descriptors of a process, and the errors of its event loop."""
         self.checker.check_descriptors(node.name, node.process.peak_descriptors, self.plan.sockets)
         for fault in node.process.loop.unhandled_errors:
             self.checker.report_fault(node.name, fault)
 
     def _ended(self, node: Node, process: Process) -> None:
-        """Its own end after SIGTERM.
+        """Handles the exit of a gateway by itself after SIGTERM.
 
-        The checker isn't told that the gateway died: requests that it took and didn't answer are lost.
+        The checker isn't told that the gateway died: requests that it accepted and didn't answer
+        count as lost.
         """
         if process.alive:
             self.checker.record_event(f"{node.name} ended by itself")
@@ -130,24 +131,24 @@
         if FAULT_LOG_MARK in line:
             self.checker.report_fault(node.name, line.split(FAULT_LOG_MARK, 1)[1].strip())
 
-    # ---- what else happens to them
+    # ---- other events
 
     def pause(self, node: Node, ms: float) -> None:
-        """It gets no CPU for so long."""
+        """Stops the process for this time."""
         node.process.pause(int(ms * MS_NS))
         self.checker.gateway_paused(node.name, int(ms * MS_NS))
 
     def reload(self, node: Node) -> None:
-        """SIGHUP, with the file as it is by now."""
+        """Sends SIGHUP; the gateway reads its current configuration file."""
         node.process.signal(signal.SIGHUP)
 
     def move_discovery(self, node: Node) -> None:
-        """Its agent listens at a new address too, which the file names from now on."""
+        """Makes its agent listen at an additional address, and puts that into the configuration file."""
         node.discovery = node.host, DISCOVERY_PORT + node.moves
         node.agent.loop.create_task(node.agent.start(*node.discovery))
 
     def connect_misbehaving_client(self, node: Node, client: MisbehavingClient) -> None:
-        """A client that keeps to no protocol connects to it."""
+        """Connects a client that violates the protocol."""
         self.spawn(self.clients, self._connect(node.host, client))
 
     async def _connect(self, host: str, client: MisbehavingClient) -> None:
@@ -157,4 +158,4 @@
             return  # that gateway is down
 
     def upgrade(self, node: Node) -> None:
-        """Does nothing: virtual time has no upgrades (`plan.REAL_PROCESS_KINDS`)."""
+        """Does nothing: only runs with real processes support upgrades (`plan.REAL_PROCESS_KINDS`)."""
